--- a/tests/random_parts.c
+++ b/tests/random_parts.c
@@ -7,6 +7,7 @@
 static uint64_t state;
 static struct sim *sim;
 static char error[512];
+static bool digests;
 
 unsigned random_draw(unsigned below)
 {
@@ -124,6 +125,12 @@
 	ok = !error[0] && sim_play(sim, error, sizeof(error));
 	if (!ok)
 		printf("FAIL seed %u: %s\n", seed, error);
+	if (digests) {
+		char name[32];
+
+		snprintf(name, sizeof(name), "seed-%u", seed);
+		sim_print_digest(sim, name);
+	}
 	sim_free(sim);
 	return ok;
 }
@@ -133,9 +140,9 @@
 	unsigned good = 0, bad = 0;
 	int at = 1;
 
-	if (argc > 1 && !strcmp(argv[1], "-v")) {
-		sim_verbose = true;
-		at = 2;
+	for (; at < argc && argv[at][0] == '-'; at++) {
+		sim_verbose |= !strcmp(argv[at], "-v");
+		digests |= !strcmp(argv[at], "-d");
 	}
 	if (argc != at + 2)
 		return 2;
--- a/tests/random_parts.h
+++ b/tests/random_parts.h
@@ -14,7 +14,8 @@
 /* A job of any shape, which its user may cancel. */
 void random_job(unsigned number, unsigned zones);
 /*
- * NAME [-v] FIRST COUNT: plays so many scenarios, a seed each, and tells which fail; the exit
+ * NAME [-v] [-d] FIRST COUNT: plays so many scenarios, a seed each, and tells which fail; -d: with
+ * the digest of each, as the runner; the exit
  * status. The simulator checks the rules at every step; `generate` draws what befalls the cluster.
  */
 int random_main(int argc, char **argv, void (*generate)(void));
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -1,9 +1,15 @@
-/* Plays scenario files: runner [-v] [-c] FILE...; -c: with the subsystem coldstart on in each. */
+/*
+ * Plays scenario files: runner [-v] [-c] [-d] [-t] FILE...
+ *
+ * -v: with the log; -c: with the subsystem coldstart on in each; -d: with a digest of all that left
+ * the cores; -t: with that itself, as text on standard error.
+ */
 #include "sim.h"
 
 int main(int argc, char **argv)
 {
 	int bad = 0, good = 0;
+	bool digests = false;
 
 	for (int i = 1; i < argc; i++) {
 		struct sim *s;
@@ -19,6 +25,14 @@
 			sim_coldstart_always = true;
 			continue;
 		}
+		if (!strcmp(argv[i], "-d")) {
+			digests = true;
+			continue;
+		}
+		if (!strcmp(argv[i], "-t")) {
+			sim_trace = stderr;
+			continue;
+		}
 		f = fopen(argv[i], "r");
 		if (!f) {
 			perror(argv[i]);
@@ -30,6 +44,9 @@
 		fclose(f);
 		ok = ok && sim_play(s, err, sizeof(err));
 		printf("%s %s%s%s\n", ok ? "ok  " : "FAIL", argv[i], ok ? "" : ": ", err);
+		if (digests)
+			sim_print_digest(s, strrchr(argv[i], '/') ? strrchr(argv[i], '/') + 1
+								  : argv[i]);
 		sim_free(s);
 		ok ? good++ : bad++;
 	}
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -485,6 +485,7 @@
 
 	while (s->nodes[i].up && s->now >= s->nodes[i].frozen &&
 	       (a = s->nodes[i].v->pop(s->nodes[i].core))) {
+		sim_digest_add(s, i, a);
 		switch (a->kind) {
 		case WS_ACT_CALL: call_start(s, i, a->call); break;
 		case WS_ACT_ANSWER_USER: sim_user_answer(s, a); break;
@@ -981,6 +982,7 @@
 	ws_zones_defaults(&s->zones_settings);
 	ws_coldstart_defaults(&s->coldstart_settings);
 	s->coldstart_on = sim_coldstart_always;
+	sim_digest_begin(s);
 	return s;
 }
 
@@ -1127,6 +1129,12 @@
 	return !s->err[0];
 }
 
+void sim_print_digest(const struct sim *s, const char *name)
+{
+	printf("digest %s %016llx %llu effects\n", name, (unsigned long long)s->digest,
+	       (unsigned long long)s->digest_lines);
+}
+
 void sim_free(struct sim *s)
 {
 	struct sim_kv *k, *t;
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -118,6 +118,9 @@
 bool sim_line(struct sim *s, char *line, char *err, size_t n);
 /* Plays all lines; false with what broke in err. */
 bool sim_play(struct sim *s, char *err, size_t n);
+/* Prints the digest of all that left the cores, see sim_digest.c. */
+void sim_print_digest(const struct sim *s, const char *name);
+extern FILE *sim_trace; /* what the digest is of, as text; NULL: nowhere */
 extern bool sim_verbose;
 /* The subsystem coldstart is on in every scenario, whether it says so or not. */
 extern bool sim_coldstart_always;
--- a/tests/sim_parts.h
+++ b/tests/sim_parts.h
@@ -187,6 +187,7 @@
 	uint64_t healthy_stops; /* of them: of work that nobody cancelled, on machines that stay */
 	int killed, restarted;	/* tasks that a lease ran out over, and those that ran again */
 	double restart_sum, restart_last; /* how long after, and when the last one did */
+	uint64_t digest, digest_lines;	  /* of all effects, see sim_digest.c */
 };
 
 void sim_kv_put(struct sim *s, const char *key, json_t *v, uint64_t hold);
@@ -252,5 +253,10 @@
 void sim_coldstart_killed(struct sim *s, const struct sim_worker *w);
 void sim_coldstart_started(struct sim *s, struct sim_job *j, uint32_t task);
 
+/* sim_digest.c */
+void sim_digest_begin(struct sim *s);
+/* An effect that leaves the core of a node. */
+void sim_digest_add(struct sim *s, int node, const struct ws_action *a);
+
 extern const struct sim_version sim_this_version;
 #endif
