--- a/tests/sim.c
+++ b/tests/sim.c
@@ -1,62 +1,25 @@
 #include "sim_parts.h"
-#include "layout.h"
-#include <dlfcn.h>
 
 bool sim_verbose;
 bool sim_coldstart_always;
 
 const struct sim_version sim_this_version = {
-    ws_core_new,    ws_core_free,   ws_core_tick,    ws_core_pop,    ws_core_complete,
-    ws_core_resign, ws_core_ready,  ws_core_leading, ws_core_submit, ws_core_poll,
-    ws_core_abort,  ws_core_report, ws_core_testify, ws_action_free};
-
-#ifdef WS_PRODUCTION_CORE
-/* Whether both versions lay out alike what they share; names what they do not. */
-static bool same_layout(void *library)
-{
-	const struct layout_entry *then = dlsym(library, "layout_then");
-	const size_t *count = dlsym(library, "layout_then_count");
-
-	if (!then || !count || *count != layout_now_count) {
-		fprintf(stderr, "the production core's layout is not told\n");
-		return false;
-	}
-	for (size_t i = 0; i < *count; i++)
-		if (then[i].value != layout_now[i].value) {
-			fprintf(stderr, "%s: %zu in production, %zu now\n", then[i].name,
-				then[i].value, layout_now[i].value);
-			return false;
-		}
-	return true;
-}
-#endif
-
-/* The version in production; NULL where it could not be built, or is laid out otherwise. */
-static const struct sim_version *production(void)
-{
-	static struct sim_version v;
-#ifdef WS_PRODUCTION_CORE
-	static const char *const names[] = {
-	    "core_new",	   "core_free",	  "core_tick",	  "core_pop",	 "core_complete",
-	    "core_resign", "core_ready",  "core_leading", "core_submit", "core_poll",
-	    "core_abort",  "core_report", "core_testify", "action_free"};
-	void **to = (void **)&v, *lib;
-	char name[64];
-
-	if (v.create)
-		return &v;
-	lib = dlopen(WS_PRODUCTION_CORE, RTLD_NOW | RTLD_LOCAL);
-	if (lib && !same_layout(lib))
-		return NULL;
-	for (size_t i = 0; lib && i < sizeof(names) / sizeof(names[0]); i++) {
-		snprintf(name, sizeof(name), "ws_%s", names[i]);
-		to[i] = dlsym(lib, name);
-		if (!to[i])
-			return NULL;
-	}
-#endif
-	return v.create ? &v : NULL;
-}
+    .create = ws_core_new,
+    .destroy = ws_core_free,
+    .tick = ws_core_tick,
+    .pop = ws_core_pop,
+    .complete = ws_core_complete,
+    .resign = ws_core_resign,
+    .ready = ws_core_ready,
+    .leading = ws_core_leading,
+    .submit = ws_core_submit,
+    .poll = ws_core_poll,
+    .abort = ws_core_abort,
+    .report = ws_core_report,
+    .testify = ws_core_testify,
+    .free_action = ws_action_free,
+    .free_call = ws_call_free,
+};
 
 void sim_fail(struct sim *s, const char *fmt, ...)
 {
@@ -165,13 +128,14 @@
 	if (mine && s->crash == CRASH_BEFORE) {
 		s->crash = CRASH_NONE;
 		free(f);
-		ws_call_free(c);
+		nd->v->free_call(c);
 		sim_node_crash(s, node, s->down_for);
 		return;
 	}
 	f->node = node;
 	f->life = nd->life;
 	f->call = c;
+	f->call_version = nd->v;
 	f->at = s->now + (is_cloud(c->kind) ? 0.2 : 0.004);
 	if (is_state(c->kind) && s->now < s->state_slow)
 		f->at += s->state_slow_by * (0.2 + 0.8 * sim_rnd(s));
@@ -192,6 +156,7 @@
 		g->life = nd->life;
 		g->at = s->now + 1;
 		g->call = c;
+		g->call_version = nd->v;
 		f->stage = 2;
 		f->at = !lag		 ? s->now + s->late_by
 			: s->lag_at_once ? s->now + 0.004
@@ -199,6 +164,7 @@
 		f->call = calloc(1, sizeof(*f->call));
 		*f->call = *c;
 		f->call->ctx = NULL;
+		f->call_version = &sim_this_version; /* a copy that no core knows of */
 		f->call->ops = calloc(c->nops + 1, sizeof(*c->ops));
 		f->call->conds = calloc(c->nconds + 1, sizeof(*c->conds));
 		memcpy(f->call->ops, c->ops, c->nops * sizeof(*c->ops));
@@ -230,7 +196,7 @@
 			f->res.status = 0;
 		nd->v->complete(nd->core, s->now * (1 + nd->skew), f->call, &f->res);
 	} else {
-		ws_call_free(f->call);
+		f->call_version->free_call(f->call);
 	}
 	result_clear(&f->res);
 	free(f);
@@ -252,7 +218,7 @@
 			return;
 		}
 		sim_state_do(s, c, &f->res);
-		ws_call_free(c);
+		f->call_version->free_call(c);
 		result_clear(&f->res);
 		free(f);
 		return;
@@ -639,7 +605,7 @@
 		s->gang_peer = atof(sim_word(&p));
 	} else if (!strcmp(w, "old")) { /* so many nodes run the version in production at first */
 		s->old_nodes = atoi(sim_word(&p));
-		if (!production()) {
+		if (!sim_production_version()) {
 			snprintf(err, n, "line %d: the version in production was not built",
 				 s->line);
 			return false;
@@ -1036,7 +1002,7 @@
 		x->gang_peer_s = s->gang_peer;
 		s->nodes[i].v = &sim_this_version;
 		if (i < s->old_nodes)
-			s->nodes[i].v = production();
+			s->nodes[i].v = sim_production_version();
 		else if (s->next_value_kb > 0)
 			node_lower(s, i);
 		x->cloud_rps = 2;
@@ -1143,7 +1109,7 @@
 		struct sim_flight *f = s->flights;
 
 		s->flights = f->next;
-		ws_call_free(f->call);
+		f->call_version->free_call(f->call);
 		result_clear(&f->res);
 		free(f);
 	}
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -76,9 +76,8 @@
 };
 
 /*
- * What the simulator asks of a core. The one of the version in production is a library of its own,
- * built from the repository's history: the structures of core.h and settings.h only grow at their
- * ends, so both understand them.
+ * What the simulator asks of a core: of this version's directly, of the one of the version in
+ * production through sim_production.c. A core is looked into by its own version alone.
  */
 struct sim_version {
 	struct ws_core *(*create)(const struct ws_settings *, const struct ws_policy *, ws_log_fn,
@@ -96,6 +95,7 @@
 	void (*report)(struct ws_core *, double, uint64_t, const struct ws_report *, bool);
 	void (*testify)(struct ws_core *, double, uint64_t);
 	void (*free_action)(struct ws_action *);
+	void (*free_call)(struct ws_call *); /* of a call that is never completed */
 };
 
 struct sim_node {
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -79,10 +79,27 @@
 	return !strcmp(op, "=") ? n == atof(m) : !strcmp(op, ">=") ? n >= atof(m) : n <= atof(m);
 }
 
+/* The leader's core, to be looked into: one of this version; else NULL, and the play fails. */
+static const struct ws_core *leading_core(struct sim *s)
+{
+	int leader = sim_leader(s);
+
+	if (leader < 0) {
+		sim_fail(s, "nobody leads");
+		return NULL;
+	}
+	if (s->nodes[leader].v != &sim_this_version) {
+		sim_fail(s, "node %d leads, which is of the version in production", leader);
+		return NULL;
+	}
+	return s->nodes[leader].core;
+}
+
 void sim_expect(struct sim *s, char *p)
 {
 	const char *what = sim_word(&p), *a = sim_word(&p), *b = sim_word(&p), *c = sim_word(&p);
 	struct sim_job *j = a ? sim_job_of(s, a) : NULL;
+	const struct ws_core *core;
 	int n = 0, m = 0, i;
 
 	if (!what)
@@ -161,7 +178,8 @@
 		if (n != atoi(a))
 			sim_fail(s, "%d elections", n);
 	} else if (!strcmp(what, "live-jobs")) { /* that the leader keeps in memory */
-		n = sim_leader(s) < 0 ? -1 : (int)HASH_COUNT(s->nodes[sim_leader(s)].core->jobs);
+		core = leading_core(s);
+		n = core ? (int)HASH_COUNT(core->jobs) : -1;
 		if (n < 0 || n > atoi(a))
 			sim_fail(s, "the leader keeps %d jobs", n);
 	} else if (!strcmp(what, "leader")) {
@@ -173,10 +191,9 @@
 		    s->nodes[i].v->ready(s->nodes[i].core) != !strcmp(what, "healthy"))
 			sim_fail(s, "node %d: not %s", i, what);
 	} else if (!strcmp(what, "per-pass")) { /* steps of the longest pass of this leader */
-		uint64_t most = s->nodes[sim_leader(s)].core->steps_most;
-
-		if (most > (uint64_t)atoll(b))
-			sim_fail(s, "a pass took %llu steps", (unsigned long long)most);
+		core = leading_core(s);
+		if (core && core->steps_most > (uint64_t)atoll(b))
+			sim_fail(s, "a pass took %llu steps", (unsigned long long)core->steps_most);
 	} else if (!strcmp(what, "per-start") || !strcmp(what, "per-poll")) {
 		/* of changes, of commands or of steps in placement; of requests */
 		double of = !strcmp(what, "per-poll") ? (double)s->polls : (double)s->starts, v = 0;
@@ -193,14 +210,14 @@
 			v = (double)s->watched_size;
 		else if (!strcmp(a, "bytes-written"))
 			v = (double)s->written_size;
-		else if (sim_leader(s) < 0)
-			sim_fail(s, "nobody leads");
+		else if (!(core = leading_core(s)))
+			return; /* said there */
 		else if (!strcmp(a, "idle-looks"))
-			v = (double)s->nodes[sim_leader(s)].core->flush_idle;
+			v = (double)core->flush_idle;
 		else if (!strcmp(a, "machines"))
-			v = (double)s->nodes[sim_leader(s)].core->sweep_steps;
+			v = (double)core->sweep_steps;
 		else
-			v = (double)s->nodes[sim_leader(s)].core->steps;
+			v = (double)core->steps;
 		if (!of || v / of > atof(b))
 			sim_fail(s, "%.3f %s %s", of ? v / of : -1, a, what);
 	} else if (!strcmp(what, "started-within")) { /* job seconds */
--- a/tests/sim_parts.h
+++ b/tests/sim_parts.h
@@ -31,6 +31,7 @@
 	int node;
 	uint64_t life, token; /* token: of a question for testimony */
 	struct ws_call *call;
+	const struct sim_version *call_version; /* of the core that made the call */
 	struct ws_result res;
 	struct sim_flight *next;
 };
@@ -259,4 +260,6 @@
 void sim_digest_add(struct sim *s, int node, const struct ws_action *a);
 
 extern const struct sim_version sim_this_version;
+/* The version in production, see sim_production.c; NULL where it could not be built or loaded. */
+const struct sim_version *sim_production_version(void);
 #endif
