--- a/src/coldstart/observation.c
+++ b/src/cold_start/observation.c
@@ -4,9 +4,9 @@
  */
 #include "internal.h"
 
-static struct ws_coldstart_zone *zone_get(struct ws_coldstart *coldstart, const char *name)
+static struct ws_cold_start_zone *zone_get(struct ws_cold_start *coldstart, const char *name)
 {
-	struct ws_coldstart_zone *zone;
+	struct ws_cold_start_zone *zone;
 
 	HASH_FIND_STR(coldstart->zones, name, zone);
 	if (zone)
@@ -19,9 +19,9 @@
 	return zone;
 }
 
-void ws_coldstart_zones_free(struct ws_coldstart *coldstart)
+void ws_cold_start_zones_free(struct ws_cold_start *coldstart)
 {
-	struct ws_coldstart_zone *zone = coldstart->zones, *next;
+	struct ws_cold_start_zone *zone = coldstart->zones, *next;
 
 	HASH_CLEAR(hh, coldstart->zones);
 	for (; zone; zone = next) {
@@ -32,7 +32,7 @@
 
 /* ---- machines ---- */
 
-static void machine_count(struct ws_coldstart_machine *machine, bool in)
+static void machine_count(struct ws_cold_start_machine *machine, bool in)
 {
 	if (!machine->expected)
 		return;
@@ -45,10 +45,10 @@
 	}
 }
 
-void *ws_coldstart_machine_added(void *self, double now, const struct ws_machine_facts *facts)
+void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_facts *facts)
 {
-	struct ws_coldstart *coldstart = self;
-	struct ws_coldstart_machine *machine = calloc(1, sizeof(*machine));
+	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start_machine *machine = calloc(1, sizeof(*machine));
 
 	(void)now;
 	if (!machine)
@@ -57,28 +57,28 @@
 	machine->zone = zone_get(coldstart, facts->zone);
 	machine->expected = facts->expected;
 	machine_count(machine, true);
-	if (facts->unknown && ws_coldstart_active(coldstart)) {
-		coldstart->counts.findings[WS_FINDING_UNKNOWN_MACHINE]++;
+	if (facts->unknown && ws_cold_start_active(coldstart)) {
+		coldstart->counts.findings[WS_RECONCILED_UNKNOWN_MACHINE]++;
 		coldstart->counts_changed = true;
-		ws_coldstart_logf(coldstart,
-				  "cold start: machine %s is neither on record nor listed",
-				  facts->name);
+		ws_cold_start_logf(coldstart,
+				   "cold start: machine %s is neither on record nor listed",
+				   facts->name);
 	}
 	return machine;
 }
 
-void ws_coldstart_machine_changed(void *self, void *handle, const struct ws_machine_facts *facts)
+void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_facts *facts)
 {
-	struct ws_coldstart_machine *machine = handle;
+	struct ws_cold_start_machine *machine = handle;
 
 	machine_count(machine, false);
 	machine->zone = zone_get(self, facts->zone);
 	machine_count(machine, true);
 }
 
-void ws_coldstart_machine_removed(void *self, void *handle)
+void ws_cold_start_machine_removed(void *self, void *handle)
 {
-	struct ws_coldstart_machine *machine = handle;
+	struct ws_cold_start_machine *machine = handle;
 
 	(void)self;
 	machine_count(machine, false);
@@ -86,9 +86,9 @@
 }
 
 /* A machine that is gone will not answer, so nobody waits for it. */
-void ws_coldstart_machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss)
+void ws_cold_start_machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss)
 {
-	struct ws_coldstart_machine *machine = handle;
+	struct ws_cold_start_machine *machine = handle;
 
 	(void)self;
 	(void)now;
@@ -98,10 +98,10 @@
 	machine->expected = false;
 }
 
-void ws_coldstart_heartbeat_seen(void *self, double now, void *handle)
+void ws_cold_start_heartbeat_seen(void *self, double now, void *handle)
 {
-	struct ws_coldstart *coldstart = self;
-	struct ws_coldstart_machine *machine = handle;
+	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start_machine *machine = handle;
 
 	(void)now;
 	if (machine->heard)
@@ -115,36 +115,36 @@
 
 /* ---- zones ---- */
 
-bool ws_coldstart_zone_waits(const struct ws_coldstart *coldstart, const char *name)
+bool ws_cold_start_zone_waits(const struct ws_cold_start *coldstart, const char *name)
 {
-	const struct ws_coldstart_zone *zone;
+	const struct ws_cold_start_zone *zone;
 
 	HASH_FIND_STR(coldstart->zones, name, zone);
 	return zone && !zone->observed && zone->expected;
 }
 
-size_t ws_coldstart_unheard(const struct ws_coldstart *coldstart)
+size_t ws_cold_start_unheard(const struct ws_cold_start *coldstart)
 {
 	size_t unheard = 0;
 
-	for (const struct ws_coldstart_zone *zone = coldstart->zones; zone; zone = zone->hh.next)
+	for (const struct ws_cold_start_zone *zone = coldstart->zones; zone; zone = zone->hh.next)
 		unheard += zone->expected - zone->heard;
 	return unheard;
 }
 
-static bool zone_answered(const struct ws_coldstart *coldstart,
-			  const struct ws_coldstart_zone *zone, double now)
+static bool zone_answered(const struct ws_cold_start *coldstart,
+			  const struct ws_cold_start_zone *zone, double now)
 {
 	double wanted = coldstart->settings.heard_share * (double)zone->expected;
 
 	return (double)zone->heard >= wanted - 1e-9 || now >= coldstart->leases_out;
 }
 
-bool ws_coldstart_observe(struct ws_coldstart *coldstart, double now)
+bool ws_cold_start_observe(struct ws_cold_start *coldstart, double now)
 {
 	bool all = true;
 
-	for (struct ws_coldstart_zone *zone = coldstart->zones; zone; zone = zone->hh.next) {
+	for (struct ws_cold_start_zone *zone = coldstart->zones; zone; zone = zone->hh.next) {
 		if (zone->observed)
 			continue;
 		if (!zone_answered(coldstart, zone, now)) {
@@ -154,7 +154,7 @@
 		zone->observed = true;
 		coldstart->counts_changed = true;
 		if (zone->expected)
-			ws_coldstart_logf(
+			ws_cold_start_logf(
 			    coldstart,
 			    "cold start: zone %s: %zu of %zu machines answered "
 			    "within %.1f s%s",
--- a/src/coldstart/records.c
+++ b/src/cold_start/records.c
@@ -2,57 +2,57 @@
 #include "internal.h"
 
 static const char *const phase_names[] = {
-    [WS_COLDSTART_NONE] = "none",
-    [WS_COLDSTART_OBSERVING] = "observing",
-    [WS_COLDSTART_RECOVERING] = "recovering",
-    [WS_COLDSTART_ENDED] = "ended",
+    [WS_COLD_START_NONE] = "none",
+    [WS_COLD_START_OBSERVING] = "observing",
+    [WS_COLD_START_RECOVERING] = "recovering",
+    [WS_COLD_START_ENDED] = "ended",
 };
 #define PHASES (sizeof(phase_names) / sizeof(phase_names[0]))
 
 static const char *const finding_names[] = {
-    [WS_FINDING_AGREED] = "agreed",
-    [WS_FINDING_NOT_REPORTED] = "not_reported",
-    [WS_FINDING_UNRECORDED] = "unrecorded",
-    [WS_FINDING_SUPERSEDED] = "superseded",
-    [WS_FINDING_TWO_MACHINES] = "two_machines",
-    [WS_FINDING_OVER] = "over",
-    [WS_FINDING_ENDED_DONE] = "ended_done",
-    [WS_FINDING_ENDED_FAILED] = "ended_failed",
-    [WS_FINDING_ENDED_STOPPED] = "ended_stopped",
-    [WS_FINDING_LEASE_LOST] = "lease_lost",
-    [WS_FINDING_LEASE_OUT] = "lease_out",
-    [WS_FINDING_MACHINE_GONE] = "machine_gone",
-    [WS_FINDING_UNKNOWN_JOB] = "unknown_job",
-    [WS_FINDING_UNKNOWN_MACHINE] = "unknown_machine",
+    [WS_RECONCILED_AGREED] = "agreed",
+    [WS_RECONCILED_NOT_REPORTED] = "not_reported",
+    [WS_RECONCILED_UNRECORDED] = "unrecorded",
+    [WS_RECONCILED_SUPERSEDED] = "superseded",
+    [WS_RECONCILED_TWO_MACHINES] = "two_machines",
+    [WS_RECONCILED_OVER] = "over",
+    [WS_RECONCILED_ENDED_DONE] = "ended_done",
+    [WS_RECONCILED_ENDED_FAILED] = "ended_failed",
+    [WS_RECONCILED_ENDED_STOPPED] = "ended_stopped",
+    [WS_RECONCILED_LEASE_LOST] = "lease_lost",
+    [WS_RECONCILED_LEASE_EXPIRED] = "lease_out",
+    [WS_RECONCILED_MACHINE_GONE] = "machine_gone",
+    [WS_RECONCILED_UNKNOWN_JOB] = "unknown_job",
+    [WS_RECONCILED_UNKNOWN_MACHINE] = "unknown_machine",
 };
-_Static_assert(sizeof(finding_names) / sizeof(finding_names[0]) == WS_FINDING_KINDS,
+_Static_assert(sizeof(finding_names) / sizeof(finding_names[0]) == WS_RECONCILIATION_RESULTS,
 	       "each finding has a name");
 
-const char *ws_coldstart_phase_name(enum ws_coldstart_phase phase)
+const char *ws_cold_start_phase_name(enum ws_cold_start_phase phase)
 {
 	return phase_names[phase];
 }
 
-const char *ws_coldstart_finding_name(enum ws_finding_kind kind)
+const char *ws_cold_start_finding_name(enum ws_reconciliation_result kind)
 {
 	return finding_names[kind];
 }
 
 /* ---- written ---- */
 
-json_t *ws_coldstart_phase_record(const struct ws_coldstart *coldstart)
+json_t *ws_cold_start_phase_record(const struct ws_cold_start *coldstart)
 {
-	return json_pack("{s:i,s:s,s:I,s:I,s:b}", "v", WS_COLDSTART_FORMAT, "phase",
-			 ws_coldstart_phase_name(coldstart->phase), "term",
+	return json_pack("{s:i,s:s,s:I,s:I,s:b}", "v", WS_COLD_START_FORMAT, "phase",
+			 ws_cold_start_phase_name(coldstart->phase), "term",
 			 (json_int_t)coldstart->term, "began", (json_int_t)coldstart->began_term,
 			 "doubted", coldstart->doubted);
 }
 
-static json_t *findings_record(const struct ws_coldstart *coldstart)
+static json_t *findings_record(const struct ws_cold_start *coldstart)
 {
 	json_t *findings = json_object();
 
-	for (int kind = 0; kind < WS_FINDING_KINDS; kind++)
+	for (int kind = 0; kind < WS_RECONCILIATION_RESULTS; kind++)
 		if (coldstart->counts.findings[kind])
 			json_object_set_new(
 			    findings, finding_names[kind],
@@ -61,11 +61,11 @@
 }
 
 /* Machines of each zone: expected, heard, and whether the zone's observation has ended. */
-static json_t *zones_record(const struct ws_coldstart *coldstart)
+static json_t *zones_record(const struct ws_cold_start *coldstart)
 {
 	json_t *zones = json_object();
 
-	for (const struct ws_coldstart_zone *zone = coldstart->zones; zone; zone = zone->hh.next)
+	for (const struct ws_cold_start_zone *zone = coldstart->zones; zone; zone = zone->hh.next)
 		if (zone->expected)
 			json_object_set_new(zones, zone->name,
 					    json_pack("[I,I,b]", (json_int_t)zone->expected,
@@ -73,13 +73,13 @@
 	return zones;
 }
 
-json_t *ws_coldstart_account_record(const struct ws_coldstart *coldstart, double now)
+json_t *ws_cold_start_account_record(const struct ws_cold_start *coldstart, double now)
 {
-	const struct ws_coldstart_counts *counts = &coldstart->counts;
+	const struct ws_cold_start_counts *counts = &coldstart->counts;
 	double left = coldstart->leases_out - now;
 	json_t *record =
-	    json_pack("{s:i,s:s,s:I,s:I,s:f,s:f,s:f,s:b}", "v", WS_COLDSTART_FORMAT, "phase",
-		      ws_coldstart_phase_name(coldstart->phase), "term",
+	    json_pack("{s:i,s:s,s:I,s:I,s:f,s:f,s:f,s:b}", "v", WS_COLD_START_FORMAT, "phase",
+		      ws_cold_start_phase_name(coldstart->phase), "term",
 		      (json_int_t)coldstart->term, "began", (json_int_t)coldstart->began_term,
 		      "unproven_s", isfinite(coldstart->unproven_s) ? coldstart->unproven_s : -1,
 		      "for_s", now - coldstart->elected_at, "leases_out_s", left > 0 ? left : 0.0,
@@ -99,23 +99,23 @@
 	return record;
 }
 
-json_t *ws_coldstart_kept_record(const struct ws_coldstart_kept *kept, double now)
+json_t *ws_cold_start_quarantine_record(const struct ws_cold_start_quarantined *kept, double now)
 {
-	return json_pack("{s:i,s:f,s:s}", "v", WS_COLDSTART_FORMAT, "kept_s",
+	return json_pack("{s:i,s:f,s:s}", "v", WS_COLD_START_FORMAT, "kept_s",
 			 kept->before_s + now - kept->since, "machine", kept->machine);
 }
 
 /* ---- read ---- */
 
-static enum ws_coldstart_phase phase_read(const char *name)
+static enum ws_cold_start_phase phase_read(const char *name)
 {
 	for (size_t i = 0; name && i < PHASES; i++)
 		if (!strcmp(phase_names[i], name))
-			return (enum ws_coldstart_phase)i;
-	return WS_COLDSTART_NONE;
+			return (enum ws_cold_start_phase)i;
+	return WS_COLD_START_NONE;
 }
 
-static void phase_loaded(struct ws_coldstart *coldstart, json_t *value)
+static void phase_loaded(struct ws_cold_start *coldstart, json_t *value)
 {
 	coldstart->recorded_phase = phase_read(json_string_value(json_object_get(value, "phase")));
 	coldstart->recorded_term = (uint64_t)json_integer_value(json_object_get(value, "term"));
@@ -123,22 +123,22 @@
 	coldstart->recorded_doubt = json_is_true(json_object_get(value, "doubted"));
 }
 
-void ws_coldstart_record_loaded(void *self, const char *name, json_t *value)
+void ws_cold_start_record_loaded(void *self, const char *name, json_t *value)
 {
-	struct ws_coldstart *coldstart = self;
+	struct ws_cold_start *coldstart = self;
 	json_int_t format = json_integer_value(json_object_get(value, "v"));
 
-	if (format > WS_COLDSTART_FORMAT) {
+	if (format > WS_COLD_START_FORMAT) {
 		if (!coldstart->later_format)
-			ws_coldstart_logf(coldstart,
-					  "cold start: record %s has format %lld, later than %d: "
-					  "records are left alone and nothing is held",
-					  name, (long long)format, WS_COLDSTART_FORMAT);
+			ws_cold_start_logf(coldstart,
+					   "cold start: record %s has format %lld, later than %d: "
+					   "records are left alone and nothing is held",
+					   name, (long long)format, WS_COLD_START_FORMAT);
 		coldstart->later_format = true;
 		return;
 	}
 	if (!strcmp(name, "phase"))
 		phase_loaded(coldstart, value);
 	else if (!strncmp(name, "kept/", 5))
-		ws_coldstart_kept_loaded(coldstart, name + 5, value);
+		ws_cold_start_quarantine_loaded(coldstart, name + 5, value);
 }
--- a/src/coldstart/recovery.c
+++ b/src/cold_start/recovery.c
@@ -4,15 +4,15 @@
  */
 #include "internal.h"
 
-/* The share of the state service's changes in a report period that they may take first. */
+/* The share of the store's changes in a heartbeat interval that they may take first. */
 #define WINDOW_SHARE 0.25
 #define WINDOW_MIN 8
-/* In report periods: how soon a survey follows another where more work was lost meanwhile. */
+/* In heartbeat intervals: how soon a survey follows another where more work was lost meanwhile. */
 #define SURVEY_NEW_REPORTS 0.25
 
-void ws_coldstart_lost_add(struct ws_coldstart *coldstart, const char *job)
+void ws_cold_start_lost_add(struct ws_cold_start *coldstart, const char *job)
 {
-	struct ws_coldstart_lost *lost;
+	struct ws_cold_start_lost *lost;
 
 	coldstart->steps++;
 	HASH_FIND_STR(coldstart->lost, job, lost);
@@ -31,9 +31,9 @@
 	coldstart->counts_changed = true;
 }
 
-void ws_coldstart_lost_free(struct ws_coldstart *coldstart)
+void ws_cold_start_lost_free(struct ws_cold_start *coldstart)
 {
-	struct ws_coldstart_lost *lost = coldstart->lost, *next;
+	struct ws_cold_start_lost *lost = coldstart->lost, *next;
 
 	HASH_CLEAR(hh, coldstart->lost);
 	for (; lost; lost = next) {
@@ -44,17 +44,17 @@
 
 /* ---- survey ---- */
 
-bool ws_coldstart_attempt_surveyed(void *self, void *machine)
+bool ws_cold_start_attempt_surveyed(void *self, void *machine)
 {
 	(void)self;
 	(void)machine;
 	return false; /* all attempts count as elsewhere: whether any replica may be alive */
 }
 
-void ws_coldstart_job_surveyed(void *self, const struct ws_job_facts *facts)
+void ws_cold_start_job_surveyed(void *self, const struct ws_job_facts *facts)
 {
-	struct ws_coldstart *coldstart = self;
-	struct ws_coldstart_lost *lost;
+	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start_lost *lost;
 
 	coldstart->steps++;
 	HASH_FIND_STR(coldstart->lost, facts->id, lost);
@@ -68,33 +68,33 @@
 	lost->waiting = facts->waiting;
 }
 
-static int compare_lost(struct ws_coldstart_lost *a, struct ws_coldstart_lost *b)
+static int compare_lost(struct ws_cold_start_lost *left, struct ws_cold_start_lost *right)
 {
-	if (a->first_replica != b->first_replica)
-		return a->first_replica ? -1 : 1;
-	if (a->guaranteed != b->guaranteed)
-		return a->guaranteed ? -1 : 1;
-	if (a->priority != b->priority)
-		return a->priority > b->priority ? -1 : 1;
-	if (a->latest_start != b->latest_start)
-		return a->latest_start < b->latest_start ? -1 : 1;
-	return strcmp(a->job, b->job);
+	if (left->first_replica != right->first_replica)
+		return left->first_replica ? -1 : 1;
+	if (left->guaranteed != right->guaranteed)
+		return left->guaranteed ? -1 : 1;
+	if (left->priority != right->priority)
+		return left->priority > right->priority ? -1 : 1;
+	if (left->latest_start != right->latest_start)
+		return left->latest_start < right->latest_start ? -1 : 1;
+	return strcmp(left->job, right->job);
 }
 
-void ws_coldstart_survey_done(void *self, double now)
+void ws_cold_start_survey_done(void *self, double now)
 {
-	struct ws_coldstart *coldstart = self;
+	struct ws_cold_start *coldstart = self;
 
 	(void)now;
 	HASH_SORT(coldstart->lost, compare_lost);
-	for (struct ws_coldstart_lost *lost = coldstart->lost; lost; lost = lost->hh.next)
+	for (struct ws_cold_start_lost *lost = coldstart->lost; lost; lost = lost->hh.next)
 		lost->fresh = false;
 	coldstart->survey_done = true;
 }
 
 /* ---- moves ---- */
 
-static void move_ask(struct ws_coldstart_lost *lost, uint32_t position, bool apart,
+static void move_ask(struct ws_cold_start_lost *lost, uint32_t position, bool apart,
 		     struct ws_request_queue *out)
 {
 	const struct ws_move move = {
@@ -108,7 +108,7 @@
 	ws_request_move(out, &move);
 }
 
-static uint32_t window(const struct ws_coldstart *coldstart)
+static uint32_t window(const struct ws_cold_start *coldstart)
 {
 	double share =
 	    WINDOW_SHARE * coldstart->limits.state_write_rps * coldstart->limits.report_s;
@@ -117,15 +117,15 @@
 }
 
 /* Runs again or is over, as far as the last survey tells. */
-static bool lost_recovered(const struct ws_coldstart_lost *lost)
+static bool lost_recovered(const struct ws_cold_start_lost *lost)
 {
 	return !lost->fresh && !(lost->surveyed && lost->waiting);
 }
 
 /* Takes jobs that are recovered off the list, as one linked by `next_recovered`. */
-static struct ws_coldstart_lost *lost_take_recovered(struct ws_coldstart *coldstart)
+static struct ws_cold_start_lost *lost_take_recovered(struct ws_cold_start *coldstart)
 {
-	struct ws_coldstart_lost *lost, *next, *recovered = NULL;
+	struct ws_cold_start_lost *lost, *next, *recovered = NULL;
 
 	HASH_ITER (hh, coldstart->lost, lost, next) {
 		coldstart->steps++;
@@ -139,9 +139,9 @@
 }
 
 /* What runs again, or is over, is done with. */
-static void recovered_finish(struct ws_coldstart *coldstart, struct ws_request_queue *out)
+static void recovered_finish(struct ws_cold_start *coldstart, struct ws_request_queue *out)
 {
-	struct ws_coldstart_lost *lost = lost_take_recovered(coldstart), *next;
+	struct ws_cold_start_lost *lost = lost_take_recovered(coldstart), *next;
 
 	for (; lost; lost = next) {
 		next = lost->next_recovered;
@@ -153,11 +153,11 @@
 }
 
 /* What waits gets its place, by the last survey. */
-static void places_give(struct ws_coldstart *coldstart, struct ws_request_queue *out)
+static void places_give(struct ws_cold_start *coldstart, struct ws_request_queue *out)
 {
 	uint32_t position = 0;
 
-	for (struct ws_coldstart_lost *lost = coldstart->lost; lost; lost = lost->hh.next) {
+	for (struct ws_cold_start_lost *lost = coldstart->lost; lost; lost = lost->hh.next) {
 		bool within = position < window(coldstart);
 
 		if (lost->fresh || lost_recovered(lost))
@@ -167,8 +167,8 @@
 	}
 }
 
-void ws_coldstart_recovery_tick(struct ws_coldstart *coldstart, double now,
-				struct ws_request_queue *out)
+void ws_cold_start_recovery_tick(struct ws_cold_start *coldstart, double now,
+				 struct ws_request_queue *out)
 {
 	if (coldstart->survey_done) {
 		coldstart->survey_done = false;
@@ -182,14 +182,14 @@
 		return;
 	coldstart->surveyed_at = now;
 	coldstart->lost_new = false;
-	for (struct ws_coldstart_lost *lost = coldstart->lost; lost; lost = lost->hh.next)
+	for (struct ws_cold_start_lost *lost = coldstart->lost; lost; lost = lost->hh.next)
 		lost->surveyed = false;
 	ws_request_survey(out);
 }
 
-void ws_coldstart_recovery_end(struct ws_coldstart *coldstart, struct ws_request_queue *out)
+void ws_cold_start_recovery_end(struct ws_cold_start *coldstart, struct ws_request_queue *out)
 {
-	for (struct ws_coldstart_lost *lost = coldstart->lost; lost; lost = lost->hh.next)
+	for (struct ws_cold_start_lost *lost = coldstart->lost; lost; lost = lost->hh.next)
 		move_ask(lost, 0, false, out);
-	ws_coldstart_lost_free(coldstart);
+	ws_cold_start_lost_free(coldstart);
 }
--- a/src/coldstart_command.c
+++ b/src/cold_start_command.c
@@ -1,5 +1,5 @@
-#include "coldstart_command.h"
-#include "coldstart/coldstart.h"
+#include "cold_start_command.h"
+#include "cold_start/cold_start.h"
 #include "state_tool.h"
 #include <stdio.h>
 #include <string.h>
@@ -13,8 +13,8 @@
 
 static void print_findings(json_t *findings)
 {
-	for (int kind = 0; kind < WS_FINDING_KINDS; kind++) {
-		const char *name = ws_coldstart_finding_name((enum ws_finding_kind)kind);
+	for (int kind = 0; kind < WS_RECONCILIATION_RESULTS; kind++) {
+		const char *name = ws_cold_start_finding_name((enum ws_reconciliation_result)kind);
 		long long count = ws_state_tool_count(findings, name);
 
 		if (count)
@@ -77,7 +77,7 @@
 	return true;
 }
 
-int ws_coldstart_command_run(const struct ws_settings *platform)
+int ws_cold_start_command_run(const struct ws_settings *platform)
 {
 	struct ws_state_tool *tool = ws_state_tool_open(platform);
 	bool any = false;
--- a/src/config_reader.c
+++ b/src/config_reader.c
@@ -12,7 +12,7 @@
 		    size_t error_size)
 {
 	*reader = (struct ws_config_reader){
-	    .file = path, .error = error, .error_size = error_size, .ok = true};
+	    .file = path, .error = error, .error_size = error_size, .valid = true};
 	reader->toml = ws_toml_open(path, error, error_size);
 	return reader->toml != NULL;
 }
@@ -20,34 +20,34 @@
 bool ws_config_close(struct ws_config_reader *reader)
 {
 	ws_toml_close(reader->toml);
-	return reader->ok;
+	return reader->valid;
 }
 
 void ws_config_fail(struct ws_config_reader *reader, const char *field, const char *what)
 {
-	if (reader->ok)
+	if (reader->valid)
 		snprintf(reader->error, reader->error_size, "%s: %s %s", reader->file, field, what);
-	reader->ok = false;
+	reader->valid = false;
 }
 
-void ws_config_text(struct ws_config_reader *reader, const char *path, char *to, size_t size)
+void ws_config_text(struct ws_config_reader *reader, const char *path, char *target, size_t size)
 {
-	enum ws_toml_got got = ws_toml_string(reader->toml, path, to, size);
+	enum ws_toml_got got = ws_toml_string(reader->toml, path, target, size);
 
 	if (got == WS_TOML_MISSING)
 		ws_config_fail(reader, path, "is missing");
-	else if (got == WS_TOML_WRONG_TYPE || !to[0])
+	else if (got == WS_TOML_WRONG_TYPE || !target[0])
 		ws_config_fail(reader, path, "must be a non-empty string of fair length");
 }
 
-void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *to,
+void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *target,
 			     size_t size)
 {
-	ws_toml_string(reader->toml, path, to, size);
+	ws_toml_string(reader->toml, path, target, size);
 }
 
-void ws_config_number(struct ws_config_reader *reader, const char *path, double *to, double least,
-		      bool needed)
+void ws_config_number(struct ws_config_reader *reader, const char *path, double *target,
+		      double least, bool needed)
 {
 	double value;
 	enum ws_toml_got got = ws_toml_number(reader->toml, path, &value);
@@ -64,10 +64,10 @@
 		ws_config_fail(reader, path, what);
 		return;
 	}
-	*to = value;
+	*target = value;
 }
 
-void ws_config_above_zero(struct ws_config_reader *reader, const char *path, double *to,
+void ws_config_above_zero(struct ws_config_reader *reader, const char *path, double *target,
 			  bool needed)
 {
 	double value = 1;
@@ -76,25 +76,27 @@
 	if (value <= 0)
 		ws_config_fail(reader, path, "must be above 0");
 	else if (ws_toml_number(reader->toml, path, &value) != WS_TOML_MISSING)
-		*to = value;
+		*target = value;
 }
 
-void ws_config_lower(struct ws_config_reader *reader, const char *path, double least, double *to)
+void ws_config_lower(struct ws_config_reader *reader, const char *path, double least,
+		     double *target)
 {
-	double next = *to;
+	double next = *target;
 
 	ws_config_number(reader, path, &next, least, false);
-	*to = next < *to ? next : *to;
+	*target = next < *target ? next : *target;
 }
 
-void ws_config_endpoint(struct ws_config_reader *reader, const char *path, struct ws_endpoint *to)
+void ws_config_endpoint(struct ws_config_reader *reader, const char *path,
+			struct ws_endpoint *endpoint)
 {
 	char text[64] = "", *colon, *end;
 	struct in_addr address;
 	long port;
 
 	ws_config_text(reader, path, text, sizeof(text));
-	if (!reader->ok)
+	if (!reader->valid)
 		return;
 	colon = strrchr(text, ':');
 	if (!colon) {
@@ -108,8 +110,8 @@
 		ws_config_fail(reader, path, "must be IPv4:port");
 		return;
 	}
-	snprintf(to->host, sizeof(to->host), "%s", text);
-	to->port = (int)port;
+	snprintf(endpoint->host, sizeof(endpoint->host), "%s", text);
+	endpoint->port = (int)port;
 }
 
 size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t most, bool needed)
--- a/src/config_reader.h
+++ b/src/config_reader.h
@@ -10,7 +10,7 @@
 	const char *file;
 	char *error;
 	size_t error_size;
-	bool ok;
+	bool valid;
 };
 
 /* Opens a file; false with the message in `error`. */
@@ -22,19 +22,21 @@
 void ws_config_fail(struct ws_config_reader *reader, const char *field, const char *what);
 
 /* A string that must be there and not be empty. */
-void ws_config_text(struct ws_config_reader *reader, const char *path, char *to, size_t size);
+void ws_config_text(struct ws_config_reader *reader, const char *path, char *target, size_t size);
 /* A string that may be missing; then `to` stays as it is. */
-void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *to,
+void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *target,
 			     size_t size);
 /* A number of at least `least`; if it is missing and not needed, `to` stays as it is. */
-void ws_config_number(struct ws_config_reader *reader, const char *path, double *to, double least,
-		      bool needed);
+void ws_config_number(struct ws_config_reader *reader, const char *path, double *target,
+		      double least, bool needed);
 /* A time or a share of which there must be some. */
-void ws_config_above_zero(struct ws_config_reader *reader, const char *path, double *to,
+void ws_config_above_zero(struct ws_config_reader *reader, const char *path, double *target,
 			  bool needed);
 /* A limit that will hold from some later moment on: planned by from the start if it is lower. */
-void ws_config_lower(struct ws_config_reader *reader, const char *path, double least, double *to);
-void ws_config_endpoint(struct ws_config_reader *reader, const char *path, struct ws_endpoint *to);
+void ws_config_lower(struct ws_config_reader *reader, const char *path, double least,
+		     double *target);
+void ws_config_endpoint(struct ws_config_reader *reader, const char *path,
+			struct ws_endpoint *endpoint);
 /* Entries of an array; 0 if it is missing. */
 size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t most, bool needed);
 /* Refuses keys of a table that are not among those known; an empty path is the file itself. */
--- a/src/core/attempts.c
+++ b/src/core/attempts.c
@@ -4,8 +4,8 @@
  * An attempt is one try to run a task on one machine. It counts against machine, team and siblings
  * from the moment it is planned until it is surely gone, and a task is placed anew only when it
  * has no attempt left. Surely gone means: the worker reported the attempt exited, or reported
- * without it when no command for it can still arrive; or a report of a later tenure; or the cloud
- * confirmed the machine's return; or its lease ran out by the longest reckoning.
+ * without it when no command for it can still arrive; or a heartbeat of a later incarnation; or the
+ * cloud confirmed the machine's return; or its lease ran out by the longest reckoning.
  */
 #include "internal.h"
 
@@ -13,153 +13,156 @@
  * Array work takes or leaves room: load-seconds held, over which completions give mu. A server of
  * the queue is taken from the plan to the end: by fetches and by work that is lost as well.
  */
-static void ws_held(struct ws_core *c, const struct ws_spec *p, int sign)
+static void ws_busy_units_add(struct ws_core *core, const struct ws_job_spec *spec, int sign)
 {
-	if (p->service)
+	if (spec->service)
 		return;
-	c->busy_time += c->busy * (c->now - c->busy_at);
-	c->busy_at = c->now;
-	c->busy = fmax(0, c->busy + sign * ws_load_of(c, p));
+	core->busy_time += core->busy * (core->now - core->busy_at);
+	core->busy_at = core->now;
+	core->busy = fmax(0, core->busy + sign * ws_demand_units_of(core, spec));
 }
 
 /* An attempt begins or ceases to count against machine, team, job and task. */
-void ws_attempt_count(struct ws_core *c, struct ws_attempt *s, int sign)
+void ws_attempt_count(struct ws_core *core, struct ws_attempt *attempt, int sign)
 {
-	struct ws_machine *m = s->machine;
-	struct ws_team *t;
+	struct ws_machine *machine = attempt->machine;
+	struct ws_team *team;
 
-	m->attempt_count += (uint32_t)sign;
-	if (!s->job)
+	machine->attempt_count += (uint32_t)sign;
+	if (!attempt->job)
 		return;
-	const struct ws_spec *p = &s->job->spec;
-	ws_held(c, p, sign);
-	m->used_cpus += sign * p->cpus;
-	m->used_gpus += sign * p->gpus;
-	m->used_mem += sign * p->mem;
-	if (s->stop) {
-		m->stop_cpus += sign * p->cpus;
-		m->stop_gpus += sign * p->gpus;
-		m->stop_mem += sign * p->mem;
+	const struct ws_job_spec *spec = &attempt->job->spec;
+	ws_busy_units_add(core, spec, sign);
+	machine->used_cpus += sign * spec->cpus;
+	machine->used_gpus += sign * spec->gpus;
+	machine->used_mem += sign * spec->mem_gb;
+	if (attempt->stopping) {
+		machine->stopping_cpus += sign * spec->cpus;
+		machine->stopping_gpus += sign * spec->gpus;
+		machine->stopping_mem += sign * spec->mem_gb;
 	}
-	if (!m->attempt_count) /* no rounding is left behind */
-		m->used_cpus = m->used_gpus = m->used_mem = m->stop_cpus = m->stop_gpus =
-		    m->stop_mem = 0;
-	t = s->job->team;
-	if (t) {
-		t->used_cpus += sign * p->cpus;
-		t->used_gpus += sign * p->gpus;
+	if (!machine->attempt_count) /* no rounding is left behind */
+		machine->used_cpus = machine->used_gpus = machine->used_mem =
+		    machine->stopping_cpus = machine->stopping_gpus = machine->stopping_mem = 0;
+	team = attempt->job->team;
+	if (team) {
+		team->used_cpus += sign * spec->cpus;
+		team->used_gpus += sign * spec->gpus;
 	}
-	s->job->attempt_count += (uint32_t)sign;
-	if (m->zi >= 0)
-		s->job->zone_n[m->zi] += (uint32_t)sign;
-	if (s->task < p->tasks) {
-		struct ws_task *k = &s->job->tasks[s->task];
-		bool waited = !k->done && !k->attempts;
+	attempt->job->attempt_count += (uint32_t)sign;
+	if (machine->zone_index >= 0)
+		attempt->job->attempts_by_zone[machine->zone_index] += (uint32_t)sign;
+	if (attempt->task < spec->tasks) {
+		struct ws_task *task = &attempt->job->tasks[attempt->task];
+		bool waited = !task->done && !task->live_attempts;
 
-		k->attempts = (uint16_t)(k->attempts + sign);
+		task->live_attempts = (uint16_t)(task->live_attempts + sign);
 		if (waited)
-			s->job->waiting--;
-		else if (!k->done && !k->attempts)
-			s->job->waiting++;
-		if (!k->attempts && s->task < s->job->scan)
-			s->job->scan = s->task;
-		if (sign > 0 && (!k->newest || k->newest->attempt < s->attempt))
-			k->newest = s;
-		else if (sign < 0 && k->newest == s)
-			k->newest = NULL;
+			attempt->job->waiting--;
+		else if (!task->done && !task->live_attempts)
+			attempt->job->waiting++;
+		if (!task->live_attempts && attempt->task < attempt->job->lowest_waiting)
+			attempt->job->lowest_waiting = attempt->task;
+		if (sign > 0 &&
+		    (!task->newest_attempt || task->newest_attempt->number < attempt->number))
+			task->newest_attempt = attempt;
+		else if (sign < 0 && task->newest_attempt == attempt)
+			task->newest_attempt = NULL;
 	}
 }
 
-struct ws_attempt *ws_attempt_add(struct ws_core *c, struct ws_machine *m, const char *job,
+struct ws_attempt *ws_attempt_add(struct ws_core *core, struct ws_machine *machine, const char *job,
 				  uint32_t task, uint64_t attempt)
 {
-	struct ws_attempt *s = calloc(1, sizeof(*s));
+	struct ws_attempt *other_attempt = calloc(1, sizeof(*other_attempt));
 
-	if (!s)
+	if (!other_attempt)
 		abort();
-	s->machine = m;
-	s->job = ws_job_find(c, job);
-	snprintf(s->job_id, sizeof(s->job_id), "%s", job);
-	s->task = task;
-	s->attempt = attempt;
-	s->tenure = m->tenure;
-	s->planned_at = c->now;
-	s->next = m->attempts;
-	m->attempts = s;
-	if (s->job)
-		DL_APPEND2(s->job->attempts, s, jprev, jnext);
-	ws_attempt_count(c, s, 1);
-	return s;
+	other_attempt->machine = machine;
+	other_attempt->job = ws_job_find(core, job);
+	snprintf(other_attempt->job_id, sizeof(other_attempt->job_id), "%s", job);
+	other_attempt->task = task;
+	other_attempt->number = attempt;
+	other_attempt->incarnation = machine->incarnation;
+	other_attempt->planned_at = core->now;
+	other_attempt->machine_next = machine->attempts;
+	machine->attempts = other_attempt;
+	if (other_attempt->job)
+		DL_APPEND2(other_attempt->job->attempts, other_attempt, job_prev, job_next);
+	ws_attempt_count(core, other_attempt, 1);
+	return other_attempt;
 }
 
 /* Off its machine's list and its job's; it counts no more. */
-void ws_attempt_free(struct ws_attempt *s)
+void ws_attempt_free(struct ws_attempt *attempt)
 {
-	struct ws_attempt **p = &s->machine->attempts;
+	struct ws_attempt **attempt_link = &attempt->machine->attempts;
 
-	while (*p && *p != s)
-		p = &(*p)->next;
-	if (*p)
-		*p = s->next;
-	if (s->job)
-		DL_DELETE2(s->job->attempts, s, jprev, jnext);
-	free(s);
+	while (*attempt_link && *attempt_link != attempt)
+		attempt_link = &(*attempt_link)->machine_next;
+	if (*attempt_link)
+		*attempt_link = attempt->machine_next;
+	if (attempt->job)
+		DL_DELETE2(attempt->job->attempts, attempt, job_prev, job_next);
+	free(attempt);
 }
 
 /* The attempt is surely gone. Its task may be placed again; the record will name the new one. */
-void ws_attempt_release(struct ws_core *c, struct ws_attempt *s)
+void ws_attempt_release(struct ws_core *core, struct ws_attempt *attempt)
 {
-	struct ws_machine *m = s->machine;
-	struct ws_job *j = s->job;
+	struct ws_machine *machine = attempt->machine;
+	struct ws_job *job = attempt->job;
 
-	if (s->state == WS_ATTEMPT_GONE)
+	if (attempt->state == WS_ATTEMPT_GONE)
 		return;
-	ws_kept_drop(c, s);
-	ws_attempt_count(c, s, -1);
-	if (!m->attempt_count)
-		m->empty_since = c->now;
-	c->place_wanted = true;
-	if (s->orphan || !j) {
-		ws_attempt_free(s);
+	ws_quarantine_drop(core, attempt);
+	ws_attempt_count(core, attempt, -1);
+	if (!machine->attempt_count)
+		machine->empty_since = core->now;
+	core->place_wanted = true;
+	if (attempt->unrecorded || !job) {
+		ws_attempt_free(attempt);
 	} else {
-		s->state = WS_ATTEMPT_GONE;
-		ws_job_dirty(c, j, false);
+		attempt->state = WS_ATTEMPT_GONE;
+		ws_job_mark_dirty(core, job, false);
 	}
-	if (j)
-		ws_job_check_end(c, j);
+	if (job)
+		ws_job_check_end(core, job);
 }
 
 /* Runs may reach the worker only while nothing else stands against the attempt. */
-bool ws_attempt_runnable(const struct ws_core *c, const struct ws_attempt *s)
+bool ws_attempt_is_runnable(const struct ws_core *core, const struct ws_attempt *attempt)
 {
-	return s->state == WS_ATTEMPT_RECORDED && !s->stop && !s->seen && !s->orphan &&
-	       s->tenure == s->machine->tenure && !c->in_outage && s->job && !ws_job_over(s->job) &&
-	       !s->machine->returning;
+	return attempt->state == WS_ATTEMPT_RECORDED && !attempt->stopping && !attempt->reported &&
+	       !attempt->unrecorded && attempt->incarnation == attempt->machine->incarnation &&
+	       !core->in_outage && attempt->job && !ws_job_is_over(attempt->job) &&
+	       !attempt->machine->scale_in_requested;
 }
 
 /* It is to end: its room will come free. */
-void ws_attempt_ends(struct ws_attempt *s)
+void ws_attempt_mark_stopping(struct ws_attempt *attempt)
 {
-	if (!s->stop && s->job) {
-		s->machine->stop_cpus += s->job->spec.cpus;
-		s->machine->stop_gpus += s->job->spec.gpus;
-		s->machine->stop_mem += s->job->spec.mem;
+	if (!attempt->stopping && attempt->job) {
+		attempt->machine->stopping_cpus += attempt->job->spec.cpus;
+		attempt->machine->stopping_gpus += attempt->job->spec.gpus;
+		attempt->machine->stopping_mem += attempt->job->spec.mem_gb;
 	}
-	s->stop = true;
+	attempt->stopping = true;
 }
 
-void ws_attempt_stop(struct ws_core *c, struct ws_attempt *s, double grace, const char *why)
+void ws_attempt_stop(struct ws_core *core, struct ws_attempt *attempt, double grace,
+		     const char *reason)
 {
-	if (s->state == WS_ATTEMPT_GONE)
+	if (attempt->state == WS_ATTEMPT_GONE)
 		return;
-	ws_kept_drop(c, s);
-	if (!s->stop) {
-		if (why)
-			ws_log(c, WS_LOG_INFO, "machine %s: stop %s/%u: %s", s->machine->name,
-			       s->job_id, s->task, why);
+	ws_quarantine_drop(core, attempt);
+	if (!attempt->stopping) {
+		if (reason)
+			ws_log(core, WS_LOG_INFO, "machine %s: stop %s/%u: %s",
+			       attempt->machine->name, attempt->job_id, attempt->task, reason);
 	}
-	ws_attempt_ends(s);
-	s->grace = grace;
-	if (!s->sent && !s->seen)
-		ws_attempt_release(c, s);
+	ws_attempt_mark_stopping(attempt);
+	attempt->grace_s = grace;
+	if (!attempt->maybe_sent && !attempt->reported)
+		ws_attempt_release(core, attempt);
 }
--- a/src/core/commands.c
+++ b/src/core/commands.c
@@ -1,196 +1,220 @@
-/* Commands to workers: in the answers to their reports, and straight to their addresses. */
+/* Commands to workers: in the answers to their heartbeats, and straight to their addresses. */
 #include "internal.h"
 
-static bool ws_reap_ok(struct ws_core *c, struct ws_machine *m, const struct ws_task_report *t)
+static bool ws_may_reap(struct ws_core *core, struct ws_machine *machine,
+			const struct ws_task_status *status)
 {
-	struct ws_job *j;
+	struct ws_job *job;
 
 	/* a direct run that is still on its way would start the attempt again */
-	if (m->fence || m->commands)
+	if (machine->late_command_token || machine->commands_in_flight)
 		return false;
-	for (struct ws_attempt *s = m->attempts; s; s = s->next)
-		if (s->attempt == t->attempt && s->task == t->task && !strcmp(s->job_id, t->job))
+	for (struct ws_attempt *attempt = machine->attempts; attempt;
+	     attempt = attempt->machine_next)
+		if (attempt->number == status->attempt && attempt->task == status->task &&
+		    !strcmp(attempt->job_id, status->job))
 			return false; /* its job's record still names it */
-	j = ws_job_find(c, t->job);
-	if (j && t->why == WS_WHY_DONE && !j->spec.service && j->phase != WS_CANCELLED &&
-	    t->task < j->spec.tasks && !j->tasks[t->task].saved)
+	job = ws_job_find(core, status->job);
+	if (job && status->exit_reason == WS_EXIT_DONE && !job->spec.service &&
+	    job->phase != WS_JOB_CANCELLED && status->task < job->spec.tasks &&
+	    !job->tasks[status->task].recorded)
 		return false; /* the result is not yet on record */
 	return true;
 }
 
 /* One more command for a machine, in the core's scratch. */
-static struct ws_order *ws_order_add(struct ws_core *c, enum ws_verb verb, const char *job,
-				     uint32_t task, uint64_t attempt)
+static struct ws_command *ws_command_add(struct ws_core *core, enum ws_command_kind verb,
+					 const char *job, uint32_t task, uint64_t attempt)
 {
-	struct ws_order *o;
+	struct ws_command *command;
 
-	if (c->norders == c->orders_cap) {
-		c->orders_cap = c->orders_cap ? 2 * c->orders_cap : 64;
-		c->orders = realloc(c->orders, c->orders_cap * sizeof(*c->orders));
-		if (!c->orders)
+	if (core->norders == core->orders_cap) {
+		core->orders_cap = core->orders_cap ? 2 * core->orders_cap : 64;
+		core->orders = realloc(core->orders, core->orders_cap * sizeof(*core->orders));
+		if (!core->orders)
 			abort();
 	}
-	o = &c->orders[c->norders++];
-	o->verb = verb;
-	snprintf(o->job, sizeof(o->job), "%s", job);
-	o->task = task;
-	o->attempt = attempt;
-	o->grace_s = 0;
-	return o;
+	command = &core->orders[core->norders++];
+	command->kind = verb;
+	snprintf(command->job, sizeof(command->job), "%s", job);
+	command->task = task;
+	command->attempt = attempt;
+	command->grace_s = 0;
+	return command;
 }
 
-/* What is to start or end on a machine, and what of a report may be forgotten there. */
-static void ws_orders_collect(struct ws_core *c, struct ws_machine *m, const struct ws_report *r,
-			      size_t max, bool direct)
+/* What is to start or end on a machine, and what of a heartbeat may be forgotten there. */
+static void ws_commands_collect(struct ws_core *core, struct ws_machine *machine,
+				const struct ws_heartbeat *heartbeat, size_t max, bool direct)
 {
-	c->norders = 0;
-	for (struct ws_attempt *s = m->attempts; s && c->norders < max; s = s->next) {
-		bool stop = s->stop && s->state != WS_ATTEMPT_GONE && s->tenure == m->tenure &&
-			    (s->sent || s->seen);
-
-		if (!stop && !(ws_attempt_runnable(c, s) && (!direct || !s->sent)))
+	core->norders = 0;
+	for (struct ws_attempt *attempt = machine->attempts; attempt && core->norders < max;
+	     attempt = attempt->machine_next) {
+		bool stop = attempt->stopping && attempt->state != WS_ATTEMPT_GONE &&
+			    attempt->incarnation == machine->incarnation &&
+			    (attempt->maybe_sent || attempt->reported);
+
+		if (!stop &&
+		    !(ws_attempt_is_runnable(core, attempt) && (!direct || !attempt->maybe_sent)))
 			continue;
-		ws_order_add(c, stop ? WS_STOP : WS_RUN, s->job_id, s->task, s->attempt)->grace_s =
-		    s->grace;
+		ws_command_add(core, stop ? WS_COMMAND_STOP : WS_COMMAND_RUN, attempt->job_id,
+			       attempt->task, attempt->number)
+		    ->grace_s = attempt->grace_s;
 		if (stop)
-			s->stop_sent = true;
+			attempt->stop_command_sent = true;
 		else
-			s->sent = true;
+			attempt->maybe_sent = true;
 	}
-	for (size_t i = 0; r && i < r->ntasks && c->norders < max; i++) {
-		const struct ws_task_report *t = &r->tasks[i];
+	for (size_t i = 0; heartbeat && i < heartbeat->task_count && core->norders < max; i++) {
+		const struct ws_task_status *status = &heartbeat->tasks[i];
 
-		if (t->state == WS_TASK_EXITED && ws_reap_ok(c, m, t))
-			ws_order_add(c, WS_REAP, t->job, t->task, t->attempt);
+		if (status->state == WS_TASK_EXITED && ws_may_reap(core, machine, status))
+			ws_command_add(core, WS_COMMAND_REAP, status->job, status->task,
+				       status->attempt);
 	}
 }
 
 /* The same, as a list of its own; NULL if there is nothing to say. */
-struct ws_order *ws_orders(struct ws_core *c, struct ws_machine *m, const struct ws_report *r,
-			   size_t max, bool direct, size_t *n)
+struct ws_command *ws_commands_for_machine(struct ws_core *core, struct ws_machine *machine,
+					   const struct ws_heartbeat *heartbeat, size_t max,
+					   bool direct, size_t *count)
 {
-	struct ws_order *list;
+	struct ws_command *list;
 
-	ws_orders_collect(c, m, r, max, direct);
-	*n = c->norders;
-	if (!c->norders)
+	ws_commands_collect(core, machine, heartbeat, max, direct);
+	*count = core->norders;
+	if (!core->norders)
 		return NULL;
-	list = malloc(c->norders * sizeof(*list));
+	list = malloc(core->norders * sizeof(*list));
 	if (!list)
 		abort();
-	memcpy(list, c->orders, c->norders * sizeof(*list));
+	memcpy(list, core->orders, core->norders * sizeof(*list));
 	return list;
 }
 
-static void ws_push_done(struct ws_core *c, struct ws_call *call, const struct ws_result *r);
+static void ws_commands_answered(struct ws_core *core, struct ws_call *call,
+				 const struct ws_result *result);
 
 /* A direct command to a machine, without orders as yet. */
-static struct ws_call *ws_orders_call(struct ws_core *c, struct ws_machine *m)
+static struct ws_call *ws_commands_call_new(struct ws_core *core, struct ws_machine *machine)
 {
-	struct ws_call *call = ws_call(c, WS_CALL_ORDERS, ws_push_done);
-
-	snprintf(call->host, sizeof(call->host), "%s", m->host);
-	call->port = m->port;
-	call->epoch = m->token;
-	call->tenure = m->tenure;
-	snprintf(call->ctx_name, sizeof(call->ctx_name), "%s", m->name);
-	m->commands++;
+	struct ws_call *call = ws_call_new(core, WS_CALL_COMMANDS, ws_commands_answered);
+
+	snprintf(call->address, sizeof(call->address), "%s", machine->address);
+	call->port = machine->port;
+	call->fencing_token = machine->fencing_token;
+	call->incarnation = machine->incarnation;
+	snprintf(call->context_name, sizeof(call->context_name), "%s", machine->name);
+	machine->commands_in_flight++;
 	return call;
 }
 
 /*
  * A machine that did not show yet that it hears this leader is probed: the answer is the machine's
  * report, with the token in it, and ends what the last leader may still have on its way. Waiting
- * for its reports instead costs a report period and a worker's search for the leader. So is one
- * that has not reported for longer than it may take to.
+ * for its heartbeats instead costs a heartbeat interval and a worker's search for the leader. So is
+ * one that has not reported for longer than it may take to.
  */
-bool ws_machine_probe(struct ws_core *c, struct ws_machine *m)
+bool ws_machine_send_probe(struct ws_core *core, struct ws_machine *machine)
 {
-	if ((ws_machine_hears(m) && !ws_overdue(c, m->heard)) || !m->port || !m->host[0] ||
-	    m->gone || m->returning || m->commands || c->now < m->probe_next)
+	if ((ws_machine_echoes_token(machine) &&
+	     !ws_heartbeat_overdue(core, machine->last_heard_at)) ||
+	    !machine->port || !machine->address[0] || machine->gone ||
+	    machine->scale_in_requested || machine->commands_in_flight ||
+	    core->now < machine->next_probe_at)
 		return false;
-	m->probe_next = c->now + c->set->report_s;
-	ws_orders_call(c, m);
+	machine->next_probe_at = core->now + core->settings->report_s;
+	ws_commands_call_new(core, machine);
 	return true;
 }
 
 /* To be stopped, and no command has said so yet: one was on its way when that was decided. */
-static bool ws_attempt_stop_unsent(const struct ws_attempt *s)
+static bool ws_attempt_stop_unsent(const struct ws_attempt *attempt)
 {
-	return s->stop && !s->stop_sent && s->state != WS_ATTEMPT_GONE &&
-	       s->tenure == s->machine->tenure;
+	return attempt->stopping && !attempt->stop_command_sent &&
+	       attempt->state != WS_ATTEMPT_GONE &&
+	       attempt->incarnation == attempt->machine->incarnation;
 }
 
-static void ws_push_done(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_commands_answered(struct ws_core *core, struct ws_call *call,
+				 const struct ws_result *result)
 {
-	struct ws_machine *m;
+	struct ws_machine *machine;
 
-	if (call->generation != c->generation)
+	if (call->generation != core->generation)
 		return;
-	m = ws_machine_find(c, call->ctx_name);
-	if (!m)
+	machine = ws_machine_find(core, call->context_name);
+	if (!machine)
 		return;
-	m->commands--;
-	if (r->status < 0)
+	machine->commands_in_flight--;
+	if (result->status < 0)
 		return; /* never left us: the next reply carries it */
-	ws_subsystems_answered(c, m, r->report != NULL);
-	if (r->report && !strcmp(r->report->machine, m->name)) {
-		c->relay_since = 0; /* it can be reached from here */
-		m->unreachable = false;
-		if (r->report->tenure > m->tenure ||
-		    (r->report->tenure == m->tenure && r->report->counter > m->counter) ||
-		    !m->reported) {
-			m->heard = c->now;
-			ws_fleet_read(c, m, r->report);
+	ws_subsystems_answered(core, machine, result->heartbeat != NULL);
+	if (result->heartbeat && !strcmp(result->heartbeat->machine, machine->name)) {
+		core->relay_since = 0; /* it can be reached from here */
+		machine->unreachable = false;
+		if (result->heartbeat->incarnation > machine->incarnation ||
+		    (result->heartbeat->incarnation == machine->incarnation &&
+		     result->heartbeat->sequence > machine->sequence) ||
+		    !machine->reported) {
+			machine->last_heard_at = core->now;
+			ws_machine_apply_heartbeat(core, machine, result->heartbeat);
 		}
-	} else if (!call->norders) {
-		if (ws_overdue(c, fmax(m->heard, c->woke_at)))
-			m->unreachable = true;
+	} else if (!call->command_count) {
+		if (ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->woke_at)))
+			machine->unreachable = true;
 		return; /* a greeting: nothing of it can do harm; its token may be met again */
 	} else {
-		/* it may arrive later: until the worker knows a higher epoch, nothing of it can be
-		 * forgotten or moved */
-		if (call->epoch > m->fence)
-			m->fence = call->epoch;
-		ws_machine_doubt(c, m, call->epoch);
-		ws_log(c, WS_LOG_INFO, "machine %s: a direct command got no answer (%d)", m->name,
-		       r->status);
+		/* it may arrive later: until the worker knows a higher fencing token, nothing of it
+		 * can be forgotten or moved */
+		if (call->fencing_token > machine->late_command_token)
+			machine->late_command_token = call->fencing_token;
+		ws_machine_raise_fencing_token(core, machine, call->fencing_token);
+		ws_log(core, WS_LOG_INFO, "machine %s: a direct command got no answer (%d)",
+		       machine->name, result->status);
 		return;
 	}
-	for (struct ws_attempt *s = m->attempts; s; s = s->next)
-		if ((ws_attempt_runnable(c, s) && !s->sent) || ws_attempt_stop_unsent(s)) {
-			ws_fleet_push(c, m);
+	for (struct ws_attempt *attempt = machine->attempts; attempt;
+	     attempt = attempt->machine_next)
+		if ((ws_attempt_is_runnable(core, attempt) && !attempt->maybe_sent) ||
+		    ws_attempt_stop_unsent(attempt)) {
+			ws_machine_send_commands(core, machine);
 			break;
 		}
 }
 
 /* Commands straight to a worker that is known to listen, for speed; replies carry them again. */
-void ws_fleet_push(struct ws_core *c, struct ws_machine *m)
+void ws_machine_send_commands(struct ws_core *core, struct ws_machine *machine)
 {
 	struct ws_call *call;
-	struct ws_attempt *s;
+	struct ws_attempt *attempt;
 
-	if (!m->reported || !m->port || m->commands || m->fence || m->gone || m->returning ||
-	    !ws_entitled(c) || c->now - m->heard > 1.5 * c->set->report_s)
+	if (!machine->reported || !machine->port || machine->commands_in_flight ||
+	    machine->late_command_token || machine->gone || machine->scale_in_requested ||
+	    !ws_is_entitled(core) ||
+	    core->now - machine->last_heard_at > 1.5 * core->settings->report_s)
 		return;
-	/* while the state service is out nothing is started, but what is withdrawn ends */
-	for (s = m->attempts; c->in_outage && s && !ws_attempt_stop_unsent(s); s = s->next)
+	/* while the store is out nothing is started, but what is cancelled ends */
+	for (attempt = machine->attempts;
+	     core->in_outage && attempt && !ws_attempt_stop_unsent(attempt);
+	     attempt = attempt->machine_next)
 		;
-	if (c->in_outage && !s)
+	if (core->in_outage && !attempt)
 		return;
-	call = ws_orders_call(c, m);
-	call->orders = ws_orders(c, m, NULL, SIZE_MAX, true, &call->norders);
+	call = ws_commands_call_new(core, machine);
+	call->commands =
+	    ws_commands_for_machine(core, machine, NULL, SIZE_MAX, true, &call->command_count);
 }
 
 /* So many at a time. */
-void ws_fleet_probe(struct ws_core *c)
+void ws_fleet_send_probes(struct ws_core *core)
 {
-	struct ws_machine *m, *t;
-	int most = 32 + (int)HASH_COUNT(c->machines) / 8;
+	struct ws_machine *machine, *next_machine;
+	int most = 32 + (int)HASH_COUNT(core->machines) / 8;
 
-	HASH_ITER (hh, c->machines, m, t) {
-		c->sweep_steps++;
-		if (ws_machine_probe(c, m) && --most <= 0)
+	HASH_ITER (hh, core->machines, machine, next_machine) {
+		core->sweep_steps++;
+		if (ws_machine_send_probe(core, machine) && --most <= 0)
 			break;
 	}
 }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -2,9 +2,9 @@
 #include "internal.h"
 #include <stdarg.h>
 
-void ws_policy_defaults(struct ws_policy *p)
+void ws_policy_defaults(struct ws_policy *policy)
 {
-	*p = (struct ws_policy){
+	*policy = (struct ws_policy){
 	    .delta = 1.0,
 	    .rentals_max = -1,
 	    .wait_max_s = -1,
@@ -19,7 +19,7 @@
 	};
 }
 
-void ws_log(struct ws_core *c, enum ws_log_level level, const char *fmt, ...)
+void ws_log(struct ws_core *core, enum ws_log_level level, const char *fmt, ...)
 {
 	char text[512];
 	va_list ap;
@@ -27,36 +27,36 @@
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	if (c->log)
-		c->log(level, text);
+	if (core->log)
+		core->log(level, text);
 }
 
-struct ws_action *ws_act(struct ws_core *c, enum ws_action_kind kind)
+struct ws_effect *ws_effect_new(struct ws_core *core, enum ws_effect_kind kind)
 {
-	struct ws_action *a = calloc(1, sizeof(*a));
+	struct ws_effect *effect = calloc(1, sizeof(*effect));
 
-	if (!a) /* nothing can be done without memory for an answer; start afresh */
+	if (!effect) /* nothing can be done without memory for an answer; start afresh */
 		abort();
-	a->kind = kind;
-	if (c->tail)
-		c->tail->next = a;
+	effect->kind = kind;
+	if (core->tail)
+		core->tail->next = effect;
 	else
-		c->head = a;
-	c->tail = a;
-	return a;
+		core->head = effect;
+	core->tail = effect;
+	return effect;
 }
 
-struct ws_call *ws_call(struct ws_core *c, enum ws_call_kind kind, ws_done_fn done)
+struct ws_call *ws_call_new(struct ws_core *core, enum ws_call_kind kind, ws_result_fn done)
 {
 	struct ws_call *call = calloc(1, sizeof(*call));
 
 	if (!call)
 		abort();
 	call->kind = kind;
-	call->done = done;
-	call->generation = c->generation;
-	call->made = c->now;
-	ws_act(c, WS_ACT_CALL)->call = call;
+	call->on_result = done;
+	call->generation = core->generation;
+	call->created_at = core->now;
+	ws_effect_new(core, WS_EFFECT_CALL)->call = call;
 	return call;
 }
 
@@ -64,183 +64,188 @@
 {
 	if (!call)
 		return;
-	for (size_t i = 0; i < call->nops; i++)
-		json_decref(call->ops[i].value);
-	free(call->ops);
-	free(call->conds);
-	free(call->names);
-	free(call->orders);
-	free(call->ctx);
+	for (size_t i = 0; i < call->operation_count; i++)
+		json_decref(call->operations[i].value);
+	free(call->operations);
+	free(call->compares);
+	free(call->machine_names);
+	free(call->commands);
+	free(call->context);
 	free(call);
 }
 
-struct ws_action *ws_core_pop(struct ws_core *c)
+struct ws_effect *ws_core_next_effect(struct ws_core *core)
 {
-	struct ws_action *a = c->head;
+	struct ws_effect *effect = core->head;
 
-	if (a) {
-		c->head = a->next;
-		if (!c->head)
-			c->tail = NULL;
-		a->next = NULL;
+	if (effect) {
+		core->head = effect->next;
+		if (!core->head)
+			core->tail = NULL;
+		effect->next = NULL;
 	}
-	return a;
+	return effect;
 }
 
-void ws_action_free(struct ws_action *a)
+void ws_effect_free(struct ws_effect *effect)
 {
-	if (a) {
-		free(a->orders);
-		free(a->withdrawn);
+	if (effect) {
+		free(effect->commands);
+		free(effect->cancellations);
 	}
-	free(a);
+	free(effect);
 }
 
-/* Whether the state service serves us, as the last answers tell. */
-void ws_state_seen(struct ws_core *c, int status)
+/* Whether the store serves us, as the last answers tell. */
+void ws_store_answered(struct ws_core *core, int status)
 {
 	if (status == 503 || status == 0) {
-		if (c->state_bad_at <= c->state_ok_at)
-			c->state_bad_since = c->now;
-		c->state_bad_at = c->now;
+		if (core->state_bad_at <= core->state_ok_at)
+			core->state_bad_since = core->now;
+		core->state_bad_at = core->now;
 	} else {
-		c->state_ok_at = c->now;
+		core->state_ok_at = core->now;
 	}
 }
 
-void ws_core_complete(struct ws_core *c, double now, struct ws_call *call,
-		      const struct ws_result *r)
+void ws_core_complete(struct ws_core *core, double now, struct ws_call *call,
+		      const struct ws_result *result)
 {
-	if (now > c->now)
-		c->now = now;
-	if (call->kind <= WS_CALL_HOLD_DROP && call->kind != WS_CALL_WATCH)
-		ws_state_seen(c, r->status);
-	call->done(c, call, r);
+	if (now > core->now)
+		core->now = now;
+	if (call->kind <= WS_CALL_SESSION_CLOSE && call->kind != WS_CALL_WATCH)
+		ws_store_answered(core, result->status);
+	call->on_result(core, call, result);
 	ws_call_free(call);
-	ws_core_tick(c, now);
+	ws_core_tick(core, now);
 }
 
 /*
- * How old a leader's view of what users withdrew may be when it answers a report: the answer renews
- * the lease of a withdrawn task for the last time, and that lease must be out within cancel_s.
+ * How old a leader's view of what users cancelled may be when it answers a heartbeat: the answer
+ * renews the lease of a cancelled task for the last time, and that lease must be out within
+ * cancel_s.
  */
-double ws_core_view_s(const struct ws_settings *s)
+double ws_core_replica_age_limit(const struct ws_settings *settings)
 {
-	return s->cancel_s - ws_lease_length(s);
+	return settings->cancel_s - ws_lease_length(settings);
 }
 
 /* Whether that is shorter than what a leader is served by its watch at the latest. */
-bool ws_core_view_short(const struct ws_settings *s, const struct ws_policy *p)
+bool ws_core_replica_age_limit_is_short(const struct ws_settings *settings,
+					const struct ws_policy *policy)
 {
-	return ws_core_view_s(s) < WS_VIEW_TTLS * s->lease_s * p->leader_ttl_ratio;
+	return ws_core_replica_age_limit(settings) <
+	       WS_REPLICA_AGE_TTLS * settings->lease_s * policy->leader_ttl_ratio;
 }
 
-struct ws_core *ws_core_new(const struct ws_settings *s, const struct ws_policy *p, ws_log_fn log,
-			    double now, uint64_t nonce)
+struct ws_core *ws_core_new(const struct ws_settings *settings, const struct ws_policy *policy,
+			    ws_log_fn log, double now, uint64_t nonce)
 {
-	struct ws_core *c = calloc(1, sizeof(*c));
+	struct ws_core *core = calloc(1, sizeof(*core));
 
-	if (!c)
+	if (!core)
 		return NULL;
-	c->set = s;
-	c->pol = *p;
-	c->log = log;
-	c->now = now;
-	c->nonce = nonce;
-	c->value_most = s->value_kb * 1024;
-	c->ops_most = s->txn_ops;
-	c->state_ok_at = c->state_bad_at = -1e9;
-	c->ttl = s->lease_s * p->leader_ttl_ratio;
-	if (c->ttl < 0.2)
-		c->ttl = 0.2;
-	c->view_s = ws_core_view_s(s);
-	if (ws_core_view_short(s, p))
-		ws_log(c, WS_LOG_ERROR,
+	core->settings = settings;
+	core->policy = *policy;
+	core->log = log;
+	core->now = now;
+	core->nonce = nonce;
+	core->value_most = settings->value_kb * 1024;
+	core->ops_most = settings->txn_ops;
+	core->state_ok_at = core->state_bad_at = -1e9;
+	core->ttl = settings->lease_s * policy->leader_ttl_ratio;
+	if (core->ttl < 0.2)
+		core->ttl = 0.2;
+	core->view_s = ws_core_replica_age_limit(settings);
+	if (ws_core_replica_age_limit_is_short(settings, policy))
+		ws_log(core, WS_LOG_ERROR,
 		       "cancel_s %.3g is short for lease_s %.3g: in outages of the state service "
 		       "reports are answered for %.3g s at most",
-		       s->cancel_s, s->lease_s, fmax(0, c->view_s));
-	if (c->pol.rental_ceiling < 0)
-		c->pol.rental_ceiling = -1; /* derived once the machine types are known */
-	for (size_t i = 0; i < s->nzones; i++)
-		ws_zone_id(c, s->zones[i]);
-	c->k = -1;
-	for (size_t i = 0; i < s->nteams; i++)
-		c->teams[i].set = &s->teams[i];
-	return c;
+		       settings->cancel_s, settings->lease_s, fmax(0, core->view_s));
+	if (core->policy.rental_ceiling < 0)
+		core->policy.rental_ceiling = -1; /* derived once the machine types are known */
+	for (size_t i = 0; i < settings->zone_count; i++)
+		ws_zone_index(core, settings->zones[i]);
+	core->k = -1;
+	for (size_t i = 0; i < settings->team_count; i++)
+		core->teams[i].settings = &settings->teams[i];
+	return core;
 }
 
-void ws_core_free(struct ws_core *c)
+void ws_core_free(struct ws_core *core)
 {
-	struct ws_action *a;
+	struct ws_effect *effect;
 
-	if (!c)
+	if (!core)
 		return;
-	ws_step_down(c, NULL);
-	while ((a = ws_core_pop(c))) {
-		ws_call_free(a->call);
-		ws_action_free(a);
+	ws_step_down(core, NULL);
+	while ((effect = ws_core_next_effect(core))) {
+		ws_call_free(effect->call);
+		ws_effect_free(effect);
 	}
-	ws_requests_free(c);
-	ws_subsystems_free(c);
-	free(c->orders);
-	free(c->pass_memory);
-	free(c);
+	ws_requests_free(core);
+	ws_subsystems_free(core);
+	free(core->orders);
+	free(core->pass_memory);
+	free(core);
 }
 
-bool ws_core_ready(const struct ws_core *c)
+bool ws_core_is_ready(const struct ws_core *core)
 {
-	return c->ntypes > 0 && c->state_ok_at > 0 && !ws_cut_off(c);
+	return core->ntypes > 0 && core->state_ok_at > 0 && !ws_node_is_isolated(core);
 }
 
-bool ws_core_leading(const struct ws_core *c)
+bool ws_core_is_leader(const struct ws_core *core)
 {
-	return c->role == WS_LEADER;
+	return core->role == WS_LEADER;
 }
 
-void ws_core_spent(struct ws_core *c, double (*clock)(void))
+void ws_core_pass_ended(struct ws_core *core, double (*clock)(void))
 {
 	double now;
 
-	if (c->pass_at <= 0)
+	if (core->pass_at <= 0)
 		return;
 	now = clock();
 	/* placement takes a third of the time at the most, however long what waits; if the process
 	 * stood still meanwhile, that was no pass */
-	c->place_next = fmax(c->place_next, now + fmin(2 * (now - c->pass_at), c->ttl / 2));
-	c->pass_at = 0;
+	core->place_next =
+	    fmax(core->place_next, now + fmin(2 * (now - core->pass_at), core->ttl / 2));
+	core->pass_at = 0;
 }
 
-/* How old the leader's replica of the jobs may be while the state service serves it. */
-double ws_replica_age_max(const struct ws_core *c)
+/* How old the leader's replica of the jobs may be while the store serves it. */
+double ws_replica_age_max(const struct ws_core *core)
 {
-	return fmax(c->view_s, WS_VIEW_TTLS * c->ttl);
+	return fmax(core->view_s, WS_REPLICA_AGE_TTLS * core->ttl);
 }
 
-bool ws_core_entitled(const struct ws_core *c, double now)
+bool ws_core_is_entitled(const struct ws_core *core, double now)
 {
-	return c->role == WS_LEADER && now < c->entitled_until &&
-	       now < c->view_at + ws_replica_age_max(c);
+	return core->role == WS_LEADER && now < core->entitled_until &&
+	       now < core->view_at + ws_replica_age_max(core);
 }
 
-/* Everything that is due; called after each event and by the shell's timer. */
-void ws_core_tick(struct ws_core *c, double now)
+/* Everything that is due; called after each event and by the I/O layer's timer. */
+void ws_core_tick(struct ws_core *core, double now)
 {
-	if (now > c->now)
-		c->now = now;
+	if (now > core->now)
+		core->now = now;
 	/* who was silent meanwhile may have been talking to us all the time */
-	if (c->now - c->ticked_at > c->set->report_s / 4)
-		c->woke_at = c->now;
-	c->ticked_at = c->now;
-	ws_requests_tick(c);
-	ws_leader_tick(c);
-	if (c->role == WS_LEADER) {
-		ws_fleet_tick(c);
-		ws_subsystems_tick(c);
-		if (c->now > c->place_next + c->set->report_s / 4)
-			c->place_wanted = true; /* back-offs end without an event */
-		if (c->place_wanted && c->now >= c->place_next && ws_entitled(c) && !c->in_outage)
-			ws_place(c);
-		ws_rentals_tick(c);
-		ws_flush(c);
+	if (core->now - core->ticked_at > core->settings->report_s / 4)
+		core->woke_at = core->now;
+	core->ticked_at = core->now;
+	ws_requests_tick(core);
+	ws_leadership_tick(core);
+	if (core->role == WS_LEADER) {
+		ws_fleet_tick(core);
+		ws_subsystems_tick(core);
+		if (core->now > core->place_next + core->settings->report_s / 4)
+			core->place_wanted = true; /* back-offs end without an event */
+		if (core->place_wanted && core->now >= core->place_next && ws_is_entitled(core) &&
+		    !core->in_outage)
+			ws_scheduler_run_pass(core);
+		ws_autoscaler_tick(core);
+		ws_writer_tick(core);
 	}
 }
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -1,445 +1,462 @@
 /*
- * Who leads, and how the lead is kept.
+ * Who is the leader, and how leadership is kept.
  *
- * The leader is whoever attached the key `leader` to a hold of its own. Its epoch is the key's
- * stamp, shifted, so every leader's epoch is above those before it. It acts only until the end of
- * its hold as reckoned from when the last granted renewal was sent, and every write of a leader is
- * conditioned on the stamp of the leader key, so one that comes late has no effect.
+ * The leader is whoever attached the key `leader` to a session of its own. Its fencing token is the
+ * key's revision, shifted, so every leader's fencing token is above those before it. It acts only
+ * until the end of its session as reckoned from when the last granted renewal was sent, and every
+ * write of a leader is conditioned on the revision of the leader key, so one that comes late has no
+ * effect.
  */
 #include "internal.h"
 
 /* Renewals under way at once. */
 #define RENEWALS_MAX 4
 
-bool ws_entitled(const struct ws_core *c)
+bool ws_is_entitled(const struct ws_core *core)
 {
-	return ws_core_entitled(c, c->now);
+	return ws_core_is_entitled(core, core->now);
 }
 
-static void ws_follow(struct ws_core *c, double after)
+static void ws_become_follower(struct ws_core *core, double after)
 {
-	c->role = WS_FOLLOWER;
-	c->leader_next = c->now + after;
+	core->role = WS_FOLLOWER;
+	core->leader_next = core->now + after;
 }
 
-static void ws_nothing(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_ignore_result(struct ws_core *core, struct ws_call *call,
+			     const struct ws_result *result)
 {
-	(void)c;
+	(void)core;
 	(void)call;
-	(void)r;
+	(void)result;
 }
 
 /* Everything a leader knows of the cluster. */
-static void ws_forget_cluster(struct ws_core *c)
+static void ws_forget_cluster(struct ws_core *core)
 {
-	struct ws_machine *m = c->machines, *next_machine;
-	struct ws_job *j = c->jobs, *next_job;
-	struct ws_rental *r = c->rentals, *next_rental;
-	struct ws_image *image = c->images, *next_image;
-
-	HASH_CLEAR(hh, c->machines);
-	for (; m; m = next_machine) {
-		next_machine = m->hh.next;
-		for (struct ws_attempt *s = m->attempts, *n; s; s = n) {
-			n = s->next;
-			free(s);
+	struct ws_machine *machine = core->machines, *next_machine;
+	struct ws_job *job = core->jobs, *next_job;
+	struct ws_scale_out *request = core->rentals, *next_rental;
+	struct ws_image *image = core->images, *next_image;
+
+	HASH_CLEAR(hh, core->machines);
+	for (; machine; machine = next_machine) {
+		next_machine = machine->hh.next;
+		for (struct ws_attempt *attempt = machine->attempts, *next_attempt; attempt;
+		     attempt = next_attempt) {
+			next_attempt = attempt->machine_next;
+			free(attempt);
 		}
-		free(m);
+		free(machine);
 	}
-	HASH_CLEAR(hh, c->jobs);
-	for (; j; j = next_job) {
-		next_job = j->hh.next;
-		free(j->tasks);
-		free(j);
+	HASH_CLEAR(hh, core->jobs);
+	for (; job; job = next_job) {
+		next_job = job->hh.next;
+		free(job->tasks);
+		free(job);
 	}
-	HASH_CLEAR(hh, c->rentals);
-	for (; r; r = next_rental) {
-		next_rental = r->hh.next;
-		free(r->hosts);
-		free(r);
+	HASH_CLEAR(hh, core->rentals);
+	for (; request; request = next_rental) {
+		next_rental = request->hh.next;
+		free(request->instances);
+		free(request);
 	}
-	HASH_CLEAR(hh, c->images);
+	HASH_CLEAR(hh, core->images);
 	for (; image; image = next_image) {
 		next_image = image->hh.next;
 		free(image);
 	}
-	free(c->image_names);
-	c->image_names = NULL;
-	c->nimages = 0;
-	ws_tombstones_clear(c, true);
-	ws_kept_clear(c);
+	free(core->image_names);
+	core->image_names = NULL;
+	core->nimages = 0;
+	ws_tombstones_clear(core, true);
+	ws_quarantine_clear(core);
 }
 
 /* Lists and scratch memory over what was forgotten. */
-static void ws_forget_lists(struct ws_core *c)
+static void ws_forget_lists(struct ws_core *core)
 {
-	c->dirty_jobs = NULL;
-	c->dirty_rentals = NULL;
-	free(c->order);
-	c->order = NULL;
-	c->norder = 0;
-	c->order_stale = true;
-	free(c->pass_memory);
-	c->pass_memory = NULL;
-	c->pass_cap = 0;
-	free(c->chunks);
-	c->chunks = NULL;
-	c->nchunks = 0;
-	free(c->unmet);
-	c->unmet = NULL;
-	c->unmet_count = c->unmet_cap = 0;
-	for (size_t i = 0; i < c->set->nteams; i++)
-		c->teams[i].used_cpus = c->teams[i].used_gpus = 0;
+	core->dirty_jobs = NULL;
+	core->dirty_rentals = NULL;
+	free(core->order);
+	core->order = NULL;
+	core->norder = 0;
+	core->order_stale = true;
+	free(core->pass_memory);
+	core->pass_memory = NULL;
+	core->pass_cap = 0;
+	free(core->chunks);
+	core->chunks = NULL;
+	core->nchunks = 0;
+	free(core->unmet);
+	core->unmet = NULL;
+	core->unmet_count = core->unmet_cap = 0;
+	for (size_t i = 0; i < core->settings->team_count; i++)
+		core->teams[i].used_cpus = core->teams[i].used_gpus = 0;
 }
 
 /* What was under way, and when what is next due. */
-static void ws_forget_progress(struct ws_core *c)
+static void ws_forget_progress(struct ws_core *core)
 {
-	c->value_most = c->set->value_kb * 1024;
-	c->ops_most = c->set->txn_ops;
-	c->owned_upto[0] = 0;
-	c->owned_seen = c->owned_known = c->owned_writing = c->types_saved = false;
-	c->flushing = c->job_watch = c->hosts_inflight = c->rent_inflight = false;
-	c->extends = 0;
-	c->in_outage = c->paused = false;
-	c->ask_out = 0;
-	c->hosts_after[0] = 0;
-	c->flush_wanted = false;
-	c->flush_look = 0;
-	c->hosts_next = c->cloud_next = c->flush_next = c->sweep_next = c->rent_next = 0;
-	memset(c->refusals, 0, sizeof(c->refusals));
-	c->returns_wait = 0;
-	c->place_next = c->pass_at = 0;
-	c->measured_at = 0;
-	c->work_arrived = c->work_done = c->busy_time = c->busy = 0;
+	core->value_most = core->settings->value_kb * 1024;
+	core->ops_most = core->settings->txn_ops;
+	core->owned_upto[0] = 0;
+	core->owned_seen = core->owned_known = core->owned_writing = core->types_saved = false;
+	core->flushing = core->job_watch = core->hosts_inflight = core->rent_inflight = false;
+	core->extends = 0;
+	core->in_outage = core->paused = false;
+	core->ask_out = 0;
+	core->hosts_after[0] = 0;
+	core->flush_wanted = false;
+	core->flush_look = 0;
+	core->hosts_next = core->cloud_next = core->flush_next = core->sweep_next =
+	    core->rent_next = 0;
+	memset(core->refusals, 0, sizeof(core->refusals));
+	core->returns_wait = 0;
+	core->place_next = core->pass_at = 0;
+	core->measured_at = 0;
+	core->work_arrived = core->work_done = core->busy_time = core->busy = 0;
 }
 
 /*
- * Proof that a leader lived. The state service removes a key `ttl` after its last renewal, unless
- * it was out meanwhile: then all holds have their full time again. So a key that was read for
+ * Proof that a leader lived. The store removes a key `ttl` after its last renewal, unless
+ * it was out meanwhile: then all sessions have their full time again. So a key that was read for
  * longer than that, without a refusal in between, was renewed within that time. A key that was just
  * written proves that somebody was elected, and not yet that he served anybody. Times are those at
  * which the question was asked: whoever stood still meanwhile has no newer proof.
  */
-static void ws_leader_proven(struct ws_core *c, double at, uint64_t term)
+static void ws_leader_proven(struct ws_core *core, double alive_at, uint64_t term)
 {
-	if (c->proof.any && at <= c->proof.at)
+	if (core->proof.exists && alive_at <= core->proof.alive_at)
 		return;
-	c->proof.any = true;
-	c->proof.at = at;
-	c->proof.term = term;
+	core->proof.exists = true;
+	core->proof.alive_at = alive_at;
+	core->proof.term = term;
 }
 
-static void ws_leader_answered(struct ws_core *c, double asked)
+static void ws_leader_key_read(struct ws_core *core, double asked)
 {
-	struct ws_leader_proof *proof = &c->proof;
-	const double hold_s = WS_PROOF_TTLS * c->ttl;
+	struct ws_leader_proof *proof = &core->proof;
+	const double hold_s = WS_PROOF_TTLS * core->ttl;
 
-	if (c->leader_stamp != proof->key) {
-		proof->key = c->leader_stamp;
+	if (core->leader_stamp != proof->leader_revision) {
+		proof->leader_revision = core->leader_stamp;
 		proof->key_since = asked;
-	} else if (proof->key && asked - proof->key_since > hold_s) {
-		ws_leader_proven(c, asked - hold_s, proof->key);
+	} else if (proof->leader_revision && asked - proof->key_since > hold_s) {
+		ws_leader_proven(core, asked - hold_s, proof->leader_revision);
 	}
 }
 
-void ws_step_down(struct ws_core *c, const char *why)
+void ws_step_down(struct ws_core *core, const char *reason)
 {
-	if (why && c->role != WS_FOLLOWER)
-		ws_log(c, WS_LOG_INFO, "no longer leading: %s", why);
-	c->generation++;
-	if (c->role == WS_LEADER && c->now - c->elected_at > WS_PROOF_TTLS * c->ttl)
-		ws_leader_proven(c, fmin(c->now, c->entitled_until), c->epoch >> WS_EPOCH_SHIFT);
-	ws_subsystems_step_down(c);
-	ws_forget_cluster(c);
-	ws_forget_lists(c);
-	ws_forget_progress(c);
-	if (c->hold && why) {
-		struct ws_call *call = ws_call(c, WS_CALL_HOLD_DROP, ws_nothing);
-
-		call->hold = c->hold;
+	if (reason && core->role != WS_FOLLOWER)
+		ws_log(core, WS_LOG_INFO, "no longer leading: %s", reason);
+	core->generation++;
+	if (core->role == WS_LEADER && core->now - core->elected_at > WS_PROOF_TTLS * core->ttl)
+		ws_leader_proven(core, fmin(core->now, core->entitled_until),
+				 core->epoch >> WS_FENCING_TOKEN_SHIFT);
+	ws_subsystems_step_down(core);
+	ws_forget_cluster(core);
+	ws_forget_lists(core);
+	ws_forget_progress(core);
+	if (core->hold && reason) {
+		struct ws_call *call = ws_call_new(core, WS_CALL_SESSION_CLOSE, ws_ignore_result);
+
+		call->session = core->hold;
 		call->urgent = true;
 	}
-	c->hold = 0;
-	c->epoch = 0;
-	c->entitled_until = 0;
-	ws_follow(c, 0);
+	core->hold = 0;
+	core->epoch = 0;
+	core->entitled_until = 0;
+	ws_become_follower(core, 0);
 }
 
-/* The node is about to stop: whoever comes next need not wait for the hold to end. */
-void ws_core_resign(struct ws_core *c, double now)
+/* The node is about to stop: whoever comes next need not wait for the session to end. */
+void ws_core_resign(struct ws_core *core, double now)
 {
-	if (now > c->now)
-		c->now = now;
-	c->campaign_after = 1e18;
-	if (c->role != WS_FOLLOWER)
-		ws_step_down(c, "stopping");
+	if (now > core->now)
+		core->now = now;
+	core->campaign_after = 1e18;
+	if (core->role != WS_FOLLOWER)
+		ws_step_down(core, "stopping");
 }
 
-/* ---- who leads ---- */
+/* ---- who is the leader ---- */
 
-static void ws_leader_is(struct ws_core *c, json_t *value, uint64_t stamp)
+static void ws_leader_changed(struct ws_core *core, json_t *value, uint64_t revision)
 {
 	const char *node = value ? ws_record_leader_node(value) : NULL;
 
-	if (strcmp(c->leader, node ? node : ""))
-		ws_log(c, WS_LOG_INFO, "leader: %s", node ? node : "none");
-	snprintf(c->leader, sizeof(c->leader), "%s", node ? node : "");
-	c->leader_stamp = node ? stamp : 0;
-	if ((c->role == WS_LEADER || c->role == WS_LOADING) && node &&
-	    stamp > c->epoch >> WS_EPOCH_SHIFT)
-		ws_step_down(c, "another node leads");
+	if (strcmp(core->leader, node ? node : ""))
+		ws_log(core, WS_LOG_INFO, "leader: %s", node ? node : "none");
+	snprintf(core->leader, sizeof(core->leader), "%s", node ? node : "");
+	core->leader_stamp = node ? revision : 0;
+	if ((core->role == WS_LEADER || core->role == WS_LOADING) && node &&
+	    revision > core->epoch >> WS_FENCING_TOKEN_SHIFT)
+		ws_step_down(core, "another node leads");
 }
 
-static void ws_elect_written(struct ws_core *c, struct ws_call *call, const struct ws_result *r);
+static void ws_election_answered(struct ws_core *core, struct ws_call *call,
+				 const struct ws_result *result);
 
-static void ws_hold_got(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_session_opened(struct ws_core *core, struct ws_call *call,
+			      const struct ws_result *result)
 {
-	struct ws_call *t;
+	struct ws_call *other_call;
 
-	if (call->generation != c->generation || c->role != WS_ASKING)
+	if (call->generation != core->generation || core->role != WS_CANDIDATE)
 		return;
-	if (r->status != 200) {
-		ws_follow(c, c->ttl / 4);
+	if (result->status != 200) {
+		ws_become_follower(core, core->ttl / 4);
 		return;
 	}
-	c->hold = r->hold;
-	if (c->leader[0] && strcmp(c->leader, c->set->node)) {
+	core->hold = result->session;
+	if (core->leader[0] && strcmp(core->leader, core->settings->node)) {
 		/* another was elected meanwhile: our write must not be conditioned on its key */
-		ws_step_down(c, "another node was elected");
+		ws_step_down(core, "another node was elected");
 		return;
 	}
-	c->entitled_until = call->made + c->ttl * (1 - WS_DRIFT);
-	c->extend_next = call->made + c->ttl / 4;
-	t = ws_call(c, WS_CALL_TXN, ws_elect_written);
-	t->urgent = true;
-	t->conds = calloc(1, sizeof(*t->conds));
-	t->ops = calloc(1, sizeof(*t->ops));
-	if (!t->conds || !t->ops)
+	core->entitled_until = call->created_at + core->ttl * (1 - WS_DRIFT);
+	core->extend_next = call->created_at + core->ttl / 4;
+	other_call = ws_call_new(core, WS_CALL_TRANSACTION, ws_election_answered);
+	other_call->urgent = true;
+	other_call->compares = calloc(1, sizeof(*other_call->compares));
+	other_call->operations = calloc(1, sizeof(*other_call->operations));
+	if (!other_call->compares || !other_call->operations)
 		abort();
-	t->nconds = t->nops = 1;
-	snprintf(t->conds[0].key, WS_KEY_MAX, "leader");
-	t->conds[0].stamp = c->leader_stamp; /* 0, or the key of our own earlier life */
-	snprintf(t->ops[0].key, WS_KEY_MAX, "leader");
-	t->ops[0].value = ws_record_leader(c->set, c->nonce);
-	t->ops[0].hold = c->hold;
+	other_call->compare_count = other_call->operation_count = 1;
+	snprintf(other_call->compares[0].key, WS_KEY_MAX, "leader");
+	other_call->compares[0].revision =
+	    core->leader_stamp; /* 0, or the key of our own earlier life */
+	snprintf(other_call->operations[0].key, WS_KEY_MAX, "leader");
+	other_call->operations[0].value = ws_record_leader(core->settings, core->nonce);
+	other_call->operations[0].session = core->hold;
 }
 
-static void ws_elect_written(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_election_answered(struct ws_core *core, struct ws_call *call,
+				 const struct ws_result *result)
 {
-	if (call->generation != c->generation || c->role != WS_ASKING)
+	if (call->generation != core->generation || core->role != WS_CANDIDATE)
 		return;
-	if (r->status != 200) {
-		/* lost, or unknown: the hold is given up, so that a late write of ours ends with it
+	if (result->status != 200) {
+		/* lost, or unknown: the session is given up, so that a late write of ours ends with
+		 * it
 		 */
-		ws_step_down(c, "the election was lost");
-		ws_follow(c, r->status == 409 ? 0 : c->ttl / 4);
+		ws_step_down(core, "the election was lost");
+		ws_become_follower(core, result->status == 409 ? 0 : core->ttl / 4);
 		return;
 	}
-	c->role = WS_LOADING;
+	core->role = WS_LOADING;
 	/* a key left over from our own last life tells nothing of when another's hold ended, and a
-	 * paused leader may have answered for as long as a hold lasts */
-	c->elected_at = c->now + (call->conds[0].stamp ? c->ttl : 0);
-	c->epoch = r->rev << WS_EPOCH_SHIFT;
-	c->attempt_seq = 0;
-	c->rental_seq = 0;
-	c->leader_stamp = r->rev;
-	snprintf(c->leader, sizeof(c->leader), "%s", c->set->node);
-	c->relay_since = 0;
-	ws_log(c, WS_LOG_INFO, "elected, epoch %llu", (unsigned long long)c->epoch);
-	ws_load(c);
+	 * paused leader may have answered for as long as a session lasts */
+	core->elected_at = core->now + (call->compares[0].revision ? core->ttl : 0);
+	core->epoch = result->revision << WS_FENCING_TOKEN_SHIFT;
+	core->attempt_seq = 0;
+	core->rental_seq = 0;
+	core->leader_stamp = result->revision;
+	snprintf(core->leader, sizeof(core->leader), "%s", core->settings->node);
+	core->relay_since = 0;
+	ws_log(core, WS_LOG_INFO, "elected, epoch %llu", (unsigned long long)core->epoch);
+	ws_loader_start(core);
 }
 
-static void ws_campaign(struct ws_core *c)
+static void ws_campaign(struct ws_core *core)
 {
 	struct ws_call *call;
 
-	c->role = WS_ASKING;
-	c->generation++;
-	call = ws_call(c, WS_CALL_HOLD_NEW, ws_hold_got);
-	call->ms = (uint32_t)(c->ttl * 1000);
+	core->role = WS_CANDIDATE;
+	core->generation++;
+	call = ws_call_new(core, WS_CALL_SESSION_OPEN, ws_session_opened);
+	call->timeout_ms = (uint32_t)(core->ttl * 1000);
 	call->urgent = true;
 }
 
-static void ws_leader_news(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_leader_watch_answered(struct ws_core *core, struct ws_call *call,
+				     const struct ws_result *result)
 {
-	c->leader_watch = false;
-	if (r->status != 200) {
-		c->leader_read = false;
-		c->proof.key = 0;
-		c->leader_next = c->now + c->ttl / 4;
-		if (r->status == 410)
-			c->leader_next = c->now;
+	core->leader_watch = false;
+	if (result->status != 200) {
+		core->leader_read = false;
+		core->proof.leader_revision = 0;
+		core->leader_next = core->now + core->ttl / 4;
+		if (result->status == 410)
+			core->leader_next = core->now;
 		return;
 	}
-	c->leader_rev = r->rev;
-	for (size_t i = 0; i < r->nkvs; i++)
-		if (!strcmp(r->kvs[i].key, "leader"))
-			ws_leader_is(c, r->kvs[i].value, r->kvs[i].stamp);
-	ws_leader_answered(c, call->made);
+	core->leader_rev = result->revision;
+	for (size_t i = 0; i < result->entry_count; i++)
+		if (!strcmp(result->entries[i].key, "leader"))
+			ws_leader_changed(core, result->entries[i].value,
+					  result->entries[i].revision);
+	ws_leader_key_read(core, call->created_at);
 }
 
-static void ws_leader_read(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_leader_read_answered(struct ws_core *core, struct ws_call *call,
+				    const struct ws_result *result)
 {
-	c->leader_watch = false;
-	if (r->status != 200) {
-		c->proof.key = 0;
-		c->leader_next = c->now + c->ttl / 4;
+	core->leader_watch = false;
+	if (result->status != 200) {
+		core->proof.leader_revision = 0;
+		core->leader_next = core->now + core->ttl / 4;
 		return;
 	}
 	bool any = false;
-	c->leader_read = true; /* the revision of a new state service may be 0 */
-	c->leader_rev = r->rev;
-	for (size_t i = 0; i < r->nkvs; i++)
-		if (!strcmp(r->kvs[i].key, "leader")) {
+	core->leader_read = true; /* the revision of a new store may be 0 */
+	core->leader_rev = result->revision;
+	for (size_t i = 0; i < result->entry_count; i++)
+		if (!strcmp(result->entries[i].key, "leader")) {
 			any = true;
-			ws_leader_is(c, r->kvs[i].value, r->kvs[i].stamp);
+			ws_leader_changed(core, result->entries[i].value,
+					  result->entries[i].revision);
 		}
 	if (!any)
-		ws_leader_is(c, NULL, 0);
-	ws_leader_answered(c, call->made);
+		ws_leader_changed(core, NULL, 0);
+	ws_leader_key_read(core, call->created_at);
 }
 
-static void ws_watch_leader(struct ws_core *c)
+static void ws_watch_leader(struct ws_core *core)
 {
 	struct ws_call *call;
 
-	if (c->leader_watch || c->now < c->leader_next)
+	if (core->leader_watch || core->now < core->leader_next)
 		return;
-	c->leader_watch = true;
-	if (!c->leader_read) {
-		call = ws_call(c, WS_CALL_LIST, ws_leader_read);
+	core->leader_watch = true;
+	if (!core->leader_read) {
+		call = ws_call_new(core, WS_CALL_LIST, ws_leader_read_answered);
 		snprintf(call->key, sizeof(call->key), "leader");
 		return;
 	}
-	call = ws_call(c, WS_CALL_WATCH, ws_leader_news);
+	call = ws_call_new(core, WS_CALL_WATCH, ws_leader_watch_answered);
 	snprintf(call->key, sizeof(call->key), "leader");
-	call->since = c->leader_rev;
-	call->ms = (uint32_t)(c->ttl * 1000);
+	call->since_revision = core->leader_rev;
+	call->timeout_ms = (uint32_t)(core->ttl * 1000);
 }
 
-/* ---- keeping the lead ---- */
+/* ---- keeping leadership ---- */
 
-static void ws_extended(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_session_renewed(struct ws_core *core, struct ws_call *call,
+			       const struct ws_result *result)
 {
-	if (call->generation != c->generation)
+	if (call->generation != core->generation)
 		return;
-	c->extends--;
-	if (r->status == 200) {
-		double until = call->made + c->ttl * (1 - WS_DRIFT);
-
-		if (until > c->entitled_until)
-			c->entitled_until = until;
-		if (c->in_outage) {
-			ws_log(c, WS_LOG_INFO, "the state service is back");
-			c->served_at = c->now;
+	core->extends--;
+	if (result->status == 200) {
+		double until = call->created_at + core->ttl * (1 - WS_DRIFT);
+
+		if (until > core->entitled_until)
+			core->entitled_until = until;
+		if (core->in_outage) {
+			ws_log(core, WS_LOG_INFO, "the state service is back");
+			core->served_at = core->now;
 		}
-		c->in_outage = c->paused = false;
-		c->place_wanted = true;
-		c->extend_next = fmax(c->extend_next, call->made + c->ttl / 4);
-	} else if (r->status == 404) {
-		ws_step_down(c, "the hold ended");
+		core->in_outage = core->paused = false;
+		core->place_wanted = true;
+		core->extend_next = fmax(core->extend_next, call->created_at + core->ttl / 4);
+	} else if (result->status == 404) {
+		ws_step_down(core, "the hold ended");
 	} else {
-		if (!c->extends)
-			c->extend_next = c->now + c->ttl / 16;
+		if (!core->extends)
+			core->extend_next = core->now + core->ttl / 16;
 		/* an old word, if a later renewal was granted */
-		if (r->status == 503 && !c->in_outage && c->role == WS_LEADER &&
-		    call->made + c->ttl * (1 - WS_DRIFT) >= c->entitled_until) {
-			c->in_outage = true;
-			c->ask_next = c->now;
-			ws_log(c, WS_LOG_INFO, "the state service refuses us");
+		if (result->status == 503 && !core->in_outage && core->role == WS_LEADER &&
+		    call->created_at + core->ttl * (1 - WS_DRIFT) >= core->entitled_until) {
+			core->in_outage = true;
+			core->ask_next = core->now;
+			ws_log(core, WS_LOG_INFO, "the state service refuses us");
 		}
 	}
 }
 
 /* A follower campaigns when nobody leads, or the key is left over from our own last life. */
-static void ws_follower_tick(struct ws_core *c)
+static void ws_follower_tick(struct ws_core *core)
 {
-	bool own = c->leader[0] && !strcmp(c->leader, c->set->node);
+	bool own = core->leader[0] && !strcmp(core->leader, core->settings->node);
 
-	if (c->leader_read && (!c->leader[0] || own) && c->now >= c->campaign_after &&
-	    c->now >= c->leader_next && c->ntypes)
-		ws_campaign(c);
+	if (core->leader_read && (!core->leader[0] || own) && core->now >= core->campaign_after &&
+	    core->now >= core->leader_next && core->ntypes)
+		ws_campaign(core);
 }
 
 /*
- * Renews the hold. A renewal that is slow is not waited for: each counts from when it was sent, and
- * at a state service that takes half of ttl for an answer one after the other came too late.
+ * Renews the session. A renewal that is slow is not waited for: each counts from when it was sent,
+ * and at a store that takes half of ttl for an answer one after the other came too late.
  */
-static void ws_renew(struct ws_core *c)
+static void ws_session_renew(struct ws_core *core)
 {
 	struct ws_call *call;
 
-	if (!c->hold || c->extends >= RENEWALS_MAX || c->now < c->extend_next)
+	if (!core->hold || core->extends >= RENEWALS_MAX || core->now < core->extend_next)
 		return;
-	call = ws_call(c, WS_CALL_HOLD_EXTEND, ws_extended);
-	call->hold = c->hold;
+	call = ws_call_new(core, WS_CALL_SESSION_RENEW, ws_session_renewed);
+	call->session = core->hold;
 	call->urgent = true;
-	c->extends++;
-	c->extend_next = c->now + c->ttl / 4;
+	core->extends++;
+	core->extend_next = core->now + core->ttl / 4;
 }
 
 /* In an outage without the word of all peers: pauses, and gives up after a while. */
-static void ws_pause_or_step_down(struct ws_core *c)
+static void ws_pause_or_step_down(struct ws_core *core)
 {
-	if (c->role == WS_LEADER && !c->paused) {
-		c->paused = true;
-		c->pause_until = c->entitled_until + c->set->lease_s * (1 - WS_DRIFT) - c->ttl;
-		ws_log(c, WS_LOG_INFO, "paused: the state service refuses us and not surely all");
+	if (core->role == WS_LEADER && !core->paused) {
+		core->paused = true;
+		core->pause_until =
+		    core->entitled_until + core->settings->lease_s * (1 - WS_DRIFT) - core->ttl;
+		ws_log(core, WS_LOG_INFO,
+		       "paused: the state service refuses us and not surely all");
 	}
-	if (c->role != WS_LEADER || c->now >= c->pause_until)
-		ws_step_down(c, "the state service refuses us and not surely all");
+	if (core->role != WS_LEADER || core->now >= core->pause_until)
+		ws_step_down(core, "the state service refuses us and not surely all");
 }
 
-/* Why the lead can't be kept; NULL: it can. */
-static const char *ws_lead_lost(const struct ws_core *c)
+/* Why leadership can't be kept; NULL: it can. */
+static const char *ws_leadership_lost_reason(const struct ws_core *core)
 {
-	if (c->now >= c->entitled_until && !c->in_outage)
+	if (core->now >= core->entitled_until && !core->in_outage)
 		return "the hold could not be renewed in time";
-	if (c->role == WS_LEADER && !c->in_outage &&
-	    c->now >= fmax(c->view_at, c->served_at) + ws_replica_age_max(c))
+	if (core->role == WS_LEADER && !core->in_outage &&
+	    core->now >= fmax(core->view_at, core->served_at) + ws_replica_age_max(core))
 		return "the watch of the jobs brings nothing";
 	return NULL;
 }
 
 /*
- * Workers reach the others but not us: one of them should lead. Counted from the first report
- * passed on, since before it there may have been no worker at all.
+ * Workers reach the others but not us: one of them should lead. Counted from the first heartbeat
+ * forwarded, since before it there may have been no worker at all.
  */
-static bool ws_workers_elsewhere(const struct ws_core *c)
+static bool ws_workers_elsewhere(const struct ws_core *core)
 {
-	return c->role == WS_LEADER && c->relay_since > 0 &&
-	       c->now - c->relay_since > 2.5 * c->set->report_s && !c->in_outage;
+	return core->role == WS_LEADER && core->relay_since > 0 &&
+	       core->now - core->relay_since > 2.5 * core->settings->report_s && !core->in_outage;
 }
 
-void ws_leader_tick(struct ws_core *c)
+void ws_leadership_tick(struct ws_core *core)
 {
 	const char *lost;
 
-	ws_watch_leader(c);
-	if (c->role == WS_FOLLOWER) {
-		ws_follower_tick(c);
+	ws_watch_leader(core);
+	if (core->role == WS_FOLLOWER) {
+		ws_follower_tick(core);
 		return;
 	}
-	ws_renew(c);
-	if (c->role != WS_LEADER && c->role != WS_LOADING)
+	ws_session_renew(core);
+	if (core->role != WS_LEADER && core->role != WS_LOADING)
 		return;
-	ws_outage_tick(c);
-	lost = ws_lead_lost(c);
+	ws_outage_tick(core);
+	lost = ws_leadership_lost_reason(core);
 	if (lost) {
-		ws_step_down(c, lost);
+		ws_step_down(core, lost);
 		return;
 	}
-	if (c->in_outage && c->now >= c->entitled_until) {
-		ws_pause_or_step_down(c);
+	if (core->in_outage && core->now >= core->entitled_until) {
+		ws_pause_or_step_down(core);
 		return;
 	}
-	if (!c->paused)
-		c->pause_until = c->entitled_until;
-	if (ws_workers_elsewhere(c)) {
-		c->campaign_after = c->now + c->set->lease_s;
-		ws_step_down(c, "no worker reaches this node, but others do");
+	if (!core->paused)
+		core->pause_until = core->entitled_until;
+	if (ws_workers_elsewhere(core)) {
+		core->campaign_after = core->now + core->settings->lease_s;
+		ws_step_down(core, "no worker reaches this node, but others do");
 		return;
 	}
-	ws_watch_jobs(c);
+	ws_job_watch_tick(core);
 }
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -1,338 +1,363 @@
 /*
  * The fleet: machines, their leases, and what is on record of them.
  *
- * A machine is usable while its newest report shows that it hears this leader and its lease runs.
- * All that is on it is surely gone when the cloud confirms its return, or its lease ran out by the
- * longest reckoning.
+ * A machine is usable while its newest heartbeat shows that it hears this leader and its lease
+ * runs. All that is on it is surely gone when the cloud confirms its return, or its lease ran out
+ * by the longest reckoning.
  */
 #include "internal.h"
 
-struct ws_machine *ws_machine_find(struct ws_core *c, const char *name)
+struct ws_machine *ws_machine_find(struct ws_core *core, const char *name)
 {
-	struct ws_machine *m;
+	struct ws_machine *machine;
 
-	HASH_FIND_STR(c->machines, name, m);
-	return m;
+	HASH_FIND_STR(core->machines, name, machine);
+	return machine;
 }
 
-struct ws_machine *ws_machine_get(struct ws_core *c, const char *name)
+struct ws_machine *ws_machine_find_or_add(struct ws_core *core, const char *name)
 {
-	struct ws_machine *m = ws_machine_find(c, name);
+	struct ws_machine *machine = ws_machine_find(core, name);
 
-	if (m)
-		return m;
-	m = calloc(1, sizeof(*m));
-	if (!m)
+	if (machine)
+		return machine;
+	machine = calloc(1, sizeof(*machine));
+	if (!machine)
 		abort();
-	snprintf(m->name, sizeof(m->name), "%s", name);
-	m->first_seen = c->now;
-	m->empty_since = c->now;
-	m->heard = -1e9;
+	snprintf(machine->name, sizeof(machine->name), "%s", name);
+	machine->first_seen = core->now;
+	machine->empty_since = core->now;
+	machine->last_heard_at = -1e9;
 	/* an earlier leader may have answered it, and sent it commands, until we were elected */
-	m->alive_until = ws_lease_out(c, c->elected_at);
-	m->fence = c->epoch ? c->epoch - 1 : 0;
-	m->token = c->epoch;
-	m->token_at = c->now;
-	m->owned = c->owned_seen && strcmp(name, c->owned_upto) <= 0;
-	m->zi = m->chunk = -1;
-	m->invalid_name = strpbrk(name, "/#=;,") != NULL;
-	HASH_ADD_STR(c->machines, name, m);
-	c->order_stale = true;
-	return m;
+	machine->lease_expires_at = ws_lease_expiry(core, core->elected_at);
+	machine->late_command_token = core->epoch ? core->epoch - 1 : 0;
+	machine->fencing_token = core->epoch;
+	machine->fencing_token_since = core->now;
+	machine->owned = core->owned_seen && strcmp(name, core->owned_upto) <= 0;
+	machine->zone_index = machine->shard = -1;
+	machine->invalid_name = strpbrk(name, "/#=;,") != NULL;
+	HASH_ADD_STR(core->machines, name, machine);
+	core->order_stale = true;
+	return machine;
 }
 
 /* What a machine is and where. Its attempts are counted for their jobs where it is. */
-void ws_machine_place(struct ws_core *c, struct ws_machine *m, const char *type, const char *zone,
-		      bool spot)
+void ws_machine_set_kind(struct ws_core *core, struct ws_machine *machine, const char *type,
+			 const char *zone, bool spot)
 {
-	int zi = ws_zone_id(c, zone);
+	int zi = ws_zone_index(core, zone);
 
-	if (strcmp(m->type_name, type) || !m->type) {
-		snprintf(m->type_name, sizeof(m->type_name), "%s", type);
-		m->type = ws_type_find(c, type);
-		m->ti = m->type ? (int)(m->type - c->types) : 0;
+	if (strcmp(machine->type_name, type) || !machine->type) {
+		snprintf(machine->type_name, sizeof(machine->type_name), "%s", type);
+		machine->type = ws_machine_type_find(core, type);
+		machine->type_index = machine->type ? (int)(machine->type - core->types) : 0;
 	}
-	if (zi != m->zi || strcmp(m->zone, zone)) {
-		for (struct ws_attempt *s = m->attempts; s; s = s->next) {
-			if (!s->job || s->state == WS_ATTEMPT_GONE)
+	if (zi != machine->zone_index || strcmp(machine->zone, zone)) {
+		for (struct ws_attempt *attempt = machine->attempts; attempt;
+		     attempt = attempt->machine_next) {
+			if (!attempt->job || attempt->state == WS_ATTEMPT_GONE)
 				continue;
-			if (m->zi >= 0)
-				s->job->zone_n[m->zi]--;
+			if (machine->zone_index >= 0)
+				attempt->job->attempts_by_zone[machine->zone_index]--;
 			if (zi >= 0)
-				s->job->zone_n[zi]++;
+				attempt->job->attempts_by_zone[zi]++;
 		}
-		m->zi = zi;
-		snprintf(m->zone, sizeof(m->zone), "%s", zone);
+		machine->zone_index = zi;
+		snprintf(machine->zone, sizeof(machine->zone), "%s", zone);
 	}
-	if (m->spot != spot)
-		c->order_stale = true;
-	m->spot = spot;
+	if (machine->preemptible != spot)
+		core->order_stale = true;
+	machine->preemptible = spot;
 }
 
-double ws_lease_length(const struct ws_settings *s)
+double ws_lease_length(const struct ws_settings *settings)
 {
-	return s->lease_s * (1 + WS_DRIFT) + s->lease_s / 32;
+	return settings->lease_s * (1 + WS_DRIFT) + settings->lease_s / 32;
 }
 
 /* The time by which a lease renewed at 'from' has run out on any clock. */
-double ws_lease_out(const struct ws_core *c, double from)
+double ws_lease_expiry(const struct ws_core *core, double from)
 {
-	return from + ws_lease_length(c->set);
+	return from + ws_lease_length(core->settings);
 }
 
 /*
  * Machines a record holds: an entry takes less than this many bytes, its images what is left. Not
  * more than the version before gangs had at 16 KiB, which would cut a longer one short.
  */
-int ws_chunk_size(const struct ws_core *c)
+int ws_shard_capacity(const struct ws_core *core)
 {
-	int n = (int)(c->set->value_kb * 1024 / 112);
+	int n = (int)(core->settings->value_kb * 1024 / 112);
 
 	return n < 1 ? 1 : n > 85 ? 85 : n;
 }
 
-struct ws_chunk *ws_chunk_at(struct ws_core *c, int i)
+struct ws_machine_shard *ws_shard_at(struct ws_core *core, int index)
 {
-	if (i >= c->nchunks) {
-		c->chunks = realloc(c->chunks, (size_t)(i + 1) * sizeof(*c->chunks));
-		if (!c->chunks)
+	if (index >= core->nchunks) {
+		core->chunks = realloc(core->chunks, (size_t)(index + 1) * sizeof(*core->chunks));
+		if (!core->chunks)
 			abort();
-		memset(c->chunks + c->nchunks, 0,
-		       (size_t)(i + 1 - c->nchunks) * sizeof(*c->chunks));
-		c->nchunks = i + 1;
+		memset(core->chunks + core->nchunks, 0,
+		       (size_t)(index + 1 - core->nchunks) * sizeof(*core->chunks));
+		core->nchunks = index + 1;
 	}
-	return &c->chunks[i];
+	return &core->chunks[index];
 }
 
-void ws_chunk_dirty(struct ws_core *c, int i)
+void ws_shard_mark_dirty(struct ws_core *core, int index)
 {
-	struct ws_chunk *k = ws_chunk_at(c, i);
+	struct ws_machine_shard *shard = ws_shard_at(core, index);
 
-	if (!k->dirty)
-		k->dirty_at = c->now;
-	k->dirty = true;
+	if (!shard->dirty)
+		shard->dirty_since = core->now;
+	shard->dirty = true;
 }
 
 /* The record of where machines are is to be written: it serves the next leader for greeting. */
-void ws_machine_dirty(struct ws_core *c, struct ws_machine *m)
+void ws_machine_mark_dirty(struct ws_core *core, struct ws_machine *machine)
 {
 	int i;
 
-	if (m->chunk < 0) {
-		for (i = 0; i < c->nchunks && c->chunks[i].n >= ws_chunk_size(c); i++)
+	if (machine->shard < 0) {
+		for (i = 0;
+		     i < core->nchunks && core->chunks[i].machine_count >= ws_shard_capacity(core);
+		     i++)
 			;
-		m->chunk = i;
-		ws_chunk_at(c, i)->n++;
+		machine->shard = i;
+		ws_shard_at(core, i)->machine_count++;
 	}
-	ws_chunk_dirty(c, m->chunk);
+	ws_shard_mark_dirty(core, machine->shard);
 }
 
 /*
  * A report that arrives is no proof that its sender hears us: answers may be cut while reports are
- * not, and a report may be a late copy. The token that we gave it, in its own word, is proof; it
+ * not, and a heartbeat may be a late copy. The token that we gave it, in its own word, is proof; it
  * is raised whenever a lease ran out or a command got no answer.
  */
-bool ws_machine_hears(const struct ws_machine *m)
+bool ws_machine_echoes_token(const struct ws_machine *machine)
 {
-	return m->reported && m->epoch >= m->token;
+	return machine->reported && machine->echoed_token >= machine->fencing_token;
 }
 
-/* Longer ago than a report period with its quarter, and some more. */
-bool ws_overdue(const struct ws_core *c, double since)
+/* Longer ago than a heartbeat interval with its quarter, and some more. */
+bool ws_heartbeat_overdue(const struct ws_core *core, double since)
 {
-	return c->now - since > 1.3 * c->set->report_s;
+	return core->now - since > 1.3 * core->settings->report_s;
 }
 
-void ws_machine_doubt(struct ws_core *c, struct ws_machine *m, uint64_t known)
+void ws_machine_raise_fencing_token(struct ws_core *core, struct ws_machine *machine,
+				    uint64_t known)
 {
-	if (m->token <= known) {
-		m->token = known + 1;
-		m->token_at = c->now;
-		m->probe_next = 0;
+	if (machine->fencing_token <= known) {
+		machine->fencing_token = known + 1;
+		machine->fencing_token_since = core->now;
+		machine->next_probe_at = 0;
 	}
 }
 
 /*
- * Only answers to reports renew a lease. A machine that can't reach us loses all that is placed on
- * it, however well commands reach it; it is given a while to find a new leader, or us when it is
+ * Only answers to heartbeats renew a lease. A machine that can't reach us loses all that is placed
+ * on it, however well commands reach it; it is given a while to find a new leader, or us when it is
  * up.
  */
-static bool ws_machine_reports(const struct ws_core *c, const struct ws_machine *m)
+static bool ws_machine_heartbeats_arrive(const struct ws_core *core,
+					 const struct ws_machine *machine)
 {
-	return c->now - fmax(m->report_at, fmax(m->up_at, c->elected_at)) < 3 * c->set->report_s;
+	return core->now -
+		   fmax(machine->last_heartbeat_at, fmax(machine->up_at, core->elected_at)) <
+	       3 * core->settings->report_s;
 }
 
-bool ws_machine_usable(const struct ws_core *c, const struct ws_machine *m)
+bool ws_machine_is_usable(const struct ws_core *core, const struct ws_machine *machine)
 {
-	return ws_machine_hears(m) && !m->unreachable && !m->invalid_name && !m->kept_running &&
-	       m->reported && m->type && !m->gone && !m->returning && !m->failed && m->tenure &&
-	       c->now - m->heard < 3 * c->set->report_s && ws_machine_reports(c, m) &&
-	       c->now < m->alive_until && c->now >= m->quarantine_until &&
-	       c->now >= m->refused_until && !m->noticed;
+	return ws_machine_echoes_token(machine) && !machine->unreachable &&
+	       !machine->invalid_name && !machine->quarantined_running && machine->reported &&
+	       machine->type && !machine->gone && !machine->scale_in_requested &&
+	       !machine->failed && machine->incarnation &&
+	       core->now - machine->last_heard_at < 3 * core->settings->report_s &&
+	       ws_machine_heartbeats_arrive(core, machine) &&
+	       core->now < machine->lease_expires_at && core->now >= machine->quarantine_until &&
+	       core->now >= machine->refused_until && !machine->preemption_noticed;
 }
 
 /* The machine and all on it are surely gone, or its lease is. */
-static void ws_machine_clear(struct ws_core *c, struct ws_machine *m, enum ws_finding_kind kind)
+static void ws_machine_release_attempts(struct ws_core *core, struct ws_machine *machine,
+					enum ws_reconciliation_result kind)
 {
-	for (struct ws_attempt *s = m->attempts, *n; s; s = n) {
-		n = s->next;
-		ws_attempt_finding(c, s, kind);
-		ws_attempt_release(c, s);
+	for (struct ws_attempt *attempt = machine->attempts, *next_attempt; attempt;
+	     attempt = next_attempt) {
+		next_attempt = attempt->machine_next;
+		ws_attempt_reconcile(core, attempt, kind);
+		ws_attempt_release(core, attempt);
 	}
 }
 
-void ws_machine_gone(struct ws_core *c, struct ws_machine *m, const char *why)
+void ws_machine_mark_gone(struct ws_core *core, struct ws_machine *machine, const char *reason)
 {
-	if (m->gone)
+	if (machine->gone)
 		return;
-	ws_log(c, WS_LOG_INFO, "machine %s is gone: %s", m->name, why);
-	m->gone = true;
-	ws_subsystems_lost(c, m, WS_LOSS_RETURNED);
-	ws_tombstone_set(&c->tombstones, m->name,
-			 c->now + c->set->lease_s + 4 * c->set->list_lag_s);
-	ws_machine_clear(c, m, WS_FINDING_MACHINE_GONE);
-	c->rentals_stale = true;
-	if (m->chunk >= 0)
-		ws_chunk_dirty(c, m->chunk);
+	ws_log(core, WS_LOG_INFO, "machine %s is gone: %s", machine->name, reason);
+	machine->gone = true;
+	ws_subsystems_lost(core, machine, WS_LOSS_RETURNED);
+	ws_tombstone_set(&core->tombstones, machine->name,
+			 core->now + core->settings->lease_s + 4 * core->settings->list_lag_s);
+	ws_machine_release_attempts(core, machine, WS_RECONCILED_MACHINE_GONE);
+	core->rentals_stale = true;
+	if (machine->shard >= 0)
+		ws_shard_mark_dirty(core, machine->shard);
 }
 
 void ws_tombstone_set(struct ws_tombstone **tombstones, const char *name, double until)
 {
-	struct ws_tombstone *t;
+	struct ws_tombstone *tombstone;
 
-	HASH_FIND_STR(*tombstones, name, t);
-	if (!t) {
-		t = calloc(1, sizeof(*t));
-		if (!t)
+	HASH_FIND_STR(*tombstones, name, tombstone);
+	if (!tombstone) {
+		tombstone = calloc(1, sizeof(*tombstone));
+		if (!tombstone)
 			abort();
-		snprintf(t->name, sizeof(t->name), "%s", name);
-		HASH_ADD_STR(*tombstones, name, t);
+		snprintf(tombstone->name, sizeof(tombstone->name), "%s", name);
+		HASH_ADD_STR(*tombstones, name, tombstone);
 	}
-	t->until = until;
+	tombstone->until = until;
 }
 
-bool ws_tombstone_holds(struct ws_core *c, struct ws_tombstone *const *tombstones, const char *name)
+bool ws_tombstone_is_set(struct ws_core *core, struct ws_tombstone *const *tombstones,
+			 const char *name)
 {
-	struct ws_tombstone *t;
+	struct ws_tombstone *tombstone;
 
-	HASH_FIND_STR(*tombstones, name, t);
-	return t && c->now < t->until;
+	HASH_FIND_STR(*tombstones, name, tombstone);
+	return tombstone && core->now < tombstone->until;
 }
 
-void ws_tombstones_clear(struct ws_core *c, bool all)
+void ws_tombstones_clear(struct ws_core *core, bool all)
 {
-	struct ws_tombstone **lists[] = {&c->tombstones, &c->ended, &c->orphaned_parts}, *t, *n;
+	struct ws_tombstone **lists[] = {&core->tombstones, &core->ended, &core->orphaned_parts},
+			    *next_tombstone, *following_tombstone;
 
 	for (size_t i = 0; i < 3; i++)
-		HASH_ITER (hh, *lists[i], t, n)
-			if (all || c->now >= t->until) {
-				HASH_DEL(*lists[i], t);
-				free(t);
+		HASH_ITER (hh, *lists[i], next_tombstone, following_tombstone)
+			if (all || core->now >= next_tombstone->until) {
+				HASH_DEL(*lists[i], next_tombstone);
+				free(next_tombstone);
 			}
 }
 
-void ws_machine_forget(struct ws_core *c, struct ws_machine *m)
+void ws_machine_remove(struct ws_core *core, struct ws_machine *machine)
 {
-	if (m->chunk >= 0)
-		c->chunks[m->chunk].n--;
-	ws_subsystems_machine_removed(c, m);
-	HASH_DEL(c->machines, m);
-	c->order_stale = true;
-	free(m);
+	if (machine->shard >= 0)
+		core->chunks[machine->shard].machine_count--;
+	ws_subsystems_machine_removed(core, machine);
+	HASH_DEL(core->machines, machine);
+	core->order_stale = true;
+	free(machine);
 }
 
 /* One line of the cloud's list. */
-void ws_machine_host(struct ws_core *c, const struct ws_host *h)
+void ws_machine_apply_instance(struct ws_core *core, const struct ws_instance *instance)
 {
-	struct ws_machine *m = ws_machine_find(c, h->name);
+	struct ws_machine *machine = ws_machine_find(core, instance->name);
 
 	/* a list as old as its lag still names what was returned: not a machine that boots */
-	if (ws_tombstone_holds(c, &c->tombstones, h->name))
+	if (ws_tombstone_is_set(core, &core->tombstones, instance->name))
 		return;
-	if (!m) {
-		m = ws_machine_get(c, h->name);
-		m->first_seen = c->now - h->age_s;
-		if (!m->owned)
-			ws_log(c, WS_LOG_INFO, "machine %s found in the cloud's list", m->name);
+	if (!machine) {
+		machine = ws_machine_find_or_add(core, instance->name);
+		machine->first_seen = core->now - instance->age_s;
+		if (!machine->owned)
+			ws_log(core, WS_LOG_INFO, "machine %s found in the cloud's list",
+			       machine->name);
 	}
-	m->listed = true;
-	if (!m->listed_up && h->phase == WS_HOST_RUNNING)
-		m->listed_up = c->now;
-	if (!m->reported) {
-		/* on record by its booking alone: only the list tells since when it boots */
-		m->first_seen = fmin(m->first_seen, c->now - h->age_s);
-		ws_machine_place(c, m, h->type, h->zone, h->spot);
-		if (!m->port && h->port) {
-			snprintf(m->host, sizeof(m->host), "%s", h->host);
-			m->port = h->port;
+	machine->in_instance_list = true;
+	if (!machine->listed_running_at && instance->phase == WS_INSTANCE_RUNNING)
+		machine->listed_running_at = core->now;
+	if (!machine->reported) {
+		/* on record by its scale-out request alone: only the list tells since when it boots
+		 */
+		machine->first_seen = fmin(machine->first_seen, core->now - instance->age_s);
+		ws_machine_set_kind(core, machine, instance->type, instance->zone,
+				    instance->preemptible);
+		if (!machine->port && instance->port) {
+			snprintf(machine->address, sizeof(machine->address), "%s",
+				 instance->address);
+			machine->port = instance->port;
 		}
 	}
-	if (h->phase == WS_HOST_FAILED && !m->failed && !m->gone &&
-	    c->now > m->heard + c->set->report_s) {
-		m->failed = true;
-		ws_subsystems_lost(c, m, WS_LOSS_FAILED);
-		ws_log(c, WS_LOG_INFO, "machine %s failed, says the cloud", m->name);
-		ws_machine_clear(c, m, WS_FINDING_MACHINE_GONE);
+	if (instance->phase == WS_INSTANCE_FAILED && !machine->failed && !machine->gone &&
+	    core->now > machine->last_heard_at + core->settings->report_s) {
+		machine->failed = true;
+		ws_subsystems_lost(core, machine, WS_LOSS_FAILED);
+		ws_log(core, WS_LOG_INFO, "machine %s failed, says the cloud", machine->name);
+		ws_machine_release_attempts(core, machine, WS_RECONCILED_MACHINE_GONE);
 	}
 }
 
 /* All machines are looked at so often: a fraction of what they are given time for. */
-double ws_sweep_every(const struct ws_core *c)
+double ws_sweep_interval(const struct ws_core *core)
 {
-	return fmin(c->set->report_s / 20, c->set->lease_s / 160);
+	return fmin(core->settings->report_s / 20, core->settings->lease_s / 160);
 }
 
 /*
  * Replicas and what can save move when their machine is about to be taken. A gang saves only if
  * all of it is told at once and has the time; else it goes on and falls back to its checkpoint.
  */
-static bool ws_moves_on_notice(const struct ws_core *c, const struct ws_attempt *s)
+static bool ws_attempt_drains_on_notice(const struct ws_core *core,
+					const struct ws_attempt *attempt)
 {
-	const struct ws_spec *p = &s->job->spec;
+	const struct ws_job_spec *spec = &attempt->job->spec;
 
-	if (p->gang)
-		return p->checkpoint_s > 0 && c->now + p->save_s < s->machine->notice_until &&
-		       ws_gang_reachable(c, s->job);
-	return p->service || p->checkpoint_s > 0;
+	if (spec->gang)
+		return spec->checkpoint_s > 0 &&
+		       core->now + spec->save_s < attempt->machine->preempted_at &&
+		       ws_gang_is_reachable(core, attempt->job);
+	return spec->service || spec->checkpoint_s > 0;
 }
 
-void ws_fleet_tick(struct ws_core *c)
+void ws_fleet_tick(struct ws_core *core)
 {
-	struct ws_machine *m, *t;
+	struct ws_machine *machine, *next_machine;
 
-	if (c->now < c->sweep_next)
+	if (core->now < core->sweep_next)
 		return;
-	c->sweep_next = c->now + ws_sweep_every(c);
-	if (ws_entitled(c) && !c->in_outage)
-		ws_fleet_probe(c);
-	ws_tombstones_clear(c, false);
-	HASH_ITER (hh, c->machines, m, t) {
-		c->sweep_steps++;
-		if (m->gone) {
-			if (!m->attempts)
-				ws_machine_forget(c, m);
+	core->sweep_next = core->now + ws_sweep_interval(core);
+	if (ws_is_entitled(core) && !core->in_outage)
+		ws_fleet_send_probes(core);
+	ws_tombstones_clear(core, false);
+	HASH_ITER (hh, core->machines, machine, next_machine) {
+		core->sweep_steps++;
+		if (machine->gone) {
+			if (!machine->attempts)
+				ws_machine_remove(core, machine);
 			continue;
 		}
-		if (m->attempt_count && c->now > m->alive_until && m->tenure) {
-			ws_log(c, WS_LOG_INFO, "machine %s: its lease has surely run out", m->name);
-			m->least_tenure = m->tenure + 1;
-			ws_subsystems_lost(c, m, WS_LOSS_LEASE);
-			ws_machine_clear(c, m, WS_FINDING_LEASE_OUT);
+		if (machine->attempt_count && core->now > machine->lease_expires_at &&
+		    machine->incarnation) {
+			ws_log(core, WS_LOG_INFO, "machine %s: its lease has surely run out",
+			       machine->name);
+			machine->least_incarnation = machine->incarnation + 1;
+			ws_subsystems_lost(core, machine, WS_LOSS_LEASE);
+			ws_machine_release_attempts(core, machine, WS_RECONCILED_LEASE_EXPIRED);
 		}
-		if (m->noticed && c->now < m->notice_until + c->set->lease_s) {
+		if (machine->preemption_noticed &&
+		    core->now < machine->preempted_at + core->settings->lease_s) {
 			/* replicas move on notice; arrays that can't save run on while they can */
 			bool any = false;
 
-			for (struct ws_attempt *s = m->attempts, *n; s; s = n) {
-				n = s->next;
-				if (s->state != WS_ATTEMPT_GONE && !s->stop && !s->orphan &&
-				    s->job && ws_moves_on_notice(c, s)) {
-					ws_task_stop(c, s, "spot notice");
+			for (struct ws_attempt *attempt = machine->attempts, *next_attempt; attempt;
+			     attempt = next_attempt) {
+				next_attempt = attempt->machine_next;
+				if (attempt->state != WS_ATTEMPT_GONE && !attempt->stopping &&
+				    !attempt->unrecorded && attempt->job &&
+				    ws_attempt_drains_on_notice(core, attempt)) {
+					ws_task_stop(core, attempt, "spot notice");
 					any = true;
 				}
 			}
 			if (any)
-				ws_fleet_push(c, m);
+				ws_machine_send_commands(core, machine);
 		}
 	}
 }
--- a/src/core/followers.c
+++ b/src/core/followers.c
@@ -1,96 +1,98 @@
-/* Heartbeats that reach a node that does not lead: passed on, or sent to the leader. */
+/* Heartbeats that reach a node that does not lead: forwarded, or sent to the leader. */
 #include "requests.h"
 
 struct ws_redirect { /* a worker sent to the leader a short while ago */
 	char machine[WS_NAME_MAX];
-	double at;
-	uint64_t stamp; /* of the leader it was sent to */
-	uint32_t seen;
+	double last_heartbeat_at;
+	uint64_t leader_revision; /* of the leader it was sent to */
+	uint32_t heartbeat_count;
 	struct ws_redirect *next_expired;
 	UT_hash_handle hh;
 };
 
-void ws_report_answer(struct ws_core *c, uint64_t token, int status, const char *leader)
+void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, int status, const char *leader)
 {
-	struct ws_action *a = ws_act(c, WS_ACT_ANSWER_REPORT);
+	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_HEARTBEAT);
 
-	a->token = token;
-	a->status = status;
-	snprintf(a->name, sizeof(a->name), "%s", leader ? leader : "");
+	effect->request_id = request_id;
+	effect->status = status;
+	snprintf(effect->name, sizeof(effect->name), "%s", leader ? leader : "");
 }
 
 /*
- * A worker reports to a node that does not lead. Its first report is passed on, so that its lease
- * is renewed and the leader hears of it at once; with the second it is sent to the leader; one that
- * is back after that could not get through, and its reports are passed on from then on.
+ * A worker reports to a node that does not lead. Its first heartbeat is forwarded, so that its
+ * lease is renewed and the leader hears of it at once; with the second it is sent to the leader;
+ * one that is back after that could not get through, and its heartbeats are forwarded from then on.
  */
-void ws_follower_report(struct ws_core *c, uint64_t token, const struct ws_report *r, bool relayed)
+void ws_follower_heartbeat(struct ws_core *core, uint64_t request_id,
+			   const struct ws_heartbeat *heartbeat, bool forwarded)
 {
-	struct ws_redirect *d;
-	struct ws_action *a;
+	struct ws_redirect *redirect;
+	struct ws_effect *effect;
 
-	if (relayed || !c->leader[0] || !strcmp(c->leader, c->set->node) || ws_cut_off(c)) {
-		ws_report_answer(c, token, 503, NULL);
+	if (forwarded || !core->leader[0] || !strcmp(core->leader, core->settings->node) ||
+	    ws_node_is_isolated(core)) {
+		ws_heartbeat_answer(core, request_id, 503, NULL);
 		return;
 	}
-	HASH_FIND_STR(c->redirects, r->machine, d);
-	if (!d) {
-		d = calloc(1, sizeof(*d));
-		if (!d)
+	HASH_FIND_STR(core->redirects, heartbeat->machine, redirect);
+	if (!redirect) {
+		redirect = calloc(1, sizeof(*redirect));
+		if (!redirect)
 			abort();
-		snprintf(d->machine, sizeof(d->machine), "%s", r->machine);
-		HASH_ADD_STR(c->redirects, machine, d);
+		snprintf(redirect->machine, sizeof(redirect->machine), "%s", heartbeat->machine);
+		HASH_ADD_STR(core->redirects, machine, redirect);
 	}
-	if (d->stamp != c->leader_stamp) {
-		d->stamp = c->leader_stamp;
-		d->seen = 0;
+	if (redirect->leader_revision != core->leader_stamp) {
+		redirect->leader_revision = core->leader_stamp;
+		redirect->heartbeat_count = 0;
 	}
-	d->at = c->now;
-	if (d->seen++ == 1) {
-		ws_report_answer(c, token, 421, c->leader);
+	redirect->last_heartbeat_at = core->now;
+	if (redirect->heartbeat_count++ == 1) {
+		ws_heartbeat_answer(core, request_id, 421, core->leader);
 		return;
 	}
-	a = ws_act(c, WS_ACT_RELAY);
-	a->token = token;
-	a->pinned = d->seen > 2;
-	snprintf(a->name, sizeof(a->name), "%s", c->leader);
+	effect = ws_effect_new(core, WS_EFFECT_FORWARD);
+	effect->request_id = request_id;
+	effect->worker_pinned = redirect->heartbeat_count > 2;
+	snprintf(effect->name, sizeof(effect->name), "%s", core->leader);
 }
 
 /* Takes redirects that are a lease old off the table, as a list linked by `next_expired`. */
-static struct ws_redirect *ws_redirects_expired(struct ws_core *c)
+static struct ws_redirect *ws_redirects_expired(struct ws_core *core)
 {
-	struct ws_redirect *d, *next, *expired = NULL;
+	struct ws_redirect *redirect, *next, *expired = NULL;
 
-	HASH_ITER (hh, c->redirects, d, next) {
-		if (c->now - d->at <= c->set->lease_s)
+	HASH_ITER (hh, core->redirects, redirect, next) {
+		if (core->now - redirect->last_heartbeat_at <= core->settings->lease_s)
 			continue;
-		HASH_DEL(c->redirects, d);
-		d->next_expired = expired;
-		expired = d;
+		HASH_DEL(core->redirects, redirect);
+		redirect->next_expired = expired;
+		expired = redirect;
 	}
 	return expired;
 }
 
-void ws_redirects_tick(struct ws_core *c)
+void ws_redirects_tick(struct ws_core *core)
 {
-	struct ws_redirect *d, *next;
+	struct ws_redirect *redirect, *next;
 
-	if (c->now < c->redirects_next)
+	if (core->now < core->redirects_next)
 		return;
-	c->redirects_next = c->now + c->set->lease_s / 4;
-	for (d = ws_redirects_expired(c); d; d = next) {
-		next = d->next_expired;
-		free(d);
+	core->redirects_next = core->now + core->settings->lease_s / 4;
+	for (redirect = ws_redirects_expired(core); redirect; redirect = next) {
+		next = redirect->next_expired;
+		free(redirect);
 	}
 }
 
-void ws_redirects_free(struct ws_core *c)
+void ws_redirects_free(struct ws_core *core)
 {
-	struct ws_redirect *d = c->redirects, *next;
+	struct ws_redirect *redirect = core->redirects, *next;
 
-	HASH_CLEAR(hh, c->redirects);
-	for (; d; d = next) {
-		next = d->hh.next;
-		free(d);
+	HASH_CLEAR(hh, core->redirects);
+	for (; redirect; redirect = next) {
+		next = redirect->hh.next;
+		free(redirect);
 	}
 }
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -16,113 +16,128 @@
 #include "internal.h"
 
 /* May be alive, and is of the job's own attempts. */
-static bool ws_gang_member(const struct ws_attempt *s)
+static bool ws_gang_has_member(const struct ws_attempt *attempt)
 {
-	return s->state != WS_ATTEMPT_GONE && !s->orphan;
+	return attempt->state != WS_ATTEMPT_GONE && !attempt->unrecorded;
 }
 
 /* Whether the attempt under way has surely not begun to run and may be completed; since when. */
-bool ws_gang_gathers(const struct ws_job *j, uint64_t *attempt, double *since)
+bool ws_gang_is_assembling(const struct ws_job *job, uint64_t *attempt, double *since)
 {
-	const struct ws_attempt *s;
+	const struct ws_attempt *other_attempt;
 
 	*attempt = 0;
 	*since = 1e18;
-	DL_FOREACH2 (j->attempts, s, jnext) {
-		if (s->state == WS_ATTEMPT_GONE)
+	DL_FOREACH2 (job->attempts, other_attempt, job_next) {
+		if (other_attempt->state == WS_ATTEMPT_GONE)
 			continue;
-		if (s->orphan || s->stop || s->attempt == j->gang_over ||
-		    (*attempt && *attempt != s->attempt))
+		if (other_attempt->unrecorded || other_attempt->stopping ||
+		    other_attempt->number == job->gang_ended_attempt ||
+		    (*attempt && *attempt != other_attempt->number))
 			return false;
-		if (s->sent &&
-		    (!s->seen || (s->at != WS_TASK_FETCHING && s->at != WS_TASK_WAITING)))
+		if (other_attempt->maybe_sent &&
+		    (!other_attempt->reported || (other_attempt->task_state != WS_TASK_FETCHING &&
+						  other_attempt->task_state != WS_TASK_WAITING)))
 			return false;
-		*attempt = s->attempt;
-		*since = fmin(*since, s->waiting_at > 0 ? s->waiting_at : s->planned_at);
+		*attempt = other_attempt->number;
+		*since =
+		    fmin(*since, other_attempt->waiting_since > 0 ? other_attempt->waiting_since
+								  : other_attempt->planned_at);
 	}
 	return *attempt != 0;
 }
 
 /* Whether all of its tasks can be told something at once, as far as we know. */
-bool ws_gang_reachable(const struct ws_core *c, const struct ws_job *j)
+bool ws_gang_is_reachable(const struct ws_core *core, const struct ws_job *job)
 {
-	const struct ws_attempt *s;
+	const struct ws_attempt *attempt;
 
-	DL_FOREACH2 (j->attempts, s, jnext) {
-		const struct ws_machine *m = s->machine;
+	DL_FOREACH2 (job->attempts, attempt, job_next) {
+		const struct ws_machine *machine = attempt->machine;
 
-		if (s->state == WS_ATTEMPT_GONE || (!s->sent && !s->seen))
+		if (attempt->state == WS_ATTEMPT_GONE ||
+		    (!attempt->maybe_sent && !attempt->reported))
 			continue;
-		if (s->orphan || !m->reported || !m->port || m->commands || m->fence || m->gone ||
-		    m->returning || m->unreachable || !ws_machine_hears(m) ||
-		    ws_overdue(c, m->heard))
+		if (attempt->unrecorded || !machine->reported || !machine->port ||
+		    machine->commands_in_flight || machine->late_command_token || machine->gone ||
+		    machine->scale_in_requested || machine->unreachable ||
+		    !ws_machine_echoes_token(machine) ||
+		    ws_heartbeat_overdue(core, machine->last_heard_at))
 			return false;
 	}
 	return true;
 }
 
 /* All of its tasks are told to stop, at once: reports alone may come too seldom for that. */
-void ws_gang_stop(struct ws_core *c, struct ws_job *j, double grace, const char *why)
+void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace, const char *reason)
 {
-	struct ws_attempt *s, *n;
+	struct ws_attempt *attempt, *next_attempt;
 	uint32_t stopped = 0;
 
-	DL_FOREACH_SAFE2 (j->attempts, s, n, jnext)
-		if (ws_gang_member(s) && !s->stop) {
-			s->machine->push = true;
-			ws_attempt_stop(c, s, grace, NULL);
+	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
+		if (ws_gang_has_member(attempt) && !attempt->stopping) {
+			attempt->machine->has_starts_to_send = true;
+			ws_attempt_stop(core, attempt, grace, NULL);
 			stopped++;
 		}
 	if (!stopped)
 		return;
-	ws_log(c, WS_LOG_INFO, "gang %s: stop all, %u tasks: %s", j->spec.id, stopped, why);
-	ws_job_push(c, j);
+	ws_log(core, WS_LOG_INFO, "gang %s: stop all, %u tasks: %s", job->spec.id, stopped, reason);
+	ws_job_send_commands(core, job);
 }
 
 /* A task is to stop in good order: if it is one of a gang, with the whole gang. */
-void ws_task_stop(struct ws_core *c, struct ws_attempt *s, const char *why)
+void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, const char *reason)
 {
-	const struct ws_spec *p = &s->job->spec;
+	const struct ws_job_spec *spec = &attempt->job->spec;
 
-	if (p->gang) {
-		s->job->gang_stops++;
-		ws_gang_stop(c, s->job, p->save_s + c->set->gang_peer_s, why);
+	if (spec->gang) {
+		attempt->job->gang_preemptions++;
+		ws_gang_stop(core, attempt->job, spec->save_s + core->settings->gang_peer_s,
+			     reason);
 	} else {
-		ws_attempt_stop(c, s, p->save_s, why);
+		ws_attempt_stop(core, attempt, spec->save_s, reason);
 	}
 }
 
 /* Looks after an attempt under way: one that can't become complete would wait in vain. */
-void ws_gang_tend(struct ws_core *c, struct ws_job *j)
+void ws_gang_check_progress(struct ws_core *core, struct ws_job *job)
 {
 	uint64_t attempt = 0;
 	double since = 1e18, silent_until = 0;
 	uint32_t members = 0, stopping = 0;
-	struct ws_attempt *s;
+	struct ws_attempt *other_attempt;
 
-	DL_FOREACH2 (j->attempts, s, jnext) {
-		if (!ws_gang_member(s))
+	DL_FOREACH2 (job->attempts, other_attempt, job_next) {
+		if (!ws_gang_has_member(other_attempt))
 			continue;
 		members++;
-		stopping += s->stop;
-		attempt = s->attempt > attempt ? s->attempt : attempt;
-		if (s->at == WS_TASK_WAITING && s->waiting_at > 0)
-			since = fmin(since, s->waiting_at);
-		else if (s->sent && ws_overdue(c, fmax(s->machine->heard, c->woke_at)) &&
-			 !ws_subsystems_hold(c, WS_ORDER_STOP_GANG, s->machine->zi))
-			silent_until = fmax(silent_until, s->machine->alive_until);
+		stopping += other_attempt->stopping;
+		attempt = other_attempt->number > attempt ? other_attempt->number : attempt;
+		if (other_attempt->task_state == WS_TASK_WAITING &&
+		    other_attempt->waiting_since > 0)
+			since = fmin(since, other_attempt->waiting_since);
+		else if (other_attempt->maybe_sent &&
+			 ws_heartbeat_overdue(
+			     core, fmax(other_attempt->machine->last_heard_at, core->woke_at)) &&
+			 !ws_subsystems_defer(core, WS_DEFER_GANG_STOP,
+					      other_attempt->machine->zone_index))
+			silent_until = fmax(silent_until, other_attempt->machine->lease_expires_at);
 	}
 	if (stopping == members)
 		return;
 	if (stopping) {
-		ws_gang_stop(c, j, 0, "others of it are stopped");
-	} else if (attempt == j->gang_over && j->waiting) {
+		ws_gang_stop(core, job, 0, "others of it are stopped");
+	} else if (attempt == job->gang_ended_attempt && job->waiting) {
 		/* they notice and end by themselves; those that did not are told */
-		if (!j->gang_broke)
-			j->gang_broke = c->now;
-		else if (c->now - j->gang_broke > c->set->gang_peer_s + 1.5 * c->set->report_s)
-			ws_gang_stop(c, j, 0, "it lost a task");
-	} else if (attempt != j->gang_over && silent_until > since + c->set->gang_wait_s * 3 / 4) {
-		ws_gang_stop(c, j, 0, "a machine is silent for longer than the others may wait");
+		if (!job->gang_broken_at)
+			job->gang_broken_at = core->now;
+		else if (core->now - job->gang_broken_at >
+			 core->settings->gang_peer_s + 1.5 * core->settings->report_s)
+			ws_gang_stop(core, job, 0, "it lost a task");
+	} else if (attempt != job->gang_ended_attempt &&
+		   silent_until > since + core->settings->gang_wait_s * 3 / 4) {
+		ws_gang_stop(core, job, 0,
+			     "a machine is silent for longer than the others may wait");
 	}
 }
--- a/src/core/hooks.h
+++ b/src/core/hooks.h
@@ -47,56 +47,58 @@
 };
 
 /*
- * What became of an attempt that was on record at the election, or of a task that a report names
- * without one. Each has one finding, at the first word that tells.
+ * What became of an attempt that was on record at the election, or of a task that a heartbeat names
+ * without one. Each has one reconciliation result, at the first word that tells.
  */
-enum ws_finding_kind {
-	WS_FINDING_AGREED,	  /* runs, as recorded */
-	WS_FINDING_NOT_REPORTED,  /* its machine hears us and does not name it */
-	WS_FINDING_UNRECORDED,	  /* runs; its job is on record, no newer attempt of the task is */
-	WS_FINDING_SUPERSEDED,	  /* runs; a newer attempt of the task is on record */
-	WS_FINDING_TWO_MACHINES,  /* runs; the same attempt is on record for another machine */
-	WS_FINDING_OVER,	  /* runs; the job or the task is over on record */
-	WS_FINDING_ENDED_DONE,	  /* recorded, and completed while nobody listened */
-	WS_FINDING_ENDED_FAILED,  /* recorded, and failed or refused */
-	WS_FINDING_ENDED_STOPPED, /* recorded, and stopped */
-	WS_FINDING_LEASE_LOST,	  /* recorded for a tenure that its machine says is over */
-	WS_FINDING_LEASE_OUT,	  /* recorded; its machine stayed silent until its lease was out */
-	WS_FINDING_MACHINE_GONE,  /* recorded; the cloud says that its machine is gone or failed */
-	WS_FINDING_UNKNOWN_JOB,	  /* runs, or completed; no record names its job */
-	WS_FINDING_UNKNOWN_MACHINE, /* not an attempt: see struct ws_machine_facts */
-	WS_FINDING_KINDS,
+enum ws_reconciliation_result {
+	WS_RECONCILED_AGREED,	    /* runs, as recorded */
+	WS_RECONCILED_NOT_REPORTED, /* its machine hears us and does not name it */
+	WS_RECONCILED_UNRECORDED, /* runs; its job is on record, no newer attempt of the task is */
+	WS_RECONCILED_SUPERSEDED, /* runs; a newer attempt of the task is on record */
+	WS_RECONCILED_TWO_MACHINES,  /* runs; the same attempt is on record for another machine */
+	WS_RECONCILED_OVER,	     /* runs; the job or the task is over on record */
+	WS_RECONCILED_ENDED_DONE,    /* recorded, and completed while nobody listened */
+	WS_RECONCILED_ENDED_FAILED,  /* recorded, and failed or refused */
+	WS_RECONCILED_ENDED_STOPPED, /* recorded, and stopped */
+	WS_RECONCILED_LEASE_LOST,    /* recorded for an incarnation that its machine says is over */
+	WS_RECONCILED_LEASE_EXPIRED, /* recorded; its machine stayed silent until its lease was out
+				      */
+	WS_RECONCILED_MACHINE_GONE,  /* recorded; the cloud says that its machine is gone or failed
+				      */
+	WS_RECONCILED_UNKNOWN_JOB,   /* runs, or completed; no record names its job */
+	WS_RECONCILED_UNKNOWN_MACHINE, /* not an attempt: see struct ws_machine_facts */
+	WS_RECONCILIATION_RESULTS,
 };
 
-struct ws_finding {
-	enum ws_finding_kind kind;
+struct ws_reconciliation {
+	enum ws_reconciliation_result result;
 	const char *machine;
 	const char *job; /* empty for an unknown machine */
 	uint32_t task;
-	uint64_t attempt, tenure;
+	uint64_t attempt, incarnation;
 };
 
 /* What the records say of a job that the leader's replica of the live jobs does not name. */
 enum ws_job_standing {
-	WS_JOB_NEVER_HEARD, /* neither live nor over */
-	WS_JOB_LIVE,
-	WS_JOB_OVER,
-	WS_JOB_UNREADABLE, /* the state service did not tell */
+	WS_STANDING_NEVER_HEARD, /* neither live nor over */
+	WS_STANDING_LIVE,
+	WS_STANDING_OVER,
+	WS_STANDING_UNREADABLE, /* the store did not tell */
 };
 
 /* Orders that a subsystem may hold back for a while. */
-enum ws_order_kind {
-	WS_ORDER_PREEMPT,	/* stop of work for room on a machine of the zone */
-	WS_ORDER_STOP_GANG,	/* stop of a gang because a machine of the zone is silent */
-	WS_ORDER_RETURN_SILENT, /* of a rental of the zone that is silent */
-	WS_ORDER_RETURN_EMPTY,	/* of a rental of the zone that is empty */
-	WS_ORDER_FIRST_START,	/* of a job of which nothing was ever started; in any zone */
+enum ws_deferrable_action {
+	WS_DEFER_PREEMPTION,	  /* stop of work for room on a machine of the zone */
+	WS_DEFER_GANG_STOP,	  /* stop of a gang because a machine of the zone is silent */
+	WS_DEFER_SCALE_IN_SILENT, /* of a rented machine of the zone that is silent */
+	WS_DEFER_SCALE_IN_EMPTY,  /* of a rented machine of the zone that is empty */
+	WS_DEFER_FIRST_START,	  /* of a job of which nothing was ever started; in any zone */
 	/*
 	 * Of a second replica of a service that lost recorded attempts, before other services of
 	 * its rank have a first one; until a move of the service is asked for. In any zone.
 	 */
-	WS_ORDER_SECOND_REPLICA,
-	WS_ORDER_KINDS,
+	WS_DEFER_SECOND_REPLICA,
+	WS_DEFERRABLE_ACTIONS,
 };
 
 /* What is known of a job that is not over. */
@@ -117,7 +119,7 @@
 /* The time, and whether silence can be judged at all. */
 struct ws_tick_facts {
 	double now;
-	bool serving; /* entitled, and the state service answers */
+	bool serving; /* entitled, and the store answers */
 };
 
 enum ws_machine_loss {
@@ -161,15 +163,15 @@
 	void (*machine_lost)(void *self, double now, void *machine, enum ws_machine_loss loss);
 
 	/*
-	 * Reconciliation of reports with the records. Returns whether the attempt is to be kept
-	 * apart: neither stopped nor reaped. Asked for of WS_FINDING_UNRECORDED and
-	 * WS_FINDING_UNKNOWN_JOB, passed over for the others.
+	 * Reconciliation of heartbeats with the records. Returns whether the attempt is to be kept
+	 * apart: neither stopped nor reaped. Asked for of WS_RECONCILED_UNRECORDED and
+	 * WS_RECONCILED_UNKNOWN_JOB, passed over for the others.
 	 */
-	bool (*attempt_found)(void *self, double now, const struct ws_finding *finding);
+	bool (*attempt_found)(void *self, double now, const struct ws_reconciliation *finding);
 	/* Answer to a look-up. */
 	void (*job_looked_up)(void *self, double now, const char *job,
 			      enum ws_job_standing standing);
-	/* Attempts that were kept apart are on their job's record from now on. */
+	/* Attempts that were quarantined are on their job's record from now on. */
 	void (*attempts_adopted)(void *self, double now, const char *job, uint32_t count);
 
 	/* Placement filter: machines to be used only by work that has found no other room. */
@@ -179,7 +181,8 @@
 	/* No machine is rented in this zone. */
 	bool (*zone_closed)(void *self, double now, const char *zone);
 	/* Whether orders of a kind wait for now; the zone is empty where it is unknown. */
-	bool (*order_held)(void *self, double now, enum ws_order_kind kind, const char *zone);
+	bool (*action_deferred)(void *self, double now, enum ws_deferrable_action kind,
+				const char *zone);
 
 	/*
 	 * Answer to a survey: whether an attempt on this machine is affected, for each attempt that
@@ -209,15 +212,15 @@
 /* Reads what the records say of a job: first among the live ones, then among those that are over.
  */
 void ws_request_look_up(struct ws_request_queue *queue, const char *job);
-/* Ends all attempts of a job that are kept apart; they have so long to save, 0: at once. */
-void ws_request_end_kept(struct ws_request_queue *queue, const char *job, double grace_s);
+/* Ends all attempts of a job that are quarantined; they have so long to save, 0: at once. */
+void ws_request_end_quarantined(struct ws_request_queue *queue, const char *job, double grace_s);
 
 /* How a job that loses attempts is to be served until the next request for it. */
 struct ws_move {
 	const char *job;
-	uint32_t position;   /* from 1, before other jobs of the same rank; 0: its ordinary turn */
-	uint32_t room_ahead; /* tasks to find room for before they may be placed */
-	bool replicas_apart; /* of a service: a first replica goes now, others after the rank */
+	uint32_t position; /* from 1, before other jobs of the same rank; 0: its ordinary turn */
+	uint32_t reserve_ahead; /* tasks to find room for before they may be placed */
+	bool replicas_apart;	/* of a service: a first replica goes now, others after the rank */
 };
 void ws_request_move(struct ws_request_queue *queue, const struct ws_move *move);
 #endif
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -12,22 +12,22 @@
 
 /* A leader key that was read for longer than this, in ttl, proves that its holder renewed it. */
 #define WS_PROOF_TTLS 1.25
-/* Bits of the epoch kept for the leader's own counter, below the leader key's stamp. */
-#define WS_EPOCH_SHIFT 20
-/* An attempt's number: the leader key's stamp, shifted by this, plus a counter. */
+/* Bits of the fencing token kept for the leader's own counter, below the leader key's revision. */
+#define WS_FENCING_TOKEN_SHIFT 20
+/* An attempt's number: the leader key's revision, shifted by this, plus a counter. */
 #define WS_ATTEMPT_SHIFT 24
 #define WS_CACHE_MAX 24
-#define WS_MAX_CHUNKS 100000
+#define WS_MAX_MACHINE_SHARDS 100000
 #define WS_CACHE_KEPT 12 /* of them in the fleet's record */
 /* Clocks of two machines drift apart by this share at most (the protocol's figure, doubled). */
 #define WS_DRIFT 0.001
 /* A leader whose watch of the jobs brought nothing for so many ttl no longer knows what was
- * withdrawn: twice the time a watch is left open, with its time-out and a second try. */
-#define WS_VIEW_TTLS 6
+ * cancelled: twice the time a watch is left open, with its time-out and a second try. */
+#define WS_REPLICA_AGE_TTLS 6
 /* Of the 64 KiB that a transaction may have, so much is filled before another record is added. */
 #define WS_TRANSACTION_BYTES 32768
-/* Withdrawals a frame of testimony carries. */
-#define WS_TESTIMONY_MAX 64
+/* Withdrawals a frame of outage vote carries. */
+#define WS_VOTE_CANCELLATIONS_MAX 64
 
 struct ws_attempt;
 struct ws_job;
@@ -40,64 +40,65 @@
 };
 
 struct ws_task {
-	struct ws_attempt *newest; /* that may be alive */
-	uint16_t attempts;	   /* how many attempts may be alive, orphans included */
-	uint8_t fails;
-	bool done, saved; /* completed; and so recorded in the state service */
-	bool writing;	  /* its completion is in the record being written */
+	struct ws_attempt *newest_attempt; /* that may be alive */
+	uint16_t live_attempts;		   /* how many attempts may be alive, orphans included */
+	uint8_t failures;
+	bool done, recorded;  /* completed; and so recorded in the store */
+	bool write_in_flight; /* its completion is in the record being written */
 };
 
 /* struct ws_move without the job's name. */
 struct ws_job_move {
-	uint32_t position, room_ahead;
+	uint32_t position, reserve_ahead;
 	bool replicas_apart;
 };
 
 struct ws_job {
-	struct ws_spec spec;
-	enum ws_phase phase;   /* as last read or written */
-	uint64_t stamp;	       /* of its key */
-	double submitted_wall; /* time of day, for deadlines and order */
+	struct ws_job_spec spec;
+	enum ws_job_phase phase;  /* as last read or written */
+	uint64_t revision;	  /* of its key */
+	double submitted_at_wall; /* time of day, for deadlines and order */
 	struct ws_task *tasks;
-	uint32_t ndone, attempt_count;
-	uint32_t waiting;	       /* tasks neither completed nor maybe alive */
-	uint32_t scan;		       /* none of them is below this one */
-	uint32_t waiting_before;       /* at the start of the pass */
-	uint32_t zone_n[WS_MAX_ZONES]; /* attempts that may be alive, by zone */
-	int zone, image;	       /* the only zone allowed, or -1; number of its image */
-	uint32_t fits;		       /* machine types allowed, a bit each */
-	int fits_of;		       /* for this edition of the types */
-	struct ws_team *team;	       /* NULL: unknown here */
-	struct ws_attempt *attempts;   /* its attempts, those the record still names included */
-	bool dirty, writing, stale;    /* stale: our stamp lost a race, wait for the watch */
-	bool urgent;		       /* holds starts or an end, which users wait for */
-	double dirty_at;
-	bool started;	   /* recorded as running */
-	double not_before; /* back-off after failures */
-	uint32_t errors;   /* failures on machines that otherwise work */
-	bool prompt;	   /* its class has a start aim */
-	double wait_logged;
-	double known_at, placed_at; /* when a task of it was last placed */
-	bool aged;		    /* waits too long: see ws_aged */
-	double unmet_since;	    /* tasks of it have found no room since then; 0: none */
-	bool guaranteed;	    /* fits its team's guarantee with the team's earlier jobs */
-	uint64_t gang_over;	    /* of a gang: this attempt ran, or broke up */
-	double gang_hold;	    /* room is held for it from then on, for a while */
-	bool gang_aged;		    /* it was aged then */
-	double gang_broke;	    /* its attempt was seen to have lost a task; 0: no */
-	uint32_t gang_stops;	    /* how often it made room for others */
-	int gang_zone;		    /* of a gang that waits: the zone it gathers room in, from 1 */
-	uint32_t pieces;	    /* records beside its own that name attempts: see record.c */
+	uint32_t done_count, attempt_count;
+	uint32_t waiting;			 /* tasks neither completed nor maybe alive */
+	uint32_t lowest_waiting;		 /* none of them is below this one */
+	uint32_t waiting_before;		 /* at the start of the pass */
+	uint32_t attempts_by_zone[WS_MAX_ZONES]; /* attempts that may be alive, by zone */
+	int pinned_zone, image_index; /* the only zone allowed, or -1; number of its image */
+	uint32_t eligible_types;      /* machine types allowed, a bit each */
+	int eligible_types_edition;   /* for this edition of the types */
+	struct ws_team *team;	      /* NULL: unknown here */
+	struct ws_attempt *attempts;  /* its attempts, those the record still names included */
+	bool dirty, write_in_flight,
+	    compare_failed; /* stale: our revision lost a race, wait for the watch */
+	bool write_urgent;  /* holds starts or an end, which users wait for */
+	double dirty_since;
+	bool started;		 /* recorded as running */
+	double retry_not_before; /* back-off after failures */
+	uint32_t failures;	 /* failures on machines that otherwise work */
+	bool latency_sensitive;	 /* its class has a start aim */
+	double wait_logged_at;
+	double known_at, last_placed_at; /* when a task of it was last placed */
+	bool starved;			 /* waits too long: see ws_job_is_starved */
+	double unmet_since;		 /* tasks of it have found no room since then; 0: none */
+	bool guaranteed;	     /* fits its team's guarantee with the team's earlier jobs */
+	uint64_t gang_ended_attempt; /* of a gang: this attempt ran, or broke up */
+	double gang_reserving_since; /* room is held for it from then on, for a while */
+	bool gang_was_starved;	     /* it was aged then */
+	double gang_broken_at;	     /* its attempt was seen to have lost a task; 0: no */
+	uint32_t gang_preemptions;   /* how often it made room for others */
+	int gang_reservation_zone;   /* of a gang that waits: the zone it gathers room in, from 1 */
+	uint32_t continuation_count; /* records beside its own that name attempts: see record.c */
 	struct ws_job_move moves[WS_SUBSYSTEMS_MAX]; /* as each subsystem asked for last */
-	uint32_t move_position; /* of these: the smallest; see struct ws_move */
-	uint32_t room_ahead;	/* the largest */
-	bool replicas_apart;	/* whether any asked for it */
-	bool lost_attempts;	/* that were on record, and no move was asked for since */
-	bool place_later;	/* the rest of its replicas come in the second round */
-	uint32_t room_reserved; /* of the room ahead, in the pass under way */
-	uint32_t place_most;	/* tasks to be placed in this round of a pass; 0: all */
-	bool takes_avoided;	/* no other room was found for it: avoided machines are used */
-	struct ws_job *dprev, *dnext;
+	uint32_t move_position;	       /* of these: the smallest; see struct ws_move */
+	uint32_t reserve_ahead;	       /* the largest */
+	bool replicas_apart;	       /* whether any asked for it */
+	bool lost_recorded_attempts;   /* that were on record, and no move was asked for since */
+	bool deferred_to_second_round; /* the rest of its replicas come in the second round */
+	uint32_t reserved_ahead;       /* of the room ahead, in the pass under way */
+	uint32_t placement_limit;      /* tasks to be placed in this round of a pass; 0: all */
+	bool may_use_avoided; /* no other room was found for it: avoided machines are used */
+	struct ws_job *dirty_prev, *dirty_next;
 	UT_hash_handle hh;
 };
 
@@ -112,131 +113,136 @@
 	struct ws_job *job; /* NULL: the job is unknown */
 	char job_id[WS_ID_MAX];
 	uint32_t task;
-	uint64_t attempt, tenure;
+	uint64_t number, incarnation;
 	enum ws_attempt_state state;
-	bool sent;	       /* a run may have reached the worker, or may still */
-	bool orphan;	       /* reported but on no record */
-	bool loaded;	       /* on record at the election, and has no finding yet */
-	bool kept;	       /* an orphan that a subsystem keeps: neither stopped nor reaped */
-	bool seen;	       /* the worker has reported it */
-	bool stop;	       /* is to end */
-	bool stop_sent;	       /* and a command said so */
-	bool aged;	       /* its job had waited too long: other arrays leave it its room */
-	bool writing;	       /* is in the record being written */
-	enum ws_task_state at; /* as reported */
-	enum ws_why why;
-	double grace, planned_at, running_at;
-	double waiting_at;		  /* of a gang's task: reported waiting since */
-	uint64_t pass;			  /* mark of the report being read */
-	struct ws_attempt *next;	  /* of its machine */
-	struct ws_attempt *jprev, *jnext; /* of its job */
+	bool maybe_sent;	      /* a run may have reached the worker, or may still */
+	bool unrecorded;	      /* reported but on no record */
+	bool awaiting_reconciliation; /* on record at the election, and has no reconciliation result
+					 yet */
+	bool quarantined;	/* an orphan that a subsystem keeps: neither stopped nor reaped */
+	bool reported;		/* the worker has reported it */
+	bool stopping;		/* is to end */
+	bool stop_command_sent; /* and a command said so */
+	bool starved;		/* its job had waited too long: other arrays leave it its room */
+	bool write_in_flight;	/* is in the record being written */
+	enum ws_task_state task_state; /* as reported */
+	enum ws_exit_reason exit_reason;
+	double grace_s, planned_at, running_at;
+	double waiting_since;			/* of a gang's task: reported waiting since */
+	uint64_t mark;				/* mark of the heartbeat being read */
+	struct ws_attempt *machine_next;	/* of its machine */
+	struct ws_attempt *job_prev, *job_next; /* of its job */
 };
 
 struct ws_machine {
 	char name[WS_NAME_MAX];
-	char host[64];
+	char address[64];
 	int port;
 	char type_name[WS_NAME_MAX];
-	const struct ws_type *type;
-	int ti; /* its place among the types */
+	const struct ws_machine_type *type;
+	int type_index; /* its place among the types */
 	char zone[WS_NAME_MAX];
-	int zi; /* its number; -1: unknown */
-	bool spot, owned;
-	bool listed, reported, failed, gone;
-	uint64_t list_pass; /* the last list that named it */
-	bool returning;	    /* asked for its return; never used again */
-	bool return_inflight;
-	double return_next;
-	bool on_record;	       /* known from the records at this leader's election */
-	double listed_up;      /* when the cloud's list first told that it runs; 0: not yet */
-	uint64_t least_tenure; /* its lease surely ran out: word of an earlier tenure is stale */
-	uint64_t tenure, counter, epoch; /* of its newest word: a report or a command's answer */
-	uint64_t report_tenure, report_counter; /* of its newest report alone */
-	uint64_t token;	 /* what we give it; its own echo proves that it hears us */
-	double token_at; /* since when */
-	double probe_next;
-	bool invalid_name;  /* its name has what a job's record parts names with: never used */
-	bool unreachable;   /* silent, and a call to it got no answer either */
-	double heard;	    /* when its newest word came in */
-	double report_at;   /* and when its newest report did */
-	double alive_until; /* its tasks may live until then, as far as answers given tell */
+	int zone_index; /* its number; -1: unknown */
+	bool preemptible, owned;
+	bool in_instance_list, reported, failed, gone;
+	uint64_t instance_list_mark; /* the last list that named it */
+	bool scale_in_requested;     /* asked for its return; never used again */
+	bool scale_in_in_flight;
+	double next_scale_in_at;
+	bool recorded;		    /* known from the records at this leader's election */
+	double listed_running_at;   /* when the cloud's list first told that it runs; 0: not yet */
+	uint64_t least_incarnation; /* its lease surely ran out: word of an earlier incarnation is
+				       stale */
+	uint64_t incarnation, sequence,
+	    echoed_token; /* of its newest word: a heartbeat or a command's answer */
+	uint64_t heartbeat_incarnation, heartbeat_sequence; /* of its newest heartbeat alone */
+	uint64_t fencing_token;	    /* what we give it; its own echo proves that it hears us */
+	double fencing_token_since; /* since when */
+	double next_probe_at;
+	bool invalid_name;    /* its name has what a job's record parts names with: never used */
+	bool unreachable;     /* silent, and a call to it got no answer either */
+	double last_heard_at; /* when its newest word came in */
+	double last_heartbeat_at; /* and when its newest heartbeat did */
+	double lease_expires_at;  /* its tasks may live until then, as far as answers given tell */
 	double first_seen, up_at;
-	double notice_until; /* the cloud takes it then; 0: no notice */
-	bool noticed;
+	double preempted_at; /* the cloud takes it then; 0: no notice */
+	bool preemption_noticed;
 	double empty_since;
-	double held_until;	  /* a gang that gathers room counts on it */
-	uint64_t fence;		  /* a direct command of this epoch may yet arrive; 0: none */
-	int commands;		  /* direct commands on their way */
+	double reserved_until; /* a gang that gathers room counts on it */
+	uint64_t
+	    late_command_token; /* a direct command of this fencing token may yet arrive; 0: none */
+	int commands_in_flight; /* direct commands on their way */
 	int consecutive_failures; /* failures in a row, of different jobs */
 	char last_failed_job[WS_ID_MAX];
 	double quarantine_until;
 	double refused_until;
 	struct ws_attempt *attempts;
 	double used_cpus, used_gpus, used_mem;
-	double stop_cpus, stop_gpus, stop_mem; /* of that, what was told to stop */
+	double stopping_cpus, stopping_gpus, stopping_mem; /* of that, what was told to stop */
 	uint32_t attempt_count;
-	int cache[WS_CACHE_MAX];
-	int ncache;
-	int chunk; /* its record in the state service; -1: none yet */
-	bool push; /* has starts to be sent when the write's outcome is taken in */
-	double virt_cpus, virt_gpus, virt_mem; /* scratch of one placement pass */
-	int rank;
-	bool avoided; /* by a subsystem's filter, in the pass under way */
-	bool unknown; /* when it first reported, neither records nor the cloud's list named it */
-	uint32_t kept_count;   /* attempts there that are kept apart, */
-	uint32_t kept_running; /* and those of them that run: it takes nothing new */
-	void *handles[WS_SUBSYSTEMS_MAX];
+	int image_cache[WS_CACHE_MAX];
+	int image_cache_count;
+	int shard;		 /* its record in the store; -1: none yet */
+	bool has_starts_to_send; /* has starts to be sent when the write's outcome is taken in */
+	double planned_cpus, planned_gpus, planned_mem; /* scratch of one placement pass */
+	int pass_rank;
+	bool avoided;	 /* by a subsystem's filter, in the pass under way */
+	bool unrecorded; /* when it first reported, neither records nor the cloud's list named it */
+	uint32_t quarantined_count;   /* attempts there that are quarantined, */
+	uint32_t quarantined_running; /* and those of them that run: it takes nothing new */
+	void *subsystem_handles[WS_SUBSYSTEMS_MAX];
 	UT_hash_handle hh;
 };
 
-enum ws_rental_state {
-	WS_RENTAL_NEW,
-	WS_RENTAL_RECORDED,
-	WS_RENTAL_ASKING,
-	WS_RENTAL_GOT,
-	WS_RENTAL_DROP
+enum ws_scale_out_state {
+	WS_SCALE_OUT_NEW,
+	WS_SCALE_OUT_RECORDED,
+	WS_SCALE_OUT_SENT,
+	WS_SCALE_OUT_GRANTED,
+	WS_SCALE_OUT_DISCARDED
 };
-#define WS_RENT_HOSTS 50
+#define WS_SCALE_OUT_MAX 50
 /* Machines of one call to return them. */
-#define WS_RETURN_HOSTS 100
+#define WS_SCALE_IN_MAX 100
 
-struct ws_rental {
-	char booking[WS_NAME_MAX];
+struct ws_scale_out {
+	char idempotency_key[WS_NAME_MAX];
 	char type[WS_NAME_MAX], zone[WS_NAME_MAX];
-	bool spot;
+	bool preemptible;
 	uint32_t count;
-	enum ws_rental_state state;
-	char (*hosts)[WS_NAME_MAX];
-	uint32_t nhosts;
-	double made, next_try;
-	uint64_t stamp;
-	bool dirty, writing;
-	struct ws_rental *dprev, *dnext;
+	enum ws_scale_out_state state;
+	char (*instances)[WS_NAME_MAX];
+	uint32_t instance_count;
+	double created_at, next_attempt_at;
+	uint64_t revision;
+	bool dirty, write_in_flight;
+	struct ws_scale_out *dirty_prev, *dirty_next;
 	UT_hash_handle hh;
 };
 
-struct ws_chunk { /* a record of some of the machines: fleet/<number> */
-	uint64_t stamp;
-	int n;
-	bool dirty, writing;
-	bool images; /* those it tells of are no longer the newest */
-	double dirty_at, written_at;
+struct ws_machine_shard { /* a record of some of the machines: fleet/<number> */
+	uint64_t revision;
+	int machine_count;
+	bool dirty, write_in_flight;
+	bool images_outdated; /* those it tells of are no longer the newest */
+	double dirty_since, written_at;
 };
 
 struct ws_team {
-	const struct ws_team_setting *set;
+	const struct ws_team_setting *settings;
 	double used_cpus, used_gpus;
-	double held_cpus, held_gpus; /* for gangs that wait; scratch of one placement pass */
+	double reserved_cpus,
+	    reserved_gpus; /* for gangs that wait; scratch of one placement pass */
 };
 
-struct ws_refusal { /* of a kind of machine that the cloud would not give */
+struct ws_capacity_error { /* of a kind of machine that the cloud would not give */
 	double until;
-	int times;
-	int back; /* machines of this kind given back since */
+	int count;
+	int returned_since; /* machines of this kind given back since */
 };
 
-/* A job of which attempts are kept apart. */
-struct ws_kept_job {
+/* A job of which attempts are quarantined. */
+struct ws_quarantined_job {
 	char id[WS_ID_MAX];
 	uint32_t count;
 	UT_hash_handle hh;
@@ -244,14 +250,15 @@
 
 /* What proves that some leader lived, see election.c. */
 struct ws_leader_proof {
-	uint64_t key; /* revision of the leader key that was last read; 0: none, or refused since */
-	double key_since; /* when the question was asked that first brought it */
-	bool any;
-	double at; /* a leader lived then or later */
+	uint64_t leader_revision; /* revision of the leader key that was last read; 0: none, or
+				     refused since */
+	double key_since;	  /* when the question was asked that first brought it */
+	bool exists;
+	double alive_at; /* a leader lived then or later */
 	uint64_t term;
 };
 
-enum ws_role { WS_FOLLOWER, WS_ASKING, WS_LOADING, WS_LEADER };
+enum ws_role { WS_FOLLOWER, WS_CANDIDATE, WS_LOADING, WS_LEADER };
 
 struct ws_tombstone { /* a machine the cloud confirmed as gone; lagging lists still name it */
 	char name[WS_NAME_MAX];
@@ -259,24 +266,30 @@
 	UT_hash_handle hh;
 };
 
-enum ws_wrote { WS_WROTE_STARTS, WS_WROTE_ENDS, WS_WROTE_LATER, WS_WROTE_FLEET, WS_WROTE_RENTALS };
-#define WS_WROTE_KINDS 5
+enum ws_write_kind {
+	WS_WRITE_STARTS,
+	WS_WRITE_ENDS,
+	WS_WRITE_LATER,
+	WS_WRITE_FLEET,
+	WS_WRITE_SCALE_OUTS
+};
+#define WS_WRITE_KINDS 5
 
 struct ws_core {
 	struct ws_tombstone *tombstones;
 	struct ws_tombstone *ended; /* jobs just archived: word of the watch may be older */
 	struct ws_tombstone *orphaned_parts; /* pieces of records of jobs that are over */
-	const struct ws_settings *set;
-	struct ws_policy pol;
+	const struct ws_settings *settings;
+	struct ws_policy policy;
 	ws_log_fn log;
 	double now;
 	double ticked_at, woke_at; /* the last tick; when we last went on after standing still */
 	uint64_t nonce;
-	struct ws_action *head, *tail;
+	struct ws_effect *head, *tail;
 	uint64_t generation; /* rises whenever leadership ends: late completions are told apart */
 
 	/* what every node knows */
-	struct ws_type types[WS_MAX_TYPES];
+	struct ws_machine_type types[WS_MAX_TYPES];
 	size_t ntypes;
 	int types_edition;
 	char zones[WS_MAX_ZONES][WS_NAME_MAX]; /* those of the settings first */
@@ -294,15 +307,15 @@
 	double state_ok_at, state_bad_at; /* last answer other than 503; last 503 or silence */
 	double state_bad_since;		  /* the first of those in a row */
 	bool types_saved;
-	struct ws_seen *seen; /* all live jobs as of seen_rev, for polls */
+	struct ws_job_status *seen; /* all live jobs as of seen_rev, for status queries */
 	bool seen_ready, seen_inflight;
 	uint64_t seen_rev;
 	double seen_next, seen_at;
-	struct ws_final *finals;
-	struct ws_poll *polls; /* waiting for the copy to be found current */
+	struct ws_final_status *finals;
+	struct ws_status_query *polls; /* waiting for the copy to be found current */
 	struct ws_redirect *redirects;
 	double redirects_next;
-	double peers_ok_at, peers_next; /* while the state service refuses us */
+	double peers_ok_at, peers_next; /* while the store refuses us */
 
 	/* leadership */
 	struct ws_leader_proof proof;
@@ -317,7 +330,7 @@
 	double ask_sent, ask_heard, ask_next; /* ask_heard: the last word of the round */
 	double view_at;	  /* the jobs as the leader knows them are no older than this */
 	double view_s;	  /* and must not be older than this, or a lease could outlast cancel_s */
-	double served_at; /* the state service last came back to us */
+	double served_at; /* the store last came back to us */
 	uint64_t epoch;
 	uint64_t attempt_seq;
 	uint64_t rental_seq;
@@ -333,23 +346,23 @@
 
 	struct ws_job *jobs;
 	struct ws_machine *machines;
-	struct ws_rental *rentals;
-	struct ws_kept_job *kept_jobs;
+	struct ws_scale_out *rentals;
+	struct ws_quarantined_job *kept_jobs;
 	struct ws_team teams[WS_MAX_TEAMS];
 	struct ws_machine **order; /* all machines as first fit takes them */
 	size_t norder;
 	bool order_stale;
 	size_t name_shared; /* what the names of all machines begin with */
-	struct ws_chunk *chunks;
+	struct ws_machine_shard *chunks;
 	int nchunks;
 	struct ws_job *dirty_jobs;
-	struct ws_rental *dirty_rentals;
+	struct ws_scale_out *dirty_rentals;
 	double sweep_next, rent_next;
-	bool rentals_stale; /* a machine went: records of rentals may be out of date */
+	bool rentals_stale; /* a machine went: records of rented machines may be out of date */
 	uint64_t steps;	    /* of work in placement */
 	/* counted for tests: looks for records to write that found none, machines in sweeps */
 	uint64_t flush_idle, sweep_steps;
-	struct ws_order *orders; /* scratch of the message under way */
+	struct ws_command *orders; /* scratch of the message under way */
 	size_t norders, orders_cap;
 	void *pass_memory; /* of placement passes, kept from one to the next */
 	size_t pass_cap;
@@ -363,10 +376,10 @@
 	int ops_most;	   /* less than the settings' once a write was called too large */
 	double flush_rate, flush_tokens, flush_at; /* changes a second that are ours */
 	double wrote_log;
-	uint32_t wrote[WS_WROTE_KINDS]; /* records by kind, for the log */
+	uint32_t wrote[WS_WRITE_KINDS]; /* records by kind, for the log */
 	bool place_wanted;
 	double place_next, move_next;
-	double pass_at; /* when a pass began that the shell has not told the length of */
+	double pass_at; /* when a pass began that the I/O layer has not told the length of */
 	uint64_t pass;
 
 	/* cloud */
@@ -376,9 +389,10 @@
 	int returns_wait;     /* machines to be returned at the last sweep */
 	double returns_since; /* none waited then, or some were returned */
 	char hosts_after[WS_KEY_MAX];
-	struct ws_refusal refusals[WS_MAX_TYPES][WS_MAX_ZONES][2]; /* ordinary, spot */
-	int loads;		       /* waiting machine-loads at the last pass */
-	struct ws_unmet_demand *unmet; /* of the pass under way */
+	struct ws_capacity_error refusals[WS_MAX_TYPES][WS_MAX_ZONES]
+					 [2]; /* ordinary, preemptible */
+	int loads;			      /* waiting demand units at the last pass */
+	struct ws_unmet_demand *unmet;	      /* of the pass under way */
 	size_t unmet_count, unmet_cap;
 	uint64_t list_pass;
 
@@ -387,186 +401,201 @@
 	/* sizing */
 	int k;
 	double size_next;
-	double work_arrived, work_done, busy_time; /* machine-loads since the last run */
+	double work_arrived, work_done, busy_time; /* demand units since the last run */
 	double busy, busy_at; /* loads that arrays hold, and until when that is in busy_time */
 	double boot_sum, boot_n;
 	double measured_at;
 };
 
-void ws_log(struct ws_core *c, enum ws_log_level level, const char *fmt, ...)
+void ws_log(struct ws_core *core, enum ws_log_level level, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
-struct ws_action *ws_act(struct ws_core *c, enum ws_action_kind kind);
-struct ws_call *ws_call(struct ws_core *c, enum ws_call_kind kind, ws_done_fn done);
+struct ws_effect *ws_effect_new(struct ws_core *core, enum ws_effect_kind kind);
+struct ws_call *ws_call_new(struct ws_core *core, enum ws_call_kind kind, ws_result_fn done);
 void ws_call_free(struct ws_call *call);
-void ws_state_seen(struct ws_core *c, int status);
-double ws_replica_age_max(const struct ws_core *c);
-
-/* record.c: records of the state service to JSON and back */
-json_t *ws_record_job(const struct ws_core *c, const struct ws_job *j, size_t limit);
-struct ws_job *ws_record_read_job(const char *id, json_t *v);
-void ws_record_split(json_t *v, size_t limit, json_t **pieces, size_t most, size_t *n);
-size_t ws_record_size(json_t *v);
-uint32_t ws_record_pieces(json_t *v);
-json_t *ws_record_final(const struct ws_job *j);
-bool ws_record_read_phase(json_t *v, enum ws_phase *phase, uint32_t *done, uint32_t *running);
-json_t *ws_record_spec(const struct ws_spec *s, enum ws_phase phase, double wall);
-bool ws_record_withdraw(json_t *v);
-struct ws_assigned { /* an attempt as a job's record names it */
+void ws_store_answered(struct ws_core *core, int status);
+double ws_replica_age_max(const struct ws_core *core);
+
+/* record.c: records of the store to JSON and back */
+json_t *ws_record_job(const struct ws_core *core, const struct ws_job *job, size_t limit);
+struct ws_job *ws_record_read_job(const char *id, json_t *value);
+void ws_record_split_attempts(json_t *value, size_t limit, json_t **pieces, size_t most,
+			      size_t *count);
+size_t ws_record_size(json_t *value);
+uint32_t ws_record_continuation_count(json_t *value);
+json_t *ws_record_final(const struct ws_job *job);
+bool ws_record_read_phase(json_t *value, enum ws_job_phase *phase, uint32_t *done,
+			  uint32_t *running);
+json_t *ws_record_spec(const struct ws_job_spec *spec, enum ws_job_phase phase, double wall);
+bool ws_record_cancel(json_t *value);
+struct ws_recorded_attempt { /* an attempt as a job's record names it */
 	char machine[WS_NAME_MAX], zone[WS_NAME_MAX];
-	uint64_t tenure, attempt;
+	uint64_t incarnation, number;
 	uint32_t task;
 };
-size_t ws_record_limit(const struct ws_core *c);
-bool ws_gang_recordable(const struct ws_core *c, const struct ws_spec *s, const struct ws_type *t);
-size_t ws_record_read_assigned(json_t *v, struct ws_assigned **list);
-size_t ws_record_assign_size(const struct ws_core *c, const struct ws_attempt *before,
-			     const struct ws_attempt *s);
-json_t *ws_record_chunk(struct ws_core *c, int chunk);
-void ws_record_read_chunk(struct ws_core *c, json_t *v, int chunk);
-json_t *ws_record_rental(const struct ws_rental *r);
-bool ws_record_read_rental(json_t *v, struct ws_rental *r);
-json_t *ws_record_leader(const struct ws_settings *s, uint64_t nonce);
-const char *ws_record_leader_node(json_t *v);
-json_t *ws_record_types(const struct ws_type *t, size_t n);
-size_t ws_record_read_types(json_t *v, struct ws_type *t);
+size_t ws_record_size_limit(const struct ws_core *core);
+bool ws_gang_recordable(const struct ws_core *core, const struct ws_job_spec *spec,
+			const struct ws_machine_type *type);
+size_t ws_record_read_attempts(json_t *value, struct ws_recorded_attempt **list);
+size_t ws_record_attempt_size(const struct ws_core *core, const struct ws_attempt *before,
+			      const struct ws_attempt *attempt);
+json_t *ws_record_machine_shard(struct ws_core *core, int chunk);
+void ws_record_read_machine_shard(struct ws_core *core, json_t *value, int chunk);
+json_t *ws_record_scale_out(const struct ws_scale_out *request);
+bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *request);
+json_t *ws_record_leader(const struct ws_settings *settings, uint64_t nonce);
+const char *ws_record_leader_node(json_t *value);
+json_t *ws_record_types(const struct ws_machine_type *type, size_t count);
+size_t ws_record_read_types(json_t *value, struct ws_machine_type *type);
 
 /* jobs.c */
-struct ws_job *ws_job_find(struct ws_core *c, const char *id);
-void ws_job_event(struct ws_core *c, const char *id, json_t *value, uint64_t stamp);
-void ws_job_free(struct ws_core *c, struct ws_job *j);
-void ws_job_task_done(struct ws_core *c, struct ws_job *j, uint32_t task);
-void ws_job_dirty(struct ws_core *c, struct ws_job *j, bool urgent);
-void ws_job_fits(const struct ws_core *c, struct ws_job *j);
-int ws_image_id(struct ws_core *c, const char *name);
-int ws_zone_id(struct ws_core *c, const char *name);
-void ws_job_check_end(struct ws_core *c, struct ws_job *j);
-struct ws_team *ws_team_of(struct ws_core *c, const char *name);
-bool ws_type_fits(const struct ws_type *t, const struct ws_spec *s);
-double ws_mean_cpus(const struct ws_core *c);
-void ws_job_push(struct ws_core *c, struct ws_job *j);
-void ws_job_withdrawn(struct ws_core *c, const struct ws_withdrawal *w);
-double ws_load_of(const struct ws_core *c, const struct ws_spec *s);
-bool ws_job_over(const struct ws_job *j);
+struct ws_job *ws_job_find(struct ws_core *core, const char *id);
+void ws_job_record_changed(struct ws_core *core, const char *id, json_t *value, uint64_t revision);
+void ws_job_free(struct ws_core *core, struct ws_job *job);
+void ws_job_task_done(struct ws_core *core, struct ws_job *job, uint32_t task);
+void ws_job_mark_dirty(struct ws_core *core, struct ws_job *job, bool urgent);
+void ws_job_update_eligible_types(const struct ws_core *core, struct ws_job *job);
+int ws_image_index(struct ws_core *core, const char *name);
+int ws_zone_index(struct ws_core *core, const char *name);
+void ws_job_check_end(struct ws_core *core, struct ws_job *job);
+struct ws_team *ws_team_find(struct ws_core *core, const char *name);
+bool ws_machine_type_fits(const struct ws_machine_type *type, const struct ws_job_spec *spec);
+double ws_mean_machine_cpus(const struct ws_core *core);
+void ws_job_send_commands(struct ws_core *core, struct ws_job *job);
+void ws_job_apply_cancellation(struct ws_core *core, const struct ws_cancellation *cancellation);
+double ws_demand_units_of(const struct ws_core *core, const struct ws_job_spec *spec);
+bool ws_job_is_over(const struct ws_job *job);
 
 /* fleet.c */
-struct ws_machine *ws_machine_find(struct ws_core *c, const char *name);
-struct ws_machine *ws_machine_get(struct ws_core *c, const char *name);
-void ws_machine_dirty(struct ws_core *c, struct ws_machine *m);
-void ws_machine_place(struct ws_core *c, struct ws_machine *m, const char *type, const char *zone,
-		      bool spot);
-void ws_machine_doubt(struct ws_core *c, struct ws_machine *m, uint64_t known);
-bool ws_machine_hears(const struct ws_machine *m);
-bool ws_machine_usable(const struct ws_core *c, const struct ws_machine *m);
-void ws_machine_gone(struct ws_core *c, struct ws_machine *m, const char *why);
-void ws_machine_forget(struct ws_core *c, struct ws_machine *m);
-void ws_machine_host(struct ws_core *c, const struct ws_host *h);
-bool ws_overdue(const struct ws_core *c, double since);
-int ws_chunk_size(const struct ws_core *c);
-struct ws_chunk *ws_chunk_at(struct ws_core *c, int i);
-void ws_chunk_dirty(struct ws_core *c, int i);
-bool ws_tombstone_holds(struct ws_core *c, struct ws_tombstone *const *tombstones,
-			const char *name);
+struct ws_machine *ws_machine_find(struct ws_core *core, const char *name);
+struct ws_machine *ws_machine_find_or_add(struct ws_core *core, const char *name);
+void ws_machine_mark_dirty(struct ws_core *core, struct ws_machine *machine);
+void ws_machine_set_kind(struct ws_core *core, struct ws_machine *machine, const char *type,
+			 const char *zone, bool spot);
+void ws_machine_raise_fencing_token(struct ws_core *core, struct ws_machine *machine,
+				    uint64_t known);
+bool ws_machine_echoes_token(const struct ws_machine *machine);
+bool ws_machine_is_usable(const struct ws_core *core, const struct ws_machine *machine);
+void ws_machine_mark_gone(struct ws_core *core, struct ws_machine *machine, const char *reason);
+void ws_machine_remove(struct ws_core *core, struct ws_machine *machine);
+void ws_machine_apply_instance(struct ws_core *core, const struct ws_instance *instance);
+bool ws_heartbeat_overdue(const struct ws_core *core, double since);
+int ws_shard_capacity(const struct ws_core *core);
+struct ws_machine_shard *ws_shard_at(struct ws_core *core, int index);
+void ws_shard_mark_dirty(struct ws_core *core, int index);
+bool ws_tombstone_is_set(struct ws_core *core, struct ws_tombstone *const *tombstones,
+			 const char *name);
 void ws_tombstone_set(struct ws_tombstone **tombstones, const char *name, double until);
-void ws_tombstones_clear(struct ws_core *c, bool all);
-void ws_fleet_tick(struct ws_core *c);
-double ws_sweep_every(const struct ws_core *c);
-const struct ws_type *ws_type_find(const struct ws_core *c, const char *name);
-double ws_lease_length(const struct ws_settings *s);
-double ws_lease_out(const struct ws_core *c, double from);
+void ws_tombstones_clear(struct ws_core *core, bool all);
+void ws_fleet_tick(struct ws_core *core);
+double ws_sweep_interval(const struct ws_core *core);
+const struct ws_machine_type *ws_machine_type_find(const struct ws_core *core, const char *name);
+double ws_lease_length(const struct ws_settings *settings);
+double ws_lease_expiry(const struct ws_core *core, double from);
 
 /* attempts.c */
-void ws_attempt_free(struct ws_attempt *s);
-void ws_attempt_count(struct ws_core *c, struct ws_attempt *s, int sign);
-struct ws_attempt *ws_attempt_add(struct ws_core *c, struct ws_machine *m, const char *job,
+void ws_attempt_free(struct ws_attempt *attempt);
+void ws_attempt_count(struct ws_core *core, struct ws_attempt *attempt, int sign);
+struct ws_attempt *ws_attempt_add(struct ws_core *core, struct ws_machine *machine, const char *job,
 				  uint32_t task, uint64_t attempt);
-void ws_attempt_release(struct ws_core *c, struct ws_attempt *s);
+void ws_attempt_release(struct ws_core *core, struct ws_attempt *attempt);
 /* Runs may reach the worker only while nothing else stands against the attempt. */
-bool ws_attempt_runnable(const struct ws_core *c, const struct ws_attempt *s);
-void ws_attempt_ends(struct ws_attempt *s);
-void ws_attempt_stop(struct ws_core *c, struct ws_attempt *s, double grace, const char *why);
+bool ws_attempt_is_runnable(const struct ws_core *core, const struct ws_attempt *attempt);
+void ws_attempt_mark_stopping(struct ws_attempt *attempt);
+void ws_attempt_stop(struct ws_core *core, struct ws_attempt *attempt, double grace,
+		     const char *reason);
 
 /* reports.c */
-/* Takes in the newest word of a worker: a report, or the answer to a direct command. */
-void ws_fleet_read(struct ws_core *c, struct ws_machine *m, const struct ws_report *r);
+/* Takes in the newest word of a worker: a heartbeat, or the answer to a direct command. */
+void ws_machine_apply_heartbeat(struct ws_core *core, struct ws_machine *machine,
+				const struct ws_heartbeat *heartbeat);
 
 /* reconcile.c */
-/* What a report says of an attempt that was on record at the election; the first word counts. */
-void ws_attempt_finding(struct ws_core *c, struct ws_attempt *s, enum ws_finding_kind kind);
-void ws_attempt_reported(struct ws_core *c, struct ws_attempt *s, const struct ws_task_report *t);
-/* A report names an attempt that no record does; NULL if nothing of it counts. */
-struct ws_attempt *ws_attempt_foreign(struct ws_core *c, struct ws_machine *m,
-				      const struct ws_task_report *t);
-/* A report names an attempt that is kept apart, whose job is known: the record is to name it. */
-void ws_kept_reported(struct ws_core *c, struct ws_attempt *s);
-/* An attempt that is kept apart completed: the result waits for its job. */
-void ws_kept_completed(struct ws_core *c, struct ws_attempt *s);
-void ws_kept_drop(struct ws_core *c, struct ws_attempt *s);
+/* What a heartbeat says of an attempt that was on record at the election; the first word counts. */
+void ws_attempt_reconcile(struct ws_core *core, struct ws_attempt *attempt,
+			  enum ws_reconciliation_result kind);
+void ws_attempt_reconcile_status(struct ws_core *core, struct ws_attempt *attempt,
+				 const struct ws_task_status *status);
+/* A heartbeat names an attempt that no record does; NULL if nothing of it counts. */
+struct ws_attempt *ws_attempt_add_unrecorded(struct ws_core *core, struct ws_machine *machine,
+					     const struct ws_task_status *status);
+/* A heartbeat names an attempt that is quarantined, whose job is known: the record is to name it.
+ */
+void ws_quarantine_reported(struct ws_core *core, struct ws_attempt *attempt);
+/* An attempt that is quarantined completed: the result waits for its job. */
+void ws_quarantine_completed(struct ws_core *core, struct ws_attempt *attempt);
+void ws_quarantine_drop(struct ws_core *core, struct ws_attempt *attempt);
 /* A job has just become known. */
-void ws_kept_link(struct ws_core *c, struct ws_job *j);
-void ws_kept_end(struct ws_core *c, const char *job, double grace_s);
+void ws_quarantine_link_job(struct ws_core *core, struct ws_job *job);
+void ws_quarantine_end_job(struct ws_core *core, const char *job, double grace_s);
 /* What attempts of unknown teams may use at the most. */
-void ws_kept_reserve(struct ws_core *c, double *cpus, double *gpus);
-void ws_kept_clear(struct ws_core *c);
+void ws_quarantine_reserved(struct ws_core *core, double *cpus, double *gpus);
+void ws_quarantine_clear(struct ws_core *core);
 
 /* commands.c */
-/* Commands in the answer to a report: keeps it under the line limit. */
-#define WS_ANSWER_ORDERS 400
-struct ws_order *ws_orders(struct ws_core *c, struct ws_machine *m, const struct ws_report *r,
-			   size_t max, bool direct, size_t *n);
-bool ws_machine_probe(struct ws_core *c, struct ws_machine *m);
-void ws_fleet_push(struct ws_core *c, struct ws_machine *m);
-void ws_fleet_probe(struct ws_core *c);
+/* Commands in the answer to a heartbeat: keeps it under the line limit. */
+#define WS_ANSWER_COMMANDS_MAX 400
+struct ws_command *ws_commands_for_machine(struct ws_core *core, struct ws_machine *machine,
+					   const struct ws_heartbeat *heartbeat, size_t max,
+					   bool direct, size_t *count);
+bool ws_machine_send_probe(struct ws_core *core, struct ws_machine *machine);
+void ws_machine_send_commands(struct ws_core *core, struct ws_machine *machine);
+void ws_fleet_send_probes(struct ws_core *core);
 
 /* placement.c */
-uint32_t ws_tasks_fit(const struct ws_spec *s, double cpus, double gpus, double mem, uint32_t most);
-void ws_place(struct ws_core *c);
+uint32_t ws_tasks_fit(const struct ws_job_spec *spec, double cpus, double gpus, double mem,
+		      uint32_t most);
+void ws_scheduler_run_pass(struct ws_core *core);
 
 /* gang.c */
-bool ws_gang_gathers(const struct ws_job *j, uint64_t *attempt, double *since);
-bool ws_gang_reachable(const struct ws_core *c, const struct ws_job *j);
-void ws_gang_stop(struct ws_core *c, struct ws_job *j, double grace, const char *why);
-void ws_gang_tend(struct ws_core *c, struct ws_job *j);
-void ws_task_stop(struct ws_core *c, struct ws_attempt *s, const char *why);
-
-/* rentals.c */
-bool ws_rentable(struct ws_core *c, const struct ws_job *j, int zi);
-void ws_rentals_tick(struct ws_core *c);
+bool ws_gang_is_assembling(const struct ws_job *job, uint64_t *attempt, double *since);
+bool ws_gang_is_reachable(const struct ws_core *core, const struct ws_job *job);
+void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace, const char *reason);
+void ws_gang_check_progress(struct ws_core *core, struct ws_job *job);
+void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, const char *reason);
+
+/* rented machines.c */
+bool ws_zone_can_scale_out(struct ws_core *core, const struct ws_job *job, int zone_index);
+void ws_autoscaler_tick(struct ws_core *core);
 struct ws_unmet_demand { /* tasks of a job that found no room, and the zones they may be in */
 	struct ws_job *job;
 	uint32_t tasks;
 	uint32_t zones;
 };
-void ws_rentals_want(struct ws_core *c, struct ws_job *j, uint32_t tasks, uint32_t zones);
-double ws_bound(const struct ws_core *c);
-void ws_rentals_plan(struct ws_core *c);
-void ws_rental_dirty(struct ws_core *c, struct ws_rental *r);
-void ws_rental_written(struct ws_core *c, struct ws_rental *r, bool deleted);
-void ws_rental_free(struct ws_core *c, struct ws_rental *r);
-bool ws_boot_late(const struct ws_core *c, const struct ws_machine *m);
+void ws_autoscaler_add_demand(struct ws_core *core, struct ws_job *job, uint32_t tasks,
+			      uint32_t zones);
+double ws_latency_bound(const struct ws_core *core);
+void ws_autoscaler_plan(struct ws_core *core);
+void ws_scale_out_mark_dirty(struct ws_core *core, struct ws_scale_out *request);
+void ws_scale_out_written(struct ws_core *core, struct ws_scale_out *request, bool deleted);
+void ws_scale_out_free(struct ws_core *core, struct ws_scale_out *request);
+bool ws_boot_is_late(const struct ws_core *core, const struct ws_machine *machine);
 
 /* election.c */
-void ws_leader_tick(struct ws_core *c);
-bool ws_entitled(const struct ws_core *c);
-void ws_step_down(struct ws_core *c, const char *why);
+void ws_leadership_tick(struct ws_core *core);
+bool ws_is_entitled(const struct ws_core *core);
+void ws_step_down(struct ws_core *core, const char *reason);
 
 /* outage.c */
-void ws_outage_tick(struct ws_core *c);
+void ws_outage_tick(struct ws_core *core);
 
 /* writing.c */
-void ws_flush(struct ws_core *c);
+void ws_writer_tick(struct ws_core *core);
 
 /* loading.c */
-void ws_load(struct ws_core *c);
-void ws_watch_jobs(struct ws_core *c);
-void ws_jobs_news(struct ws_core *c, const struct ws_call *call, const struct ws_result *r);
+void ws_loader_start(struct ws_core *core);
+void ws_job_watch_tick(struct ws_core *core);
+void ws_job_watch_apply(struct ws_core *core, const struct ws_call *call,
+			const struct ws_result *result);
 
 /* requests.c */
-bool ws_withdrawn_since(struct ws_core *c, uint64_t since, const char *after,
-			struct ws_withdrawal **list, size_t *n, size_t most, bool *more);
-void ws_cache_apply(struct ws_core *c, const struct ws_call *call, const struct ws_result *r);
-void ws_requests_tick(struct ws_core *c);
-bool ws_cut_off(const struct ws_core *c);
-void ws_report_answer(struct ws_core *c, uint64_t token, int status, const char *leader);
-void ws_follower_report(struct ws_core *c, uint64_t token, const struct ws_report *r, bool relayed);
-void ws_requests_free(struct ws_core *c);
+bool ws_cancellations_since(struct ws_core *core, uint64_t since, const char *after,
+			    struct ws_cancellation **list, size_t *count, size_t most, bool *more);
+void ws_status_cache_apply(struct ws_core *core, const struct ws_call *call,
+			   const struct ws_result *result);
+void ws_requests_tick(struct ws_core *core);
+bool ws_node_is_isolated(const struct ws_core *core);
+void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, int status, const char *leader);
+void ws_follower_heartbeat(struct ws_core *core, uint64_t request_id,
+			   const struct ws_heartbeat *heartbeat, bool forwarded);
+void ws_requests_free(struct ws_core *core);
 #endif
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -1,263 +1,265 @@
-/* Jobs as the leader knows them: a mirror of the job records, changed by watch and by reports. */
+/* Jobs as the leader knows them: a mirror of the job records, changed by watch and by heartbeats.
+ */
 #include "internal.h"
 
-struct ws_team *ws_team_of(struct ws_core *c, const char *name)
+struct ws_team *ws_team_find(struct ws_core *core, const char *name)
 {
-	for (size_t i = 0; i < c->set->nteams; i++)
-		if (!strcmp(c->teams[i].set->name, name))
-			return &c->teams[i];
+	for (size_t i = 0; i < core->settings->team_count; i++)
+		if (!strcmp(core->teams[i].settings->name, name))
+			return &core->teams[i];
 	return NULL;
 }
 
-struct ws_job *ws_job_find(struct ws_core *c, const char *id)
+struct ws_job *ws_job_find(struct ws_core *core, const char *id)
 {
-	struct ws_job *j;
+	struct ws_job *job;
 
-	HASH_FIND_STR(c->jobs, id, j);
-	return j;
+	HASH_FIND_STR(core->jobs, id, job);
+	return job;
 }
 
-bool ws_job_over(const struct ws_job *j)
+bool ws_job_is_over(const struct ws_job *job)
 {
-	return j->phase == WS_DONE || j->phase == WS_CANCELLED;
+	return job->phase == WS_JOB_DONE || job->phase == WS_JOB_CANCELLED;
 }
 
 /* What users wait for is written at once, the rest with it or a moment later. */
-void ws_job_dirty(struct ws_core *c, struct ws_job *j, bool urgent)
+void ws_job_mark_dirty(struct ws_core *core, struct ws_job *job, bool urgent)
 {
-	if (urgent && !j->urgent) {
-		j->urgent = true;
-		c->flush_wanted = true;
+	if (urgent && !job->write_urgent) {
+		job->write_urgent = true;
+		core->flush_wanted = true;
 	}
-	if (j->dirty)
+	if (job->dirty)
 		return;
-	j->dirty = true;
-	j->dirty_at = c->now;
-	DL_APPEND2(c->dirty_jobs, j, dprev, dnext);
+	job->dirty = true;
+	job->dirty_since = core->now;
+	DL_APPEND2(core->dirty_jobs, job, dirty_prev, dirty_next);
 }
 
 /* The types of machine that its tasks may run on. */
-void ws_job_fits(const struct ws_core *c, struct ws_job *j)
+void ws_job_update_eligible_types(const struct ws_core *core, struct ws_job *job)
 {
-	if (j->fits_of == c->types_edition)
+	if (job->eligible_types_edition == core->types_edition)
 		return;
-	j->fits_of = c->types_edition;
-	j->fits = 0;
-	for (size_t i = 0; i < c->ntypes; i++)
-		if (ws_type_fits(&c->types[i], &j->spec) &&
-		    ws_gang_recordable(c, &j->spec, &c->types[i]))
-			j->fits |= 1u << i;
+	job->eligible_types_edition = core->types_edition;
+	job->eligible_types = 0;
+	for (size_t i = 0; i < core->ntypes; i++)
+		if (ws_machine_type_fits(&core->types[i], &job->spec) &&
+		    ws_gang_recordable(core, &job->spec, &core->types[i]))
+			job->eligible_types |= 1u << i;
 }
 
-int ws_image_id(struct ws_core *c, const char *name)
+int ws_image_index(struct ws_core *core, const char *name)
 {
-	struct ws_image *i;
+	struct ws_image *image;
 
-	HASH_FIND_STR(c->images, name, i);
-	if (i)
-		return i->id;
-	i = calloc(1, sizeof(*i));
-	c->image_names =
-	    realloc(c->image_names, (size_t)(c->nimages + 1) * sizeof(*c->image_names));
-	if (!i || !c->image_names)
+	HASH_FIND_STR(core->images, name, image);
+	if (image)
+		return image->id;
+	image = calloc(1, sizeof(*image));
+	core->image_names =
+	    realloc(core->image_names, (size_t)(core->nimages + 1) * sizeof(*core->image_names));
+	if (!image || !core->image_names)
 		abort();
-	snprintf(i->name, sizeof(i->name), "%s", name);
-	c->image_names[c->nimages] = i->name;
-	i->id = c->nimages++;
-	HASH_ADD_STR(c->images, name, i);
-	return i->id;
+	snprintf(image->name, sizeof(image->name), "%s", name);
+	core->image_names[core->nimages] = image->name;
+	image->id = core->nimages++;
+	HASH_ADD_STR(core->images, name, image);
+	return image->id;
 }
 
-int ws_zone_id(struct ws_core *c, const char *name)
+int ws_zone_index(struct ws_core *core, const char *name)
 {
 	if (!name[0])
 		return -1;
-	for (int i = 0; i < c->nzones; i++)
-		if (!strcmp(c->zones[i], name))
+	for (int i = 0; i < core->nzones; i++)
+		if (!strcmp(core->zones[i], name))
 			return i;
-	if (c->nzones == WS_MAX_ZONES)
+	if (core->nzones == WS_MAX_ZONES)
 		return -1;
-	snprintf(c->zones[c->nzones], WS_NAME_MAX, "%s", name);
-	return c->nzones++;
+	snprintf(core->zones[core->nzones], WS_NAME_MAX, "%s", name);
+	return core->nzones++;
 }
 
-void ws_job_free(struct ws_core *c, struct ws_job *j)
+void ws_job_free(struct ws_core *core, struct ws_job *job)
 {
-	struct ws_attempt *s, *n;
+	struct ws_attempt *attempt, *next_attempt;
 
-	DL_FOREACH_SAFE2 (j->attempts, s, n, jnext) {
-		bool alive = s->state == WS_ATTEMPT_RECORDED;
+	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next) {
+		bool alive = attempt->state == WS_ATTEMPT_RECORDED;
 
-		if (s->state != WS_ATTEMPT_GONE)
-			ws_attempt_count(c, s, -1);
-		DL_DELETE2(j->attempts, s, jprev, jnext);
-		s->job = NULL;
-		ws_kept_drop(c, s);
+		if (attempt->state != WS_ATTEMPT_GONE)
+			ws_attempt_count(core, attempt, -1);
+		DL_DELETE2(job->attempts, attempt, job_prev, job_next);
+		attempt->job = NULL;
+		ws_quarantine_drop(core, attempt);
 		if (alive) { /* its record is gone, the attempt may live on: it is told to stop */
-			s->stop = s->orphan = true;
-			ws_attempt_count(c, s, 1);
+			attempt->stopping = attempt->unrecorded = true;
+			ws_attempt_count(core, attempt, 1);
 		} else {
-			ws_attempt_free(s);
+			ws_attempt_free(attempt);
 		}
 	}
-	if (j->dirty)
-		DL_DELETE2(c->dirty_jobs, j, dprev, dnext);
-	HASH_DEL(c->jobs, j);
-	free(j->tasks);
-	free(j);
+	if (job->dirty)
+		DL_DELETE2(core->dirty_jobs, job, dirty_prev, dirty_next);
+	HASH_DEL(core->jobs, job);
+	free(job->tasks);
+	free(job);
 }
 
 /* Over with nothing left on any machine: its record moves to old/. */
-void ws_job_check_end(struct ws_core *c, struct ws_job *j)
+void ws_job_check_end(struct ws_core *core, struct ws_job *job)
 {
-	if (!j->spec.service && j->phase != WS_CANCELLED && j->ndone == j->spec.tasks &&
-	    j->phase != WS_DONE) {
-		j->phase = WS_DONE;
-		ws_log(c, WS_LOG_INFO, "job %s done", j->spec.id);
-		ws_job_dirty(c, j, true);
+	if (!job->spec.service && job->phase != WS_JOB_CANCELLED &&
+	    job->done_count == job->spec.tasks && job->phase != WS_JOB_DONE) {
+		job->phase = WS_JOB_DONE;
+		ws_log(core, WS_LOG_INFO, "job %s done", job->spec.id);
+		ws_job_mark_dirty(core, job, true);
 	}
-	if (ws_job_over(j) && !j->attempt_count)
-		ws_job_dirty(c, j, true);
+	if (ws_job_is_over(job) && !job->attempt_count)
+		ws_job_mark_dirty(core, job, true);
 }
 
-void ws_job_task_done(struct ws_core *c, struct ws_job *j, uint32_t task)
+void ws_job_task_done(struct ws_core *core, struct ws_job *job, uint32_t task)
 {
 	uint32_t from = task, to = task + 1;
 
-	if (task >= j->spec.tasks || j->tasks[task].done || j->spec.service)
+	if (task >= job->spec.tasks || job->tasks[task].done || job->spec.service)
 		return;
-	if (j->spec.gang) { /* its tasks complete together */
+	if (job->spec.gang) { /* its tasks complete together */
 		from = 0;
-		to = j->spec.tasks;
+		to = job->spec.tasks;
 	}
 	for (uint32_t t = from; t < to; t++) {
-		if (j->tasks[t].done)
+		if (job->tasks[t].done)
 			continue;
-		if (!j->tasks[t].attempts)
-			j->waiting--;
-		j->tasks[t].done = true;
-		j->ndone++;
+		if (!job->tasks[t].live_attempts)
+			job->waiting--;
+		job->tasks[t].done = true;
+		job->done_count++;
 	}
-	j->errors = 0;
-	ws_job_dirty(c, j, false);
-	ws_job_check_end(c, j);
+	job->failures = 0;
+	ws_job_mark_dirty(core, job, false);
+	ws_job_check_end(core, job);
 }
 
-static void ws_job_cancelled(struct ws_core *c, struct ws_job *j)
+static void ws_job_cancel(struct ws_core *core, struct ws_job *job)
 {
-	struct ws_attempt *s, *n;
+	struct ws_attempt *attempt, *next_attempt;
 
-	j->phase = WS_CANCELLED;
-	ws_log(c, WS_LOG_INFO, "job %s cancelled by its user, %u tasks to stop", j->spec.id,
-	       j->attempt_count);
-	DL_FOREACH_SAFE2 (j->attempts, s, n, jnext)
-		if (s->state != WS_ATTEMPT_GONE) {
-			s->machine->push = true;
-			ws_attempt_stop(c, s, 0, NULL);
+	job->phase = WS_JOB_CANCELLED;
+	ws_log(core, WS_LOG_INFO, "job %s cancelled by its user, %u tasks to stop", job->spec.id,
+	       job->attempt_count);
+	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
+		if (attempt->state != WS_ATTEMPT_GONE) {
+			attempt->machine->has_starts_to_send = true;
+			ws_attempt_stop(core, attempt, 0, NULL);
 		}
-	ws_job_push(c, j);
-	ws_job_check_end(c, j);
+	ws_job_send_commands(core, job);
+	ws_job_check_end(core, job);
 }
 
 /*
  * A peer told a user that this job is cancelled, and we can't read its record. Its tasks end now:
- * that takes no write. The stamp stays as it was, so that the watch brings the record once the
- * state service is back, and a write of ours before that fails.
+ * that takes no write. The revision stays as it was, so that the watch brings the record once the
+ * store is back, and a write of ours before that fails.
  */
-void ws_job_withdrawn(struct ws_core *c, const struct ws_withdrawal *w)
+void ws_job_apply_cancellation(struct ws_core *core, const struct ws_cancellation *cancellation)
 {
-	struct ws_job *j = ws_job_find(c, w->job);
+	struct ws_job *job = ws_job_find(core, cancellation->job);
 
-	if (j && w->stamp > j->stamp && j->phase != WS_CANCELLED)
-		ws_job_cancelled(c, j);
+	if (job && cancellation->revision > job->revision && job->phase != WS_JOB_CANCELLED)
+		ws_job_cancel(core, job);
 }
 
 /* CPUs of a machine of middling size; 0 while no type is known. */
-double ws_mean_cpus(const struct ws_core *c)
+double ws_mean_machine_cpus(const struct ws_core *core)
 {
 	double size = 0;
 
-	for (size_t i = 0; i < c->ntypes; i++)
-		size += c->types[i].cpus / (double)c->ntypes;
+	for (size_t i = 0; i < core->ntypes; i++)
+		size += core->types[i].cpus / (double)core->ntypes;
 	return size;
 }
 
 /* A task as a share of one machine of middling size. */
-double ws_load_of(const struct ws_core *c, const struct ws_spec *s)
+double ws_demand_units_of(const struct ws_core *core, const struct ws_job_spec *spec)
 {
-	double size = ws_mean_cpus(c);
+	double size = ws_mean_machine_cpus(core);
 
-	return size > 0 ? s->cpus / size : 0;
+	return size > 0 ? spec->cpus / size : 0;
 }
 
 /* One command to each machine marked for it, with all that is to start or end there. */
-void ws_job_push(struct ws_core *c, struct ws_job *j)
+void ws_job_send_commands(struct ws_core *core, struct ws_job *job)
 {
-	struct ws_attempt *s;
+	struct ws_attempt *attempt;
 
-	DL_FOREACH2 (j->attempts, s, jnext)
-		if (s->machine->push) {
-			s->machine->push = false;
-			ws_fleet_push(c, s->machine);
+	DL_FOREACH2 (job->attempts, attempt, job_next)
+		if (attempt->machine->has_starts_to_send) {
+			attempt->machine->has_starts_to_send = false;
+			ws_machine_send_commands(core, attempt->machine);
 		}
 }
 
 /* A job record as read at the election or seen by the watch. */
-void ws_job_event(struct ws_core *c, const char *id, json_t *value, uint64_t stamp)
+void ws_job_record_changed(struct ws_core *core, const char *id, json_t *value, uint64_t revision)
 {
-	struct ws_job *j = ws_job_find(c, id), *n;
+	struct ws_job *job = ws_job_find(core, id), *next_job;
 
-	if (j && stamp <= j->stamp)
+	if (job && revision <= job->revision)
 		return;
 	if (!value) {
-		if (j)
-			ws_job_free(c, j);
+		if (job)
+			ws_job_free(core, job);
 		return;
 	}
-	if (j) { /* of what others may write only its user's cancelling matters here */
-		enum ws_phase phase;
+	if (job) { /* of what others may write only its user's cancelling matters here */
+		enum ws_job_phase phase;
 		uint32_t done, running;
 
-		j->stamp = stamp;
-		j->stale = false;
-		c->flush_wanted = true;
-		j->pieces = ws_record_pieces(value);
+		job->revision = revision;
+		job->compare_failed = false;
+		core->flush_wanted = true;
+		job->continuation_count = ws_record_continuation_count(value);
 		if (!ws_record_read_phase(value, &phase, &done, &running))
 			return;
-		if (phase == WS_CANCELLED && !ws_job_over(j)) {
-			ws_job_cancelled(c, j);
-		} else if (phase == WS_CANCELLED && j->phase == WS_DONE) {
+		if (phase == WS_JOB_CANCELLED && !ws_job_is_over(job)) {
+			ws_job_cancel(core, job);
+		} else if (phase == WS_JOB_CANCELLED && job->phase == WS_JOB_DONE) {
 			/* the user was told "cancelled" before we could record "done": that stands
 			 */
-			j->phase = WS_CANCELLED;
-			ws_job_check_end(c, j);
+			job->phase = WS_JOB_CANCELLED;
+			ws_job_check_end(core, job);
 		}
 		return;
 	}
-	if (ws_tombstone_holds(c, &c->ended, id))
+	if (ws_tombstone_is_set(core, &core->ended, id))
 		return; /* written before we archived it */
-	n = ws_record_read_job(id, value);
-	if (!n) {
-		ws_log(c, WS_LOG_ERROR, "job %s: its record can't be read, left alone", id);
+	next_job = ws_record_read_job(id, value);
+	if (!next_job) {
+		ws_log(core, WS_LOG_ERROR, "job %s: its record can't be read, left alone", id);
 		return;
 	}
-	n->stamp = stamp;
-	n->pieces = ws_record_pieces(value);
-	n->team = ws_team_of(c, n->spec.team);
-	n->zone = ws_zone_id(c, n->spec.zone);
-	n->image = ws_image_id(c, n->spec.image);
-	n->fits_of = -1;
-	n->waiting = n->spec.tasks - n->ndone;
-	n->known_at = c->now;
-	HASH_ADD_STR(c->jobs, spec.id, n);
-	ws_kept_link(c, n);
-	if (c->role == WS_LEADER) {
-		ws_log(c, WS_LOG_DEBUG, "job %s known: %u tasks of %s %s", id, n->spec.tasks,
-		       n->spec.team, n->spec.job_class);
-		if (n->phase == WS_CANCELLED)
-			ws_job_check_end(c, n);
-		else if (!n->spec.service)
-			c->work_arrived += n->spec.tasks * ws_load_of(c, &n->spec);
+	next_job->revision = revision;
+	next_job->continuation_count = ws_record_continuation_count(value);
+	next_job->team = ws_team_find(core, next_job->spec.team);
+	next_job->pinned_zone = ws_zone_index(core, next_job->spec.zone);
+	next_job->image_index = ws_image_index(core, next_job->spec.image);
+	next_job->eligible_types_edition = -1;
+	next_job->waiting = next_job->spec.tasks - next_job->done_count;
+	next_job->known_at = core->now;
+	HASH_ADD_STR(core->jobs, spec.id, next_job);
+	ws_quarantine_link_job(core, next_job);
+	if (core->role == WS_LEADER) {
+		ws_log(core, WS_LOG_DEBUG, "job %s known: %u tasks of %s %s", id,
+		       next_job->spec.tasks, next_job->spec.team, next_job->spec.job_class);
+		if (next_job->phase == WS_JOB_CANCELLED)
+			ws_job_check_end(core, next_job);
+		else if (!next_job->spec.service)
+			core->work_arrived +=
+			    next_job->spec.tasks * ws_demand_units_of(core, &next_job->spec);
 	}
-	c->place_wanted = true;
+	core->place_wanted = true;
 }
--- a/src/core/outage.c
+++ b/src/core/outage.c
@@ -1,101 +1,107 @@
-/* The lead in an outage of the state service: peers are asked whether they are refused as well. */
+/* The lead in an outage of the store: peers are asked whether they are refused as well. */
 #include "internal.h"
 
 /*
- * While the state service is down for everybody no hold runs out, so a leader may go on answering
+ * While the store is down for everybody no hold runs out, so a leader may go on answering
  * reports. Every peer must say so afresh; one that is silent, served or leading ends it, for the
  * service may be refusing us alone while another node takes over.
  *
  * Until it refused them too, peers may have told users that jobs are cancelled. So each one's word
- * brings the withdrawals that are newer than what we have seen, and these end here before we go
- * on; one that can't tell of all of them gives no testimony. Our own copy of the jobs is asked in
+ * brings the cancellations that are newer than what we have seen, and these end here before we go
+ * on; one that can't tell of all of them gives no vote. our own job status cache is asked in
  * the same way: it may hold what our watch for the leader's view has not brought yet.
  *
  * A leader whose peers did not all say so in time pauses: it answers nobody, but keeps what it
- * knows. If all say so again before a lease has passed since its hold's end, it goes on. Had
+ * knows. If all say so again before a lease has passed since its session's end, it goes on. Had
  * another been elected in between, that one could not yet have moved anything for want of an
  * answer, and workers that heard from it drop what we say; had it ended since, it would say so or
  * be silent.
  */
-static void ws_testified(struct ws_core *c, struct ws_call *call, const struct ws_result *r);
+static void ws_outage_vote_answered(struct ws_core *core, struct ws_call *call,
+				    const struct ws_result *result);
 
-static void ws_ask_peer(struct ws_core *c, const char *node, uint64_t since, const char *after)
+static void ws_outage_vote_request(struct ws_core *core, const char *node, uint64_t since,
+				   const char *after)
 {
-	struct ws_call *call = ws_call(c, WS_CALL_TESTIFY, ws_testified);
+	struct ws_call *call = ws_call_new(core, WS_CALL_OUTAGE_VOTE, ws_outage_vote_answered);
 
 	snprintf(call->key, sizeof(call->key), "%s", node);
 	snprintf(call->after, sizeof(call->after), "%s", after);
-	call->since = since;
-	call->epoch = c->epoch >> WS_EPOCH_SHIFT;
-	call->ctx_n = c->ask_round;
-	c->ask_out++;
+	call->since_revision = since;
+	call->fencing_token = core->epoch >> WS_FENCING_TOKEN_SHIFT;
+	call->context_number = core->ask_round;
+	core->ask_out++;
 }
 
-static void ws_withdrawals(struct ws_core *c, const struct ws_withdrawal *list, size_t n,
-			   const char *node)
+static void ws_cancellations_apply(struct ws_core *core, const struct ws_cancellation *list,
+				   size_t count, const char *node)
 {
-	for (size_t i = 0; i < n; i++) {
-		ws_log(c, WS_LOG_DEBUG, "%s tells that job %s was withdrawn", node, list[i].job);
-		ws_job_withdrawn(c, &list[i]);
+	for (size_t i = 0; i < count; i++) {
+		ws_log(core, WS_LOG_DEBUG, "%s tells that job %s was withdrawn", node, list[i].job);
+		ws_job_apply_cancellation(core, &list[i]);
 	}
 }
 
-/* All peers are refused as well, and what they told users is known here: the lead goes on. */
-static void ws_extend_entitlement(struct ws_core *c)
+/* All peers are refused as well, and what they told users is known here: leadership goes on. */
+static void ws_extend_entitlement(struct ws_core *core)
 {
-	double until = c->ask_sent + fmin(c->ttl * (1 - WS_DRIFT), c->view_s);
-	struct ws_withdrawal *own;
+	double until = core->ask_sent + fmin(core->ttl * (1 - WS_DRIFT), core->view_s);
+	struct ws_cancellation *own;
 	size_t n;
-	bool more, whole = ws_withdrawn_since(c, c->watch_rev, "", &own, &n, SIZE_MAX, &more);
+	bool more,
+	    whole = ws_cancellations_since(core, core->watch_rev, "", &own, &n, SIZE_MAX, &more);
 
-	ws_withdrawals(c, own, n, c->set->node);
+	ws_cancellations_apply(core, own, n, core->settings->node);
 	free(own);
 	if (!whole)
 		return;
-	c->view_at = fmax(c->view_at, c->ask_sent);
-	if (until <= c->entitled_until || until <= c->now)
+	core->view_at = fmax(core->view_at, core->ask_sent);
+	if (until <= core->entitled_until || until <= core->now)
 		return;
-	c->entitled_until = until;
-	if (!c->paused)
+	core->entitled_until = until;
+	if (!core->paused)
 		return;
-	c->paused = false;
-	ws_log(c, WS_LOG_INFO, "all peers are refused too: answering reports again");
-	struct ws_machine *m, *t;
+	core->paused = false;
+	ws_log(core, WS_LOG_INFO, "all peers are refused too: answering reports again");
+	struct ws_machine *machine, *next_machine;
 
-	HASH_ITER (hh, c->machines, m, t)
-		ws_fleet_push(c, m); /* what we learned while we could not say so */
+	HASH_ITER (hh, core->machines, machine, next_machine)
+		ws_machine_send_commands(core,
+					 machine); /* what we learned while we could not say so */
 }
 
-static void ws_testified(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_outage_vote_answered(struct ws_core *core, struct ws_call *call,
+				    const struct ws_result *result)
 {
-	if (call->generation != c->generation || call->ctx_n != c->ask_round)
+	if (call->generation != core->generation || call->context_number != core->ask_round)
 		return;
-	c->ask_out--;
-	c->ask_heard = c->now;
-	if (r->status != 503 || !r->vouched)
+	core->ask_out--;
+	core->ask_heard = core->now;
+	if (result->status != 503 || !result->vote_granted)
 		return;
-	ws_withdrawals(c, r->withdrawn, r->nwithdrawn, call->key);
-	if (r->more && r->nwithdrawn) {
-		const struct ws_withdrawal *last = &r->withdrawn[r->nwithdrawn - 1];
+	ws_cancellations_apply(core, result->cancellations, result->cancellation_count, call->key);
+	if (result->has_more && result->cancellation_count) {
+		const struct ws_cancellation *last =
+		    &result->cancellations[result->cancellation_count - 1];
 
-		ws_ask_peer(c, call->key, last->stamp, last->job);
+		ws_outage_vote_request(core, call->key, last->revision, last->job);
 		return;
 	}
-	c->ask_yes++;
-	if (c->ask_yes == (int)c->set->npeers && c->now < c->pause_until)
-		ws_extend_entitlement(c);
+	core->ask_yes++;
+	if (core->ask_yes == (int)core->settings->peer_count && core->now < core->pause_until)
+		ws_extend_entitlement(core);
 }
 
-void ws_outage_tick(struct ws_core *c)
+void ws_outage_tick(struct ws_core *core)
 {
 	/* a round whose answers are slow is waited for, or none would ever be complete */
-	if (!c->in_outage || c->now < c->ask_next ||
-	    (c->ask_out > 0 && c->now < c->ask_heard + c->ttl / 2))
+	if (!core->in_outage || core->now < core->ask_next ||
+	    (core->ask_out > 0 && core->now < core->ask_heard + core->ttl / 2))
 		return;
-	c->ask_next = c->now + c->ttl / 8;
-	c->ask_round++;
-	c->ask_yes = c->ask_out = 0;
-	c->ask_sent = c->ask_heard = c->now;
-	for (size_t i = 0; i < c->set->npeers; i++)
-		ws_ask_peer(c, c->set->peers[i].node, c->watch_rev, "");
+	core->ask_next = core->now + core->ttl / 8;
+	core->ask_round++;
+	core->ask_yes = core->ask_out = 0;
+	core->ask_sent = core->ask_heard = core->now;
+	for (size_t i = 0; i < core->settings->peer_count; i++)
+		ws_outage_vote_request(core, core->settings->peers[i].node, core->watch_rev, "");
 }
