--- a/src/core/polls.c
+++ b/src/core/polls.c
@@ -1,343 +1,362 @@
-/* Polls of users, and the copy of the live jobs' records that every node answers them from. */
+/* Status queries of users, and the job status cache' records that every node answers them from. */
 #include "requests.h"
 
 /* The protocol: a user waits 2 s for the answer to a poll; a peer may have to be asked as well. */
-#define WS_POLL_HOLD_S 0.8
+#define WS_QUERY_WAIT_S 0.8
 
-struct ws_final { /* the answer about a job that is over: it never changes */
+struct ws_final_status { /* the answer about a job that is over: it never changes */
 	char id[WS_ID_MAX];
-	enum ws_phase phase;
+	enum ws_job_phase phase;
 	uint32_t done;
 	UT_hash_handle hh;
 };
 
-struct ws_poll {
+struct ws_status_query {
 	char id[WS_ID_MAX];
-	uint64_t token;
-	bool relayed, asked; /* asked: the check under way began after it came */
-	double at;
-	struct ws_poll *prev, *next;
+	uint64_t request_id;
+	bool forwarded, check_sent; /* asked: the check under way began after it came */
+	double received_at;
+	struct ws_status_query *prev, *next;
 };
 
-/* Some thousands are kept, the newest, so that asking again costs the state service nothing. */
-#define WS_FINALS 4096
+/* Some thousands are kept, the newest, so that asking again costs the store nothing. */
+#define WS_FINAL_STATUSES_MAX 4096
 
-static void ws_final_keep(struct ws_core *c, const char *id, json_t *value)
+static void ws_final_status_keep(struct ws_core *core, const char *id, json_t *value)
 {
-	struct ws_final *f;
-	enum ws_phase phase;
+	struct ws_final_status *final_status;
+	enum ws_job_phase phase;
 	uint32_t done, running;
 
-	HASH_FIND_STR(c->finals, id, f);
-	if (f || !ws_record_read_phase(value, &phase, &done, &running) ||
-	    (phase != WS_DONE && phase != WS_CANCELLED))
+	HASH_FIND_STR(core->finals, id, final_status);
+	if (final_status || !ws_record_read_phase(value, &phase, &done, &running) ||
+	    (phase != WS_JOB_DONE && phase != WS_JOB_CANCELLED))
 		return;
-	if (HASH_COUNT(c->finals) >= WS_FINALS) {
-		f = c->finals; /* the oldest: the table keeps the order of adding */
-		HASH_DEL(c->finals, f);
+	if (HASH_COUNT(core->finals) >= WS_FINAL_STATUSES_MAX) {
+		final_status = core->finals; /* the oldest: the table keeps the order of adding */
+		HASH_DEL(core->finals, final_status);
 	} else {
-		f = malloc(sizeof(*f));
+		final_status = malloc(sizeof(*final_status));
 	}
-	if (!f)
+	if (!final_status)
 		return;
-	memset(f, 0, sizeof(*f));
-	snprintf(f->id, sizeof(f->id), "%s", id);
-	f->phase = phase;
-	f->done = done;
-	HASH_ADD_STR(c->finals, id, f);
+	memset(final_status, 0, sizeof(*final_status));
+	snprintf(final_status->id, sizeof(final_status->id), "%s", id);
+	final_status->phase = phase;
+	final_status->done = done;
+	HASH_ADD_STR(core->finals, id, final_status);
 }
 
-void ws_poll_old(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+void ws_query_archived_read(struct ws_core *core, struct ws_call *call,
+			    const struct ws_result *result)
 {
-	struct ws_ask *ask = call->ctx;
-
-	if (r->status == 200 && r->nkvs == 1)
-		ws_final_keep(c, call->ctx_name, r->kvs[0].value);
-	if (r->status == 200)
-		ws_state_answer(c, call, r, true);
-	else if (r->status == 404)
-		ws_answer(c, call->ctx_n, 404, call->ctx_name, WS_QUEUED);
+	struct ws_user_request *request = call->context;
+
+	if (result->status == 200 && result->entry_count == 1)
+		ws_final_status_keep(core, call->context_name, result->entries[0].value);
+	if (result->status == 200)
+		ws_user_answer_record(core, call, result, true);
+	else if (result->status == 404)
+		ws_user_answer(core, call->context_number, 404, call->context_name, WS_JOB_QUEUED);
 	else
-		ws_cannot(c, call->ctx_n, call->ctx_name, ask->relayed, r->status);
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
 }
 
-static void ws_poll_got(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_query_live_read(struct ws_core *core, struct ws_call *call,
+			       const struct ws_result *result)
 {
-	struct ws_ask *ask = call->ctx;
+	struct ws_user_request *request = call->context;
 
-	if (r->status == 404) { /* a job moves from job/ to old/ once and never back */
-		call->ctx = NULL;
-		ws_get(c, "old", call->ctx_name, call->ctx_n, ask, ws_poll_old);
+	if (result->status == 404) { /* a job moves from job/ to old/ once and never back */
+		call->context = NULL;
+		ws_job_record_get(core, "old", call->context_name, call->context_number, request,
+				  ws_query_archived_read);
 		return;
 	}
-	if (r->status == 200)
-		ws_state_answer(c, call, r, true);
+	if (result->status == 200)
+		ws_user_answer_record(core, call, result, true);
 	else
-		ws_cannot(c, call->ctx_n, call->ctx_name, ask->relayed, r->status);
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
 }
 
-static void ws_poll_ask(struct ws_core *c, uint64_t token, const char *id, bool relayed,
-			const char *prefix)
+static void ws_query_store(struct ws_core *core, uint64_t request_id, const char *id,
+			   bool forwarded, const char *prefix)
 {
-	struct ws_ask *ask = calloc(1, sizeof(*ask));
+	struct ws_user_request *request = calloc(1, sizeof(*request));
 
-	if (!ask) {
-		ws_answer(c, token, 503, id, WS_QUEUED);
+	if (!request) {
+		ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
 		return;
 	}
-	ask->relayed = relayed;
-	ws_get(c, prefix, id, token, ask, prefix[0] == 'j' ? ws_poll_got : ws_poll_old);
+	request->forwarded = forwarded;
+	ws_job_record_get(core, prefix, id, request_id, request,
+			  prefix[0] == 'j' ? ws_query_live_read : ws_query_archived_read);
 }
 
 /*
  * Every node keeps a copy of what the live jobs' records say. Polls wait until a request that was
  * sent after they came has brought the copy up to date, and are then answered in one go: so an
- * answer is never older than one that another node gave, and the state service is asked a few times
+ * answer is never older than one that another node gave, and the store is asked a few times
  * a second however many poll.
  */
-static struct ws_seen *ws_seen_put(struct ws_core *c, const char *id, uint64_t stamp)
+static struct ws_job_status *ws_status_cache_put(struct ws_core *core, const char *id,
+						 uint64_t revision)
 {
-	struct ws_seen *s;
+	struct ws_job_status *job_status;
 
-	HASH_FIND_STR(c->seen, id, s);
-	if (!s) {
-		s = calloc(1, sizeof(*s));
-		if (!s)
+	HASH_FIND_STR(core->seen, id, job_status);
+	if (!job_status) {
+		job_status = calloc(1, sizeof(*job_status));
+		if (!job_status)
 			abort();
-		snprintf(s->id, sizeof(s->id), "%s", id);
-		HASH_ADD_STR(c->seen, id, s);
+		snprintf(job_status->id, sizeof(job_status->id), "%s", id);
+		HASH_ADD_STR(core->seen, id, job_status);
 	}
-	s->stamp = stamp;
-	return s;
+	job_status->revision = revision;
+	return job_status;
 }
 
 /* The entry of a job of which we know more than the copy tells; NULL: the copy is as new. */
-struct ws_seen *ws_seen_note(struct ws_core *c, const char *id, uint64_t stamp)
+struct ws_job_status *ws_status_cache_note(struct ws_core *core, const char *id, uint64_t revision)
 {
-	struct ws_seen *s;
+	struct ws_job_status *job_status;
 
-	HASH_FIND_STR(c->seen, id, s);
-	return stamp <= c->seen_rev || (s && stamp <= s->stamp) ? NULL : ws_seen_put(c, id, stamp);
+	HASH_FIND_STR(core->seen, id, job_status);
+	return revision <= core->seen_rev || (job_status && revision <= job_status->revision)
+		   ? NULL
+		   : ws_status_cache_put(core, id, revision);
 }
 
-static void ws_seen_drop(struct ws_core *c, struct ws_seen *s)
+static void ws_status_cache_drop(struct ws_core *core, struct ws_job_status *job_status)
 {
-	HASH_DEL(c->seen, s);
-	free(s);
+	HASH_DEL(core->seen, job_status);
+	free(job_status);
 }
 
-static void ws_seen_event(struct ws_core *c, const struct ws_kv *kv)
+static void ws_status_cache_apply_change(struct ws_core *core, const struct ws_kv *entry)
 {
-	struct ws_seen *s;
-	enum ws_phase phase;
+	struct ws_job_status *job_status;
+	enum ws_job_phase phase;
 	uint32_t done, running;
-	const char *id = kv->key + 4;
+	const char *id = entry->key + 4;
 
-	if (strncmp(kv->key, "job/", 4) || strlen(id) >= WS_ID_MAX)
+	if (strncmp(entry->key, "job/", 4) || strlen(id) >= WS_ID_MAX)
 		return;
-	HASH_FIND_STR(c->seen, id, s);
-	if (s && kv->stamp <= s->stamp)
+	HASH_FIND_STR(core->seen, id, job_status);
+	if (job_status && entry->revision <= job_status->revision)
 		return;
-	if (!kv->value) {
-		if (s)
-			ws_seen_drop(c, s);
+	if (!entry->value) {
+		if (job_status)
+			ws_status_cache_drop(core, job_status);
 		return;
 	}
-	s = ws_seen_put(c, id, kv->stamp);
-	if (!ws_record_read_phase(kv->value, &phase, &done, &running)) {
-		s->phase = WS_QUEUED; /* known at any rate */
+	job_status = ws_status_cache_put(core, id, entry->revision);
+	if (!ws_record_read_phase(entry->value, &phase, &done, &running)) {
+		job_status->phase = WS_JOB_QUEUED; /* known at any rate */
 		return;
 	}
-	s->phase = phase;
-	s->done = done;
-	s->running = running;
+	job_status->phase = phase;
+	job_status->done = done;
+	job_status->running = running;
 }
 
-static void ws_seen_clear(struct ws_core *c)
+static void ws_status_cache_clear(struct ws_core *core)
 {
-	struct ws_seen *s = c->seen, *next;
+	struct ws_job_status *job_status = core->seen, *next;
 
-	HASH_CLEAR(hh, c->seen);
-	for (; s; s = next) {
-		next = s->hh.next;
-		free(s);
+	HASH_CLEAR(hh, core->seen);
+	for (; job_status; job_status = next) {
+		next = job_status->hh.next;
+		free(job_status);
 	}
-	c->seen_ready = false;
-	c->seen_rev = 0;
+	core->seen_ready = false;
+	core->seen_rev = 0;
 }
 
-static void ws_polls_answer(struct ws_core *c, int status)
+static void ws_queries_answer(struct ws_core *core, int status)
 {
-	struct ws_poll *p, *n;
+	struct ws_status_query *query, *next_query;
 
-	DL_FOREACH_SAFE (c->polls, p, n) {
-		struct ws_seen *s;
+	DL_FOREACH_SAFE (core->polls, query, next_query) {
+		struct ws_job_status *job_status;
 
-		if (!p->asked)
+		if (!query->check_sent)
 			continue;
-		DL_DELETE(c->polls, p);
-		HASH_FIND_STR(c->seen, p->id, s);
+		DL_DELETE(core->polls, query);
+		HASH_FIND_STR(core->seen, query->id, job_status);
 		if (status != 200)
-			ws_cannot(c, p->token, p->id, p->relayed, status);
-		else if (s)
-			ws_known_answer(c, p->token, p->id, s->phase, s->done, s->running, true);
+			ws_user_answer_unavailable(core, query->request_id, query->id,
+						   query->forwarded, status);
+		else if (job_status)
+			ws_user_answer_status(core, query->request_id, query->id, job_status->phase,
+					      job_status->done, job_status->running, true);
 		else /* not live by now: over, or never submitted */
-			ws_poll_ask(c, p->token, p->id, p->relayed, "old");
-		free(p);
+			ws_query_store(core, query->request_id, query->id, query->forwarded, "old");
+		free(query);
 	}
 }
 
 /* What a watch of the jobs brought, to the cache of their phases: only what is newer than it. */
-void ws_cache_apply(struct ws_core *c, const struct ws_call *call, const struct ws_result *r)
+void ws_status_cache_apply(struct ws_core *core, const struct ws_call *call,
+			   const struct ws_result *result)
 {
-	uint64_t held = c->seen_rev;
+	uint64_t held = core->seen_rev;
 
-	if (!c->seen_ready || call->since > held)
+	if (!core->seen_ready || call->since_revision > held)
 		return;
-	for (size_t i = 0; i < r->nkvs; i++)
-		if (r->kvs[i].stamp > held)
-			ws_seen_event(c, &r->kvs[i]);
-	c->seen_rev = r->rev > held ? r->rev : held;
-	c->seen_at = c->now;
+	for (size_t i = 0; i < result->entry_count; i++)
+		if (result->entries[i].revision > held)
+			ws_status_cache_apply_change(core, &result->entries[i]);
+	core->seen_rev = result->revision > held ? result->revision : held;
+	core->seen_at = core->now;
 }
 
-static void ws_seen_news(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_status_cache_watch_answered(struct ws_core *core, struct ws_call *call,
+					   const struct ws_result *result)
 {
-	c->seen_inflight = false;
-	if (r->status != 429)
-		ws_state_seen(c, r->status);
-	if (r->status == 200) {
-		ws_jobs_news(c, call, r);
-		ws_polls_answer(c, 200);
-	} else if (r->status == 410) { /* the copy is too old to be brought up to date */
-		ws_seen_clear(c);
-	} else if (r->status == 429) {
-		struct ws_poll *p;
-
-		DL_FOREACH (c->polls, p)
-			p->asked = false; /* asked for again in a moment */
+	core->seen_inflight = false;
+	if (result->status != 429)
+		ws_store_answered(core, result->status);
+	if (result->status == 200) {
+		ws_job_watch_apply(core, call, result);
+		ws_queries_answer(core, 200);
+	} else if (result->status == 410) { /* the copy is too old to be brought up to date */
+		ws_status_cache_clear(core);
+	} else if (result->status == 429) {
+		struct ws_status_query *query;
+
+		DL_FOREACH (core->polls, query)
+			query->check_sent = false; /* asked for again in a moment */
 	} else {
-		ws_polls_answer(c, r->status);
+		ws_queries_answer(core, result->status);
 	}
 }
 
-static void ws_seen_from(struct ws_core *c, const char *after);
+static void ws_status_cache_load(struct ws_core *core, const char *after);
 
-static void ws_seen_page(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_status_cache_page_read(struct ws_core *core, struct ws_call *call,
+				      const struct ws_result *result)
 {
-	if (r->status != 200) {
-		c->seen_inflight = false;
-		c->seen_next = c->now + c->ttl / 4;
+	if (result->status != 200) {
+		core->seen_inflight = false;
+		core->seen_next = core->now + core->ttl / 4;
 		return;
 	}
 	if (!call->after[0]) {
-		struct ws_seen *s, *t;
+		struct ws_job_status *job_status, *next_job_status;
 
-		c->seen_rev = r->rev;
-		HASH_ITER (hh, c->seen, s, t) /* noted meanwhile: the pages tell */
-			if (s->stamp <= r->rev)
-				ws_seen_drop(c, s);
+		core->seen_rev = result->revision;
+		HASH_ITER (hh, core->seen, job_status,
+			   next_job_status) /* noted meanwhile: the pages tell */
+			if (job_status->revision <= result->revision)
+				ws_status_cache_drop(core, job_status);
 	}
-	for (size_t i = 0; i < r->nkvs; i++)
-		ws_seen_event(c, &r->kvs[i]);
-	if (r->more && r->nkvs) {
-		ws_seen_from(c, r->kvs[r->nkvs - 1].key);
+	for (size_t i = 0; i < result->entry_count; i++)
+		ws_status_cache_apply_change(core, &result->entries[i]);
+	if (result->has_more && result->entry_count) {
+		ws_status_cache_load(core, result->entries[result->entry_count - 1].key);
 		return;
 	}
-	c->seen_inflight = false;
-	c->seen_ready = true;
-	c->seen_at = c->now;
+	core->seen_inflight = false;
+	core->seen_ready = true;
+	core->seen_at = core->now;
 }
 
-static void ws_seen_from(struct ws_core *c, const char *after)
+static void ws_status_cache_load(struct ws_core *core, const char *after)
 {
-	struct ws_call *call = ws_call(c, WS_CALL_LIST, ws_seen_page);
+	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_status_cache_page_read);
 
 	snprintf(call->key, sizeof(call->key), "job/");
 	snprintf(call->after, sizeof(call->after), "%s", after);
-	c->seen_inflight = true;
+	core->seen_inflight = true;
 }
 
-void ws_seen_tick(struct ws_core *c)
+void ws_status_cache_tick(struct ws_core *core)
 {
-	struct ws_poll *p, *n;
+	struct ws_status_query *query, *next_query;
 	struct ws_call *call;
 
 	/* a peer is asked, or the user told, well before the user gives up */
-	DL_FOREACH_SAFE (c->polls, p, n)
-		if (c->now - p->at > WS_POLL_HOLD_S) {
-			DL_DELETE(c->polls, p);
-			ws_cannot(c, p->token, p->id, p->relayed, 0);
-			free(p);
+	DL_FOREACH_SAFE (core->polls, query, next_query)
+		if (core->now - query->received_at > WS_QUERY_WAIT_S) {
+			DL_DELETE(core->polls, query);
+			ws_user_answer_unavailable(core, query->request_id, query->id,
+						   query->forwarded, 0);
+			free(query);
 		} else {
 			break;
 		}
-	if (c->seen_inflight || c->now < c->seen_next)
+	if (core->seen_inflight || core->now < core->seen_next)
 		return;
-	if (!c->seen_ready) {
-		ws_seen_clear(c);
-		ws_seen_from(c, "");
+	if (!core->seen_ready) {
+		ws_status_cache_clear(core);
+		ws_status_cache_load(core, "");
 		return;
 	}
-	if (!c->polls && c->now - c->seen_at < c->set->lease_s / 4)
+	if (!core->polls && core->now - core->seen_at < core->settings->lease_s / 4)
 		return;
 	/* all nodes together spend a quarter of the requests allowed on this */
-	c->seen_next = c->now + 4.0 * (double)(c->set->npeers + 1) / c->set->state_rps;
-	c->seen_inflight = true;
-	DL_FOREACH (c->polls, p)
-		p->asked = true;
-	call = ws_call(c, WS_CALL_WATCH, ws_seen_news);
+	core->seen_next =
+	    core->now + 4.0 * (double)(core->settings->peer_count + 1) / core->settings->state_rps;
+	core->seen_inflight = true;
+	DL_FOREACH (core->polls, query)
+		query->check_sent = true;
+	call = ws_call_new(core, WS_CALL_WATCH, ws_status_cache_watch_answered);
 	snprintf(call->key, sizeof(call->key), "job/");
-	call->since = c->seen_rev;
+	call->since_revision = core->seen_rev;
 }
 
-void ws_core_poll(struct ws_core *c, double now, uint64_t token, const char *id, bool relayed)
+void ws_core_query_status(struct ws_core *core, double now, uint64_t request_id, const char *id,
+			  bool forwarded)
 {
-	struct ws_poll *p;
-	struct ws_final *f;
-
-	if (now > c->now)
-		c->now = now;
-	HASH_FIND_STR(c->finals, id, f);
-	if (f) {
-		ws_known_answer(c, token, id, f->phase, f->done, 0, true);
+	struct ws_status_query *query;
+	struct ws_final_status *final_status;
+
+	if (now > core->now)
+		core->now = now;
+	HASH_FIND_STR(core->finals, id, final_status);
+	if (final_status) {
+		ws_user_answer_status(core, request_id, id, final_status->phase, final_status->done,
+				      0, true);
 		return;
 	}
-	if (!relayed && ws_state_refuses(c)) {
-		ws_cannot(c, token, id, relayed, 503);
+	if (!forwarded && ws_store_refuses(core)) {
+		ws_user_answer_unavailable(core, request_id, id, forwarded, 503);
 		return;
 	}
-	if (!c->seen_ready) {
-		ws_poll_ask(c, token, id, relayed, "job");
-		ws_core_tick(c, now);
+	if (!core->seen_ready) {
+		ws_query_store(core, request_id, id, forwarded, "job");
+		ws_core_tick(core, now);
 		return;
 	}
-	p = calloc(1, sizeof(*p));
-	if (!p) {
-		ws_answer(c, token, 503, id, WS_QUEUED);
+	query = calloc(1, sizeof(*query));
+	if (!query) {
+		ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
 		return;
 	}
-	snprintf(p->id, sizeof(p->id), "%s", id);
-	p->token = token;
-	p->relayed = relayed;
-	p->at = c->now;
-	DL_APPEND(c->polls, p);
-	ws_core_tick(c, now);
+	snprintf(query->id, sizeof(query->id), "%s", id);
+	query->request_id = request_id;
+	query->forwarded = forwarded;
+	query->received_at = core->now;
+	DL_APPEND(core->polls, query);
+	ws_core_tick(core, now);
 }
 
-void ws_polls_free(struct ws_core *c)
+void ws_queries_free(struct ws_core *core)
 {
-	struct ws_poll *p, *next_poll;
-	struct ws_final *f = c->finals, *next_final;
+	struct ws_status_query *query, *next_poll;
+	struct ws_final_status *final_status = core->finals, *next_final;
 
-	ws_seen_clear(c);
-	DL_FOREACH_SAFE (c->polls, p, next_poll) {
-		DL_DELETE(c->polls, p);
-		free(p);
+	ws_status_cache_clear(core);
+	DL_FOREACH_SAFE (core->polls, query, next_poll) {
+		DL_DELETE(core->polls, query);
+		free(query);
 	}
-	HASH_CLEAR(hh, c->finals);
-	for (; f; f = next_final) {
-		next_final = f->hh.next;
-		free(f);
+	HASH_CLEAR(hh, core->finals);
+	for (; final_status; final_status = next_final) {
+		next_final = final_status->hh.next;
+		free(final_status);
 	}
 }
--- a/src/core/rentals.c
+++ b/src/core/rentals.c
@@ -1,253 +1,280 @@
 /*
- * Rentals: what is waiting is packed into machine-loads, one machine is rented for each load that
- * owned, active and booting machines don't cover, up to k; empty rentals go back after a wait.
- * A booking's name is on record before the cloud is asked, so that a lost answer is asked for
- * again under the same name, and no name serves twice.
+ * Rented machines: what is waiting is packed into demand units, one machine is rented for each load
+ * that owned, active and booting machines don't cover, up to k; empty rented machines go back after
+ * a wait. A scale-out request's name is on record before the cloud is asked, so that a lost answer
+ * is asked for again under the same name, and no name serves twice.
  */
 #include "internal.h"
 
 struct ws_bin { /* machines alike that are booting, or that ought to be rented, equally full */
-	const struct ws_type *type;
-	int zi;
-	bool spot;
-	uint32_t n;
-	double cpus, gpus, mem; /* what each has left */
+	const struct ws_machine_type *type;
+	int zone_index;
+	bool preemptible;
+	uint32_t machine_count;
+	double cpus, gpus, mem_gb; /* what each has left */
 };
 
 struct ws_bins {
-	struct ws_bin *b;
-	int n, cap;
-	uint32_t same[WS_MAX_TYPES][WS_MAX_ZONES]; /* machines in them, by type and zone */
-	double least;				   /* CPUs of the smallest task that waits */
+	struct ws_bin *bins;
+	int count, capacity;
+	uint32_t machines_of_kind[WS_MAX_TYPES]
+				 [WS_MAX_ZONES]; /* machines in them, by type and zone */
+	double smallest_task_cpus;		 /* CPUs of the smallest task that waits */
 };
 
-static struct ws_bin *ws_bin_add(struct ws_bins *all, struct ws_bin b)
+static struct ws_bin *ws_bin_add(struct ws_bins *all, struct ws_bin bin)
 {
-	if (all->n == all->cap) {
-		all->cap = all->cap ? 2 * all->cap : 64;
-		all->b = realloc(all->b, (size_t)all->cap * sizeof(*all->b));
-		if (!all->b)
+	if (all->count == all->capacity) {
+		all->capacity = all->capacity ? 2 * all->capacity : 64;
+		all->bins = realloc(all->bins, (size_t)all->capacity * sizeof(*all->bins));
+		if (!all->bins)
 			abort();
 	}
-	all->b[all->n] = b;
-	return &all->b[all->n++];
+	all->bins[all->count] = bin;
+	return &all->bins[all->count++];
 }
 
 /* Machines that are whole: added to those of the same kind. */
-static void ws_bin_whole(struct ws_core *c, struct ws_bins *all, const struct ws_type *t,
-			 const char *zone, bool spot, uint32_t n)
+static void ws_bin_add_whole(struct ws_core *core, struct ws_bins *all,
+			     const struct ws_machine_type *type, const char *zone, bool spot,
+			     uint32_t count)
 {
-	int zi = ws_zone_id(c, zone);
+	int zi = ws_zone_index(core, zone);
 
 	if (zi >= 0)
-		all->same[t - c->types][zi] += n;
-	for (int i = 0; i < all->n; i++)
-		if (all->b[i].type == t && all->b[i].zi == zi && all->b[i].spot == spot) {
-			all->b[i].n += n;
+		all->machines_of_kind[type - core->types][zi] += count;
+	for (int i = 0; i < all->count; i++)
+		if (all->bins[i].type == type && all->bins[i].zone_index == zi &&
+		    all->bins[i].preemptible == spot) {
+			all->bins[i].machine_count += count;
 			return;
 		}
-	ws_bin_add(all, (struct ws_bin){t, zi, spot, n, t->cpus, t->gpus, t->mem});
+	ws_bin_add(all,
+		   (struct ws_bin){type, zi, spot, count, type->cpus, type->gpus, type->mem_gb});
 }
 
-bool ws_boot_late(const struct ws_core *c, const struct ws_machine *m)
+bool ws_boot_is_late(const struct ws_core *core, const struct ws_machine *machine)
 {
-	double boot = m->type ? m->type->boot_s : c->set->lease_s;
+	double boot = machine->type ? machine->type->boot_s : core->settings->lease_s;
 
-	return !m->reported && c->now - m->first_seen > boot * c->pol.boot_patience;
+	return !machine->reported &&
+	       core->now - machine->first_seen > boot * core->policy.boot_patience;
 }
 
-/* A machine in machine-loads: its size over that of a middling one. */
-static double ws_load_size(const struct ws_core *c, const struct ws_type *t)
+/* A machine in demand units: its size over that of a middling one. */
+static double ws_demand_units_of_machine(const struct ws_core *core,
+					 const struct ws_machine_type *type)
 {
-	double size = ws_mean_cpus(c);
+	double size = ws_mean_machine_cpus(core);
 
-	return t && size > 0 ? t->cpus / size : 1;
+	return type && size > 0 ? type->cpus / size : 1;
 }
 
-/* Rentals that count against k, in machine-loads; how many they are and boot is told as well. */
-static double ws_rentals_held(struct ws_core *c, int *held, int *booting)
+/* Rented machines that count against k, in demand units; how many they are and boot is told as
+ * well. */
+static double ws_rented_units(struct ws_core *core, int *held, int *booting)
 {
-	struct ws_machine *m, *mt;
-	struct ws_rental *r, *rt;
+	struct ws_machine *machine, *next_machine;
+	struct ws_scale_out *request, *next_request;
 	double loads = 0;
 
 	*held = *booting = 0;
-	HASH_ITER (hh, c->machines, m, mt) {
-		if (m->owned || m->gone || m->failed || m->returning || ws_boot_late(c, m))
+	HASH_ITER (hh, core->machines, machine, next_machine) {
+		if (machine->owned || machine->gone || machine->failed ||
+		    machine->scale_in_requested || ws_boot_is_late(core, machine))
 			continue;
-		loads += ws_load_size(c, m->type);
+		loads += ws_demand_units_of_machine(core, machine->type);
 		*held += 1;
-		*booting += !m->reported;
+		*booting += !machine->reported;
 	}
-	HASH_ITER (hh, c->rentals, r, rt)
-		if (r->state == WS_RENTAL_NEW || r->state == WS_RENTAL_RECORDED ||
-		    r->state == WS_RENTAL_ASKING) {
-			loads += r->count * ws_load_size(c, ws_type_find(c, r->type));
-			*held += (int)r->count;
-			*booting += (int)r->count;
+	HASH_ITER (hh, core->rentals, request, next_request)
+		if (request->state == WS_SCALE_OUT_NEW || request->state == WS_SCALE_OUT_RECORDED ||
+		    request->state == WS_SCALE_OUT_SENT) {
+			loads +=
+			    request->count * ws_demand_units_of_machine(
+						 core, ws_machine_type_find(core, request->type));
+			*held += (int)request->count;
+			*booting += (int)request->count;
 		}
 	return loads;
 }
 
 /* The cloud's answers about a kind of machine; NULL for a type or zone that is not known. */
-static struct ws_refusal *ws_refusal_of(struct ws_core *c, const char *type, const char *zone,
-					bool spot)
+static struct ws_capacity_error *ws_capacity_error_find(struct ws_core *core, const char *type,
+							const char *zone, bool spot)
 {
-	const struct ws_type *t = ws_type_find(c, type);
-	int zi = ws_zone_id(c, zone);
+	const struct ws_machine_type *other_type = ws_machine_type_find(core, type);
+	int zi = ws_zone_index(core, zone);
 
-	return t && zi >= 0 ? &c->refusals[t - c->types][zi][spot] : NULL;
+	return other_type && zi >= 0 ? &core->refusals[other_type - core->types][zi][spot] : NULL;
 }
 
-static void ws_refuse(struct ws_core *c, const struct ws_rental *r, bool refused)
+static void ws_capacity_error_record(struct ws_core *core, const struct ws_scale_out *request,
+				     bool refused)
 {
-	struct ws_refusal *f = ws_refusal_of(c, r->type, r->zone, r->spot);
+	struct ws_capacity_error *capacity_error =
+	    ws_capacity_error_find(core, request->type, request->zone, request->preemptible);
 
-	if (!f)
+	if (!capacity_error)
 		return;
-	f->times = refused ? f->times + 1 : 0;
-	f->back = 0;
+	capacity_error->count = refused ? capacity_error->count + 1 : 0;
+	capacity_error->returned_since = 0;
 	/* what the cloud lacks may come back: ask again, at growing intervals, since every request
 	 * spent on it is a second that a kind it does have comes later */
-	f->until = refused ? c->now + c->set->list_lag_s * (1 << (f->times < 4 ? f->times : 4)) : 0;
+	capacity_error->until =
+	    refused ? core->now + core->settings->list_lag_s *
+				      (1 << (capacity_error->count < 4 ? capacity_error->count : 4))
+		    : 0;
 }
 
 /*
  * One of this kind that was of use went back, so there is one to be had again; but in a large fleet
  * a request is not worth one machine. What the cloud took, or what died, it need not have again.
  */
-static void ws_refusal_lift(struct ws_core *c, const struct ws_machine *m)
+static void ws_capacity_error_lift(struct ws_core *core, const struct ws_machine *machine)
 {
-	struct ws_refusal *f = ws_refusal_of(c, m->type_name, m->zone, m->spot);
+	struct ws_capacity_error *capacity_error =
+	    ws_capacity_error_find(core, machine->type_name, machine->zone, machine->preemptible);
 
-	if (!f || m->noticed || m->failed || !ws_machine_hears(m) ||
-	    c->now - m->heard > 3 * c->set->report_s)
+	if (!capacity_error || machine->preemption_noticed || machine->failed ||
+	    !ws_machine_echoes_token(machine) ||
+	    core->now - machine->last_heard_at > 3 * core->settings->report_s)
 		return;
-	if (++f->back > (int)HASH_COUNT(c->machines) / (2 * WS_RENT_HOSTS))
-		memset(f, 0, sizeof(*f));
+	if (++capacity_error->returned_since >
+	    (int)HASH_COUNT(core->machines) / (2 * WS_SCALE_OUT_MAX))
+		memset(capacity_error, 0, sizeof(*capacity_error));
 }
 
-void ws_rentals_want(struct ws_core *c, struct ws_job *j, uint32_t tasks, uint32_t zones)
+void ws_autoscaler_add_demand(struct ws_core *core, struct ws_job *job, uint32_t tasks,
+			      uint32_t zones)
 {
-	if (!j->unmet_since)
-		j->unmet_since = c->now;
-	if (zones && !(zones &= ~c->subsystems.zones_closed))
+	if (!job->unmet_since)
+		job->unmet_since = core->now;
+	if (zones && !(zones &= ~core->subsystems.zones_closed))
 		return; /* it waits for zones in which nothing is rented now */
-	if (c->unmet_count == c->unmet_cap) {
-		c->unmet_cap = c->unmet_cap ? c->unmet_cap * 2 : 64;
-		c->unmet = realloc(c->unmet, c->unmet_cap * sizeof(*c->unmet));
-		if (!c->unmet)
+	if (core->unmet_count == core->unmet_cap) {
+		core->unmet_cap = core->unmet_cap ? core->unmet_cap * 2 : 64;
+		core->unmet = realloc(core->unmet, core->unmet_cap * sizeof(*core->unmet));
+		if (!core->unmet)
 			abort();
 	}
-	c->unmet[c->unmet_count++] = (struct ws_unmet_demand){j, tasks, zones};
+	core->unmet[core->unmet_count++] = (struct ws_unmet_demand){job, tasks, zones};
 }
 
 /* How many such tasks one of these machines still takes. */
-static uint32_t ws_bin_fit(const struct ws_core *c, const struct ws_bin *b,
-			   const struct ws_unmet_demand *l)
+static uint32_t ws_bin_fit(const struct ws_core *core, const struct ws_bin *bin,
+			   const struct ws_unmet_demand *demand)
 {
-	if (!b->n || b->cpus + 1e-9 < l->job->spec.cpus || (b->spot && !l->job->spec.spot) ||
-	    b->zi < 0 || !(l->zones >> b->zi & 1) || !(l->job->fits >> (b->type - c->types) & 1))
+	if (!bin->machine_count || bin->cpus + 1e-9 < demand->job->spec.cpus ||
+	    (bin->preemptible && !demand->job->spec.allows_preemptible) || bin->zone_index < 0 ||
+	    !(demand->zones >> bin->zone_index & 1) ||
+	    !(demand->job->eligible_types >> (bin->type - core->types) & 1))
 		return 0;
-	return ws_tasks_fit(&l->job->spec, b->cpus, b->gpus, b->mem, l->tasks);
+	return ws_tasks_fit(&demand->job->spec, bin->cpus, bin->gpus, bin->mem_gb, demand->tasks);
 }
 
 /* Puts tasks on machines of a bin; those touched go to bins of their own. Tasks taken. */
-static uint32_t ws_bin_take(const struct ws_core *c, struct ws_bins *all, int i,
-			    const struct ws_unmet_demand *l, uint32_t left)
+static uint32_t ws_bin_take(const struct ws_core *core, struct ws_bins *all, int index,
+			    const struct ws_unmet_demand *demand, uint32_t left)
 {
-	const struct ws_spec *s = &l->job->spec;
-	uint32_t fit = ws_bin_fit(c, &all->b[i], l), whole, taken = 0;
+	const struct ws_job_spec *spec = &demand->job->spec;
+	uint32_t fit = ws_bin_fit(core, &all->bins[index], demand), whole, taken = 0;
 
 	if (!fit)
 		return 0;
-	whole = left / fit < all->b[i].n ? left / fit : all->b[i].n;
+	whole = left / fit < all->bins[index].machine_count ? left / fit
+							    : all->bins[index].machine_count;
 	for (int last = 0; last < 2; last++) {
-		uint32_t n = last ? (all->b[i].n && left > taken ? 1 : 0) : whole;
+		uint32_t n =
+		    last ? (all->bins[index].machine_count && left > taken ? 1 : 0) : whole;
 		uint32_t each = last ? (left - taken < fit ? left - taken : fit) : fit;
 		struct ws_bin *x;
 
 		if (!n || !each)
 			continue;
-		if (all->b[i].n == n) {
-			x = &all->b[i];
+		if (all->bins[index].machine_count == n) {
+			x = &all->bins[index];
 		} else {
-			struct ws_bin b = all->b[i];
+			struct ws_bin b = all->bins[index];
 
-			b.n = n;
-			all->b[i].n -= n;
+			b.machine_count = n;
+			all->bins[index].machine_count -= n;
 			x = ws_bin_add(all, b);
 		}
-		x->cpus -= each * s->cpus;
-		x->gpus -= each * s->gpus;
-		x->mem -= each * s->mem;
+		x->cpus -= each * spec->cpus;
+		x->gpus -= each * spec->gpus;
+		x->mem_gb -= each * spec->mem_gb;
 		taken += n * each;
-		if (x == &all->b[i])
+		if (x == &all->bins[index])
 			break; /* all of them are used */
 	}
 	return taken;
 }
 
 /* The paper's W'q: the wait that users are promised within their guarantee. */
-double ws_bound(const struct ws_core *c)
+double ws_latency_bound(const struct ws_core *core)
 {
-	if (c->pol.latency_bound_s > 0)
-		return c->pol.latency_bound_s;
-	for (size_t i = 0; i < c->set->nobjectives; i++)
-		if (!strcmp(c->set->objectives[i].kind, "guarantee") &&
-		    c->set->objectives[i].within_s > 0)
-			return c->set->objectives[i].within_s;
-	return c->set->lease_s / 4;
+	if (core->policy.latency_bound_s > 0)
+		return core->policy.latency_bound_s;
+	for (size_t i = 0; i < core->settings->objective_count; i++)
+		if (!strcmp(core->settings->objectives[i].kind, "guarantee") &&
+		    core->settings->objectives[i].within_s > 0)
+			return core->settings->objectives[i].within_s;
+	return core->settings->lease_s / 4;
 }
 
 /* The kind of machine that costs least for what waits. */
-static bool ws_kind_for(struct ws_core *c, const struct ws_unmet_demand *l, uint32_t tasks,
-			const struct ws_bins *bins, struct ws_bin *kind)
+static bool ws_cheapest_kind(struct ws_core *core, const struct ws_unmet_demand *demand,
+			     uint32_t tasks, const struct ws_bins *bins, struct ws_bin *kind)
 {
-	const struct ws_spec *s = &l->job->spec;
+	const struct ws_job_spec *spec = &demand->job->spec;
 	double best = 0;
 	bool found = false;
-	/* work that may use spot machines waits for one as long as it may wait for any */
-	bool patient = s->spot && c->now - l->job->unmet_since < ws_bound(c);
+	/* work that may use preemptible machines waits for one as long as it may wait for any */
+	bool patient = spec->allows_preemptible &&
+		       core->now - demand->job->unmet_since < ws_latency_bound(core);
 
-	for (size_t i = 0; i < c->ntypes; i++) {
-		const struct ws_type *t = &c->types[i];
+	for (size_t i = 0; i < core->ntypes; i++) {
+		const struct ws_machine_type *type = &core->types[i];
 		double fit;
 
-		if (!(l->job->fits >> i & 1))
+		if (!(demand->job->eligible_types >> i & 1))
 			continue;
-		fit = fmax(1, ws_tasks_fit(s, t->cpus, t->gpus, t->mem, tasks));
-		for (size_t z = 0; z < t->nzones; z++)
-			for (int spot = patient; spot < (s->spot ? 2 : 1); spot++) {
-				double cost = (spot ? t->spot_price : t->price) / fit;
-				int zi = ws_zone_id(c, t->zones[z]);
-
-				if (zi < 0 || !(l->zones >> zi & 1) ||
-				    c->refusals[i][zi][spot].until > c->now)
+		fit = fmax(1, ws_tasks_fit(spec, type->cpus, type->gpus, type->mem_gb, tasks));
+		for (size_t z = 0; z < type->zone_count; z++)
+			for (int spot = patient; spot < (spec->allows_preemptible ? 2 : 1);
+			     spot++) {
+				double cost = (spot ? type->preemptible_price : type->price) / fit;
+				int zi = ws_zone_index(core, type->zones[z]);
+
+				if (zi < 0 || !(demand->zones >> zi & 1) ||
+				    core->refusals[i][zi][spot].until > core->now)
 					continue;
-				cost *= 1 + bins->same[i][zi] * 1e-4; /* even zones, among equals */
+				cost *= 1 + bins->machines_of_kind[i][zi] *
+						1e-4; /* even zones, among equals */
 				if (found && cost >= best)
 					continue;
 				found = true;
 				best = cost;
-				*kind = (struct ws_bin){t, zi, spot, 1, t->cpus, t->gpus, t->mem};
+				*kind = (struct ws_bin){type,	    zi,		spot,	     1,
+							type->cpus, type->gpus, type->mem_gb};
 			}
 	}
 	return found;
 }
 
 /* Whether machines for it can be asked for in a zone, as far as the cloud's answers tell. */
-bool ws_rentable(struct ws_core *c, const struct ws_job *j, int zi)
+bool ws_zone_can_scale_out(struct ws_core *core, const struct ws_job *job, int zone_index)
 {
-	if (c->subsystems.zones_closed >> zi & 1)
+	if (core->subsystems.zones_closed >> zone_index & 1)
 		return false;
-	for (size_t i = 0; i < c->ntypes; i++) {
-		const struct ws_type *t = &c->types[i];
+	for (size_t i = 0; i < core->ntypes; i++) {
+		const struct ws_machine_type *type = &core->types[i];
 
-		for (size_t z = 0; j->fits >> i & 1 && z < t->nzones; z++)
-			for (int spot = 0; spot < (j->spec.spot ? 2 : 1); spot++)
-				if (ws_zone_id(c, t->zones[z]) == zi &&
-				    c->refusals[i][zi][spot].until <= c->now)
+		for (size_t z = 0; job->eligible_types >> i & 1 && z < type->zone_count; z++)
+			for (int spot = 0; spot < (job->spec.allows_preemptible ? 2 : 1); spot++)
+				if (ws_zone_index(core, type->zones[z]) == zone_index &&
+				    core->refusals[i][zone_index][spot].until <= core->now)
 					return true;
 	}
 	return false;
@@ -257,97 +284,106 @@
  * Its room will be there in a moment: it boots, or is up and has yet to show that it hears us.
  * Without the latter each machine that came up would be rented once more.
  */
-static bool ws_comes_up(const struct ws_core *c, const struct ws_machine *m)
+static bool ws_machine_is_coming_up(const struct ws_core *core, const struct ws_machine *machine)
 {
-	if (!m->reported)
-		return !ws_boot_late(c, m);
-	return !m->attempt_count && !m->unreachable && !m->noticed && !ws_machine_hears(m) &&
-	       !ws_overdue(c, fmax(m->up_at, m->token_at));
+	if (!machine->reported)
+		return !ws_boot_is_late(core, machine);
+	return !machine->attempt_count && !machine->unreachable && !machine->preemption_noticed &&
+	       !ws_machine_echoes_token(machine) &&
+	       !ws_heartbeat_overdue(core, fmax(machine->up_at, machine->fencing_token_since));
 }
 
 /* Machines that are full, for any task that waits, need not be looked at again. */
-static void ws_bins_tidy(struct ws_bins *all)
+static void ws_bins_compact(struct ws_bins *all)
 {
 	int kept = 0;
 
-	for (int i = 0; i < all->n; i++)
-		if (all->b[i].n && all->b[i].cpus + 1e-9 >= all->least)
-			all->b[kept++] = all->b[i];
-	all->n = kept;
+	for (int i = 0; i < all->count; i++)
+		if (all->bins[i].machine_count &&
+		    all->bins[i].cpus + 1e-9 >= all->smallest_task_cpus)
+			all->bins[kept++] = all->bins[i];
+	all->count = kept;
 }
 
 /*
- * Whether returns go before the next rental. In a rush there is something to rent every second, and
- * spot machines are taken one by one all the time: those wait for company, at most a report period.
+ * Whether returns go before the next rented machine. In a rush there is something to rent every
+ * second, and preemptible machines are taken one by one all the time: those wait for company, at
+ * most a heartbeat interval.
  */
-static bool ws_returns_turn(const struct ws_core *c)
+static bool ws_scale_in_goes_first(const struct ws_core *core)
 {
-	return c->returns_wait >= WS_RENT_HOSTS ||
-	       (c->returns_wait && c->now - c->returns_since > c->set->report_s);
+	return core->returns_wait >= WS_SCALE_OUT_MAX ||
+	       (core->returns_wait && core->now - core->returns_since > core->settings->report_s);
 }
 
-/* Machines of one booking: no more than its record can name. */
-static uint32_t ws_rent_most(const struct ws_core *c)
+/* Machines of one scale-out request: no more than its record can name. */
+static uint32_t ws_scale_out_count_limit(const struct ws_core *core)
 {
-	size_t name = c->norder ? strlen(c->order[0]->name) + 4 : 16;
-	double n = (c->value_most - 256) / (double)(name + 3);
+	size_t name = core->norder ? strlen(core->order[0]->name) + 4 : 16;
+	double n = (core->value_most - 256) / (double)(name + 3);
 
-	return n > WS_RENT_HOSTS ? WS_RENT_HOSTS : n < 1 ? 1 : (uint32_t)n;
+	return n > WS_SCALE_OUT_MAX ? WS_SCALE_OUT_MAX : n < 1 ? 1 : (uint32_t)n;
 }
 
 /* What the plan of one pass goes by. */
-struct ws_rental_plan {
+struct ws_scale_out_plan {
 	struct ws_bins bins;
-	uint32_t wanted[WS_MAX_TYPES][WS_MAX_ZONES][2]; /* machines: ordinary, spot */
-	int limit;					/* rentals, in machine-loads */
-	double allowed;					/* beyond those held */
-	int held, booting;
-	int gang; /* loads that the largest waiting gang lacks */
+	uint32_t wanted[WS_MAX_TYPES][WS_MAX_ZONES][2]; /* machines: ordinary, preemptible */
+	int unit_limit;					/* rented machines, in demand units */
+	double units_allowed;				/* beyond those held */
+	int rented_count, booting_count;
+	int largest_gang_units; /* loads that the largest waiting gang lacks */
 };
 
 /* Machines whose room will be there in a moment: those that come up, and those booked. */
-static void ws_plan_coming(struct ws_core *c, struct ws_rental_plan *plan)
+static void ws_plan_booting(struct ws_core *core, struct ws_scale_out_plan *plan)
 {
-	struct ws_machine *m, *next_machine;
-	struct ws_rental *r, *next_rental;
+	struct ws_machine *machine, *next_machine;
+	struct ws_scale_out *request, *next_rental;
 
-	if (!c->unmet_count)
+	if (!core->unmet_count)
 		return;
-	HASH_ITER (hh, c->machines, m, next_machine)
-		if (!m->owned && !m->gone && !m->failed && !m->returning && m->type &&
-		    ws_comes_up(c, m))
-			ws_bin_whole(c, &plan->bins, m->type, m->zone, m->spot, 1);
-	HASH_ITER (hh, c->rentals, r, next_rental) {
-		const struct ws_type *t = ws_type_find(c, r->type);
-
-		if (r->state < WS_RENTAL_GOT && t)
-			ws_bin_whole(c, &plan->bins, t, r->zone, r->spot, r->count);
+	HASH_ITER (hh, core->machines, machine, next_machine)
+		if (!machine->owned && !machine->gone && !machine->failed &&
+		    !machine->scale_in_requested && machine->type &&
+		    ws_machine_is_coming_up(core, machine))
+			ws_bin_add_whole(core, &plan->bins, machine->type, machine->zone,
+					 machine->preemptible, 1);
+	HASH_ITER (hh, core->rentals, request, next_rental) {
+		const struct ws_machine_type *type = ws_machine_type_find(core, request->type);
+
+		if (request->state < WS_SCALE_OUT_GRANTED && type)
+			ws_bin_add_whole(core, &plan->bins, type, request->zone,
+					 request->preemptible, request->count);
 	}
 }
 
-/* How many rentals are allowed: k, or the ceiling while the wait as it is exceeds the bound. */
-static void ws_plan_limit(struct ws_core *c, struct ws_rental_plan *plan)
+/* How many rented machines are allowed: k, or the ceiling while the wait as it is exceeds the
+ * bound. */
+static void ws_plan_limit(struct ws_core *core, struct ws_scale_out_plan *plan)
 {
 	double waited = 0, tasks = 0;
 
-	for (size_t i = 0; i < c->unmet_count; i++) {
-		const struct ws_unmet_demand *l = &c->unmet[i];
-		double loads = ws_load_of(c, &l->job->spec) * l->tasks;
+	for (size_t i = 0; i < core->unmet_count; i++) {
+		const struct ws_unmet_demand *demand = &core->unmet[i];
+		double loads = ws_demand_units_of(core, &demand->job->spec) * demand->tasks;
 
-		waited += (c->now - l->job->unmet_since) * ws_load_of(c, &l->job->spec) * l->tasks;
+		waited += (core->now - demand->job->unmet_since) *
+			  ws_demand_units_of(core, &demand->job->spec) * demand->tasks;
 		tasks += loads;
-		if (!i || l->job->spec.cpus < plan->bins.least)
-			plan->bins.least = l->job->spec.cpus;
+		if (!i || demand->job->spec.cpus < plan->bins.smallest_task_cpus)
+			plan->bins.smallest_task_cpus = demand->job->spec.cpus;
 	}
-	plan->limit = c->k < 0 ? c->pol.rental_ceiling : c->k;
-	if (tasks > 0 && waited / tasks > ws_bound(c))
-		plan->limit = c->pol.rental_ceiling;
-	plan->allowed = plan->limit - ws_rentals_held(c, &plan->held, &plan->booting);
+	plan->unit_limit = core->k < 0 ? core->policy.rental_ceiling : core->k;
+	if (tasks > 0 && waited / tasks > ws_latency_bound(core))
+		plan->unit_limit = core->policy.rental_ceiling;
+	plan->units_allowed =
+	    plan->unit_limit - ws_rented_units(core, &plan->rented_count, &plan->booting_count);
 }
 
 /* Machines to be rented for what a job's tasks find no room in. */
-static void ws_plan_rent(struct ws_core *c, struct ws_rental_plan *plan,
-			 const struct ws_unmet_demand *l, uint32_t left)
+static void ws_plan_new_machines(struct ws_core *core, struct ws_scale_out_plan *plan,
+				 const struct ws_unmet_demand *demand, uint32_t left)
 {
 	struct ws_bins *bins = &plan->bins;
 
@@ -355,19 +391,22 @@
 		struct ws_bin kind = {0};
 		uint32_t fit;
 
-		if (!ws_kind_for(c, l, left, bins, &kind) || !(fit = ws_bin_fit(c, &kind, l)))
+		if (!ws_cheapest_kind(core, demand, left, bins, &kind) ||
+		    !(fit = ws_bin_fit(core, &kind, demand)))
 			break;
 		/* as many as hold the rest, but few enough for zones to stay even */
-		kind.n = (left + fit - 1) / fit / (uint32_t)kind.type->nzones;
-		if (kind.n > 8)
-			kind.n = 8;
-		if (!kind.n)
-			kind.n = 1;
-		plan->wanted[kind.type - c->types][kind.zi][kind.spot] += kind.n;
-		bins->same[kind.type - c->types][kind.zi] += kind.n;
-		c->loads += (int)kind.n;
+		kind.machine_count = (left + fit - 1) / fit / (uint32_t)kind.type->zone_count;
+		if (kind.machine_count > 8)
+			kind.machine_count = 8;
+		if (!kind.machine_count)
+			kind.machine_count = 1;
+		plan->wanted[kind.type - core->types][kind.zone_index][kind.preemptible] +=
+		    kind.machine_count;
+		bins->machines_of_kind[kind.type - core->types][kind.zone_index] +=
+		    kind.machine_count;
+		core->loads += (int)kind.machine_count;
 		ws_bin_add(bins, kind);
-		left -= ws_bin_take(c, bins, bins->n - 1, l, left);
+		left -= ws_bin_take(core, bins, bins->count - 1, demand, left);
 	}
 }
 
@@ -375,555 +414,602 @@
  * Packs what waits into what comes, and into machines to be rented. In a backlog of thousands of
  * loads those that come first decide: no more are packed than the next requests could ask for.
  */
-static void ws_plan_pack(struct ws_core *c, struct ws_rental_plan *plan)
+static void ws_plan_pack(struct ws_core *core, struct ws_scale_out_plan *plan)
 {
-	int enough = 2 * WS_RENT_HOSTS + (plan->allowed > 0 ? (int)plan->allowed : 0);
+	int enough =
+	    2 * WS_SCALE_OUT_MAX + (plan->units_allowed > 0 ? (int)plan->units_allowed : 0);
 
-	for (size_t i = 0; i < c->unmet_count; i++) {
-		const struct ws_unmet_demand *l = &c->unmet[i];
-		uint32_t left = l->tasks;
-		int before = c->loads;
+	for (size_t i = 0; i < core->unmet_count; i++) {
+		const struct ws_unmet_demand *demand = &core->unmet[i];
+		uint32_t left = demand->tasks;
+		int before = core->loads;
 
-		if (c->loads >= enough && !l->job->spec.gang)
+		if (core->loads >= enough && !demand->job->spec.gang)
 			continue;
-		ws_bins_tidy(&plan->bins);
-		c->steps += (uint64_t)plan->bins.n;
-		for (int b = 0; b < plan->bins.n && left; b++)
-			left -= ws_bin_take(c, &plan->bins, b, l, left);
-		ws_plan_rent(c, plan, l, left);
-		if (l->job->spec.gang && c->loads - before > plan->gang)
-			plan->gang = c->loads - before;
+		ws_bins_compact(&plan->bins);
+		core->steps += (uint64_t)plan->bins.count;
+		for (int b = 0; b < plan->bins.count && left; b++)
+			left -= ws_bin_take(core, &plan->bins, b, demand, left);
+		ws_plan_new_machines(core, plan, demand, left);
+		if (demand->job->spec.gang && core->loads - before > plan->largest_gang_units)
+			plan->largest_gang_units = core->loads - before;
 	}
-	c->unmet_count = 0;
-	if (plan->gang > plan->limit) { /* k is at least what the largest waiting gang lacks */
-		int most = c->pol.rental_ceiling;
-
-		plan->allowed += (plan->gang < most ? plan->gang : most) - plan->limit;
+	core->unmet_count = 0;
+	if (plan->largest_gang_units >
+	    plan->unit_limit) { /* k is at least what the largest waiting gang lacks */
+		int most = core->policy.rental_ceiling;
+
+		plan->units_allowed +=
+		    (plan->largest_gang_units < most ? plan->largest_gang_units : most) -
+		    plan->unit_limit;
 	}
 }
 
 /* The kind of machine that most are wanted of; false: none is. */
-static bool ws_plan_kind(const struct ws_core *c, const struct ws_rental_plan *plan,
+static bool ws_plan_kind(const struct ws_core *core, const struct ws_scale_out_plan *plan,
 			 struct ws_bin *kind)
 {
-	kind->n = 0;
-	for (size_t i = 0; i < c->ntypes; i++)
-		for (int z = 0; z < c->nzones; z++)
+	kind->machine_count = 0;
+	for (size_t i = 0; i < core->ntypes; i++)
+		for (int z = 0; z < core->nzones; z++)
 			for (int spot = 0; spot < 2; spot++)
-				if (plan->wanted[i][z][spot] > kind->n)
-					*kind = (struct ws_bin){.type = &c->types[i],
-								.zi = z,
-								.spot = spot,
-								.n = plan->wanted[i][z][spot]};
-	return kind->n > 0;
+				if (plan->wanted[i][z][spot] > kind->machine_count)
+					*kind = (struct ws_bin){.type = &core->types[i],
+								.zone_index = z,
+								.preemptible = spot,
+								.machine_count =
+								    plan->wanted[i][z][spot]};
+	return kind->machine_count > 0;
 }
 
 /* Books as many of one kind as the loads ask for, in one request. */
-static void ws_plan_book(struct ws_core *c, const struct ws_rental_plan *plan,
-			 const struct ws_bin *kind)
+static void ws_plan_request(struct ws_core *core, const struct ws_scale_out_plan *plan,
+			    const struct ws_bin *kind)
 {
-	double room = ceil(plan->allowed / ws_load_size(c, kind->type));
-	uint32_t count = kind->n;
-	struct ws_rental *x;
+	double room = ceil(plan->units_allowed / ws_demand_units_of_machine(core, kind->type));
+	uint32_t count = kind->machine_count;
+	struct ws_scale_out *request;
 
 	if (count > room)
 		count = (uint32_t)room;
-	if (count > ws_rent_most(c))
-		count = ws_rent_most(c);
-	x = calloc(1, sizeof(*x));
-	if (!x)
+	if (count > ws_scale_out_count_limit(core))
+		count = ws_scale_out_count_limit(core);
+	request = calloc(1, sizeof(*request));
+	if (!request)
 		abort();
-	snprintf(x->booking, sizeof(x->booking), "r-%llu-%llu",
-		 (unsigned long long)(c->epoch >> WS_EPOCH_SHIFT),
-		 (unsigned long long)++c->rental_seq);
-	snprintf(x->type, sizeof(x->type), "%s", kind->type->name);
-	snprintf(x->zone, sizeof(x->zone), "%s", c->zones[kind->zi]);
-	x->spot = kind->spot;
-	x->count = count;
-	x->made = c->now;
-	HASH_ADD_STR(c->rentals, booking, x);
-	ws_rental_dirty(c, x);
-	c->rent_inflight = c->rented_last = true;
-	c->cloud_next = c->now + 1;
-	ws_log(c, WS_LOG_INFO,
+	snprintf(request->idempotency_key, sizeof(request->idempotency_key), "r-%llu-%llu",
+		 (unsigned long long)(core->epoch >> WS_FENCING_TOKEN_SHIFT),
+		 (unsigned long long)++core->rental_seq);
+	snprintf(request->type, sizeof(request->type), "%s", kind->type->name);
+	snprintf(request->zone, sizeof(request->zone), "%s", core->zones[kind->zone_index]);
+	request->preemptible = kind->preemptible;
+	request->count = count;
+	request->created_at = core->now;
+	HASH_ADD_STR(core->rentals, idempotency_key, request);
+	ws_scale_out_mark_dirty(core, request);
+	core->rent_inflight = core->rented_last = true;
+	core->cloud_next = core->now + 1;
+	ws_log(core, WS_LOG_INFO,
 	       "rent %u x %s in %s%s (%s): %d loads wait, %d rentals held, %d booting, k %d", count,
-	       x->type, x->zone, x->spot ? ", spot" : "", x->booking, c->loads, plan->held,
-	       plan->booting, c->k);
+	       request->type, request->zone, request->preemptible ? ", spot" : "",
+	       request->idempotency_key, core->loads, plan->rented_count, plan->booting_count,
+	       core->k);
 }
 
 /* Called at the end of a placement pass with all that found no room. */
-void ws_rentals_plan(struct ws_core *c)
+void ws_autoscaler_plan(struct ws_core *core)
 {
-	struct ws_rental_plan plan = {0};
+	struct ws_scale_out_plan plan = {0};
 	struct ws_bin kind = {0};
 
-	c->loads = 0;
-	ws_plan_coming(c, &plan);
-	ws_plan_limit(c, &plan);
-	ws_plan_pack(c, &plan);
-	/* one request a second; machines that are well get a report period to make themselves known
-	 * to a new leader */
-	if (ws_plan_kind(c, &plan, &kind) && plan.allowed > 0 && !c->rent_inflight &&
-	    c->now >= c->cloud_next && !(c->rented_last && ws_returns_turn(c)) &&
-	    c->now - c->elected_at > c->set->report_s)
-		ws_plan_book(c, &plan, &kind);
-	free(plan.bins.b);
+	core->loads = 0;
+	ws_plan_booting(core, &plan);
+	ws_plan_limit(core, &plan);
+	ws_plan_pack(core, &plan);
+	/* one request a second; machines that are well get a heartbeat interval to make themselves
+	 * known to a new leader */
+	if (ws_plan_kind(core, &plan, &kind) && plan.units_allowed > 0 && !core->rent_inflight &&
+	    core->now >= core->cloud_next && !(core->rented_last && ws_scale_in_goes_first(core)) &&
+	    core->now - core->elected_at > core->settings->report_s)
+		ws_plan_request(core, &plan, &kind);
+	free(plan.bins.bins);
 }
 
-void ws_rental_dirty(struct ws_core *c, struct ws_rental *r)
+void ws_scale_out_mark_dirty(struct ws_core *core, struct ws_scale_out *request)
 {
-	if (r->dirty)
+	if (request->dirty)
 		return;
-	r->dirty = true;
-	c->flush_wanted = true;
-	DL_APPEND2(c->dirty_rentals, r, dprev, dnext);
+	request->dirty = true;
+	core->flush_wanted = true;
+	DL_APPEND2(core->dirty_rentals, request, dirty_prev, dirty_next);
 }
 
-void ws_rental_free(struct ws_core *c, struct ws_rental *r)
+void ws_scale_out_free(struct ws_core *core, struct ws_scale_out *request)
 {
-	if (r->dirty)
-		DL_DELETE2(c->dirty_rentals, r, dprev, dnext);
-	HASH_DEL(c->rentals, r);
-	free(r->hosts);
-	free(r);
+	if (request->dirty)
+		DL_DELETE2(core->dirty_rentals, request, dirty_prev, dirty_next);
+	HASH_DEL(core->rentals, request);
+	free(request->instances);
+	free(request);
 }
 
-static void ws_rent_done(struct ws_core *c, struct ws_call *call, const struct ws_result *res)
+static void ws_scale_out_answered(struct ws_core *core, struct ws_call *call,
+				  const struct ws_result *res)
 {
-	struct ws_rental *r;
+	struct ws_scale_out *request;
 
-	if (call->generation != c->generation)
+	if (call->generation != core->generation)
 		return;
-	c->rent_inflight = false;
-	HASH_FIND_STR(c->rentals, call->key, r);
-	if (!r)
+	core->rent_inflight = false;
+	HASH_FIND_STR(core->rentals, call->key, request);
+	if (!request)
 		return;
 	if (res->status == 200) {
-		free(r->hosts);
-		r->nhosts = 0;
-		r->hosts = calloc(res->nhosts + 1, sizeof(*r->hosts));
-		if (!r->hosts)
+		free(request->instances);
+		request->instance_count = 0;
+		request->instances = calloc(res->instance_count + 1, sizeof(*request->instances));
+		if (!request->instances)
 			abort();
-		for (size_t i = 0; i < res->nhosts && i < WS_RENT_HOSTS; i++) {
-			struct ws_machine *m = ws_machine_get(c, res->hosts[i].name);
+		for (size_t i = 0; i < res->instance_count && i < WS_SCALE_OUT_MAX; i++) {
+			struct ws_machine *machine =
+			    ws_machine_find_or_add(core, res->instances[i].name);
 
-			snprintf(r->hosts[r->nhosts++], WS_NAME_MAX, "%s", res->hosts[i].name);
-			if (m->reported)
+			snprintf(request->instances[request->instance_count++], WS_NAME_MAX, "%s",
+				 res->instances[i].name);
+			if (machine->reported)
 				continue;
-			ws_machine_place(c, m, r->type, r->zone, r->spot);
+			ws_machine_set_kind(core, machine, request->type, request->zone,
+					    request->preemptible);
 		}
-		ws_log(c, WS_LOG_INFO, "booking %s: %u of %u machines", r->booking, r->nhosts,
-		       r->count);
-		ws_refuse(c, r, r->nhosts < r->count);
-		r->state = r->nhosts ? WS_RENTAL_GOT : WS_RENTAL_DROP;
-		ws_rental_dirty(c, r);
+		ws_log(core, WS_LOG_INFO, "booking %s: %u of %u machines", request->idempotency_key,
+		       request->instance_count, request->count);
+		ws_capacity_error_record(core, request, request->instance_count < request->count);
+		request->state =
+		    request->instance_count ? WS_SCALE_OUT_GRANTED : WS_SCALE_OUT_DISCARDED;
+		ws_scale_out_mark_dirty(core, request);
 	} else if (res->status == 503 && res->no_capacity) {
-		/* "no capacity": a plain no; the booking is done with */
-		ws_log(c, WS_LOG_INFO, "booking %s: no capacity for %s in %s%s", r->booking,
-		       r->type, r->zone, r->spot ? ", spot" : "");
-		ws_refuse(c, r, true);
-		r->state = WS_RENTAL_DROP;
-		ws_rental_dirty(c, r);
+		/* "no capacity": a plain no; the scale-out request is done with */
+		ws_log(core, WS_LOG_INFO, "booking %s: no capacity for %s in %s%s",
+		       request->idempotency_key, request->type, request->zone,
+		       request->preemptible ? ", spot" : "");
+		ws_capacity_error_record(core, request, true);
+		request->state = WS_SCALE_OUT_DISCARDED;
+		ws_scale_out_mark_dirty(core, request);
 	} else if (res->status == 400) {
-		ws_log(c, WS_LOG_ERROR, "booking %s: the cloud calls it malformed", r->booking);
-		ws_refuse(c, r, true);
-		r->state = WS_RENTAL_DROP;
-		ws_rental_dirty(c, r);
+		ws_log(core, WS_LOG_ERROR, "booking %s: the cloud calls it malformed",
+		       request->idempotency_key);
+		ws_capacity_error_record(core, request, true);
+		request->state = WS_SCALE_OUT_DISCARDED;
+		ws_scale_out_mark_dirty(core, request);
 	} else { /* outage, too fast, or no answer: ask again under the same name */
-		r->state = WS_RENTAL_RECORDED;
-		r->next_try = c->now + 1 + c->set->list_lag_s / 4;
+		request->state = WS_SCALE_OUT_RECORDED;
+		request->next_attempt_at = core->now + 1 + core->settings->list_lag_s / 4;
 	}
-	c->place_wanted = true;
+	core->place_wanted = true;
 }
 
-void ws_rental_written(struct ws_core *c, struct ws_rental *r, bool deleted)
+void ws_scale_out_written(struct ws_core *core, struct ws_scale_out *request, bool deleted)
 {
 	if (deleted) {
-		ws_rental_free(c, r);
+		ws_scale_out_free(core, request);
 		return;
 	}
-	if (r->state == WS_RENTAL_NEW) {
-		r->state = WS_RENTAL_RECORDED;
-		r->next_try = c->now;
+	if (request->state == WS_SCALE_OUT_NEW) {
+		request->state = WS_SCALE_OUT_RECORDED;
+		request->next_attempt_at = core->now;
 	}
 }
 
-static void ws_return_done(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_scale_in_answered(struct ws_core *core, struct ws_call *call,
+				 const struct ws_result *result)
 {
-	if (call->generation != c->generation)
+	if (call->generation != core->generation)
 		return;
-	for (size_t i = 0; i < call->nnames; i++) {
-		struct ws_machine *m = ws_machine_find(c, call->names[i]);
+	for (size_t i = 0; i < call->machine_count; i++) {
+		struct ws_machine *machine = ws_machine_find(core, call->machine_names[i]);
 
-		if (!m)
+		if (!machine)
 			continue;
-		m->return_inflight = false;
-		m->return_next = c->now + 1 + c->set->list_lag_s / 4;
-		if (r->status == 200) {
-			ws_refusal_lift(c, m);
-			ws_machine_gone(c, m, "returned");
+		machine->scale_in_in_flight = false;
+		machine->next_scale_in_at = core->now + 1 + core->settings->list_lag_s / 4;
+		if (result->status == 200) {
+			ws_capacity_error_lift(core, machine);
+			ws_machine_mark_gone(core, machine, "returned");
 		}
 	}
 }
 
 /* On record before this leader's election, so that lists as old as twice the lag should name it. */
-static bool ws_listed_by_now(const struct ws_core *c, const struct ws_machine *m)
+static bool ws_should_be_listed(const struct ws_core *core, const struct ws_machine *machine)
 {
-	return m->on_record && c->now - c->elected_at > 2 * c->set->list_lag_s;
+	return machine->recorded && core->now - core->elected_at > 2 * core->settings->list_lag_s;
 }
 
-static void ws_hosts_done(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_instances_answered(struct ws_core *core, struct ws_call *call,
+				  const struct ws_result *result)
 {
-	struct ws_machine *m, *mt;
+	struct ws_machine *machine, *next_machine;
 
-	if (call->generation != c->generation)
+	if (call->generation != core->generation)
 		return;
-	c->hosts_inflight = false;
-	c->hosts_next = c->now + c->set->list_lag_s;
-	if (r->status != 200) {
-		c->hosts_after[0] = 0;
+	core->hosts_inflight = false;
+	core->hosts_next = core->now + core->settings->list_lag_s;
+	if (result->status != 200) {
+		core->hosts_after[0] = 0;
 		return;
 	}
 	/*
 	 * The first list ever read, to its last page, names the machines that were here before any
-	 * rental. A list that names none is believed only when the cloud's lag can't be why.
+	 * rented machine. A list that names none is believed only when the cloud's lag can't be
+	 * why.
 	 */
-	if (!c->owned_known && !c->owned_seen) {
-		if (r->nhosts)
-			snprintf(c->owned_upto, sizeof(c->owned_upto), "%s",
-				 r->hosts[r->nhosts - 1].name);
-		if (!r->more &&
-		    (c->owned_upto[0] || c->now - c->elected_at > 2 * c->set->list_lag_s)) {
-			c->owned_seen = true;
-			c->order_stale = true;
-			HASH_ITER (hh, c->machines, m, mt)
-				m->owned = strcmp(m->name, c->owned_upto) <= 0;
+	if (!core->owned_known && !core->owned_seen) {
+		if (result->instance_count)
+			snprintf(core->owned_upto, sizeof(core->owned_upto), "%s",
+				 result->instances[result->instance_count - 1].name);
+		if (!result->has_more &&
+		    (core->owned_upto[0] ||
+		     core->now - core->elected_at > 2 * core->settings->list_lag_s)) {
+			core->owned_seen = true;
+			core->order_stale = true;
+			HASH_ITER (hh, core->machines, machine, next_machine)
+				machine->owned = strcmp(machine->name, core->owned_upto) <= 0;
 		}
 	}
-	for (size_t i = 0; i < r->nhosts; i++) {
-		ws_machine_host(c, &r->hosts[i]);
-		if ((m = ws_machine_find(c, r->hosts[i].name)))
-			m->list_pass = c->list_pass;
+	for (size_t i = 0; i < result->instance_count; i++) {
+		ws_machine_apply_instance(core, &result->instances[i]);
+		if ((machine = ws_machine_find(core, result->instances[i].name)))
+			machine->instance_list_mark = core->list_pass;
 	}
-	if (r->more && r->nhosts) {
-		snprintf(c->hosts_after, sizeof(c->hosts_after), "%s",
-			 r->hosts[r->nhosts - 1].name);
-		c->hosts_next = c->now;
+	if (result->has_more && result->instance_count) {
+		snprintf(core->hosts_after, sizeof(core->hosts_after), "%s",
+			 result->instances[result->instance_count - 1].name);
+		core->hosts_next = core->now;
 		return;
 	}
-	c->hosts_after[0] = 0;
-	HASH_ITER (hh, c->machines, m, mt)
-		if (!m->owned && (m->listed || ws_listed_by_now(c, m)) &&
-		    m->list_pass != c->list_pass && !m->returning &&
-		    c->now - m->heard > 2 * c->set->report_s &&
-		    c->now - c->elected_at > 2 * c->set->report_s && c->owned_known) {
+	core->hosts_after[0] = 0;
+	HASH_ITER (hh, core->machines, machine, next_machine)
+		if (!machine->owned &&
+		    (machine->in_instance_list || ws_should_be_listed(core, machine)) &&
+		    machine->instance_list_mark != core->list_pass &&
+		    !machine->scale_in_requested &&
+		    core->now - machine->last_heard_at > 2 * core->settings->report_s &&
+		    core->now - core->elected_at > 2 * core->settings->report_s &&
+		    core->owned_known) {
 			/* listed once, listed no more, and silent: have the cloud confirm that it
 			 * is gone */
-			ws_log(c, WS_LOG_INFO, "machine %s is no longer listed", m->name);
-			m->returning = true;
+			ws_log(core, WS_LOG_INFO, "machine %s is no longer listed", machine->name);
+			machine->scale_in_requested = true;
 		}
 }
 
-static void ws_release_machine(struct ws_core *c, struct ws_machine *m, const char *why)
+static void ws_machine_request_scale_in(struct ws_core *core, struct ws_machine *machine,
+					const char *reason)
 {
-	ws_log(c, WS_LOG_INFO, "return machine %s: %s", m->name, why);
-	m->returning = true;
-	c->place_wanted = true;
+	ws_log(core, WS_LOG_INFO, "return machine %s: %s", machine->name, reason);
+	machine->scale_in_requested = true;
+	core->place_wanted = true;
 }
 
-static bool ws_return_due(const struct ws_core *c, const struct ws_machine *m)
+static bool ws_scale_in_is_due(const struct ws_core *core, const struct ws_machine *machine)
 {
-	return m->returning && !m->gone && !m->return_inflight && !m->owned &&
-	       c->now >= m->return_next;
+	return machine->scale_in_requested && !machine->gone && !machine->scale_in_in_flight &&
+	       !machine->owned && core->now >= machine->next_scale_in_at;
 }
 
 /*
- * It was up once: heard by us, by the leader that wrote down its tenure, or by the cloud's word. A
- * rental known from its booking alone may well be booting still.
+ * It was up once: heard by us, by the leader that wrote down its incarnation, or by the cloud's
+ * word. A rented machine known from its scale-out request alone may well be booting still.
  */
-static bool ws_was_up(const struct ws_machine *m)
+static bool ws_was_up(const struct ws_machine *machine)
 {
-	return m->reported || m->tenure || m->listed_up > 0;
+	return machine->reported || machine->incarnation || machine->listed_running_at > 0;
 }
 
 /* Whether most machines that are up are heard and hear us: else a cut of our own looks like theirs.
  */
-static bool ws_most_heard(struct ws_core *c, size_t *up)
+static bool ws_most_heard(struct ws_core *core, size_t *up_count)
 {
-	struct ws_machine *m, *next;
+	struct ws_machine *machine, *next;
 	size_t heard = 0;
 
-	*up = 0;
-	HASH_ITER (hh, c->machines, m, next) {
-		if (!m->reported || m->gone || m->failed)
+	*up_count = 0;
+	HASH_ITER (hh, core->machines, machine, next) {
+		if (!machine->reported || machine->gone || machine->failed)
 			continue;
-		(*up)++;
-		/* within a report period, or a cut of our own would look like theirs for as long as
-		 * it takes to return them all */
-		heard += !ws_overdue(c, m->heard) && ws_machine_hears(m);
+		(*up_count)++;
+		/* within a heartbeat interval, or a cut of our own would look like theirs for as
+		 * long as it takes to return them all */
+		heard += !ws_heartbeat_overdue(core, machine->last_heard_at) &&
+			 ws_machine_echoes_token(machine);
 	}
-	return heard * 2 >= *up;
+	return heard * 2 >= *up_count;
 }
 
-static bool ws_empty_for_long(const struct ws_core *c, const struct ws_machine *m)
+static bool ws_empty_for_long(const struct ws_core *core, const struct ws_machine *machine)
 {
-	const double wait = c->pol.empty_wait_s;
+	const double wait = core->policy.empty_wait_s;
 
-	return m->reported && !m->attempt_count && !m->noticed && c->now >= m->held_until &&
-	       c->now - m->empty_since > wait && c->now - m->up_at > wait &&
+	return machine->reported && !machine->attempt_count && !machine->preemption_noticed &&
+	       core->now >= machine->reserved_until && core->now - machine->empty_since > wait &&
+	       core->now - machine->up_at > wait &&
 	       /* what waits had its time to be placed on it */
-	       (!c->loads || c->now - m->empty_since > 2 * wait);
+	       (!core->loads || core->now - machine->empty_since > 2 * wait);
 }
 
-/* Why a rental is silent for good; NULL: it is not, or most others are as well. */
-static const char *ws_silent_reason(const struct ws_core *c, const struct ws_machine *m, size_t up)
+/* Why a rented machine is silent for good; NULL: it is not, or most others are as well. */
+static const char *ws_silent_reason(const struct ws_core *core, const struct ws_machine *machine,
+				    size_t up_count)
 {
-	const double base = fmax(m->heard, fmax(c->elected_at, c->woke_at));
-	const double silent_s = c->set->lease_s * c->pol.silent_ratio;
+	const double base = fmax(machine->last_heard_at, fmax(core->elected_at, core->woke_at));
+	const double silent_s = core->settings->lease_s * core->policy.silent_ratio;
 
-	if (m->noticed && c->now > m->notice_until && c->now - m->heard > 1.5 * c->set->report_s)
+	if (machine->preemption_noticed && core->now > machine->preempted_at &&
+	    core->now - machine->last_heard_at > 1.5 * core->settings->report_s)
 		return "taken after its notice"; /* to have it confirmed */
-	if (m->unreachable && m->reported && ws_overdue(c, base))
+	if (machine->unreachable && machine->reported && ws_heartbeat_overdue(core, base))
 		return "silent, and no answer to a call";
-	if (ws_was_up(m) && silent_s < c->now - fmax(base, m->listed_up) && up)
+	if (ws_was_up(machine) && silent_s < core->now - fmax(base, machine->listed_running_at) &&
+	    up_count)
 		return "silent";
-	if (m->reported && !ws_machine_hears(m) && up &&
-	    c->now - fmax(fmax(m->token_at, m->up_at), c->elected_at) > silent_s + c->set->report_s)
+	if (machine->reported && !ws_machine_echoes_token(machine) && up_count &&
+	    core->now - fmax(fmax(machine->fencing_token_since, machine->up_at), core->elected_at) >
+		silent_s + core->settings->report_s)
 		return "no answer reaches it";
 	return NULL;
 }
 
-/* Why a rental should go back now; NULL: it should not. */
-static const char *ws_return_reason(const struct ws_core *c, const struct ws_machine *m,
-				    bool most_heard, size_t up)
+/* Why a rented machine should go back now; NULL: it should not. */
+static const char *ws_scale_in_reason(const struct ws_core *core, const struct ws_machine *machine,
+				      bool most_heard, size_t up_count)
 {
-	const char *silent = most_heard ? ws_silent_reason(c, m, up) : NULL;
+	const char *silent = most_heard ? ws_silent_reason(core, machine, up_count) : NULL;
 
-	if (silent && ws_subsystems_hold(c, WS_ORDER_RETURN_SILENT, m->zi))
+	if (silent && ws_subsystems_defer(core, WS_DEFER_SCALE_IN_SILENT, machine->zone_index))
 		silent = NULL;
-	if (m->failed)
+	if (machine->failed)
 		return "failed";
-	if (ws_boot_late(c, m) && c->now - c->elected_at > c->set->lease_s)
+	if (ws_boot_is_late(core, machine) &&
+	    core->now - core->elected_at > core->settings->lease_s)
 		return "did not come up";
 	if (silent)
 		return silent;
-	if (ws_empty_for_long(c, m) && !ws_subsystems_hold(c, WS_ORDER_RETURN_EMPTY, m->zi))
+	if (ws_empty_for_long(core, machine) &&
+	    !ws_subsystems_defer(core, WS_DEFER_SCALE_IN_EMPTY, machine->zone_index))
 		return "empty";
-	if (m->consecutive_failures >= 3 && !m->attempt_count)
+	if (machine->consecutive_failures >= 3 && !machine->attempt_count)
 		return "fails its tasks";
 	return NULL;
 }
 
 /* Asks the cloud to take back what is due, as many as one call takes. */
-static void ws_returns_call(struct ws_core *c)
+static void ws_scale_in_send(struct ws_core *core)
 {
-	struct ws_machine *m, *next;
+	struct ws_machine *machine, *next;
 	struct ws_call *call = NULL;
 
-	HASH_ITER (hh, c->machines, m, next) {
-		if (!ws_return_due(c, m))
+	HASH_ITER (hh, core->machines, machine, next) {
+		if (!ws_scale_in_is_due(core, machine))
 			continue;
 		if (!call) {
-			call = ws_call(c, WS_CALL_RETURN, ws_return_done);
-			call->names = calloc(WS_RETURN_HOSTS, sizeof(*call->names));
-			if (!call->names)
+			call = ws_call_new(core, WS_CALL_SCALE_IN, ws_scale_in_answered);
+			call->machine_names = calloc(WS_SCALE_IN_MAX, sizeof(*call->machine_names));
+			if (!call->machine_names)
 				abort();
-			c->cloud_next = c->now + 1;
-			c->rented_last = false;
-			c->returns_since = c->now;
+			core->cloud_next = core->now + 1;
+			core->rented_last = false;
+			core->returns_since = core->now;
 		}
-		snprintf(call->names[call->nnames++], WS_NAME_MAX, "%s", m->name);
-		m->return_inflight = true;
-		c->returns_wait--;
-		if (call->nnames == WS_RETURN_HOSTS)
+		snprintf(call->machine_names[call->machine_count++], WS_NAME_MAX, "%s",
+			 machine->name);
+		machine->scale_in_in_flight = true;
+		core->returns_wait--;
+		if (call->machine_count == WS_SCALE_IN_MAX)
 			break;
 	}
 }
 
-static void ws_returns(struct ws_core *c)
+static void ws_scale_in_check(struct ws_core *core)
 {
-	struct ws_machine *m, *next;
+	struct ws_machine *machine, *next;
 	size_t up;
-	bool most_heard = ws_most_heard(c, &up);
+	bool most_heard = ws_most_heard(core, &up);
 
-	HASH_ITER (hh, c->machines, m, next) {
-		const char *why;
+	HASH_ITER (hh, core->machines, machine, next) {
+		const char *reason;
 
-		if (m->owned || m->gone || m->returning)
+		if (machine->owned || machine->gone || machine->scale_in_requested)
 			continue;
-		why = ws_return_reason(c, m, most_heard, up);
-		if (why)
-			ws_release_machine(c, m, why);
+		reason = ws_scale_in_reason(core, machine, most_heard, up);
+		if (reason)
+			ws_machine_request_scale_in(core, machine, reason);
 	}
-	c->returns_wait = 0;
-	HASH_ITER (hh, c->machines, m, next)
-		c->returns_wait += ws_return_due(c, m);
-	if (!c->returns_wait)
-		c->returns_since = c->now;
-	if (c->now >= c->cloud_next)
-		ws_returns_call(c);
+	core->returns_wait = 0;
+	HASH_ITER (hh, core->machines, machine, next)
+		core->returns_wait += ws_scale_in_is_due(core, machine);
+	if (!core->returns_wait)
+		core->returns_since = core->now;
+	if (core->now >= core->cloud_next)
+		ws_scale_in_send(core);
 }
 
 /*
  * Enough machines of the middling type to honour every guarantee at once, and a quarter more for
  * what is borrowed in rushes.
  */
-static int ws_derived_ceiling(const struct ws_core *c)
+static int ws_derived_ceiling(const struct ws_core *core)
 {
-	double cpus = 0, size = ws_mean_cpus(c);
+	double cpus = 0, size = ws_mean_machine_cpus(core);
 
-	for (size_t i = 0; i < c->set->nteams; i++)
-		cpus += c->set->teams[i].cpus;
+	for (size_t i = 0; i < core->settings->team_count; i++)
+		cpus += core->settings->teams[i].cpus;
 	return size > 0 ? (int)ceil(1.25 * cpus / size) : 1;
 }
 
-/* Asks the cloud for a booking that is on record. */
-static void ws_rental_ask(struct ws_core *c, struct ws_rental *r)
+/* Asks the cloud for a scale-out request that is on record. */
+static void ws_scale_out_send(struct ws_core *core, struct ws_scale_out *request)
 {
-	struct ws_call *call = ws_call(c, WS_CALL_RENT, ws_rent_done);
+	struct ws_call *call = ws_call_new(core, WS_CALL_SCALE_OUT, ws_scale_out_answered);
 
-	snprintf(call->key, sizeof(call->key), "%s", r->booking);
-	snprintf(call->type, sizeof(call->type), "%s", r->type);
-	snprintf(call->zone, sizeof(call->zone), "%s", r->zone);
-	call->spot = r->spot;
-	call->count = r->count;
-	r->state = WS_RENTAL_ASKING;
-	c->rent_inflight = true;
-	c->cloud_next = c->now + 1;
+	snprintf(call->key, sizeof(call->key), "%s", request->idempotency_key);
+	snprintf(call->type, sizeof(call->type), "%s", request->type);
+	snprintf(call->zone, sizeof(call->zone), "%s", request->zone);
+	call->preemptible = request->preemptible;
+	call->count = request->count;
+	request->state = WS_SCALE_OUT_SENT;
+	core->rent_inflight = true;
+	core->cloud_next = core->now + 1;
 }
 
-/* Takes machines that are gone off a booking's record. */
-static void ws_rental_tidy(struct ws_core *c, struct ws_rental *r)
+/* Takes machines that are gone off a scale-out request's record. */
+static void ws_scale_out_drop_gone(struct ws_core *core, struct ws_scale_out *request)
 {
 	uint32_t left = 0;
 
-	for (uint32_t i = 0; i < r->nhosts; i++) {
-		const struct ws_machine *m = ws_machine_find(c, r->hosts[i]);
+	for (uint32_t i = 0; i < request->instance_count; i++) {
+		const struct ws_machine *machine = ws_machine_find(core, request->instances[i]);
 
-		if (m && !m->gone)
-			memmove(r->hosts[left++], r->hosts[i], WS_NAME_MAX);
+		if (machine && !machine->gone)
+			memmove(request->instances[left++], request->instances[i], WS_NAME_MAX);
 	}
-	if (left == r->nhosts)
+	if (left == request->instance_count)
 		return;
-	r->nhosts = left;
+	request->instance_count = left;
 	if (!left)
-		r->state = WS_RENTAL_DROP;
-	ws_rental_dirty(c, r);
+		request->state = WS_SCALE_OUT_DISCARDED;
+	ws_scale_out_mark_dirty(core, request);
 }
 
-/* Whether records of rentals are to be brought up to date: no newer than lists of machines are, if
- * changes are short. */
-static bool ws_rentals_tidy_due(struct ws_core *c)
+/* Whether records of rented machines are to be brought up to date: no newer than lists of machines
+ * are, if changes are short. */
+static bool ws_scale_out_update_due(struct ws_core *core)
 {
-	bool spare = c->flush_tokens > c->flush_rate / 4;
+	bool spare = core->flush_tokens > core->flush_rate / 4;
 
-	if (!c->rentals_stale || c->now < c->tidy_next)
+	if (!core->rentals_stale || core->now < core->tidy_next)
 		return false;
-	c->rentals_stale = false;
-	c->tidy_next =
-	    c->now + (spare ? fmin(c->set->lease_s / 32, c->set->list_lag_s) : c->set->list_lag_s);
+	core->rentals_stale = false;
+	core->tidy_next =
+	    core->now + (spare ? fmin(core->settings->lease_s / 32, core->settings->list_lag_s)
+			       : core->settings->list_lag_s);
 	return true;
 }
 
-static void ws_rentals_look(struct ws_core *c, bool tidy)
+static void ws_scale_out_requests_check(struct ws_core *core, bool tidy)
 {
-	struct ws_rental *r, *next;
+	struct ws_scale_out *request, *next;
 
-	HASH_ITER (hh, c->rentals, r, next) {
-		if (r->state == WS_RENTAL_RECORDED && !r->dirty && !r->writing &&
-		    c->now >= r->next_try && c->now >= c->cloud_next - 1) {
-			ws_rental_ask(c, r);
+	HASH_ITER (hh, core->rentals, request, next) {
+		if (request->state == WS_SCALE_OUT_RECORDED && !request->dirty &&
+		    !request->write_in_flight && core->now >= request->next_attempt_at &&
+		    core->now >= core->cloud_next - 1) {
+			ws_scale_out_send(core, request);
 			break;
 		}
-		if (r->state == WS_RENTAL_GOT && tidy && !r->dirty && !r->writing)
-			ws_rental_tidy(c, r);
+		if (request->state == WS_SCALE_OUT_GRANTED && tidy && !request->dirty &&
+		    !request->write_in_flight)
+			ws_scale_out_drop_gone(core, request);
 	}
 }
 
-/* Rentals and returns go before lists, as long as these don't get too old. */
-static void ws_hosts_ask(struct ws_core *c)
+/* Rented machines and returns go before lists, as long as these don't get too old. */
+static void ws_instances_request(struct ws_core *core)
 {
 	struct ws_call *call;
 
-	if (c->hosts_inflight || c->now < c->hosts_next || c->now < c->cloud_next ||
-	    (c->loads && c->now < c->hosts_next + c->set->list_lag_s && c->owned_known))
+	if (core->hosts_inflight || core->now < core->hosts_next || core->now < core->cloud_next ||
+	    (core->loads && core->now < core->hosts_next + core->settings->list_lag_s &&
+	     core->owned_known))
 		return;
-	call = ws_call(c, WS_CALL_HOSTS, ws_hosts_done);
-	snprintf(call->after, sizeof(call->after), "%s", c->hosts_after);
-	if (!c->hosts_after[0])
-		c->list_pass++;
-	c->hosts_inflight = true;
-	c->cloud_next = c->now + 1;
+	call = ws_call_new(core, WS_CALL_INSTANCES, ws_instances_answered);
+	snprintf(call->after, sizeof(call->after), "%s", core->hosts_after);
+	if (!core->hosts_after[0])
+		core->list_pass++;
+	core->hosts_inflight = true;
+	core->cloud_next = core->now + 1;
 }
 
-void ws_rentals_tick(struct ws_core *c)
+void ws_autoscaler_tick(struct ws_core *core)
 {
 	bool tidy;
 
-	if (c->pol.rental_ceiling < 0 && c->ntypes)
-		c->pol.rental_ceiling = ws_derived_ceiling(c);
-	if (!ws_entitled(c) || c->in_outage || c->now < c->rent_next)
+	if (core->policy.rental_ceiling < 0 && core->ntypes)
+		core->policy.rental_ceiling = ws_derived_ceiling(core);
+	if (!ws_is_entitled(core) || core->in_outage || core->now < core->rent_next)
 		return;
-	c->rent_next = c->now + ws_sweep_every(c);
-	tidy = ws_rentals_tidy_due(c);
-	if (c->owned_known) { /* else rentals could not be told from what was here before */
-		ws_rentals_look(c, tidy);
-		ws_returns(c);
+	core->rent_next = core->now + ws_sweep_interval(core);
+	tidy = ws_scale_out_update_due(core);
+	if (core->owned_known) { /* else rented machines could not be told from what was here before
+				  */
+		ws_scale_out_requests_check(core, tidy);
+		ws_scale_in_check(core);
 	}
-	ws_hosts_ask(c);
+	ws_instances_request(core);
 }
 
 /* ---- measurements for Algorithm 1 ---- */
 
-bool ws_core_measure(struct ws_core *c, double now, struct ws_measure *m)
+bool ws_core_take_measurement(struct ws_core *core, double now,
+			      struct ws_queue_measurement *measurement)
 {
-	struct ws_machine *x, *xt;
-	double span, services = 0, size = ws_mean_cpus(c), boot = 0;
+	struct ws_machine *machine, *next_machine;
+	double span, services = 0, size = ws_mean_machine_cpus(core), boot = 0;
 	double owned = 0;
 
-	if (c->role != WS_LEADER || c->pol.rental_ceiling < 0 || now < c->size_next || !c->ntypes)
+	if (core->role != WS_LEADER || core->policy.rental_ceiling < 0 || now < core->size_next ||
+	    !core->ntypes)
 		return false;
-	if (!c->measured_at) {
-		c->measured_at = now;
-		c->size_next = now + c->pol.sizing_period_s;
+	if (!core->measured_at) {
+		core->measured_at = now;
+		core->size_next = now + core->policy.sizing_period_s;
 		return false;
 	}
-	span = now - c->measured_at;
-	for (size_t i = 0; i < c->ntypes; i++)
-		boot += c->types[i].boot_s / (double)c->ntypes;
-	HASH_ITER (hh, c->machines, x, xt) {
-		if (x->owned && ws_machine_hears(x) && c->now - x->heard < 3 * c->set->report_s)
-			owned += ws_load_size(c, x->type);
-		for (struct ws_attempt *s = x->attempts; s; s = s->next)
-			if (s->job && s->job->spec.service)
-				services += s->job->spec.cpus / size;
+	span = now - core->measured_at;
+	for (size_t i = 0; i < core->ntypes; i++)
+		boot += core->types[i].boot_s / (double)core->ntypes;
+	HASH_ITER (hh, core->machines, machine, next_machine) {
+		if (machine->owned && ws_machine_echoes_token(machine) &&
+		    core->now - machine->last_heard_at < 3 * core->settings->report_s)
+			owned += ws_demand_units_of_machine(core, machine->type);
+		for (struct ws_attempt *attempt = machine->attempts; attempt;
+		     attempt = attempt->machine_next)
+			if (attempt->job && attempt->job->spec.service)
+				services += attempt->job->spec.cpus / size;
 	}
-	memset(m, 0, sizeof(*m));
-	c->busy_time += c->busy * (c->now - c->busy_at);
-	c->busy_at = c->now;
-	m->lambda = c->work_arrived / span;
-	m->mu = c->busy_time > 0 ? c->work_done / c->busy_time : 0;
-	m->alpha = c->boot_n > 0 ? c->boot_n / c->boot_sum : boot > 0 ? 1 / boot : 0;
-	m->owned = owned > services ? (int)(owned - services) : 0;
-	m->ceiling = c->pol.rental_ceiling;
-	m->waiting_loads = c->pol.waiting_loads >= 0 ? c->pol.waiting_loads : m->ceiling / 2 + 1;
-	m->delta = c->pol.delta;
-	m->rentals_max = c->pol.rentals_max > 0 ? c->pol.rentals_max : m->ceiling;
-	m->bound_s = ws_bound(c);
-	m->wait_max_s = c->pol.wait_max_s > 0 ? c->pol.wait_max_s : 2 * m->bound_s;
-	c->work_arrived = c->work_done = c->busy_time = 0;
-	c->measured_at = now;
-	c->size_next = now + c->pol.sizing_period_s;
-	return m->lambda > 0 && m->mu > 0 && m->alpha > 0;
-}
-
-void ws_core_set_k(struct ws_core *c, double now, int k, double s, double wq)
+	memset(measurement, 0, sizeof(*measurement));
+	core->busy_time += core->busy * (core->now - core->busy_at);
+	core->busy_at = core->now;
+	measurement->arrival_rate = core->work_arrived / span;
+	measurement->service_rate = core->busy_time > 0 ? core->work_done / core->busy_time : 0;
+	measurement->boot_rate = core->boot_n > 0 ? core->boot_n / core->boot_sum
+				 : boot > 0	  ? 1 / boot
+						  : 0;
+	measurement->owned = owned > services ? (int)(owned - services) : 0;
+	measurement->ceiling = core->policy.rental_ceiling;
+	measurement->waiting_units = core->policy.waiting_loads >= 0 ? core->policy.waiting_loads
+								     : measurement->ceiling / 2 + 1;
+	measurement->delta = core->policy.delta;
+	measurement->rentals_max =
+	    core->policy.rentals_max > 0 ? core->policy.rentals_max : measurement->ceiling;
+	measurement->bound_s = ws_latency_bound(core);
+	measurement->wait_max_s =
+	    core->policy.wait_max_s > 0 ? core->policy.wait_max_s : 2 * measurement->bound_s;
+	core->work_arrived = core->work_done = core->busy_time = 0;
+	core->measured_at = now;
+	core->size_next = now + core->policy.sizing_period_s;
+	return measurement->arrival_rate > 0 && measurement->service_rate > 0 &&
+	       measurement->boot_rate > 0;
+}
+
+void ws_core_set_scale_out_limit(struct ws_core *core, double now, int limit,
+				 double mean_scaled_out, double mean_wait_s)
 {
 	(void)now;
-	if (k < 0 || wq <= 0)
+	if (limit < 0 || mean_wait_s <= 0)
 		return; /* lacking a wait, k stays */
-	if (k != c->k)
-		ws_log(c, WS_LOG_INFO, "k %d -> %d (S %.2f, Wq %.2f s)", c->k, k, s, wq);
-	c->k = k;
-	c->place_wanted = true;
+	if (limit != core->k)
+		ws_log(core, WS_LOG_INFO, "k %d -> %d (S %.2f, Wq %.2f s)", core->k, limit,
+		       mean_scaled_out, mean_wait_s);
+	core->k = limit;
+	core->place_wanted = true;
 }
--- a/src/core/reports.c
+++ b/src/core/reports.c
@@ -1,25 +1,27 @@
-/* Heartbeats taken in: what a machine's newest report says of itself and of its tasks. */
+/* Heartbeats taken in: what a machine's newest heartbeat says of itself and of its tasks. */
 #include "internal.h"
 
-static void ws_cache_touch(struct ws_core *c, struct ws_machine *m, int image)
+static void ws_image_cache_touch(struct ws_core *core, struct ws_machine *machine, int image)
 {
 	int i;
 
-	for (i = 0; i < m->ncache && m->cache[i] != image; i++)
+	for (i = 0; i < machine->image_cache_count && machine->image_cache[i] != image; i++)
 		;
-	if (i < m->ncache && i < WS_CACHE_KEPT) {
-		memmove(m->cache + 1, m->cache, (size_t)i * sizeof(m->cache[0]));
-		m->cache[0] = image;
+	if (i < machine->image_cache_count && i < WS_CACHE_KEPT) {
+		memmove(machine->image_cache + 1, machine->image_cache,
+			(size_t)i * sizeof(machine->image_cache[0]));
+		machine->image_cache[0] = image;
 		return;
 	}
-	if (i == m->ncache && m->ncache < WS_CACHE_MAX)
-		m->ncache++;
+	if (i == machine->image_cache_count && machine->image_cache_count < WS_CACHE_MAX)
+		machine->image_cache_count++;
 	if (i == WS_CACHE_MAX)
 		i--;
-	memmove(m->cache + 1, m->cache, (size_t)i * sizeof(m->cache[0]));
-	m->cache[0] = image;
-	if (m->chunk >= 0)
-		ws_chunk_at(c, m->chunk)->images = true;
+	memmove(machine->image_cache + 1, machine->image_cache,
+		(size_t)i * sizeof(machine->image_cache[0]));
+	machine->image_cache[0] = image;
+	if (machine->shard >= 0)
+		ws_shard_at(core, machine->shard)->images_outdated = true;
 }
 
 /*
@@ -27,301 +29,333 @@
  * that fails on several machines is held back by itself: a mistake in a job must not condemn the
  * fleet, nor a bad machine the job.
  */
-static void ws_task_failed(struct ws_core *c, struct ws_machine *m, struct ws_attempt *s)
+static void ws_task_failed(struct ws_core *core, struct ws_machine *machine,
+			   struct ws_attempt *attempt)
 {
-	struct ws_job *j = s->job;
+	struct ws_job *job = attempt->job;
 
 	/* a job that completed tasks elsewhere is sound: then its failures speak against the
 	 * machine */
-	if (strcmp(m->last_failed_job, s->job_id) || (j && j->ndone > 0)) {
-		m->consecutive_failures++;
-		snprintf(m->last_failed_job, sizeof(m->last_failed_job), "%s", s->job_id);
+	if (strcmp(machine->last_failed_job, attempt->job_id) || (job && job->done_count > 0)) {
+		machine->consecutive_failures++;
+		snprintf(machine->last_failed_job, sizeof(machine->last_failed_job), "%s",
+			 attempt->job_id);
 	}
-	if (m->consecutive_failures >= 2 && c->now >= m->quarantine_until) {
-		double t = c->set->lease_s *
-			   (1 << (m->consecutive_failures < 6 ? m->consecutive_failures - 1 : 5));
+	if (machine->consecutive_failures >= 2 && core->now >= machine->quarantine_until) {
+		double t = core->settings->lease_s * (1 << (machine->consecutive_failures < 6
+								? machine->consecutive_failures - 1
+								: 5));
 
-		m->quarantine_until = c->now + t;
-		ws_log(c, WS_LOG_INFO, "machine %s: %d failures in a row, left out for %.0f s",
-		       m->name, m->consecutive_failures, t);
+		machine->quarantine_until = core->now + t;
+		ws_log(core, WS_LOG_INFO, "machine %s: %d failures in a row, left out for %.0f s",
+		       machine->name, machine->consecutive_failures, t);
 	}
-	if (!j)
+	if (!job)
 		return;
-	j->errors++;
+	job->failures++;
 	/* the first failures may be the machine's fault and are tried again at once, elsewhere */
-	if (j->errors > 4) {
-		double t = c->set->report_s * (1 << (j->errors < 12 ? (j->errors - 4) / 2 : 4));
+	if (job->failures > 4) {
+		double t = core->settings->report_s *
+			   (1 << (job->failures < 12 ? (job->failures - 4) / 2 : 4));
 
-		j->not_before = c->now + t;
+		job->retry_not_before = core->now + t;
 	}
-	m->refused_until = c->now + c->set->report_s;
+	machine->refused_until = core->now + core->settings->report_s;
 }
 
-static void ws_attempt_exited(struct ws_core *c, struct ws_attempt *s)
+static void ws_attempt_exited(struct ws_core *core, struct ws_attempt *attempt)
 {
-	struct ws_machine *m = s->machine;
-	struct ws_job *j = s->job;
+	struct ws_machine *machine = attempt->machine;
+	struct ws_job *job = attempt->job;
 
-	ws_log(c, WS_LOG_DEBUG, "machine %s: %s/%u attempt %llu exited (%d)", m->name, s->job_id,
-	       s->task, (unsigned long long)s->attempt, s->why);
-	switch (s->why) {
-	case WS_WHY_DONE:
-		m->consecutive_failures = 0;
-		m->last_failed_job[0] = 0;
-		if (j) {
-			if (s->running_at > 0)
-				c->work_done += ws_load_of(c, &j->spec);
-			ws_job_task_done(c, j, s->task);
+	ws_log(core, WS_LOG_DEBUG, "machine %s: %s/%u attempt %llu exited (%d)", machine->name,
+	       attempt->job_id, attempt->task, (unsigned long long)attempt->number,
+	       attempt->exit_reason);
+	switch (attempt->exit_reason) {
+	case WS_EXIT_DONE:
+		machine->consecutive_failures = 0;
+		machine->last_failed_job[0] = 0;
+		if (job) {
+			if (attempt->running_at > 0)
+				core->work_done += ws_demand_units_of(core, &job->spec);
+			ws_job_task_done(core, job, attempt->task);
 		}
 		break;
-	case WS_WHY_ERROR:
-		ws_log(c, WS_LOG_INFO, "machine %s: %s/%u failed", m->name, s->job_id, s->task);
-		ws_task_failed(c, m, s);
+	case WS_EXIT_ERROR:
+		ws_log(core, WS_LOG_INFO, "machine %s: %s/%u failed", machine->name,
+		       attempt->job_id, attempt->task);
+		ws_task_failed(core, machine, attempt);
 		break;
-	case WS_WHY_FULL:
-	case WS_WHY_BUSY:
-	case WS_WHY_UNKNOWN:
-		ws_log(c, WS_LOG_INFO, "machine %s refused %s/%u (%d)", m->name, s->job_id, s->task,
-		       s->why);
-		m->refused_until = c->now + c->set->report_s;
-		if (j && s->why == WS_WHY_UNKNOWN)
-			j->not_before = c->now + c->set->report_s;
+	case WS_EXIT_FULL:
+	case WS_EXIT_BUSY:
+	case WS_EXIT_UNKNOWN:
+		ws_log(core, WS_LOG_INFO, "machine %s refused %s/%u (%d)", machine->name,
+		       attempt->job_id, attempt->task, attempt->exit_reason);
+		machine->refused_until = core->now + core->settings->report_s;
+		if (job && attempt->exit_reason == WS_EXIT_UNKNOWN)
+			job->retry_not_before = core->now + core->settings->report_s;
 		break;
-	case WS_WHY_NONE:
-	case WS_WHY_STOPPED:
-	case WS_WHY_MATES:
-	case WS_WHY_ALONE:
+	case WS_EXIT_NONE:
+	case WS_EXIT_STOPPED:
+	case WS_EXIT_MEMBER_LOST:
+	case WS_EXIT_GANG_INCOMPLETE:
 		/* of a gang that broke up; nobody is to blame for that here */
-		if (j && j->spec.gang && !s->orphan)
-			j->gang_over = s->attempt;
+		if (job && job->spec.gang && !attempt->unrecorded)
+			job->gang_ended_attempt = attempt->number;
 		break;
 	}
-	ws_attempt_release(c, s);
+	ws_attempt_release(core, attempt);
 }
 
 /* The first word of a machine. */
-static void ws_machine_up(struct ws_core *c, struct ws_machine *m)
+static void ws_machine_first_heard(struct ws_core *core, struct ws_machine *machine)
 {
-	m->reported = true;
-	m->up_at = c->now;
-	if (!m->owned && c->now - m->first_seen > c->set->report_s) {
-		c->boot_sum += c->now - m->first_seen;
-		c->boot_n += 1;
+	machine->reported = true;
+	machine->up_at = core->now;
+	if (!machine->owned && core->now - machine->first_seen > core->settings->report_s) {
+		core->boot_sum += core->now - machine->first_seen;
+		core->boot_n += 1;
 	}
-	ws_log(c, WS_LOG_INFO, "machine %s is up: %s in %s%s%s", m->name, m->type_name, m->zone,
-	       m->spot ? ", spot" : "", m->owned ? ", owned" : "");
-	c->place_wanted = true;
+	ws_log(core, WS_LOG_INFO, "machine %s is up: %s in %s%s%s", machine->name,
+	       machine->type_name, machine->zone, machine->preemptible ? ", spot" : "",
+	       machine->owned ? ", owned" : "");
+	core->place_wanted = true;
 }
 
 /* What a machine is, and where it is reached. */
-static void ws_machine_identity(struct ws_core *c, struct ws_machine *m, const struct ws_report *r)
+static void ws_machine_update_identity(struct ws_core *core, struct ws_machine *machine,
+				       const struct ws_heartbeat *heartbeat)
 {
-	bool address = m->port != r->port || strcmp(m->host, r->host) != 0;
+	bool address =
+	    machine->port != heartbeat->port || strcmp(machine->address, heartbeat->address) != 0;
 	/* the cloud's list may have told its address before it was ever heard */
-	bool moved = !m->reported || address || strcmp(m->zone, r->zone) != 0;
+	bool moved = !machine->reported || address || strcmp(machine->zone, heartbeat->zone) != 0;
 
-	if (!m->reported)
-		m->unknown = !m->on_record && !m->listed && !m->owned && !m->type_name[0];
-	ws_machine_place(c, m, r->type, r->zone, r->spot);
-	if (!m->reported)
-		ws_machine_up(c, m);
-	m->failed = false;
+	if (!machine->reported)
+		machine->unrecorded = !machine->recorded && !machine->in_instance_list &&
+				      !machine->owned && !machine->type_name[0];
+	ws_machine_set_kind(core, machine, heartbeat->type, heartbeat->zone,
+			    heartbeat->preemptible);
+	if (!machine->reported)
+		ws_machine_first_heard(core, machine);
+	machine->failed = false;
 	if (address) {
-		snprintf(m->host, sizeof(m->host), "%s", r->host);
-		m->port = r->port;
-		ws_machine_dirty(c, m);
+		snprintf(machine->address, sizeof(machine->address), "%s", heartbeat->address);
+		machine->port = heartbeat->port;
+		ws_machine_mark_dirty(core, machine);
 	}
 	if (moved)
-		ws_subsystems_machine(c, m);
+		ws_subsystems_machine(core, machine);
 }
 
 /* A machine's lease ran out: all that it had before is gone. */
-static void ws_machine_new_tenure(struct ws_core *c, struct ws_machine *m,
-				  const struct ws_report *r)
+static void ws_machine_begin_incarnation(struct ws_core *core, struct ws_machine *machine,
+					 const struct ws_heartbeat *heartbeat)
 {
-	if (m->tenure && m->attempt_count)
-		ws_log(c, WS_LOG_INFO, "machine %s began tenure %llu, %u tasks lost", m->name,
-		       (unsigned long long)r->tenure, m->attempt_count);
-	if (m->tenure) /* did it hear our answers? */
-		ws_machine_doubt(c, m, r->epoch > m->token ? r->epoch : m->token);
-	m->tenure = r->tenure;
-	/* the worker's lease counts from the tenure's beginning, also where no answer of ours has
-	 * renewed it: we may have heard of it by a command's answer alone */
-	m->alive_until = fmax(m->alive_until, ws_lease_out(c, c->now));
-	m->fence = 0; /* a command for an earlier tenure is refused */
-	ws_machine_dirty(c, m);
+	if (machine->incarnation && machine->attempt_count)
+		ws_log(core, WS_LOG_INFO, "machine %s began tenure %llu, %u tasks lost",
+		       machine->name, (unsigned long long)heartbeat->incarnation,
+		       machine->attempt_count);
+	if (machine->incarnation) /* did it hear our answers? */
+		ws_machine_raise_fencing_token(core, machine,
+					       heartbeat->fencing_token > machine->fencing_token
+						   ? heartbeat->fencing_token
+						   : machine->fencing_token);
+	machine->incarnation = heartbeat->incarnation;
+	/* the worker's lease counts from the incarnation's beginning, also where no answer of ours
+	 * has renewed it: we may have heard of it by a command's answer alone */
+	machine->lease_expires_at =
+	    fmax(machine->lease_expires_at, ws_lease_expiry(core, core->now));
+	machine->late_command_token = 0; /* a command for an earlier incarnation is refused */
+	ws_machine_mark_dirty(core, machine);
 }
 
-static void ws_machine_notice(struct ws_core *c, struct ws_machine *m, double notice_s)
+static void ws_machine_preemption_notice(struct ws_core *core, struct ws_machine *machine,
+					 double notice_s)
 {
-	m->noticed = true;
-	m->notice_until = c->now + notice_s;
-	ws_log(c, WS_LOG_INFO, "machine %s will be taken in %.0f s", m->name, notice_s);
-	c->place_wanted = true;
+	machine->preemption_noticed = true;
+	machine->preempted_at = core->now + notice_s;
+	ws_log(core, WS_LOG_INFO, "machine %s will be taken in %.0f s", machine->name, notice_s);
+	core->place_wanted = true;
 }
 
-static struct ws_attempt *ws_attempt_find(const struct ws_machine *m,
-					  const struct ws_task_report *t)
+static struct ws_attempt *ws_attempt_find(const struct ws_machine *machine,
+					  const struct ws_task_status *status)
 {
-	struct ws_attempt *s;
+	struct ws_attempt *attempt;
 
-	for (s = m->attempts; s; s = s->next)
-		if (s->state != WS_ATTEMPT_GONE && s->attempt == t->attempt && s->task == t->task &&
-		    !strcmp(s->job_id, t->job))
+	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next)
+		if (attempt->state != WS_ATTEMPT_GONE && attempt->number == status->attempt &&
+		    attempt->task == status->task && !strcmp(attempt->job_id, status->job))
 			break;
-	return s;
+	return attempt;
 }
 
-static void ws_attempt_runs(struct ws_core *c, struct ws_machine *m, struct ws_attempt *s)
+static void ws_attempt_is_running(struct ws_core *core, struct ws_machine *machine,
+				  struct ws_attempt *attempt)
 {
-	struct ws_job *j = s->job;
+	struct ws_job *job = attempt->job;
 
-	s->running_at = c->now;
-	ws_log(c, WS_LOG_DEBUG, "machine %s: %s/%u attempt %llu runs", m->name, s->job_id, s->task,
-	       (unsigned long long)s->attempt);
-	if (!j)
+	attempt->running_at = core->now;
+	ws_log(core, WS_LOG_DEBUG, "machine %s: %s/%u attempt %llu runs", machine->name,
+	       attempt->job_id, attempt->task, (unsigned long long)attempt->number);
+	if (!job)
 		return;
-	ws_cache_touch(c, m, j->image);
-	if (!j->started && !ws_job_over(j)) {
-		j->started = true;
-		j->phase = WS_RUNNING;
-		ws_job_dirty(c, j, false);
+	ws_image_cache_touch(core, machine, job->image_index);
+	if (!job->started && !ws_job_is_over(job)) {
+		job->started = true;
+		job->phase = WS_JOB_RUNNING;
+		ws_job_mark_dirty(core, job, false);
 	}
 }
 
 /* One task of a machine's newest word. */
-static void ws_task_reported(struct ws_core *c, struct ws_machine *m,
-			     const struct ws_task_report *t)
+static void ws_machine_apply_task_status(struct ws_core *core, struct ws_machine *machine,
+					 const struct ws_task_status *status)
 {
-	struct ws_attempt *s = ws_attempt_find(m, t);
+	struct ws_attempt *attempt = ws_attempt_find(machine, status);
 
-	if (!s)
-		s = ws_attempt_foreign(c, m, t);
-	if (!s)
+	if (!attempt)
+		attempt = ws_attempt_add_unrecorded(core, machine, status);
+	if (!attempt)
 		return;
-	s->pass = c->pass;
-	s->seen = s->sent = true;
-	ws_attempt_reported(c, s, t);
-	if (s->kept && !s->job && t->state == WS_TASK_EXITED && t->why == WS_WHY_DONE) {
-		ws_kept_completed(c, s);
+	attempt->mark = core->pass;
+	attempt->reported = attempt->maybe_sent = true;
+	ws_attempt_reconcile_status(core, attempt, status);
+	if (attempt->quarantined && !attempt->job && status->state == WS_TASK_EXITED &&
+	    status->exit_reason == WS_EXIT_DONE) {
+		ws_quarantine_completed(core, attempt);
 		return;
 	}
-	if (s->kept && s->job && t->state != WS_TASK_EXITED)
-		ws_kept_reported(c, s);
-	if (t->state == WS_TASK_WAITING && s->at != WS_TASK_WAITING) {
-		s->waiting_at = c->now;
-		if (s->job) /* it has its image */
-			ws_cache_touch(c, m, s->job->image);
+	if (attempt->quarantined && attempt->job && status->state != WS_TASK_EXITED)
+		ws_quarantine_reported(core, attempt);
+	if (status->state == WS_TASK_WAITING && attempt->task_state != WS_TASK_WAITING) {
+		attempt->waiting_since = core->now;
+		if (attempt->job) /* it has its image */
+			ws_image_cache_touch(core, machine, attempt->job->image_index);
 	}
-	if (s->job && s->job->spec.gang && !s->orphan &&
-	    (t->state == WS_TASK_RUNNING || t->state == WS_TASK_SAVING))
-		s->job->gang_over = s->attempt;
-	if (t->state == WS_TASK_RUNNING && s->at != WS_TASK_RUNNING)
-		ws_attempt_runs(c, m, s);
-	s->at = t->state;
-	s->why = t->why;
-	if (t->state == WS_TASK_EXITED)
-		ws_attempt_exited(c, s);
+	if (attempt->job && attempt->job->spec.gang && !attempt->unrecorded &&
+	    (status->state == WS_TASK_RUNNING || status->state == WS_TASK_SAVING))
+		attempt->job->gang_ended_attempt = attempt->number;
+	if (status->state == WS_TASK_RUNNING && attempt->task_state != WS_TASK_RUNNING)
+		ws_attempt_is_running(core, machine, attempt);
+	attempt->task_state = status->state;
+	attempt->exit_reason = status->exit_reason;
+	if (status->state == WS_TASK_EXITED)
+		ws_attempt_exited(core, attempt);
 }
 
 /* Attempts that a machine's newest word does not name. */
-static void ws_attempts_missing(struct ws_core *c, struct ws_machine *m)
+static void ws_machine_release_missing(struct ws_core *core, struct ws_machine *machine)
 {
-	for (struct ws_attempt *s = m->attempts, *n; s; s = n) {
-		n = s->next;
-		if (s->state == WS_ATTEMPT_GONE || s->pass == c->pass || s->tenure != m->tenure)
+	for (struct ws_attempt *attempt = machine->attempts, *next_attempt; attempt;
+	     attempt = next_attempt) {
+		next_attempt = attempt->machine_next;
+		if (attempt->state == WS_ATTEMPT_GONE || attempt->mark == core->pass ||
+		    attempt->incarnation != machine->incarnation)
 			continue;
-		if (ws_machine_hears(m))
-			ws_attempt_finding(c, s, WS_FINDING_NOT_REPORTED);
+		if (ws_machine_echoes_token(machine))
+			ws_attempt_reconcile(core, attempt, WS_RECONCILED_NOT_REPORTED);
 		/* it was there and is no more; or it was told to run, is not there, and no command
 		 * is on its way that could bring it */
-		if (s->seen || (s->sent && s->stop && !m->fence && !m->commands))
-			ws_attempt_release(c, s);
+		if (attempt->reported ||
+		    (attempt->maybe_sent && attempt->stopping && !machine->late_command_token &&
+		     !machine->commands_in_flight))
+			ws_attempt_release(core, attempt);
 	}
 }
 
-/* Takes in the newest word of a worker: a report, or the answer to a direct command. */
-void ws_fleet_read(struct ws_core *c, struct ws_machine *m, const struct ws_report *r)
+/* Takes in the newest word of a worker: a heartbeat, or the answer to a direct command. */
+void ws_machine_apply_heartbeat(struct ws_core *core, struct ws_machine *machine,
+				const struct ws_heartbeat *heartbeat)
 {
-	ws_machine_identity(c, m, r);
-	if (r->tenure > m->tenure)
-		ws_machine_new_tenure(c, m, r);
-	/* also where we did not see the tenure begin: one job's record may name an attempt of a
-	 * tenure that another's, or the fleet's, knows to be over */
-	for (struct ws_attempt *s = m->attempts, *n; s; s = n) {
-		n = s->next;
-		if (s->tenure < r->tenure) {
-			ws_attempt_finding(c, s, WS_FINDING_LEASE_LOST);
-			ws_attempt_release(c, s);
+	ws_machine_update_identity(core, machine, heartbeat);
+	if (heartbeat->incarnation > machine->incarnation)
+		ws_machine_begin_incarnation(core, machine, heartbeat);
+	/* also where we did not see the incarnation begin: one job's record may name an attempt of
+	 * a incarnation that another's, or the fleet's, knows to be over */
+	for (struct ws_attempt *attempt = machine->attempts, *next_attempt; attempt;
+	     attempt = next_attempt) {
+		next_attempt = attempt->machine_next;
+		if (attempt->incarnation < heartbeat->incarnation) {
+			ws_attempt_reconcile(core, attempt, WS_RECONCILED_LEASE_LOST);
+			ws_attempt_release(core, attempt);
 		}
 	}
-	m->counter = r->counter;
-	m->epoch = r->epoch;
-	if (m->fence && r->epoch > m->fence)
-		m->fence = 0;
-	if (r->notice_s >= 0 && !m->noticed)
-		ws_machine_notice(c, m, r->notice_s);
-	c->pass++;
-	for (size_t i = 0; i < r->ntasks; i++)
-		ws_task_reported(c, m, &r->tasks[i]);
-	ws_attempts_missing(c, m);
+	machine->sequence = heartbeat->sequence;
+	machine->echoed_token = heartbeat->fencing_token;
+	if (machine->late_command_token && heartbeat->fencing_token > machine->late_command_token)
+		machine->late_command_token = 0;
+	if (heartbeat->preemption_notice_s >= 0 && !machine->preemption_noticed)
+		ws_machine_preemption_notice(core, machine, heartbeat->preemption_notice_s);
+	core->pass++;
+	for (size_t i = 0; i < heartbeat->task_count; i++)
+		ws_machine_apply_task_status(core, machine, &heartbeat->tasks[i]);
+	ws_machine_release_missing(core, machine);
 }
 
-void ws_core_report(struct ws_core *c, double now, uint64_t token, const struct ws_report *r,
-		    bool relayed)
+void ws_core_heartbeat(struct ws_core *core, double now, uint64_t request_id,
+		       const struct ws_heartbeat *heartbeat, bool forwarded)
 {
-	struct ws_machine *m;
-	struct ws_action *a;
+	struct ws_machine *machine;
+	struct ws_effect *effect;
 	bool newer;
 
-	if (now > c->now)
-		c->now = now;
-	if (c->role == WS_FOLLOWER || c->role == WS_ASKING) {
-		ws_follower_report(c, token, r, relayed);
+	if (now > core->now)
+		core->now = now;
+	if (core->role == WS_FOLLOWER || core->role == WS_CANDIDATE) {
+		ws_follower_heartbeat(core, request_id, heartbeat, forwarded);
 		return;
 	}
-	if (c->role != WS_LEADER || !ws_entitled(c) ||
-	    ws_tombstone_holds(c, &c->tombstones,
-			       r->machine) || /* a report held back since before its return */
-	    r->epoch >> WS_EPOCH_SHIFT > c->epoch >> WS_EPOCH_SHIFT) {
-		ws_report_answer(c, token, 503, NULL);
+	if (core->role != WS_LEADER || !ws_is_entitled(core) ||
+	    ws_tombstone_is_set(
+		core, &core->tombstones,
+		heartbeat->machine) || /* a heartbeat held back since before its return */
+	    heartbeat->fencing_token >> WS_FENCING_TOKEN_SHIFT > core->epoch >>
+		WS_FENCING_TOKEN_SHIFT) {
+		ws_heartbeat_answer(core, request_id, 503, NULL);
 		return;
 	}
-	if (!relayed)
-		c->relay_since = 0;
-	else if (!c->relay_since)
-		c->relay_since = c->now;
-	m = ws_machine_get(c, r->machine);
+	if (!forwarded)
+		core->relay_since = 0;
+	else if (!core->relay_since)
+		core->relay_since = core->now;
+	machine = ws_machine_find_or_add(core, heartbeat->machine);
 	/*
 	 * A copy, or held back since before: nobody waits for the answer, and a 200 would count as
 	 * one, its tasks as alive. An answer to a command may have overtaken a report that is new.
 	 */
-	if (r->tenure < m->least_tenure || r->tenure < m->tenure ||
-	    (r->tenure == m->report_tenure && r->counter <= m->report_counter)) {
-		ws_report_answer(c, token, 503, NULL);
+	if (heartbeat->incarnation < machine->least_incarnation ||
+	    heartbeat->incarnation < machine->incarnation ||
+	    (heartbeat->incarnation == machine->heartbeat_incarnation &&
+	     heartbeat->sequence <= machine->heartbeat_sequence)) {
+		ws_heartbeat_answer(core, request_id, 503, NULL);
 		return;
 	}
-	m->report_at = c->now;
-	m->report_tenure = r->tenure;
-	m->report_counter = r->counter;
-	if (r->epoch > m->token)
-		m->token = r->epoch;
-	newer = r->tenure > m->tenure || r->counter > m->counter || !m->reported;
-	m->unreachable = false;
+	machine->last_heartbeat_at = core->now;
+	machine->heartbeat_incarnation = heartbeat->incarnation;
+	machine->heartbeat_sequence = heartbeat->sequence;
+	if (heartbeat->fencing_token > machine->fencing_token)
+		machine->fencing_token = heartbeat->fencing_token;
+	newer = heartbeat->incarnation > machine->incarnation ||
+		heartbeat->sequence > machine->sequence || !machine->reported;
+	machine->unreachable = false;
 	if (newer) {
-		m->heard = c->now;
-		ws_fleet_read(c, m, r);
+		machine->last_heard_at = core->now;
+		ws_machine_apply_heartbeat(core, machine, heartbeat);
 	}
-	a = ws_act(c, WS_ACT_ANSWER_REPORT);
-	a->token = token;
-	a->status = 200;
-	a->epoch = m->token;
-	if (ws_machine_hears(m))
-		ws_subsystems_heartbeat(c, m);
-	m->alive_until = ws_lease_out(c, c->now);
-	if (r->tenure == m->tenure)
-		a->orders = ws_orders(c, m, newer ? r : NULL, WS_ANSWER_ORDERS, false, &a->norders);
-	if (!ws_machine_hears(m) && ws_entitled(c) && !c->in_outage)
-		ws_machine_probe(c, m); /* now, not with the next sweep's turn */
-	ws_core_tick(c, now);
+	effect = ws_effect_new(core, WS_EFFECT_ANSWER_HEARTBEAT);
+	effect->request_id = request_id;
+	effect->status = 200;
+	effect->fencing_token = machine->fencing_token;
+	if (ws_machine_echoes_token(machine))
+		ws_subsystems_heartbeat(core, machine);
+	machine->lease_expires_at = ws_lease_expiry(core, core->now);
+	if (heartbeat->incarnation == machine->incarnation)
+		effect->commands =
+		    ws_commands_for_machine(core, machine, newer ? heartbeat : NULL,
+					    WS_ANSWER_COMMANDS_MAX, false, &effect->command_count);
+	if (!ws_machine_echoes_token(machine) && ws_is_entitled(core) && !core->in_outage)
+		ws_machine_send_probe(core, machine); /* now, not with the next sweep's turn */
+	ws_core_tick(core, now);
 }
--- a/src/core/requests.c
+++ b/src/core/requests.c
@@ -1,371 +1,411 @@
 /*
  * What users ask of any node. Every answer that binds the service (accepted, done, cancelled) is
- * read from or written to the state service first; a node that can't tell says 503 at once.
+ * read from or written to the store first; a node that can't tell says 503 at once.
  */
 #include "requests.h"
 
-void ws_answer(struct ws_core *c, uint64_t token, int status, const char *id, enum ws_phase phase)
+void ws_user_answer(struct ws_core *core, uint64_t request_id, int status, const char *id,
+		    enum ws_job_phase phase)
 {
-	struct ws_action *a = ws_act(c, WS_ACT_ANSWER_USER);
+	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_USER);
 
-	a->token = token;
-	a->status = status;
-	a->phase = phase;
-	snprintf(a->name, sizeof(a->name), "%s", id);
+	effect->request_id = request_id;
+	effect->status = status;
+	effect->phase = phase;
+	snprintf(effect->name, sizeof(effect->name), "%s", id);
 	if (status == 503 || status == 429)
-		a->retry_after = 1;
+		effect->retry_after = 1;
 }
 
 /*
- * Neither the state service nor any peer answers: this node can do nothing for anybody. It says so
+ * Neither the store nor any peer answers: this node can do nothing for anybody. It says so
  * at once, to its health check as well, and goes on asking.
  */
-bool ws_cut_off(const struct ws_core *c)
+bool ws_node_is_isolated(const struct ws_core *core)
 {
-	double patience = c->set->lease_s / 8;
+	double patience = core->settings->lease_s / 8;
 
-	return c->set->npeers && c->state_ok_at > 0 && c->state_bad_at > c->state_ok_at &&
-	       c->now - c->state_bad_since > patience && c->now - c->peers_ok_at > patience;
+	return core->settings->peer_count && core->state_ok_at > 0 &&
+	       core->state_bad_at > core->state_ok_at &&
+	       core->now - core->state_bad_since > patience &&
+	       core->now - core->peers_ok_at > patience;
 }
 
-static void ws_peer_answered(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_peer_answered(struct ws_core *core, struct ws_call *call,
+			     const struct ws_result *result)
 {
 	(void)call;
-	if (r->status > 0)
-		c->peers_ok_at = c->now;
+	if (result->status > 0)
+		core->peers_ok_at = core->now;
 }
 
-void ws_peers_tick(struct ws_core *c)
+void ws_peer_probe_tick(struct ws_core *core)
 {
-	if (c->state_bad_at <= c->state_ok_at || c->now < c->peers_next)
+	if (core->state_bad_at <= core->state_ok_at || core->now < core->peers_next)
 		return;
-	c->peers_next = c->now + c->set->lease_s / 32;
-	for (size_t i = 0; i < c->set->npeers; i++) {
-		struct ws_call *call = ws_call(c, WS_CALL_TESTIFY, ws_peer_answered);
+	core->peers_next = core->now + core->settings->lease_s / 32;
+	for (size_t i = 0; i < core->settings->peer_count; i++) {
+		struct ws_call *call = ws_call_new(core, WS_CALL_OUTAGE_VOTE, ws_peer_answered);
 
-		snprintf(call->key, sizeof(call->key), "%s", c->set->peers[i].node);
-		call->since = UINT64_MAX; /* only whether it answers */
+		snprintf(call->key, sizeof(call->key), "%s", core->settings->peers[i].node);
+		call->since_revision = UINT64_MAX; /* only whether it answers */
 	}
 }
 
-/* The state service does not serve us: a peer may do better, unless the request came from one. */
-void ws_cannot(struct ws_core *c, uint64_t token, const char *id, bool relayed, int status)
+/* The store does not serve us: a peer may do better, unless the request came from one. */
+void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
+				bool forwarded, int status)
 {
-	if (!relayed && !ws_cut_off(c) && (status == 503 || status == 0) && c->set->npeers) {
-		struct ws_action *a = ws_act(c, WS_ACT_RELAY);
+	if (!forwarded && !ws_node_is_isolated(core) && (status == 503 || status == 0) &&
+	    core->settings->peer_count) {
+		struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_FORWARD);
 
-		a->token = token;
+		effect->request_id = request_id;
 		return;
 	}
-	ws_answer(c, token, 503, id, WS_QUEUED);
+	ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
 }
 
-struct ws_call *ws_get(struct ws_core *c, const char *prefix, const char *id, uint64_t token,
-		       struct ws_ask *ask, ws_done_fn done)
+struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
+				  uint64_t request_id, struct ws_user_request *request,
+				  ws_result_fn done)
 {
-	struct ws_call *call = ws_call(c, WS_CALL_GET, done);
+	struct ws_call *call = ws_call_new(core, WS_CALL_GET, done);
 
 	snprintf(call->key, sizeof(call->key), "%s/%s", prefix, id);
-	snprintf(call->ctx_name, sizeof(call->ctx_name), "%s", id);
-	call->ctx = ask;
-	call->ctx_n = token;
+	snprintf(call->context_name, sizeof(call->context_name), "%s", id);
+	call->context = request;
+	call->context_number = request_id;
 	return call;
 }
 
 /*
- * Recently refused by the state service, or without an answer: ask a peer straight away, since a
- * user waits 2 s and a time-out of our own would use that up. Reading who leads goes on meanwhile
- * and tells when the service is back.
+ * Recently refused by the store, or without an answer: ask a peer straight away, since a
+ * user waits 2 s and a time-out of our own would use that up. Reading who is the leader goes on
+ * meanwhile and tells when the service is back.
  */
-bool ws_state_refuses(const struct ws_core *c)
+bool ws_store_refuses(const struct ws_core *core)
 {
-	return c->state_bad_at > c->state_ok_at && c->now - c->state_bad_at < c->set->lease_s / 4;
+	return core->state_bad_at > core->state_ok_at &&
+	       core->now - core->state_bad_at < core->settings->lease_s / 4;
 }
 
 /* At most half of its tasks in a zone, and all of them at once: that takes two zones. */
-static bool ws_gang_spreads(struct ws_core *c, const struct ws_spec *s)
+static bool ws_gang_spreads(struct ws_core *core, const struct ws_job_spec *spec)
 {
 	uint32_t zones = 0;
 
-	if (!s->gang || !s->spread || s->tasks == 1)
+	if (!spec->gang || !spec->spread || spec->tasks == 1)
 		return true;
-	for (size_t i = 0; i < c->ntypes; i++)
-		for (size_t z = 0; ws_type_fits(&c->types[i], s) && z < c->types[i].nzones; z++) {
-			int zi = ws_zone_id(c, c->types[i].zones[z]);
+	for (size_t i = 0; i < core->ntypes; i++)
+		for (size_t z = 0;
+		     ws_machine_type_fits(&core->types[i], spec) && z < core->types[i].zone_count;
+		     z++) {
+			int zi = ws_zone_index(core, core->types[i].zones[z]);
 
-			if (zi >= 0 && (!s->zone[0] || !strcmp(s->zone, c->zones[zi])))
+			if (zi >= 0 && (!spec->zone[0] || !strcmp(spec->zone, core->zones[zi])))
 				zones |= 1u << zi;
 		}
-	return !s->one_zone && (zones & (zones - 1));
+	return !spec->one_zone && (zones & (zones - 1));
 }
 
-static bool ws_can_ever_run(struct ws_core *c, const struct ws_spec *s)
+static bool ws_can_ever_run(struct ws_core *core, const struct ws_job_spec *spec)
 {
-	struct ws_team *team = ws_team_of(c, s->team);
-	double n = s->service || s->gang ? s->tasks : 1;
+	struct ws_team *team = ws_team_find(core, spec->team);
+	double n = spec->service || spec->gang ? spec->tasks : 1;
 	bool fits = false;
 
-	for (size_t i = 0; i < c->ntypes; i++)
-		fits |= ws_type_fits(&c->types[i], s) && ws_gang_recordable(c, s, &c->types[i]);
-	return team && fits && ws_gang_spreads(c, s) && n * s->cpus <= team->set->cpus_max + 1e-9 &&
-	       n * s->gpus <= team->set->gpus_max + 1e-9;
+	for (size_t i = 0; i < core->ntypes; i++)
+		fits |= ws_machine_type_fits(&core->types[i], spec) &&
+			ws_gang_recordable(core, spec, &core->types[i]);
+	return team && fits && ws_gang_spreads(core, spec) &&
+	       n * spec->cpus <= team->settings->cpus_max + 1e-9 &&
+	       n * spec->gpus <= team->settings->gpus_max + 1e-9;
 }
 
 /*
- * A user is about to be told that this job is cancelled: the copy of the live jobs must hold that,
- * for it is what we testify with. A record under old/ has nothing left on any machine.
+ * A user is about to be told that this job is cancelled: the job status cache must hold that,
+ * for it is what we vote with. A record under old/ has nothing left on any machine.
  */
-static void ws_withdrawal_note(struct ws_core *c, const char *key, uint64_t stamp)
+static void ws_status_cache_note_cancelled(struct ws_core *core, const char *key, uint64_t revision)
 {
-	struct ws_seen *s = strncmp(key, "job/", 4) ? NULL : ws_seen_note(c, key + 4, stamp);
+	struct ws_job_status *job_status =
+	    strncmp(key, "job/", 4) ? NULL : ws_status_cache_note(core, key + 4, revision);
 
-	if (s)
-		s->phase = WS_CANCELLED;
+	if (job_status)
+		job_status->phase = WS_JOB_CANCELLED;
 }
 
-void ws_known_answer(struct ws_core *c, uint64_t token, const char *id, enum ws_phase phase,
-		     uint32_t done, uint32_t running, bool poll)
+void ws_user_answer_status(struct ws_core *core, uint64_t request_id, const char *id,
+			   enum ws_job_phase phase, uint32_t done, uint32_t running, bool poll)
 {
-	struct ws_action *a = ws_act(c, WS_ACT_ANSWER_USER);
-
-	a->token = token;
-	a->status = 200;
-	a->phase = phase;
-	a->counts = poll;
-	a->done = done;
-	a->running = running;
-	snprintf(a->name, sizeof(a->name), "%s", id);
-	if (poll && c->role == WS_LEADER && phase == WS_RUNNING) {
-		struct ws_job *j = ws_job_find(c, id);
-
-		if (j) {
-			a->done = j->ndone;
-			a->running = j->attempt_count;
+	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_USER);
+
+	effect->request_id = request_id;
+	effect->status = 200;
+	effect->phase = phase;
+	effect->carries_counts = poll;
+	effect->done = done;
+	effect->running = running;
+	snprintf(effect->name, sizeof(effect->name), "%s", id);
+	if (poll && core->role == WS_LEADER && phase == WS_JOB_RUNNING) {
+		struct ws_job *job = ws_job_find(core, id);
+
+		if (job) {
+			effect->done = job->done_count;
+			effect->running = job->attempt_count;
 		}
 	}
 }
 
-void ws_state_answer(struct ws_core *c, struct ws_call *call, const struct ws_result *r, bool poll)
+void ws_user_answer_record(struct ws_core *core, struct ws_call *call,
+			   const struct ws_result *result, bool poll)
 {
-	enum ws_phase phase;
+	enum ws_job_phase phase;
 	uint32_t done, running;
 
-	if (r->nkvs != 1 || !ws_record_read_phase(r->kvs[0].value, &phase, &done, &running)) {
-		ws_log(c, WS_LOG_ERROR, "record %s can't be read", call->key);
-		ws_answer(c, call->ctx_n, 503, call->ctx_name, WS_QUEUED);
+	if (result->entry_count != 1 ||
+	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
+		ws_log(core, WS_LOG_ERROR, "record %s can't be read", call->key);
+		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
 		return;
 	}
-	if (phase == WS_CANCELLED)
-		ws_withdrawal_note(c, call->key, r->kvs[0].stamp);
-	ws_known_answer(c, call->ctx_n, call->ctx_name, phase, done, running, poll);
+	if (phase == WS_JOB_CANCELLED)
+		ws_status_cache_note_cancelled(core, call->key, result->entries[0].revision);
+	ws_user_answer_status(core, call->context_number, call->context_name, phase, done, running,
+			      poll);
 }
 
 /* ---- submit ---- */
 
-static void ws_submit_known_old(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_submit_known_old(struct ws_core *core, struct ws_call *call,
+				const struct ws_result *result)
 {
-	struct ws_ask *ask = call->ctx;
+	struct ws_user_request *request = call->context;
 
-	if (r->status == 200)
-		ws_state_answer(c, call, r, false);
-	else if (r->status == 404) /* else moved between two reads; it is known in any case */
-		ws_answer(c, call->ctx_n, ask->refused ? 422 : 503, call->ctx_name, WS_QUEUED);
+	if (result->status == 200)
+		ws_user_answer_record(core, call, result, false);
+	else if (result->status == 404) /* else moved between two reads; it is known in any case */
+		ws_user_answer(core, call->context_number, request->never_runnable ? 422 : 503,
+			       call->context_name, WS_JOB_QUEUED);
 	else
-		ws_cannot(c, call->ctx_n, call->ctx_name, ask->relayed, r->status);
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
 }
 
-static void ws_submit_known(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_submit_known(struct ws_core *core, struct ws_call *call,
+			    const struct ws_result *result)
 {
-	struct ws_ask *ask = call->ctx;
+	struct ws_user_request *request = call->context;
 
-	if (r->status == 404) {
-		call->ctx = NULL;
-		ws_get(c, "old", call->ctx_name, call->ctx_n, ask, ws_submit_known_old);
+	if (result->status == 404) {
+		call->context = NULL;
+		ws_job_record_get(core, "old", call->context_name, call->context_number, request,
+				  ws_submit_known_old);
 		return;
 	}
-	if (r->status == 200)
-		ws_state_answer(c, call, r, false);
+	if (result->status == 200)
+		ws_user_answer_record(core, call, result, false);
 	else
-		ws_cannot(c, call->ctx_n, call->ctx_name, ask->relayed, r->status);
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
 }
 
-static void ws_submit_written(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_submit_written(struct ws_core *core, struct ws_call *call,
+			      const struct ws_result *result)
 {
-	struct ws_ask *ask = call->ctx;
+	struct ws_user_request *request = call->context;
 
-	if (r->status == 409) {
-		call->ctx = NULL;
-		ws_get(c, "job", call->ctx_name, call->ctx_n, ask, ws_submit_known);
+	if (result->status == 409) {
+		call->context = NULL;
+		ws_job_record_get(core, "job", call->context_name, call->context_number, request,
+				  ws_submit_known);
 		return;
 	}
-	if (r->status == 200) {
-		ws_log(c, WS_LOG_DEBUG, "job %s accepted", call->ctx_name);
-		ws_answer(c, call->ctx_n, 201, call->ctx_name, WS_QUEUED);
-	} else if (r->status == 400) { /* a record over the limits: it can't be kept */
-		ws_answer(c, call->ctx_n, 503, call->ctx_name, WS_QUEUED);
+	if (result->status == 200) {
+		ws_log(core, WS_LOG_DEBUG, "job %s accepted", call->context_name);
+		ws_user_answer(core, call->context_number, 201, call->context_name, WS_JOB_QUEUED);
+	} else if (result->status == 400) { /* a record over the limits: it can't be kept */
+		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
 	} else {
-		ws_cannot(c, call->ctx_n, call->ctx_name, ask->relayed, r->status);
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
 	}
 }
 
-void ws_core_submit(struct ws_core *c, double now, double wall, uint64_t token,
-		    const struct ws_spec *spec, bool relayed)
+void ws_core_submit(struct ws_core *core, double now, double wall, uint64_t request_id,
+		    const struct ws_job_spec *spec, bool forwarded)
 {
-	struct ws_ask *ask;
+	struct ws_user_request *request;
 	struct ws_call *call;
 
-	if (now > c->now)
-		c->now = now;
-	if (!c->ntypes) {
-		ws_cannot(c, token, spec->id, relayed, 503);
+	if (now > core->now)
+		core->now = now;
+	if (!core->ntypes) {
+		ws_user_answer_unavailable(core, request_id, spec->id, forwarded, 503);
 		return;
 	}
-	if (!relayed && ws_state_refuses(c)) {
-		ws_cannot(c, token, spec->id, relayed, 503);
+	if (!forwarded && ws_store_refuses(core)) {
+		ws_user_answer_unavailable(core, request_id, spec->id, forwarded, 503);
 		return;
 	}
-	ask = calloc(1, sizeof(*ask));
-	if (!ask) {
-		ws_answer(c, token, 503, spec->id, WS_QUEUED);
+	request = calloc(1, sizeof(*request));
+	if (!request) {
+		ws_user_answer(core, request_id, 503, spec->id, WS_JOB_QUEUED);
 		return;
 	}
-	ask->relayed = relayed;
-	if (!ws_can_ever_run(c, spec)) {
+	request->forwarded = forwarded;
+	if (!ws_can_ever_run(core, spec)) {
 		/* limits and teams change: what was accepted under others stays known */
-		ask->refused = true;
-		ws_get(c, "job", spec->id, token, ask, ws_submit_known);
-		ws_core_tick(c, now);
+		request->never_runnable = true;
+		ws_job_record_get(core, "job", spec->id, request_id, request, ws_submit_known);
+		ws_core_tick(core, now);
 		return;
 	}
-	call = ws_call(c, WS_CALL_TXN, ws_submit_written);
-	call->ctx = ask;
-	call->ctx_n = token;
-	snprintf(call->ctx_name, sizeof(call->ctx_name), "%s", spec->id);
-	call->conds = calloc(2, sizeof(*call->conds));
-	call->ops = calloc(1, sizeof(*call->ops));
-	if (!call->conds || !call->ops)
+	call = ws_call_new(core, WS_CALL_TRANSACTION, ws_submit_written);
+	call->context = request;
+	call->context_number = request_id;
+	snprintf(call->context_name, sizeof(call->context_name), "%s", spec->id);
+	call->compares = calloc(2, sizeof(*call->compares));
+	call->operations = calloc(1, sizeof(*call->operations));
+	if (!call->compares || !call->operations)
 		abort();
-	call->nconds = 2;
-	call->nops = 1;
-	snprintf(call->conds[0].key, WS_KEY_MAX, "job/%s", spec->id);
-	snprintf(call->conds[1].key, WS_KEY_MAX, "old/%s", spec->id);
-	snprintf(call->ops[0].key, WS_KEY_MAX, "job/%s", spec->id);
-	call->ops[0].value = ws_record_spec(spec, WS_QUEUED, wall);
-	ws_core_tick(c, now);
+	call->compare_count = 2;
+	call->operation_count = 1;
+	snprintf(call->compares[0].key, WS_KEY_MAX, "job/%s", spec->id);
+	snprintf(call->compares[1].key, WS_KEY_MAX, "old/%s", spec->id);
+	snprintf(call->operations[0].key, WS_KEY_MAX, "job/%s", spec->id);
+	call->operations[0].value = ws_record_spec(spec, WS_JOB_QUEUED, wall);
+	ws_core_tick(core, now);
 }
 
 /* ---- abort ---- */
 
-static void ws_abort_got(struct ws_core *c, struct ws_call *call, const struct ws_result *r);
+static void ws_cancel_record_read(struct ws_core *core, struct ws_call *call,
+				  const struct ws_result *result);
 
-static void ws_abort_written(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_cancel_written(struct ws_core *core, struct ws_call *call,
+			      const struct ws_result *result)
 {
-	struct ws_ask *ask = call->ctx;
+	struct ws_user_request *request = call->context;
 
-	if (r->status == 200) {
-		ws_withdrawal_note(c, call->conds[0].key, r->rev);
-		ws_answer(c, call->ctx_n, 200, call->ctx_name, WS_CANCELLED);
-	} else if ((r->status == 409 || r->status == 400) && ++ask->tries < 8) {
+	if (result->status == 200) {
+		ws_status_cache_note_cancelled(core, call->compares[0].key, result->revision);
+		ws_user_answer(core, call->context_number, 200, call->context_name,
+			       WS_JOB_CANCELLED);
+	} else if ((result->status == 409 || result->status == 400) && ++request->attempts < 8) {
 		/* changed meanwhile, or larger than the limit of now: read it again */
-		ask->split |= r->status == 400;
-		call->ctx = NULL;
-		ws_get(c, "job", call->ctx_name, call->ctx_n, ask, ws_abort_got);
+		request->record_split |= result->status == 400;
+		call->context = NULL;
+		ws_job_record_get(core, "job", call->context_name, call->context_number, request,
+				  ws_cancel_record_read);
 		return;
 	} else {
-		ws_cannot(c, call->ctx_n, call->ctx_name, ask->relayed, r->status);
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
 	}
 }
 
 /* The record as it is was refused: what does not fit goes to records of its own. */
-static void ws_abort_split(struct ws_core *c, struct ws_call *w)
+static void ws_cancel_split_written(struct ws_core *core, struct ws_call *call)
 {
-	size_t most = (size_t)c->set->txn_ops - 1, n, before = ws_record_size(w->ops[0].value);
+	size_t most = (size_t)core->settings->txn_ops - 1, n,
+	       before = ws_record_size(call->operations[0].value);
 	json_t **pieces = calloc(most + 1, sizeof(*pieces));
 
 	if (!pieces)
 		abort();
-	ws_record_split(w->ops[0].value, ws_record_limit(c), pieces, most, &n);
+	ws_record_split_attempts(call->operations[0].value, ws_record_size_limit(core), pieces,
+				 most, &n);
 	for (size_t i = 0; i < n; i++) {
-		snprintf(w->ops[w->nops].key, WS_KEY_MAX, "more/%s/%zu", w->ctx_name, i);
-		w->ops[w->nops++].value = pieces[i];
+		snprintf(call->operations[call->operation_count].key, WS_KEY_MAX, "more/%s/%zu",
+			 call->context_name, i);
+		call->operations[call->operation_count++].value = pieces[i];
 	}
 	free(pieces);
-	ws_log(c, WS_LOG_INFO,
-	       "job %s: its record of %zu bytes was refused, withdrawn in %zu parts", w->ctx_name,
-	       before, n + 1);
+	ws_log(core, WS_LOG_INFO,
+	       "job %s: its record of %zu bytes was refused, withdrawn in %zu parts",
+	       call->context_name, before, n + 1);
 }
 
-static void ws_abort_got(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_cancel_record_read(struct ws_core *core, struct ws_call *call,
+				  const struct ws_result *result)
 {
-	struct ws_ask *ask = call->ctx;
-	enum ws_phase phase;
+	struct ws_user_request *request = call->context;
+	enum ws_job_phase phase;
 	uint32_t done, running;
-	struct ws_call *w;
+	struct ws_call *other_call;
 
-	if (r->status == 404) {
-		call->ctx = NULL;
-		ws_get(c, "old", call->ctx_name, call->ctx_n, ask, ws_poll_old);
+	if (result->status == 404) {
+		call->context = NULL;
+		ws_job_record_get(core, "old", call->context_name, call->context_number, request,
+				  ws_query_archived_read);
 		return;
 	}
-	if (r->status != 200 || r->nkvs != 1 ||
-	    !ws_record_read_phase(r->kvs[0].value, &phase, &done, &running)) {
-		ws_cannot(c, call->ctx_n, call->ctx_name, ask->relayed,
-			  r->status == 200 ? 500 : r->status);
+	if (result->status != 200 || result->entry_count != 1 ||
+	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded,
+					   result->status == 200 ? 500 : result->status);
 		return;
 	}
-	if (phase == WS_DONE || phase == WS_CANCELLED) {
-		if (phase == WS_CANCELLED)
-			ws_withdrawal_note(c, call->key, r->kvs[0].stamp);
-		ws_answer(c, call->ctx_n, 200, call->ctx_name, phase);
+	if (phase == WS_JOB_DONE || phase == WS_JOB_CANCELLED) {
+		if (phase == WS_JOB_CANCELLED)
+			ws_status_cache_note_cancelled(core, call->key,
+						       result->entries[0].revision);
+		ws_user_answer(core, call->context_number, 200, call->context_name, phase);
 		return;
 	}
-	w = ws_call(c, WS_CALL_TXN, ws_abort_written);
-	w->ctx = ask;
-	call->ctx = NULL;
-	w->ctx_n = call->ctx_n;
-	snprintf(w->ctx_name, sizeof(w->ctx_name), "%s", call->ctx_name);
-	w->conds = calloc(1, sizeof(*w->conds));
-	w->ops = calloc((size_t)c->set->txn_ops, sizeof(*w->ops));
-	if (!w->conds || !w->ops)
+	other_call = ws_call_new(core, WS_CALL_TRANSACTION, ws_cancel_written);
+	other_call->context = request;
+	call->context = NULL;
+	other_call->context_number = call->context_number;
+	snprintf(other_call->context_name, sizeof(other_call->context_name), "%s",
+		 call->context_name);
+	other_call->compares = calloc(1, sizeof(*other_call->compares));
+	other_call->operations =
+	    calloc((size_t)core->settings->txn_ops, sizeof(*other_call->operations));
+	if (!other_call->compares || !other_call->operations)
 		abort();
-	w->nconds = w->nops = 1;
-	snprintf(w->conds[0].key, WS_KEY_MAX, "%s", call->key);
-	w->conds[0].stamp = r->kvs[0].stamp;
-	snprintf(w->ops[0].key, WS_KEY_MAX, "%s", call->key);
-	w->ops[0].value = json_deep_copy(r->kvs[0].value);
-	ws_record_withdraw(w->ops[0].value);
-	if (ask->split)
-		ws_abort_split(c, w);
+	other_call->compare_count = other_call->operation_count = 1;
+	snprintf(other_call->compares[0].key, WS_KEY_MAX, "%s", call->key);
+	other_call->compares[0].revision = result->entries[0].revision;
+	snprintf(other_call->operations[0].key, WS_KEY_MAX, "%s", call->key);
+	other_call->operations[0].value = json_deep_copy(result->entries[0].value);
+	ws_record_cancel(other_call->operations[0].value);
+	if (request->record_split)
+		ws_cancel_split_written(core, other_call);
 }
 
-void ws_core_abort(struct ws_core *c, double now, uint64_t token, const char *id, bool relayed)
+void ws_core_cancel(struct ws_core *core, double now, uint64_t request_id, const char *id,
+		    bool forwarded)
 {
-	struct ws_ask *ask;
+	struct ws_user_request *request;
 
-	if (now > c->now)
-		c->now = now;
-	ask = calloc(1, sizeof(*ask));
-	if (!ask) {
-		ws_answer(c, token, 503, id, WS_QUEUED);
+	if (now > core->now)
+		core->now = now;
+	request = calloc(1, sizeof(*request));
+	if (!request) {
+		ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
 		return;
 	}
-	ask->relayed = relayed;
-	ws_get(c, "job", id, token, ask, ws_abort_got);
-	ws_core_tick(c, now);
+	request->forwarded = forwarded;
+	ws_job_record_get(core, "job", id, request_id, request, ws_cancel_record_read);
+	ws_core_tick(core, now);
 }
 
 /* ---- all of them ---- */
 
-void ws_requests_tick(struct ws_core *c)
+void ws_requests_tick(struct ws_core *core)
 {
-	ws_seen_tick(c);
-	ws_peers_tick(c);
-	ws_types_tick(c);
-	ws_redirects_tick(c);
+	ws_status_cache_tick(core);
+	ws_peer_probe_tick(core);
+	ws_machine_types_tick(core);
+	ws_redirects_tick(core);
 }
 
-void ws_requests_free(struct ws_core *c)
+void ws_requests_free(struct ws_core *core)
 {
-	ws_polls_free(c);
-	ws_redirects_free(c);
+	ws_queries_free(core);
+	ws_redirects_free(core);
 }
--- a/src/core/requests.h
+++ b/src/core/requests.h
@@ -3,47 +3,52 @@
 #define WS_REQUESTS_H
 #include "internal.h"
 
-struct ws_seen { /* what a live job's record says */
+struct ws_job_status { /* what a live job's record says */
 	char id[WS_ID_MAX];
-	enum ws_phase phase;
+	enum ws_job_phase phase;
 	uint32_t done, running;
-	uint64_t stamp;
+	uint64_t revision;
 	UT_hash_handle hh;
 };
 
-struct ws_ask { /* a user's request under way */
-	bool relayed;
-	bool split;   /* the record is too large to be written whole */
-	bool refused; /* a submission that can never run, unless it was accepted before */
-	int tries;
+struct ws_user_request { /* a user's request under way */
+	bool forwarded;
+	bool record_split;   /* the record is too large to be written whole */
+	bool never_runnable; /* a submission that can never run, unless it was accepted before */
+	int attempts;
 };
 
 /* requests.c */
-void ws_answer(struct ws_core *c, uint64_t token, int status, const char *id, enum ws_phase phase);
-/* The state service does not serve us: a peer may do better, unless the request came from one. */
-void ws_cannot(struct ws_core *c, uint64_t token, const char *id, bool relayed, int status);
+void ws_user_answer(struct ws_core *core, uint64_t request_id, int status, const char *id,
+		    enum ws_job_phase phase);
+/* The store does not serve us: a peer may do better, unless the request came from one. */
+void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
+				bool forwarded, int status);
 /* Reads a job's record under "job" or "old"; takes over the request. */
-struct ws_call *ws_get(struct ws_core *c, const char *prefix, const char *id, uint64_t token,
-		       struct ws_ask *ask, ws_done_fn done);
-bool ws_state_refuses(const struct ws_core *c);
-void ws_known_answer(struct ws_core *c, uint64_t token, const char *id, enum ws_phase phase,
-		     uint32_t done, uint32_t running, bool poll);
+struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
+				  uint64_t request_id, struct ws_user_request *request,
+				  ws_result_fn done);
+bool ws_store_refuses(const struct ws_core *core);
+void ws_user_answer_status(struct ws_core *core, uint64_t request_id, const char *id,
+			   enum ws_job_phase phase, uint32_t done, uint32_t running, bool poll);
 /* Answers with what a record says. */
-void ws_state_answer(struct ws_core *c, struct ws_call *call, const struct ws_result *r, bool poll);
-void ws_peers_tick(struct ws_core *c);
+void ws_user_answer_record(struct ws_core *core, struct ws_call *call,
+			   const struct ws_result *result, bool poll);
+void ws_peer_probe_tick(struct ws_core *core);
 
 /* polls.c */
 /* The entry of a job of which we know more than the copy tells; NULL: the copy is as new. */
-struct ws_seen *ws_seen_note(struct ws_core *c, const char *id, uint64_t stamp);
+struct ws_job_status *ws_status_cache_note(struct ws_core *core, const char *id, uint64_t revision);
 /* Answers with a record under "old". */
-void ws_poll_old(struct ws_core *c, struct ws_call *call, const struct ws_result *r);
-void ws_seen_tick(struct ws_core *c);
-void ws_polls_free(struct ws_core *c);
+void ws_query_archived_read(struct ws_core *core, struct ws_call *call,
+			    const struct ws_result *result);
+void ws_status_cache_tick(struct ws_core *core);
+void ws_queries_free(struct ws_core *core);
 
 /* types.c */
-void ws_types_tick(struct ws_core *c);
+void ws_machine_types_tick(struct ws_core *core);
 
 /* followers.c */
-void ws_redirects_tick(struct ws_core *c);
-void ws_redirects_free(struct ws_core *c);
+void ws_redirects_tick(struct ws_core *core);
+void ws_redirects_free(struct ws_core *core);
 #endif
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -34,20 +34,20 @@
 	char zone[WS_NAME_MAX];
 	struct ws_endpoint bind, peer_bind, cloud, state;
 	struct ws_endpoint peers[WS_MAX_PEERS];
-	size_t npeers;
+	size_t peer_count;
 	char zones[WS_MAX_ZONES][WS_NAME_MAX];
-	size_t nzones;
+	size_t zone_count;
 	struct ws_team_setting teams[WS_MAX_TEAMS];
-	size_t nteams;
+	size_t team_count;
 	struct ws_objective objectives[WS_MAX_OBJECTIVES];
-	size_t nobjectives;
+	size_t objective_count;
 	double report_s, lease_s, cancel_s;
 	double state_rps, state_write_rps, value_kb;
 	int txn_ops;
 	double cloud_rps, list_lag_s;
 	double core_share, ram_mb;
 	int max_sockets;
-	int sockets;	    /* of these, what the state service, the cloud and the peers leave */
+	int sockets;	    /* of these, what the store, the cloud and the peers leave */
 	double gang_wait_s; /* a gang's task waits so long for the others */
 	double gang_peer_s; /* and notices within this that another is gone */
 };
@@ -58,14 +58,14 @@
 	double rentals_max;	 /* the paper's S over bar */
 	double wait_max_s;	 /* the paper's Wq over bar */
 	double latency_bound_s;	 /* the paper's W'q: k rises on while Wq is above it */
-	int rental_ceiling;	 /* never more rentals than this */
-	int waiting_loads;	 /* machine-loads allowed to wait: the last term of K */
-	double empty_wait_s;	 /* an empty rental is returned after this */
+	int rental_ceiling;	 /* never more rented machines than this */
+	int waiting_loads;	 /* demand units allowed to wait: the last term of K */
+	double empty_wait_s;	 /* an empty rented machine is returned after this */
 	double sizing_period_s;	 /* Algorithm 1 is run this often */
 	double leader_ttl_ratio; /* of lease_s */
-	double silent_ratio;	 /* of lease_s: a rental silent for longer is returned */
+	double silent_ratio;	 /* of lease_s: a rented machine silent for longer is returned */
 	double boot_patience;	 /* times the type's boot time before a boot counts as failed */
 };
 
-void ws_policy_defaults(struct ws_policy *p);
+void ws_policy_defaults(struct ws_policy *policy);
 #endif
--- a/src/core/sizing.c
+++ b/src/core/sizing.c
@@ -1,7 +1,7 @@
 /*
  * Stationary distribution of the M/M/N/K/Setup queue after the paper's section V: row i holds the
- * states with i rentals active. Within a row every probability is an affine function of the one
- * before it (Lemmas 1 and 2); rows are joined by the cut equations (10) and (23). Only positive
+ * states with i rented machines active. Within a row every probability is an affine function of the
+ * one before it (Lemmas 1 and 2); rows are joined by the cut equations (10) and (23). Only positive
  * numbers are added and multiplied; rows are rescaled so that nothing overflows.
  *
  * The paper's den = lambda + setup + ni mu - ni mu b(j+1) subtracts after all: under overload its
@@ -16,9 +16,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-static double ws_min(double a, double b)
+static double ws_min(double left, double right)
 {
-	return a < b ? a : b;
+	return left < right ? left : right;
 }
 
 /* Only ratios matter: what grows too large is scaled down, and all that goes with it. */
@@ -36,40 +36,40 @@
 		sums[x] /= f;
 }
 
-bool ws_queue_solve(double lambda, double mu, double alpha, int n0, int k, int kmax,
-		    struct ws_queue *q)
+bool ws_queue_solve(double lambda, double service_rate, double alpha, int owned, int machines,
+		    int kmax, struct ws_queue_solution *solution)
 {
-	if (!(lambda > 0) || !(mu > 0) || !(alpha > 0) || n0 < 0 || k < 0 || kmax < n0 + k ||
-	    kmax < 1 || !isfinite(lambda + mu + alpha))
+	if (!(lambda > 0) || !(service_rate > 0) || !(alpha > 0) || owned < 0 || machines < 0 ||
+	    kmax < owned + machines || kmax < 1 || !isfinite(lambda + service_rate + alpha))
 		return false;
-	int n = n0 + k;
+	int n = owned + machines;
 	size_t w = (size_t)kmax + 2;
 	double *prev = calloc(w, sizeof(double)), *cur = calloc(w, sizeof(double));
 	double *a = calloc(w, sizeof(double)), *b = calloc(w, sizeof(double));
 	bool ok = prev && cur && a && b;
-	double sums[4] = {0}; /* probability, jobs, rentals, and what is full */
+	double sums[4] = {0}; /* probability, jobs, rented machines, and what is full */
 
-	for (int i = 0; ok && i <= k; i++) {
-		int ni = n0 + i;
+	for (int i = 0; ok && i <= machines; i++) {
+		int ni = owned + i;
 		double up = 0; /* flow from row i - 1 into this one */
 
 		memset(cur, 0, w * sizeof(double));
 		memset(a, 0, w * sizeof(double));
 		memset(b, 0, w * sizeof(double));
-		double d = 0; /* den less ni mu: kept apart, see above */
+		double d = 0; /* den less ni mu: quarantined, see above */
 		for (int j = kmax; j > ni; j--) {
 			double setup = ws_min(j - ni, n - ni) * alpha;
 			double in = i ? ws_min(j - ni + 1, n - ni + 1) * alpha * prev[j] : 0;
 			double next_a = j < kmax ? a[j + 1] : 0;
 			double den;
 
-			d = setup + (j < kmax && d > 0 ? lambda * d / (d + ni * mu) : 0);
-			den = d + ni * mu;
+			d = setup + (j < kmax && d > 0 ? lambda * d / (d + ni * service_rate) : 0);
+			den = d + ni * service_rate;
 			if (!(den > 0)) {
 				ok = false;
 				break;
 			}
-			a[j] = (ni * mu * next_a + in) / den;
+			a[j] = (ni * service_rate * next_a + in) / den;
 			b[j] = lambda / den;
 		}
 		if (!ok)
@@ -77,13 +77,14 @@
 		if (i == 0) {
 			cur[0] = 1;
 			for (int j = 1; j <= kmax; j++) {
-				cur[j] = cur[j - 1] * (j <= n0 ? lambda / (j * mu) : b[j]);
+				cur[j] =
+				    cur[j - 1] * (j <= owned ? lambda / (j * service_rate) : b[j]);
 				ws_rescale(cur, a, j, kmax, sums);
 			}
 		} else {
 			for (int j = ni; j <= kmax; j++)
 				up += ws_min(j - ni + 1, n - ni + 1) * alpha * prev[j];
-			cur[ni] = up / (ni * mu);
+			cur[ni] = up / (ni * service_rate);
 			for (int j = ni + 1; j <= kmax; j++) {
 				cur[j] = a[j] + b[j] * cur[j - 1];
 				ws_rescale(cur, a, j, kmax, sums);
@@ -122,29 +123,34 @@
 	free(b);
 	if (!ok || !(sums[0] > 0) || !isfinite(sums[0]))
 		return false;
-	q->pb = sums[3] / sums[0];
-	q->s = sums[2] / sums[0];
-	double taken = lambda * (1 - q->pb);
+	solution->blocking_probability = sums[3] / sums[0];
+	solution->mean_scaled_out = sums[2] / sums[0];
+	double taken = lambda * (1 - solution->blocking_probability);
 	if (!(taken > 0))
 		return false;
-	q->wq = sums[1] / sums[0] / taken - 1 / mu;
-	if (q->wq < 0)
-		q->wq = 0;
-	return isfinite(q->wq) && isfinite(q->s);
+	solution->mean_wait_s = sums[1] / sums[0] / taken - 1 / service_rate;
+	if (solution->mean_wait_s < 0)
+		solution->mean_wait_s = 0;
+	return isfinite(solution->mean_wait_s) && isfinite(solution->mean_scaled_out);
 }
 
 /* Whether Algorithm 1 stops at k: 1 yes, 0 not yet, -1 the queue can't be solved. */
-static int ws_sizing_stops(const struct ws_measure *m, int k, int unit, struct ws_queue *at)
+static int ws_sizing_stops(const struct ws_queue_measurement *measurement, int machines, int unit,
+			   struct ws_queue_solution *solution)
 {
-	int cap = m->owned + m->ceiling + m->waiting_loads;
+	int cap = measurement->owned + measurement->ceiling + measurement->waiting_units;
 
-	if (!ws_queue_solve(m->lambda / unit, m->mu, m->alpha, m->owned / unit, k,
-			    (cap + unit - 1) / unit, at))
+	if (!ws_queue_solve(measurement->arrival_rate / unit, measurement->service_rate,
+			    measurement->boot_rate, measurement->owned / unit, machines,
+			    (cap + unit - 1) / unit, solution))
 		return -1;
-	at->s *= unit;
-	if (m->bound_s > 0 && at->wq > m->bound_s)
+	solution->mean_scaled_out *= unit;
+	if (measurement->bound_s > 0 && solution->mean_wait_s > measurement->bound_s)
 		return 0;
-	return at->wq <= 0 || (at->s / m->rentals_max) / (at->wq / m->wait_max_s) >= m->delta;
+	return solution->mean_wait_s <= 0 ||
+	       (solution->mean_scaled_out / measurement->rentals_max) /
+		       (solution->mean_wait_s / measurement->wait_max_s) >=
+		   measurement->delta;
 }
 
 /*
@@ -152,13 +158,16 @@
  * which it stops is found by halving. Its cost grows with the cube of the machines: hundreds are
  * counted in units of several, which wait a little longer than as many single ones.
  */
-int ws_sizing_run(const struct ws_measure *m, struct ws_queue *at)
+int ws_sizing_run(const struct ws_queue_measurement *measurement,
+		  struct ws_queue_solution *solution)
 {
-	int cap = m->owned + m->ceiling + m->waiting_loads;
-	int unit = cap / WS_SIZING_STATES + 1, low = 0, high = (m->ceiling + unit - 1) / unit;
+	int cap = measurement->owned + measurement->ceiling + measurement->waiting_units;
+	int unit = cap / WS_SIZING_STATES + 1, low = 0,
+	    high = (measurement->ceiling + unit - 1) / unit;
 
 	while (low < high) {
-		int mid = low + (high - low) / 2, stops = ws_sizing_stops(m, mid, unit, at);
+		int mid = low + (high - low) / 2,
+		    stops = ws_sizing_stops(measurement, mid, unit, solution);
 
 		if (stops < 0)
 			return -1;
@@ -167,7 +176,7 @@
 		else
 			low = mid + 1;
 	}
-	if (ws_sizing_stops(m, low, unit, at) < 0)
+	if (ws_sizing_stops(measurement, low, unit, solution) < 0)
 		return -1;
-	return low * unit < m->ceiling ? low * unit : m->ceiling;
+	return low * unit < measurement->ceiling ? low * unit : measurement->ceiling;
 }
--- a/src/core/subsystems.c
+++ b/src/core/subsystems.c
@@ -14,7 +14,7 @@
 	WS_REQUEST_SURVEY,
 	WS_REQUEST_MOVE,
 	WS_REQUEST_LOOK_UP,
-	WS_REQUEST_END_KEPT,
+	WS_REQUEST_END_QUARANTINED,
 };
 
 struct ws_request {
@@ -80,9 +80,9 @@
 	ws_request_add(queue, WS_REQUEST_LOOK_UP, job);
 }
 
-void ws_request_end_kept(struct ws_request_queue *queue, const char *job, double grace_s)
+void ws_request_end_quarantined(struct ws_request_queue *queue, const char *job, double grace_s)
 {
-	ws_request_add(queue, WS_REQUEST_END_KEPT, job)->grace_s = grace_s;
+	ws_request_add(queue, WS_REQUEST_END_QUARANTINED, job)->grace_s = grace_s;
 }
 
 /* ---- attaching ---- */
@@ -99,41 +99,41 @@
 	return true;
 }
 
-bool ws_subsystems_active(const struct ws_core *c)
+bool ws_subsystems_active(const struct ws_core *core)
 {
-	return c->subsystems.count > 0;
+	return core->subsystems.count > 0;
 }
 
-const char *ws_subsystems_prefix(const struct ws_core *c, size_t i)
+const char *ws_subsystems_prefix(const struct ws_core *core, size_t index)
 {
-	return i < c->subsystems.count ? c->subsystems.list[i].ops->prefix : NULL;
+	return index < core->subsystems.count ? core->subsystems.list[index].ops->prefix : NULL;
 }
 
 /* The subsystem whose record a key names; NULL: none. */
-static struct ws_subsystem *ws_subsystem_of(struct ws_core *c, const char *key)
+static struct ws_subsystem *ws_subsystem_of(struct ws_core *core, const char *key)
 {
-	for (size_t i = 0; i < c->subsystems.count; i++) {
-		const char *prefix = c->subsystems.list[i].ops->prefix;
+	for (size_t i = 0; i < core->subsystems.count; i++) {
+		const char *prefix = core->subsystems.list[i].ops->prefix;
 
 		if (!strncmp(key, prefix, strlen(prefix)))
-			return &c->subsystems.list[i];
+			return &core->subsystems.list[i];
 	}
 	return NULL;
 }
 
 /* ---- records ---- */
 
-static struct ws_subsystem_record *ws_subsystem_record_find(struct ws_core *c, const char *key)
+static struct ws_subsystem_record *ws_subsystem_record_find(struct ws_core *core, const char *key)
 {
 	struct ws_subsystem_record *record;
 
-	HASH_FIND_STR(c->subsystems.records, key, record);
+	HASH_FIND_STR(core->subsystems.records, key, record);
 	return record;
 }
 
-static struct ws_subsystem_record *ws_subsystem_record_get(struct ws_core *c, const char *key)
+static struct ws_subsystem_record *ws_subsystem_record_get(struct ws_core *core, const char *key)
 {
-	struct ws_subsystem_record *record = ws_subsystem_record_find(c, key);
+	struct ws_subsystem_record *record = ws_subsystem_record_find(core, key);
 
 	if (record)
 		return record;
@@ -141,131 +141,134 @@
 	if (!record)
 		abort();
 	snprintf(record->key, sizeof(record->key), "%s", key);
-	HASH_ADD_STR(c->subsystems.records, key, record);
+	HASH_ADD_STR(core->subsystems.records, key, record);
 	return record;
 }
 
-static void ws_subsystem_record_free(struct ws_core *c, struct ws_subsystem_record *record)
+static void ws_subsystem_record_free(struct ws_core *core, struct ws_subsystem_record *record)
 {
-	c->subsystems.dirty_records -= record->dirty;
-	HASH_DEL(c->subsystems.records, record);
+	core->subsystems.dirty_records -= record->dirty;
+	HASH_DEL(core->subsystems.records, record);
 	json_decref(record->value);
 	free(record);
 }
 
-static void ws_subsystem_record_dirty(struct ws_core *c, struct ws_subsystem_record *record)
+static void ws_subsystem_record_dirty(struct ws_core *core, struct ws_subsystem_record *record)
 {
-	c->subsystems.dirty_records += !record->dirty;
+	core->subsystems.dirty_records += !record->dirty;
 	record->dirty = true;
-	c->flush_wanted = true;
+	core->flush_wanted = true;
 }
 
 /* What is to be on record under a key from now on; NULL: nothing. */
-static void ws_subsystem_record_set(struct ws_core *c, const char *key, json_t *value, bool urgent)
+static void ws_subsystem_record_set(struct ws_core *core, const char *key, json_t *value,
+				    bool urgent)
 {
-	struct ws_subsystem_record *record = ws_subsystem_record_get(c, key);
+	struct ws_subsystem_record *record = ws_subsystem_record_get(core, key);
 
 	json_decref(record->value);
 	record->value = value;
 	record->urgent = urgent;
-	ws_subsystem_record_dirty(c, record);
+	ws_subsystem_record_dirty(core, record);
 }
 
-bool ws_subsystems_record(struct ws_core *c, const struct ws_kv *kv)
+bool ws_subsystems_record(struct ws_core *core, const struct ws_kv *entry)
 {
-	struct ws_subsystem *subsystem = ws_subsystem_of(c, kv->key);
+	struct ws_subsystem *subsystem = ws_subsystem_of(core, entry->key);
 
 	if (!subsystem)
 		return false;
-	ws_subsystem_record_get(c, kv->key)->revision = kv->stamp;
+	ws_subsystem_record_get(core, entry->key)->revision = entry->revision;
 	if (subsystem->ops->record_loaded)
-		subsystem->ops->record_loaded(subsystem->self,
-					      kv->key + strlen(subsystem->ops->prefix), kv->value);
+		subsystem->ops->record_loaded(
+		    subsystem->self, entry->key + strlen(subsystem->ops->prefix), entry->value);
 	return true;
 }
 
 /* One record as a change of a transaction, under the revision that we know of it. */
-static void ws_subsystem_record_put(struct ws_core *c, struct ws_call *transaction,
+static void ws_subsystem_record_put(struct ws_core *core, struct ws_call *transaction,
 				    struct ws_subsystem_record *record)
 {
-	struct ws_cond *condition = &transaction->conds[transaction->nconds++];
-	struct ws_op *change = &transaction->ops[transaction->nops++];
+	struct ws_compare *condition = &transaction->compares[transaction->compare_count++];
+	struct ws_operation *change = &transaction->operations[transaction->operation_count++];
 
 	snprintf(condition->key, sizeof(condition->key), "%s", record->key);
-	condition->stamp = record->revision;
+	condition->revision = record->revision;
 	snprintf(change->key, sizeof(change->key), "%s", record->key);
 	change->value = json_incref(record->value);
 	record->dirty = false;
-	record->writing = true;
-	c->subsystems.dirty_records--;
+	record->write_in_flight = true;
+	core->subsystems.dirty_records--;
 }
 
-void ws_subsystems_flush(struct ws_core *c, struct ws_call *transaction, size_t most, size_t *bytes,
-			 bool urgent)
+void ws_subsystems_collect_writes(struct ws_core *core, struct ws_call *transaction, size_t most,
+				  size_t *bytes, bool urgent)
 {
 	struct ws_subsystem_record *record, *next;
 
-	if (!c->subsystems.dirty_records)
+	if (!core->subsystems.dirty_records)
 		return;
-	HASH_ITER (hh, c->subsystems.records, record, next) {
+	HASH_ITER (hh, core->subsystems.records, record, next) {
 		size_t size;
 
-		if (transaction->nops >= most || *bytes > WS_TRANSACTION_BYTES)
+		if (transaction->operation_count >= most || *bytes > WS_TRANSACTION_BYTES)
 			return;
-		if (!record->dirty || record->writing || record->urgent != urgent)
+		if (!record->dirty || record->write_in_flight || record->urgent != urgent)
 			continue;
 		if (!record->value && !record->revision) { /* never written */
-			ws_subsystem_record_free(c, record);
+			ws_subsystem_record_free(core, record);
 			continue;
 		}
 		size = record->value ? ws_record_size(record->value) : 0;
-		if ((double)size >= c->value_most) {
-			ws_log(c, WS_LOG_ERROR, "%s has %zu bytes, too many for a value: left out",
-			       record->key, size);
+		if ((double)size >= core->value_most) {
+			ws_log(core, WS_LOG_ERROR,
+			       "%s has %zu bytes, too many for a value: left out", record->key,
+			       size);
 			record->dirty = false;
-			c->subsystems.dirty_records--;
+			core->subsystems.dirty_records--;
 			continue;
 		}
 		*bytes += size + WS_KEY_MAX;
-		ws_subsystem_record_put(c, transaction, record);
+		ws_subsystem_record_put(core, transaction, record);
 	}
 }
 
-bool ws_subsystems_written(struct ws_core *c, const struct ws_op *op, uint64_t revision)
+bool ws_subsystems_written(struct ws_core *core, const struct ws_operation *operation,
+			   uint64_t revision)
 {
-	struct ws_subsystem_record *record = ws_subsystem_record_find(c, op->key);
+	struct ws_subsystem_record *record = ws_subsystem_record_find(core, operation->key);
 
 	if (!record)
 		return false;
-	record->writing = false;
-	record->revision = op->value ? revision : 0;
-	if (!op->value && !record->dirty)
-		ws_subsystem_record_free(c, record);
+	record->write_in_flight = false;
+	record->revision = operation->value ? revision : 0;
+	if (!operation->value && !record->dirty)
+		ws_subsystem_record_free(core, record);
 	return true;
 }
 
-bool ws_subsystems_undone(struct ws_core *c, const struct ws_op *op, bool reread)
+bool ws_subsystems_undone(struct ws_core *core, const struct ws_operation *operation, bool reread)
 {
-	struct ws_subsystem_record *record = ws_subsystem_record_find(c, op->key);
+	struct ws_subsystem_record *record = ws_subsystem_record_find(core, operation->key);
 
 	if (!record)
 		return false;
 	if (!reread) {
-		record->writing = false;
-		ws_subsystem_record_dirty(c, record);
+		record->write_in_flight = false;
+		ws_subsystem_record_dirty(core, record);
 	}
 	return true;
 }
 
-bool ws_subsystems_reread(struct ws_core *c, const char *key, uint64_t revision)
+bool ws_subsystems_reread(struct ws_core *core, const char *key, uint64_t revision)
 {
-	struct ws_subsystem_record *record = ws_subsystem_record_find(c, key);
+	struct ws_subsystem_record *record = ws_subsystem_record_find(core, key);
 
 	if (!record)
 		return false;
 	record->revision = revision;
-	record->writing = false;
-	ws_subsystem_record_dirty(c, record);
+	record->write_in_flight = false;
+	ws_subsystem_record_dirty(core, record);
 	return true;
 }
 
@@ -277,194 +280,200 @@
 		if ((c)->subsystems.list[i_].ops->hook)                                            \
 	(c)->subsystems.list[i_].ops->hook((c)->subsystems.list[i_].self, ##__VA_ARGS__)
 
-void ws_subsystems_elected(struct ws_core *c)
+void ws_subsystems_elected(struct ws_core *core)
 {
 	const struct ws_election_facts facts = {
-	    .now = c->now,
-	    .term = c->epoch >> WS_EPOCH_SHIFT,
-	    .unproven_s = c->proof.any ? c->now - c->proof.at : INFINITY,
-	    .proven_term = c->proof.term,
-	    .leases_out = ws_lease_out(c, c->elected_at),
+	    .now = core->now,
+	    .term = core->epoch >> WS_FENCING_TOKEN_SHIFT,
+	    .unproven_s = core->proof.exists ? core->now - core->proof.alive_at : INFINITY,
+	    .proven_term = core->proof.term,
+	    .leases_out = ws_lease_expiry(core, core->elected_at),
 	};
 
-	WS_EACH_HOOK(c, elected, &facts);
+	WS_EACH_HOOK(core, elected, &facts);
 }
 
 /* The filters of orders, asked once a tick. */
-static void ws_subsystems_ask_held(struct ws_core *c)
+static void ws_subsystems_ask_deferred(struct ws_core *core)
 {
-	struct ws_subsystems *all = &c->subsystems;
+	struct ws_subsystems *all = &core->subsystems;
 
-	memset(all->held, 0, sizeof(all->held));
+	memset(all->deferred, 0, sizeof(all->deferred));
 	for (size_t i = 0; i < all->count; i++) {
 		const struct ws_subsystem *subsystem = &all->list[i];
 
-		if (!subsystem->ops->order_held)
+		if (!subsystem->ops->action_deferred)
 			continue;
-		for (int kind = 0; kind < WS_ORDER_KINDS; kind++)
-			for (int z = -1; z < c->nzones; z++)
-				if (subsystem->ops->order_held(subsystem->self, c->now,
-							       (enum ws_order_kind)kind,
-							       z < 0 ? "" : c->zones[z]))
-					all->held[kind] |= 1ULL << (z + 1);
+		for (int kind = 0; kind < WS_DEFERRABLE_ACTIONS; kind++)
+			for (int z = -1; z < core->nzones; z++)
+				if (subsystem->ops->action_deferred(subsystem->self, core->now,
+								    (enum ws_deferrable_action)kind,
+								    z < 0 ? "" : core->zones[z]))
+					all->deferred[kind] |= 1ULL << (z + 1);
 	}
 }
 
-bool ws_subsystems_hold(const struct ws_core *c, enum ws_order_kind kind, int zone)
+bool ws_subsystems_defer(const struct ws_core *core, enum ws_deferrable_action kind, int zone)
 {
-	return c->subsystems.held[kind] >> (zone + 1) & 1;
+	return core->subsystems.deferred[kind] >> (zone + 1) & 1;
 }
 
-void ws_subsystems_loaded(struct ws_core *c)
+void ws_subsystems_loaded(struct ws_core *core)
 {
-	struct ws_machine *m, *next;
+	struct ws_machine *machine, *next;
 
-	if (!ws_subsystems_active(c))
+	if (!ws_subsystems_active(core))
 		return;
-	HASH_ITER (hh, c->machines, m, next)
-		if (m->tenure)
-			ws_subsystems_machine(c, m);
-	WS_EACH_HOOK(c, records_loaded, c->now);
-	ws_subsystems_ask_held(c);
+	HASH_ITER (hh, core->machines, machine, next)
+		if (machine->incarnation)
+			ws_subsystems_machine(core, machine);
+	WS_EACH_HOOK(core, records_loaded, core->now);
+	ws_subsystems_ask_deferred(core);
 }
 
-void ws_subsystems_step_down(struct ws_core *c)
+void ws_subsystems_step_down(struct ws_core *core)
 {
 	struct ws_subsystem_record *record, *next;
-	struct ws_machine *m, *next_machine;
+	struct ws_machine *machine, *next_machine;
 
-	if (!ws_subsystems_active(c))
+	if (!ws_subsystems_active(core))
 		return;
-	HASH_ITER (hh, c->machines, m, next_machine)
-		ws_subsystems_machine_removed(c, m);
-	WS_EACH_HOOK(c, stepped_down);
-	record = c->subsystems.records;
-	HASH_CLEAR(hh, c->subsystems.records);
+	HASH_ITER (hh, core->machines, machine, next_machine)
+		ws_subsystems_machine_removed(core, machine);
+	WS_EACH_HOOK(core, stepped_down);
+	record = core->subsystems.records;
+	HASH_CLEAR(hh, core->subsystems.records);
 	for (; record; record = next) {
 		next = record->hh.next;
 		json_decref(record->value);
 		free(record);
 	}
-	c->subsystems.dirty_records = 0;
-	c->subsystems.tick_next = 0;
-	c->subsystems.zones_avoided = c->subsystems.zones_closed = 0;
-	memset(c->subsystems.held, 0, sizeof(c->subsystems.held));
-	c->subsystems.moves = false;
+	core->subsystems.dirty_records = 0;
+	core->subsystems.tick_next = 0;
+	core->subsystems.zones_avoided = core->subsystems.zones_closed = 0;
+	memset(core->subsystems.deferred, 0, sizeof(core->subsystems.deferred));
+	core->subsystems.moves = false;
 }
 
-void ws_subsystems_free(struct ws_core *c)
+void ws_subsystems_free(struct ws_core *core)
 {
-	WS_EACH_HOOK(c, destroy);
-	c->subsystems.count = 0;
+	WS_EACH_HOOK(core, destroy);
+	core->subsystems.count = 0;
 }
 
 /* ---- machines ---- */
 
-void ws_subsystems_machine(struct ws_core *c, struct ws_machine *m)
+void ws_subsystems_machine(struct ws_core *core, struct ws_machine *machine)
 {
 	const struct ws_machine_facts facts = {
-	    .name = m->name,
-	    .address = m->host,
-	    .zone = m->zone,
-	    .expected = !m->reported,
-	    .unknown = m->unknown,
+	    .name = machine->name,
+	    .address = machine->address,
+	    .zone = machine->zone,
+	    .expected = !machine->reported,
+	    .unknown = machine->unrecorded,
 	};
 
-	for (size_t i = 0; i < c->subsystems.count; i++) {
-		const struct ws_subsystem *subsystem = &c->subsystems.list[i];
+	for (size_t i = 0; i < core->subsystems.count; i++) {
+		const struct ws_subsystem *subsystem = &core->subsystems.list[i];
 
-		if (m->handles[i] && subsystem->ops->machine_changed)
-			subsystem->ops->machine_changed(subsystem->self, m->handles[i], &facts);
-		else if (!m->handles[i] && subsystem->ops->machine_added)
-			m->handles[i] =
-			    subsystem->ops->machine_added(subsystem->self, c->now, &facts);
+		if (machine->subsystem_handles[i] && subsystem->ops->machine_changed)
+			subsystem->ops->machine_changed(subsystem->self,
+							machine->subsystem_handles[i], &facts);
+		else if (!machine->subsystem_handles[i] && subsystem->ops->machine_added)
+			machine->subsystem_handles[i] =
+			    subsystem->ops->machine_added(subsystem->self, core->now, &facts);
 	}
 }
 
 /* Calls one hook about a machine, of every subsystem that keeps a handle of it. */
 #define WS_EACH_MACHINE_HOOK(c, m, hook, ...)                                                      \
 	for (size_t i_ = 0; i_ < (c)->subsystems.count; i_++)                                      \
-		if ((m)->handles[i_] && (c)->subsystems.list[i_].ops->hook)                        \
+		if ((m)->subsystem_handles[i_] && (c)->subsystems.list[i_].ops->hook)              \
 	(c)->subsystems.list[i_].ops->hook((c)->subsystems.list[i_].self, __VA_ARGS__)
 
-void ws_subsystems_machine_removed(struct ws_core *c, struct ws_machine *m)
+void ws_subsystems_machine_removed(struct ws_core *core, struct ws_machine *machine)
 {
-	WS_EACH_MACHINE_HOOK(c, m, machine_removed, m->handles[i_]);
-	memset(m->handles, 0, sizeof(m->handles));
+	WS_EACH_MACHINE_HOOK(core, machine, machine_removed, machine->subsystem_handles[i_]);
+	memset(machine->subsystem_handles, 0, sizeof(machine->subsystem_handles));
 }
 
-void ws_subsystems_heartbeat(struct ws_core *c, struct ws_machine *m)
+void ws_subsystems_heartbeat(struct ws_core *core, struct ws_machine *machine)
 {
-	WS_EACH_MACHINE_HOOK(c, m, heartbeat_seen, c->now, m->handles[i_]);
+	WS_EACH_MACHINE_HOOK(core, machine, heartbeat_seen, core->now,
+			     machine->subsystem_handles[i_]);
 }
 
-void ws_subsystems_answered(struct ws_core *c, struct ws_machine *m, bool answered)
+void ws_subsystems_answered(struct ws_core *core, struct ws_machine *machine, bool answered)
 {
-	WS_EACH_MACHINE_HOOK(c, m, command_answered, m->handles[i_], answered);
+	WS_EACH_MACHINE_HOOK(core, machine, command_answered, machine->subsystem_handles[i_],
+			     answered);
 }
 
-void ws_subsystems_lost(struct ws_core *c, struct ws_machine *m, enum ws_machine_loss loss)
+void ws_subsystems_lost(struct ws_core *core, struct ws_machine *machine, enum ws_machine_loss loss)
 {
-	WS_EACH_MACHINE_HOOK(c, m, machine_lost, c->now, m->handles[i_], loss);
+	WS_EACH_MACHINE_HOOK(core, machine, machine_lost, core->now, machine->subsystem_handles[i_],
+			     loss);
 }
 
 /* ---- reconciliation ---- */
 
-bool ws_subsystems_found(struct ws_core *c, const struct ws_attempt *s, enum ws_finding_kind kind)
+bool ws_subsystems_reconciled(struct ws_core *core, const struct ws_attempt *attempt,
+			      enum ws_reconciliation_result kind)
 {
-	const struct ws_finding finding = {
-	    .kind = kind,
-	    .machine = s->machine->name,
-	    .job = s->job_id,
-	    .task = s->task,
-	    .attempt = s->attempt,
-	    .tenure = s->tenure,
+	const struct ws_reconciliation finding = {
+	    .result = kind,
+	    .machine = attempt->machine->name,
+	    .job = attempt->job_id,
+	    .task = attempt->task,
+	    .attempt = attempt->number,
+	    .incarnation = attempt->incarnation,
 	};
 	bool keep = false;
 
-	for (size_t i = 0; i < c->subsystems.count; i++) {
-		const struct ws_subsystem *subsystem = &c->subsystems.list[i];
+	for (size_t i = 0; i < core->subsystems.count; i++) {
+		const struct ws_subsystem *subsystem = &core->subsystems.list[i];
 
 		if (subsystem->ops->attempt_found)
-			keep |= subsystem->ops->attempt_found(subsystem->self, c->now, &finding);
+			keep |= subsystem->ops->attempt_found(subsystem->self, core->now, &finding);
 	}
 	return keep;
 }
 
-void ws_subsystems_adopted(struct ws_core *c, const char *job, uint32_t count)
+void ws_subsystems_adopted(struct ws_core *core, const char *job, uint32_t count)
 {
-	WS_EACH_HOOK(c, attempts_adopted, c->now, job, count);
+	WS_EACH_HOOK(core, attempts_adopted, core->now, job, count);
 }
 
 /* ---- placement ---- */
 
-bool ws_subsystems_avoided(struct ws_core *c, const struct ws_machine *m)
+bool ws_subsystems_avoided(struct ws_core *core, const struct ws_machine *machine)
 {
-	for (size_t i = 0; i < c->subsystems.count; i++) {
-		const struct ws_subsystem *subsystem = &c->subsystems.list[i];
+	for (size_t i = 0; i < core->subsystems.count; i++) {
+		const struct ws_subsystem *subsystem = &core->subsystems.list[i];
 
-		if (m->handles[i] && subsystem->ops->machine_avoided &&
-		    subsystem->ops->machine_avoided(subsystem->self, c->now, m->handles[i]))
+		if (machine->subsystem_handles[i] && subsystem->ops->machine_avoided &&
+		    subsystem->ops->machine_avoided(subsystem->self, core->now,
+						    machine->subsystem_handles[i]))
 			return true;
 	}
 	return false;
 }
 
-void ws_subsystems_pass(struct ws_core *c)
+void ws_subsystems_begin_pass(struct ws_core *core)
 {
-	struct ws_subsystems *all = &c->subsystems;
+	struct ws_subsystems *all = &core->subsystems;
 
 	all->zones_avoided = all->zones_closed = 0;
-	for (int z = 0; z < c->nzones; z++) {
-		const char *zone = c->zones[z];
+	for (int z = 0; z < core->nzones; z++) {
+		const char *zone = core->zones[z];
 
 		for (size_t i = 0; i < all->count; i++) {
 			const struct ws_subsystem_ops *ops = all->list[i].ops;
 			void *self = all->list[i].self;
 
-			if (ops->zone_avoided && ops->zone_avoided(self, c->now, zone))
+			if (ops->zone_avoided && ops->zone_avoided(self, core->now, zone))
 				all->zones_avoided |= 1u << z;
-			if (ops->zone_closed && ops->zone_closed(self, c->now, zone))
+			if (ops->zone_closed && ops->zone_closed(self, core->now, zone))
 				all->zones_closed |= 1u << z;
 		}
 	}
@@ -472,27 +481,28 @@
 
 /* ---- carrying out requests ---- */
 
-static void ws_survey_job(const struct ws_subsystem *subsystem, size_t i, const struct ws_job *j)
+static void ws_survey_job(const struct ws_subsystem *subsystem, size_t index,
+			  const struct ws_job *job)
 {
-	const struct ws_spec *spec = &j->spec;
+	const struct ws_job_spec *spec = &job->spec;
 	struct ws_job_facts facts = {
 	    .id = spec->id,
 	    .job_class = spec->job_class,
 	    .pinned_zone = spec->zone,
-	    .priority = (int)spec->tier,
-	    .guaranteed = j->guaranteed,
+	    .priority = (int)spec->priority,
+	    .guaranteed = job->guaranteed,
 	    .service = spec->service,
-	    .waiting = j->waiting,
+	    .waiting = job->waiting,
 	    .latest_start = INFINITY,
 	};
-	const struct ws_attempt *s;
+	const struct ws_attempt *attempt;
 
 	if (spec->deadline_s >= 0)
-		facts.latest_start = j->submitted_wall + spec->deadline_s - spec->estimate_s;
-	DL_FOREACH2 (j->attempts, s, jnext) {
-		void *machine = s->machine->handles[i];
+		facts.latest_start = job->submitted_at_wall + spec->deadline_s - spec->estimate_s;
+	DL_FOREACH2 (job->attempts, attempt, job_next) {
+		void *machine = attempt->machine->subsystem_handles[index];
 
-		if (s->state == WS_ATTEMPT_GONE || s->orphan)
+		if (attempt->state == WS_ATTEMPT_GONE || attempt->unrecorded)
 			continue;
 		if (machine && subsystem->ops->attempt_surveyed(subsystem->self, machine))
 			facts.affected++;
@@ -502,109 +512,113 @@
 	subsystem->ops->job_surveyed(subsystem->self, &facts);
 }
 
-static void ws_survey(struct ws_core *c, size_t i)
+static void ws_survey(struct ws_core *core, size_t index)
 {
-	const struct ws_subsystem *subsystem = &c->subsystems.list[i];
-	struct ws_job *j, *next;
+	const struct ws_subsystem *subsystem = &core->subsystems.list[index];
+	struct ws_job *job, *next;
 
-	HASH_ITER (hh, c->jobs, j, next)
-		if (!ws_job_over(j))
-			ws_survey_job(subsystem, i, j);
-	subsystem->ops->survey_done(subsystem->self, c->now);
+	HASH_ITER (hh, core->jobs, job, next)
+		if (!ws_job_is_over(job))
+			ws_survey_job(subsystem, index, job);
+	subsystem->ops->survey_done(subsystem->self, core->now);
 }
 
-static void ws_subsystem_read(struct ws_core *c, const char *prefix, const char *after);
+static void ws_subsystem_read(struct ws_core *core, const char *prefix, const char *after);
 
 /* One page of the records that a subsystem asked for. */
-static void ws_subsystem_page(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_subsystem_page(struct ws_core *core, struct ws_call *call,
+			      const struct ws_result *result)
 {
-	struct ws_subsystem *subsystem = ws_subsystem_of(c, call->key);
+	struct ws_subsystem *subsystem = ws_subsystem_of(core, call->key);
 
-	if (call->generation != c->generation || c->role != WS_LEADER || !subsystem ||
-	    r->status != 200)
+	if (call->generation != core->generation || core->role != WS_LEADER || !subsystem ||
+	    result->status != 200)
 		return;
-	for (size_t i = 0; i < r->nkvs; i++)
-		ws_subsystems_record(c, &r->kvs[i]);
-	if (r->more && r->nkvs)
-		ws_subsystem_read(c, call->key, r->kvs[r->nkvs - 1].key);
+	for (size_t i = 0; i < result->entry_count; i++)
+		ws_subsystems_record(core, &result->entries[i]);
+	if (result->has_more && result->entry_count)
+		ws_subsystem_read(core, call->key, result->entries[result->entry_count - 1].key);
 	else if (subsystem->ops->records_read)
 		subsystem->ops->records_read(subsystem->self,
 					     call->key + strlen(subsystem->ops->prefix));
 }
 
-static void ws_subsystem_read(struct ws_core *c, const char *prefix, const char *after)
+static void ws_subsystem_read(struct ws_core *core, const char *prefix, const char *after)
 {
-	struct ws_call *call = ws_call(c, WS_CALL_LIST, ws_subsystem_page);
+	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_subsystem_page);
 
 	snprintf(call->key, sizeof(call->key), "%s", prefix);
 	snprintf(call->after, sizeof(call->after), "%s", after);
 }
 
 /* What the subsystems together ask for of a job. */
-static void ws_job_moves_merge(struct ws_job *j)
+static void ws_job_moves_merge(struct ws_job *job)
 {
-	j->move_position = j->room_ahead = 0;
-	j->replicas_apart = false;
+	job->move_position = job->reserve_ahead = 0;
+	job->replicas_apart = false;
 	for (size_t i = 0; i < WS_SUBSYSTEMS_MAX; i++) {
-		const struct ws_job_move *move = &j->moves[i];
+		const struct ws_job_move *move = &job->moves[i];
 
-		if (move->position && (!j->move_position || move->position < j->move_position))
-			j->move_position = move->position;
-		if (move->room_ahead > j->room_ahead)
-			j->room_ahead = move->room_ahead;
-		j->replicas_apart |= move->replicas_apart;
+		if (move->position && (!job->move_position || move->position < job->move_position))
+			job->move_position = move->position;
+		if (move->reserve_ahead > job->reserve_ahead)
+			job->reserve_ahead = move->reserve_ahead;
+		job->replicas_apart |= move->replicas_apart;
 	}
 }
 
-static void ws_subsystem_move(struct ws_core *c, size_t i, const struct ws_request *request)
+static void ws_subsystem_move(struct ws_core *core, size_t index, const struct ws_request *request)
 {
-	struct ws_job *j = ws_job_find(c, request->name);
+	struct ws_job *job = ws_job_find(core, request->name);
 
-	if (!j)
+	if (!job)
 		return;
-	j->moves[i] = (struct ws_job_move){
+	job->moves[index] = (struct ws_job_move){
 	    .position = request->move.position,
-	    .room_ahead = request->move.room_ahead,
+	    .reserve_ahead = request->move.reserve_ahead,
 	    .replicas_apart = request->move.replicas_apart,
 	};
-	ws_job_moves_merge(j);
-	j->lost_attempts = false;
-	c->subsystems.moves = true;
-	c->place_wanted = true;
+	ws_job_moves_merge(job);
+	job->lost_recorded_attempts = false;
+	core->subsystems.moves = true;
+	core->place_wanted = true;
 }
 
-static void ws_subsystem_looked_up(struct ws_core *c, struct ws_call *call,
-				   const struct ws_result *r);
+static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
+				   const struct ws_result *result);
 
 /* Asks for the record of a job under one of the two prefixes, for the i-th subsystem. */
-static void ws_subsystem_look_up(struct ws_core *c, size_t i, const char *prefix, const char *job)
+static void ws_subsystem_look_up(struct ws_core *core, size_t index, const char *prefix,
+				 const char *job)
 {
-	struct ws_call *call = ws_call(c, WS_CALL_GET, ws_subsystem_looked_up);
+	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_subsystem_looked_up);
 
 	snprintf(call->key, sizeof(call->key), "%s%.*s", prefix, WS_ID_MAX, job);
-	snprintf(call->ctx_name, sizeof(call->ctx_name), "%.*s", WS_ID_MAX, job);
-	call->ctx_n = i;
+	snprintf(call->context_name, sizeof(call->context_name), "%.*s", WS_ID_MAX, job);
+	call->context_number = index;
 }
 
-static void ws_subsystem_looked_up(struct ws_core *c, struct ws_call *call,
-				   const struct ws_result *r)
+static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
+				   const struct ws_result *result)
 {
 	bool live = !strncmp(call->key, "job/", 4);
-	enum ws_job_standing standing = WS_JOB_UNREADABLE;
-	const struct ws_subsystem *subsystem = &c->subsystems.list[call->ctx_n];
+	enum ws_job_standing standing = WS_STANDING_UNREADABLE;
+	const struct ws_subsystem *subsystem = &core->subsystems.list[call->context_number];
 
-	if (call->generation != c->generation || c->role != WS_LEADER)
+	if (call->generation != core->generation || core->role != WS_LEADER)
 		return;
-	if (r->status == 404 && live) { /* a job moves to old/ in one transaction, never back */
-		ws_subsystem_look_up(c, call->ctx_n, "old/", call->ctx_name);
+	if (result->status == 404 &&
+	    live) { /* a job moves to old/ in one transaction, never back */
+		ws_subsystem_look_up(core, call->context_number, "old/", call->context_name);
 		return;
 	}
-	if (r->status == 404)
-		standing = WS_JOB_NEVER_HEARD;
-	else if (r->status == 200)
-		standing = live ? WS_JOB_LIVE : WS_JOB_OVER;
+	if (result->status == 404)
+		standing = WS_STANDING_NEVER_HEARD;
+	else if (result->status == 200)
+		standing = live ? WS_STANDING_LIVE : WS_STANDING_OVER;
 	if (subsystem->ops->job_looked_up)
-		subsystem->ops->job_looked_up(subsystem->self, c->now, call->ctx_name, standing);
+		subsystem->ops->job_looked_up(subsystem->self, core->now, call->context_name,
+					      standing);
 }
 
 static bool ws_request_names_record(const struct ws_request *request)
@@ -613,41 +627,43 @@
 	       request->kind == WS_REQUEST_READ;
 }
 
-static void ws_request_carry_out(struct ws_core *c, size_t i, struct ws_request *request)
+static void ws_request_carry_out(struct ws_core *core, size_t index, struct ws_request *request)
 {
 	char key[2 * WS_KEY_MAX];
 
-	snprintf(key, sizeof(key), "%s%s", c->subsystems.list[i].ops->prefix, request->name);
+	snprintf(key, sizeof(key), "%s%s", core->subsystems.list[index].ops->prefix, request->name);
 	if (ws_request_names_record(request) && strlen(key) >= WS_KEY_MAX) {
-		ws_log(c, WS_LOG_ERROR, "the key %s is too long: left out", key);
+		ws_log(core, WS_LOG_ERROR, "the key %s is too long: left out", key);
 		json_decref(request->value);
 		return;
 	}
 	switch (request->kind) {
 	case WS_REQUEST_WRITE:
-		ws_subsystem_record_set(c, key, request->value, request->urgent);
+		ws_subsystem_record_set(core, key, request->value, request->urgent);
+		break;
+	case WS_REQUEST_DELETE: ws_subsystem_record_set(core, key, NULL, false); break;
+	case WS_REQUEST_READ: ws_subsystem_read(core, key, ""); break;
+	case WS_REQUEST_SURVEY: ws_survey(core, index); break;
+	case WS_REQUEST_MOVE: ws_subsystem_move(core, index, request); break;
+	case WS_REQUEST_LOOK_UP: ws_subsystem_look_up(core, index, "job/", request->name); break;
+	case WS_REQUEST_END_QUARANTINED:
+		ws_quarantine_end_job(core, request->name, request->grace_s);
 		break;
-	case WS_REQUEST_DELETE: ws_subsystem_record_set(c, key, NULL, false); break;
-	case WS_REQUEST_READ: ws_subsystem_read(c, key, ""); break;
-	case WS_REQUEST_SURVEY: ws_survey(c, i); break;
-	case WS_REQUEST_MOVE: ws_subsystem_move(c, i, request); break;
-	case WS_REQUEST_LOOK_UP: ws_subsystem_look_up(c, i, "job/", request->name); break;
-	case WS_REQUEST_END_KEPT: ws_kept_end(c, request->name, request->grace_s); break;
 	}
 }
 
-void ws_subsystems_tick(struct ws_core *c)
+void ws_subsystems_tick(struct ws_core *core)
 {
 	const struct ws_tick_facts facts = {
-	    .now = c->now,
-	    .serving = ws_entitled(c) && !c->in_outage,
+	    .now = core->now,
+	    .serving = ws_is_entitled(core) && !core->in_outage,
 	};
 
-	if (!ws_subsystems_active(c) || c->now < c->subsystems.tick_next)
+	if (!ws_subsystems_active(core) || core->now < core->subsystems.tick_next)
 		return;
-	c->subsystems.tick_next = c->now + ws_sweep_every(c);
-	for (size_t i = 0; i < c->subsystems.count; i++) {
-		const struct ws_subsystem *subsystem = &c->subsystems.list[i];
+	core->subsystems.tick_next = core->now + ws_sweep_interval(core);
+	for (size_t i = 0; i < core->subsystems.count; i++) {
+		const struct ws_subsystem *subsystem = &core->subsystems.list[i];
 		struct ws_request_queue queue = {.tail = &queue.head};
 
 		if (!subsystem->ops->tick)
@@ -657,9 +673,9 @@
 			struct ws_request *request = queue.head;
 
 			queue.head = request->next;
-			ws_request_carry_out(c, i, request);
+			ws_request_carry_out(core, i, request);
 			free(request);
 		}
 	}
-	ws_subsystems_ask_held(c);
+	ws_subsystems_ask_deferred(core);
 }
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -1,73 +1,78 @@
 /* Machine types: read from the cloud, or as an earlier leader wrote them down. */
 #include "requests.h"
 
-const struct ws_type *ws_type_find(const struct ws_core *c, const char *name)
+const struct ws_machine_type *ws_machine_type_find(const struct ws_core *core, const char *name)
 {
-	for (size_t i = 0; i < c->ntypes; i++)
-		if (!strcmp(c->types[i].name, name))
-			return &c->types[i];
+	for (size_t i = 0; i < core->ntypes; i++)
+		if (!strcmp(core->types[i].name, name))
+			return &core->types[i];
 	return NULL;
 }
 
-bool ws_type_fits(const struct ws_type *t, const struct ws_spec *s)
+bool ws_machine_type_fits(const struct ws_machine_type *type, const struct ws_job_spec *spec)
 {
-	bool ok = s->ntypes == 0, zone = !s->zone[0];
+	bool ok = spec->type_count == 0, zone = !spec->zone[0];
 
-	for (size_t i = 0; i < s->ntypes && !ok; i++)
-		ok = !strcmp(s->types[i], t->name);
-	for (size_t i = 0; i < t->nzones && !zone; i++)
-		zone = !strcmp(t->zones[i], s->zone);
-	return ok && zone && s->cpus <= t->cpus + 1e-9 && s->gpus <= t->gpus + 1e-9 &&
-	       s->mem <= t->mem + 1e-9;
+	for (size_t i = 0; i < spec->type_count && !ok; i++)
+		ok = !strcmp(spec->types[i], type->name);
+	for (size_t i = 0; i < type->zone_count && !zone; i++)
+		zone = !strcmp(type->zones[i], spec->zone);
+	return ok && zone && spec->cpus <= type->cpus + 1e-9 && spec->gpus <= type->gpus + 1e-9 &&
+	       spec->mem_gb <= type->mem_gb + 1e-9;
 }
 
-static void ws_types_record(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_types_record(struct ws_core *core, struct ws_call *call,
+			    const struct ws_result *result)
 {
 	(void)call;
-	c->types_asked = false;
-	if (r->status == 200 && r->nkvs == 1 && !c->ntypes)
-		c->ntypes = ws_record_read_types(r->kvs[0].value, c->types);
-	c->types_edition++;
-	if (!c->ntypes)
-		c->types_next = c->now + c->set->report_s / 2;
+	core->types_asked = false;
+	if (result->status == 200 && result->entry_count == 1 && !core->ntypes)
+		core->ntypes = ws_record_read_types(result->entries[0].value, core->types);
+	core->types_edition++;
+	if (!core->ntypes)
+		core->types_next = core->now + core->settings->report_s / 2;
 }
 
-static void ws_types_cloud(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_types_cloud(struct ws_core *core, struct ws_call *call,
+			   const struct ws_result *result)
 {
 	(void)call;
-	if (r->status == 200 && r->ntypes) {
-		for (size_t i = 0; i < r->ntypes; i++) {
-			const struct ws_type *have = ws_type_find(c, r->types[i].name);
+	if (result->status == 200 && result->type_count) {
+		for (size_t i = 0; i < result->type_count; i++) {
+			const struct ws_machine_type *have =
+			    ws_machine_type_find(core, result->types[i].name);
 
 			if (have) /* prices move; pointers to types stay good */
-				c->types[have - c->types] = r->types[i];
-			else if (c->ntypes < WS_MAX_TYPES)
-				c->types[c->ntypes++] = r->types[i];
+				core->types[have - core->types] = result->types[i];
+			else if (core->ntypes < WS_MAX_TYPES)
+				core->types[core->ntypes++] = result->types[i];
 			else
-				ws_log(c, WS_LOG_ERROR, "machine type %s is left out: %d are kept",
-				       r->types[i].name, WS_MAX_TYPES);
+				ws_log(core, WS_LOG_ERROR,
+				       "machine type %s is left out: %d are kept",
+				       result->types[i].name, WS_MAX_TYPES);
 		}
-		c->types_edition++;
-		c->types_asked = false;
-		c->types_next = c->now + c->set->lease_s * 8;
-		c->place_wanted = true;
+		core->types_edition++;
+		core->types_asked = false;
+		core->types_next = core->now + core->settings->lease_s * 8;
+		core->place_wanted = true;
 		return;
 	}
-	if (!c->ntypes) { /* the cloud is down: an earlier leader wrote them down */
-		struct ws_call *g = ws_call(c, WS_CALL_GET, ws_types_record);
+	if (!core->ntypes) { /* the cloud is down: an earlier leader wrote them down */
+		struct ws_call *other_call = ws_call_new(core, WS_CALL_GET, ws_types_record);
 
-		snprintf(g->key, sizeof(g->key), "types");
+		snprintf(other_call->key, sizeof(other_call->key), "types");
 		return;
 	}
-	c->types_asked = false;
-	c->types_next = c->now + c->set->lease_s;
+	core->types_asked = false;
+	core->types_next = core->now + core->settings->lease_s;
 }
 
 /* They are needed before anything can be decided. */
-void ws_types_tick(struct ws_core *c)
+void ws_machine_types_tick(struct ws_core *core)
 {
-	if (c->types_asked || c->now < c->types_next || (c->ntypes && c->role != WS_LEADER))
+	if (core->types_asked || core->now < core->types_next ||
+	    (core->ntypes && core->role != WS_LEADER))
 		return;
-	c->types_asked = true;
-	ws_call(c, WS_CALL_TYPES, ws_types_cloud);
+	core->types_asked = true;
+	ws_call_new(core, WS_CALL_MACHINE_TYPES, ws_types_cloud);
 }
--- a/src/core/votes.c
+++ b/src/core/votes.c
@@ -1,117 +1,123 @@
 /*
- * Outage votes: does the state service refuse us right now, and what did we tell users?
+ * Outage votes: does the store refuse us right now, and what did we tell users?
  *
  * The copy of the live jobs is complete up to a revision that was read in this life of the process,
- * and holds what we confirmed after it: so it names every withdrawal that we, in this life or an
+ * and holds what we confirmed after it: so it names every cancellation that we, in this life or an
  * earlier one, told a user of. Without such a copy we can't vouch for anything.
  */
 #include "requests.h"
 
-struct ws_testimony { /* what the asker wants to know, while our own question is under way */
-	uint64_t leader, since;
-	bool lists; /* it takes in a list */
+struct ws_outage_question { /* what the asker wants to know, while our own question is under way */
+	uint64_t leader_revision, since_revision;
+	bool accepts_list; /* it takes in a list */
 	char after[WS_ID_MAX];
 };
 
-static int ws_withdrawal_cmp(const void *a, const void *b)
+static int ws_cancellation_cmp(const void *left, const void *right)
 {
-	const struct ws_withdrawal *x = a, *y = b;
+	const struct ws_cancellation *x = left, *y = right;
 
-	return x->stamp != y->stamp ? (x->stamp < y->stamp ? -1 : 1) : strcmp(x->job, y->job);
+	return x->revision != y->revision ? (x->revision < y->revision ? -1 : 1)
+					  : strcmp(x->job, y->job);
 }
 
 /*
- * Jobs withdrawn after a revision, the first ones by stamp and name, from behind `after` on where
- * that is one of the revision itself. False: the copy can't tell.
+ * Jobs cancelled after a revision, the first ones by revision and name, from behind `after` on
+ * where that is one of the revision itself. False: the copy can't tell.
  */
-bool ws_withdrawn_since(struct ws_core *c, uint64_t since, const char *after,
-			struct ws_withdrawal **list, size_t *n, size_t most, bool *more)
+bool ws_cancellations_since(struct ws_core *core, uint64_t since, const char *after,
+			    struct ws_cancellation **list, size_t *count, size_t most, bool *more)
 {
-	struct ws_withdrawal from = {.stamp = since};
-	struct ws_seen *s, *t;
+	struct ws_cancellation from = {.revision = since};
+	struct ws_job_status *job_status, *next_job_status;
 	size_t cap = 0;
 
 	*list = NULL;
-	*n = 0;
+	*count = 0;
 	*more = false;
-	if (!c->seen_ready)
+	if (!core->seen_ready)
 		return false;
 	snprintf(from.job, sizeof(from.job), "%s", after);
-	HASH_ITER (hh, c->seen, s, t) {
-		struct ws_withdrawal w = {.stamp = s->stamp};
+	HASH_ITER (hh, core->seen, job_status, next_job_status) {
+		struct ws_cancellation cancellation = {.revision = job_status->revision};
 
-		if (s->phase != WS_CANCELLED || s->stamp < since ||
-		    (!after[0] && s->stamp == since))
+		if (job_status->phase != WS_JOB_CANCELLED || job_status->revision < since ||
+		    (!after[0] && job_status->revision == since))
 			continue;
-		snprintf(w.job, sizeof(w.job), "%s", s->id);
-		if (after[0] && ws_withdrawal_cmp(&w, &from) <= 0)
+		snprintf(cancellation.job, sizeof(cancellation.job), "%s", job_status->id);
+		if (after[0] && ws_cancellation_cmp(&cancellation, &from) <= 0)
 			continue;
-		if (*n == cap) {
+		if (*count == cap) {
 			cap = cap ? 2 * cap : 16;
 			*list = realloc(*list, cap * sizeof(**list));
 			if (!*list)
 				abort();
 		}
-		(*list)[(*n)++] = w;
+		(*list)[(*count)++] = cancellation;
 	}
-	if (*n)
-		qsort(*list, *n, sizeof(**list), ws_withdrawal_cmp);
-	*more = *n > most;
-	*n = *more ? most : *n;
+	if (*count)
+		qsort(*list, *count, sizeof(**list), ws_cancellation_cmp);
+	*more = *count > most;
+	*count = *more ? most : *count;
 	return true;
 }
 
-static void ws_testify_done(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
+static void ws_outage_vote_checked(struct ws_core *core, struct ws_call *call,
+				   const struct ws_result *result)
 {
-	struct ws_action *a = ws_act(c, WS_ACT_ANSWER_TESTIFY);
-	const struct ws_testimony *q = call->ctx;
+	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_VOTE);
+	const struct ws_outage_question *question = call->context;
 
-	a->token = call->ctx_n;
-	a->status = 200;
-	/* silence is no testimony, and neither is the word of one that leads itself or knows of a
+	effect->request_id = call->context_number;
+	effect->status = 200;
+	/* silence is no vote, and neither is the word of one that leads itself or knows of a
 	 * later leader */
-	if (r->status != 503 || c->role == WS_LEADER || c->role == WS_LOADING ||
-	    (q->lists && c->leader_stamp > q->leader))
+	if (result->status != 503 || core->role == WS_LEADER || core->role == WS_LOADING ||
+	    (question->accepts_list && core->leader_stamp > question->leader_revision))
 		return;
-	a->vouched = ws_withdrawn_since(c, q->since, q->after, &a->withdrawn, &a->nwithdrawn,
-					WS_TESTIMONY_MAX, &a->more);
+	effect->vote_granted = ws_cancellations_since(
+	    core, question->since_revision, question->after, &effect->cancellations,
+	    &effect->cancellation_count, WS_VOTE_CANCELLATIONS_MAX, &effect->has_more);
 	/* who can't take in the list is not told that all is as it was unless there is none */
-	if (q->lists || (a->vouched && !a->nwithdrawn))
-		a->status = 503;
+	if (question->accepts_list || (effect->vote_granted && !effect->cancellation_count))
+		effect->status = 503;
 }
 
-static void ws_testify(struct ws_core *c, double now, uint64_t token, const struct ws_testimony *q)
+static void ws_outage_vote_check(struct ws_core *core, double now, uint64_t request_id,
+				 const struct ws_outage_question *question)
 {
-	struct ws_testimony *ask = malloc(sizeof(*ask));
+	struct ws_outage_question *other_question = malloc(sizeof(*other_question));
 	struct ws_call *call;
 
-	if (!ask)
+	if (!other_question)
 		abort();
-	*ask = *q;
-	if (now > c->now)
-		c->now = now;
-	call = ws_call(c, WS_CALL_GET, ws_testify_done);
+	*other_question = *question;
+	if (now > core->now)
+		core->now = now;
+	call = ws_call_new(core, WS_CALL_GET, ws_outage_vote_checked);
 	snprintf(call->key, sizeof(call->key), "leader");
-	call->ctx = ask;
-	call->ctx_n = token;
+	call->context = other_question;
+	call->context_number = request_id;
 	call->urgent = true;
 }
 
-void ws_core_vouch(struct ws_core *c, double now, uint64_t token, uint64_t leader, uint64_t since,
-		   const char *after)
+void ws_core_outage_vote(struct ws_core *core, double now, uint64_t request_id, uint64_t leader,
+			 uint64_t since, const char *after)
 {
-	struct ws_testimony q = {.leader = leader, .since = since, .lists = true};
+	struct ws_outage_question question = {
+	    .leader_revision = leader, .since_revision = since, .accepts_list = true};
 
-	if (now > c->now)
-		c->now = now;
-	/* while the state service refuses us no watch tells that we were followed */
-	if ((c->role == WS_LEADER || c->role == WS_LOADING) && leader > c->epoch >> WS_EPOCH_SHIFT)
-		ws_step_down(c, "one that leads since asks us");
-	snprintf(q.after, sizeof(q.after), "%s", after);
-	ws_testify(c, now, token, &q);
+	if (now > core->now)
+		core->now = now;
+	/* while the store refuses us no watch tells that we were followed */
+	if ((core->role == WS_LEADER || core->role == WS_LOADING) &&
+	    leader > core->epoch >> WS_FENCING_TOKEN_SHIFT)
+		ws_step_down(core, "one that leads since asks us");
+	snprintf(question.after, sizeof(question.after), "%s", after);
+	ws_outage_vote_check(core, now, request_id, &question);
 }
 
-void ws_core_testify(struct ws_core *c, double now, uint64_t token)
+void ws_core_outage_vote_unlisted(struct ws_core *core, double now, uint64_t request_id)
 {
-	ws_testify(c, now, token, &(struct ws_testimony){0});
+	ws_outage_vote_check(core, now, request_id, &(struct ws_outage_question){0});
 }
