--- a/src/zones/domains.c
+++ b/src/failure_domains/domains.c
@@ -12,16 +12,16 @@
 #define ROOM_BEFORE 32
 #define IPV4_OFFSET 12 /* of an IPv4 address within libcidr's 16 bytes */
 
-struct ws_zones_domain *ws_zones_domain_find(struct ws_zones *zones, const char *name)
+struct ws_failure_domain *ws_failure_domain_find(struct ws_failure_domains *zones, const char *name)
 {
-	struct ws_zones_domain *domain;
+	struct ws_failure_domain *domain;
 
 	HASH_FIND_STR(zones->domains, name, domain);
 	return domain;
 }
 
 /* Shortens a prefix, clearing the bits behind its new length. */
-static void prefix_cut(struct ws_zones_prefix *prefix, int length)
+static void prefix_cut(struct ws_domains_prefix *prefix, int length)
 {
 	int start = prefix->version == 4 ? IPV4_OFFSET : 0;
 
@@ -42,16 +42,16 @@
  */
 static CIDR *cidr_parse(const char *text)
 {
-	char room[ROOM_BEFORE + WS_ZONES_NAME_MAX] = {0};
+	char room[ROOM_BEFORE + WS_DOMAINS_NAME_MAX] = {0};
 
-	if (strlen(text) >= WS_ZONES_NAME_MAX)
+	if (strlen(text) >= WS_DOMAINS_NAME_MAX)
 		return NULL;
 	memcpy(room + ROOM_BEFORE, text, strlen(text) + 1);
 	return cidr_from_str(room + ROOM_BEFORE);
 }
 
 /* An address or network in text; an IPv4 address within IPv6 is taken as IPv4. */
-static bool prefix_read(const char *text, struct ws_zones_prefix *prefix)
+static bool prefix_read(const char *text, struct ws_domains_prefix *prefix)
 {
 	CIDR *cidr = cidr_parse(text);
 	uint8_t *bytes;
@@ -83,20 +83,20 @@
 	return true;
 }
 
-static struct ws_zones_network *network_find(const struct ws_zones_networks *networks,
-					     const struct ws_zones_prefix *prefix)
+static struct ws_domains_network *network_find(const struct ws_domains_networks *networks,
+					       const struct ws_domains_prefix *prefix)
 {
-	struct ws_zones_network *network;
+	struct ws_domains_network *network;
 
 	HASH_FIND(hh, networks->table, prefix, sizeof(*prefix), network);
 	return network;
 }
 
 /* The declared domain of an address; false if the address can't be read. */
-static bool network_lookup(const struct ws_zones_networks *networks, const char *address,
-			   struct ws_zones_domain **domain)
+static bool network_lookup(const struct ws_domains_networks *networks, const char *address,
+			   struct ws_failure_domain **domain)
 {
-	struct ws_zones_prefix prefix;
+	struct ws_domains_prefix prefix;
 	int bits;
 
 	*domain = NULL;
@@ -106,7 +106,7 @@
 	if (prefix.length != bits) /* a network where one machine's address should be */
 		return false;
 	for (int length = bits; length >= 0; length--) {
-		const struct ws_zones_network *network;
+		const struct ws_domains_network *network;
 
 		if (!networks->used[prefix.version == 6][length])
 			continue;
@@ -120,20 +120,20 @@
 	return true;
 }
 
-static enum ws_zones_error_code network_add(struct ws_zones *zones, struct ws_zones_domain *domain,
-					    const char *text)
+static enum ws_domains_error_code network_add(struct ws_failure_domains *zones,
+					      struct ws_failure_domain *domain, const char *text)
 {
-	struct ws_zones_network *network;
-	struct ws_zones_prefix prefix, cut;
+	struct ws_domains_network *network;
+	struct ws_domains_prefix prefix, cut;
 
 	if (!prefix_read(text, &prefix))
-		return WS_ZONES_BAD_NETWORK;
+		return WS_DOMAINS_BAD_NETWORK;
 	cut = prefix;
 	prefix_cut(&cut, prefix.length);
 	if (memcmp(&cut, &prefix, sizeof(cut)) != 0)
-		return WS_ZONES_HOST_BITS;
+		return WS_DOMAINS_HOST_BITS;
 	if (network_find(&zones->networks, &prefix))
-		return WS_ZONES_NETWORK_TWICE;
+		return WS_DOMAINS_NETWORK_TWICE;
 	network = calloc(1, sizeof(*network));
 	if (!network)
 		abort();
@@ -141,19 +141,19 @@
 	network->domain = domain;
 	HASH_ADD(hh, zones->networks.table, prefix, sizeof(network->prefix), network);
 	zones->networks.used[prefix.version == 6][prefix.length] = true;
-	return WS_ZONES_OK;
+	return WS_DOMAINS_OK;
 }
 
-static enum ws_zones_error_code domain_add(struct ws_zones *zones, const char *name, bool is_zone,
-					   struct ws_zones_domain **added)
+static enum ws_domains_error_code domain_add(struct ws_failure_domains *zones, const char *name,
+					     bool is_zone, struct ws_failure_domain **added)
 {
-	struct ws_zones_domain *domain;
+	struct ws_failure_domain *domain;
 
 	/* names are part of keys, which hold no spaces */
 	if (!name[0] || strpbrk(name, " \t/") != NULL)
-		return WS_ZONES_BAD_NAME;
-	if (ws_zones_domain_find(zones, name))
-		return WS_ZONES_NAME_TWICE;
+		return WS_DOMAINS_BAD_NAME;
+	if (ws_failure_domain_find(zones, name))
+		return WS_DOMAINS_NAME_TWICE;
 	domain = calloc(1, sizeof(*domain));
 	if (!domain)
 		abort();
@@ -161,26 +161,26 @@
 	domain->is_zone = is_zone;
 	HASH_ADD_STR(zones->domains, name, domain);
 	*added = domain;
-	return WS_ZONES_OK;
+	return WS_DOMAINS_OK;
 }
 
-static bool declared_add(struct ws_zones *zones, const struct ws_zones_declared *declared,
-			 struct ws_zones_error *error)
+static bool declared_add(struct ws_failure_domains *zones,
+			 const struct ws_domains_declared *declared, struct ws_domains_error *error)
 {
-	struct ws_zones_domain *domain;
+	struct ws_failure_domain *domain;
 
 	snprintf(error->domain, sizeof(error->domain), "%s", declared->name);
 	error->code = domain_add(zones, declared->name, false, &domain);
-	for (size_t i = 0; error->code == WS_ZONES_OK && i < declared->network_count; i++) {
+	for (size_t i = 0; error->code == WS_DOMAINS_OK && i < declared->network_count; i++) {
 		snprintf(error->network, sizeof(error->network), "%s", declared->networks[i]);
 		error->code = network_add(zones, domain, declared->networks[i]);
 	}
-	return error->code == WS_ZONES_OK;
+	return error->code == WS_DOMAINS_OK;
 }
 
-struct ws_zones_domain *ws_zones_add_zone(struct ws_zones *zones, const char *name)
+struct ws_failure_domain *ws_domains_add_zone(struct ws_failure_domains *zones, const char *name)
 {
-	struct ws_zones_domain *domain = NULL;
+	struct ws_failure_domain *domain = NULL;
 
 	domain_add(zones, name, true, &domain);
 	if (domain)
@@ -188,9 +188,9 @@
 	return domain;
 }
 
-bool ws_zones_domains_create(struct ws_zones *zones, struct ws_zones_error *error)
+bool ws_domains_domains_create(struct ws_failure_domains *zones, struct ws_domains_error *error)
 {
-	struct ws_zones_domain *domain;
+	struct ws_failure_domain *domain;
 
 	memset(error, 0, sizeof(*error));
 	for (size_t i = 0; i < zones->limits.zone_count; i++) /* a zone listed twice is one */
@@ -201,10 +201,10 @@
 	return true;
 }
 
-void ws_zones_domains_free(struct ws_zones *zones)
+void ws_domains_domains_free(struct ws_failure_domains *zones)
 {
-	struct ws_zones_domain *domain = zones->domains, *next_domain;
-	struct ws_zones_network *network = zones->networks.table, *next_network;
+	struct ws_failure_domain *domain = zones->domains, *next_domain;
+	struct ws_domains_network *network = zones->networks.table, *next_network;
 
 	HASH_CLEAR(hh, zones->domains);
 	for (; domain; domain = next_domain) {
@@ -218,63 +218,65 @@
 	}
 }
 
-void ws_zones_domain_count(struct ws_zones_domain *domain, const struct ws_zones_machine *machine,
-			   int sign)
+void ws_failure_domain_count(struct ws_failure_domain *domain,
+			     const struct ws_domains_machine *machine, int sign)
 {
 	size_t change = (size_t)(ssize_t)sign;
 
-	if (machine->presence == WS_ZONES_LIVE)
+	if (machine->presence == WS_DOMAINS_LIVE)
 		domain->live += change;
-	if (machine->presence == WS_ZONES_SILENT) {
+	if (machine->presence == WS_DOMAINS_SILENT) {
 		domain->silent += change;
 		domain->unanswered += machine->unanswered ? change : 0;
 	}
 }
 
-static void member_add(struct ws_zones_machine *machine, size_t i, struct ws_zones_domain *domain)
+static void member_add(struct ws_domains_machine *machine, size_t index,
+		       struct ws_failure_domain *domain)
 {
-	struct ws_zones_member *member = &machine->memberships[i];
+	struct ws_domains_member *member = &machine->memberships[index];
 
 	if (!domain)
 		return;
 	member->domain = domain;
 	member->machine = machine;
 	DL_APPEND(domain->members, member);
-	ws_zones_domain_count(domain, machine, 1);
+	ws_failure_domain_count(domain, machine, 1);
 }
 
-void ws_zones_leave(struct ws_zones_machine *machine)
+void ws_domains_leave(struct ws_domains_machine *machine)
 {
-	for (size_t i = 0; i < WS_ZONES_MEMBERSHIPS; i++) {
-		struct ws_zones_member *member = &machine->memberships[i];
+	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
+		struct ws_domains_member *member = &machine->memberships[i];
 
 		if (!member->domain)
 			continue;
-		ws_zones_domain_count(member->domain, machine, -1);
+		ws_failure_domain_count(member->domain, machine, -1);
 		DL_DELETE(member->domain->members, member);
 		member->domain = NULL;
 	}
 }
 
-void ws_zones_join(struct ws_zones *zones, struct ws_zones_machine *machine,
-		   const struct ws_machine_facts *facts)
+void ws_domains_join(struct ws_failure_domains *zones, struct ws_domains_machine *machine,
+		     const struct ws_machine_facts *facts)
 {
-	struct ws_zones_domain *declared = NULL, *zone = NULL;
+	struct ws_failure_domain *declared = NULL, *zone = NULL;
 
 	if (facts->zone[0]) {
-		zone = ws_zones_domain_find(zones, facts->zone);
+		zone = ws_failure_domain_find(zones, facts->zone);
 		if (!zone) /* the settings don't list it */
-			zone = ws_zones_add_zone(zones, facts->zone);
+			zone = ws_domains_add_zone(zones, facts->zone);
 		if (zone && !zone->is_zone) {
-			ws_zones_logf(zones, "zones: zone %s of machine %s is named like a domain",
-				      facts->zone, facts->name);
+			ws_domains_logf(zones,
+					"zones: zone %s of machine %s is named like a domain",
+					facts->zone, facts->name);
 			zone = NULL;
 		}
 	}
 	if (zones->networks.table && facts->address[0] &&
 	    !network_lookup(&zones->networks, facts->address, &declared))
-		ws_zones_logf(zones, "zones: address %s of machine %s can't be read: by its zone",
-			      facts->address, facts->name);
+		ws_domains_logf(zones, "zones: address %s of machine %s can't be read: by its zone",
+				facts->address, facts->name);
 	member_add(machine, 0, zone);
 	member_add(machine, 1, declared);
 }
--- a/src/zones/zones.c
+++ b/src/failure_domains/failure_domains.c
@@ -16,7 +16,7 @@
 /* The golden section: spreads machines evenly over the ramp, in whatever number they come. */
 #define RAMP_STEP 0.6180339887498949
 
-void ws_zones_logf(const struct ws_zones *zones, const char *format, ...)
+void ws_domains_logf(const struct ws_failure_domains *zones, const char *format, ...)
 {
 	char text[512];
 	va_list arguments;
@@ -28,22 +28,22 @@
 		zones->log(text);
 }
 
-const char *ws_zones_error_text(enum ws_zones_error_code code)
+const char *ws_domains_error_text(enum ws_domains_error_code code)
 {
 	switch (code) {
-	case WS_ZONES_OK: return "fine";
-	case WS_ZONES_BAD_NETWORK: return "is no IP network";
-	case WS_ZONES_HOST_BITS: return "has bits behind its prefix: an address, no network";
-	case WS_ZONES_NETWORK_TWICE: return "is declared twice";
-	case WS_ZONES_NAME_TWICE: return "is the name of another domain or zone";
-	case WS_ZONES_BAD_NAME: return "is no name: empty, or with a space or slash";
+	case WS_DOMAINS_OK: return "fine";
+	case WS_DOMAINS_BAD_NETWORK: return "is no IP network";
+	case WS_DOMAINS_HOST_BITS: return "has bits behind its prefix: an address, no network";
+	case WS_DOMAINS_NETWORK_TWICE: return "is declared twice";
+	case WS_DOMAINS_NAME_TWICE: return "is the name of another domain or zone";
+	case WS_DOMAINS_BAD_NAME: return "is no name: empty, or with a space or slash";
 	}
 	return "";
 }
 
-void ws_zones_defaults(struct ws_zones_settings *settings)
+void ws_domains_defaults(struct ws_domains_settings *settings)
 {
-	*settings = (struct ws_zones_settings){
+	*settings = (struct ws_domains_settings){
 	    .dark_share = DARK_SHARE,
 	    .stable_s = -1,
 	    .ramp_s = -1,
@@ -52,7 +52,7 @@
 	};
 }
 
-void ws_zones_settings_free(struct ws_zones_settings *settings)
+void ws_domains_settings_free(struct ws_domains_settings *settings)
 {
 	for (size_t i = 0; i < settings->declared_count; i++)
 		free(settings->declared[i].networks);
@@ -77,30 +77,31 @@
 	return copy;
 }
 
-static void settings_copy(struct ws_zones_settings *to, const struct ws_zones_settings *from,
-			  double lease_s)
+static void settings_copy(struct ws_domains_settings *target,
+			  const struct ws_domains_settings *from, double lease_s)
 {
-	*to = *from;
-	to->class_order =
+	*target = *from;
+	target->class_order =
 	    copy_array(from->class_order, from->class_count, sizeof(*from->class_order));
-	to->declared = copy_array(from->declared, from->declared_count, sizeof(*from->declared));
-	for (size_t i = 0; i < to->declared_count; i++)
-		to->declared[i].networks =
+	target->declared =
+	    copy_array(from->declared, from->declared_count, sizeof(*from->declared));
+	for (size_t i = 0; i < target->declared_count; i++)
+		target->declared[i].networks =
 		    copy_array(from->declared[i].networks, from->declared[i].network_count,
 			       sizeof(*from->declared[i].networks));
-	if (to->stable_s < 0)
-		to->stable_s = STABLE_LEASES * lease_s;
-	if (to->ramp_s < 0)
-		to->ramp_s = RAMP_LEASES * lease_s;
-	if (to->half_life_s <= 0)
-		to->half_life_s = HALF_LIFE_LEASES * lease_s;
+	if (target->stable_s < 0)
+		target->stable_s = STABLE_LEASES * lease_s;
+	if (target->ramp_s < 0)
+		target->ramp_s = RAMP_LEASES * lease_s;
+	if (target->half_life_s <= 0)
+		target->half_life_s = HALF_LIFE_LEASES * lease_s;
 }
 
-struct ws_zones *ws_zones_new(const struct ws_zones_settings *settings,
-			      const struct ws_cluster_limits *limits, ws_zones_log_fn log,
-			      struct ws_zones_error *error)
+struct ws_failure_domains *ws_domains_new(const struct ws_domains_settings *settings,
+					  const struct ws_cluster_limits *limits,
+					  ws_domains_log_fn log, struct ws_domains_error *error)
 {
-	struct ws_zones *zones = calloc(1, sizeof(*zones));
+	struct ws_failure_domains *zones = calloc(1, sizeof(*zones));
 
 	if (!zones)
 		abort();
@@ -108,8 +109,8 @@
 	zones->limits = *limits;
 	zones->log = log;
 	snprintf(zones->node_zone, sizeof(zones->node_zone), "%s", limits->node_zone);
-	if (!ws_zones_domains_create(zones, error)) {
-		ws_zones_free(zones);
+	if (!ws_domains_domains_create(zones, error)) {
+		ws_domains_free(zones);
 		return NULL;
 	}
 	zones->limits.zones = NULL; /* the caller's */
@@ -117,36 +118,36 @@
 	return zones;
 }
 
-void ws_zones_free(struct ws_zones *zones)
+void ws_domains_free(struct ws_failure_domains *zones)
 {
 	if (!zones)
 		return;
-	ws_zones_plan_free(zones);
-	ws_zones_domains_free(zones);
-	ws_zones_settings_free(&zones->settings);
+	ws_domains_plan_free(zones);
+	ws_domains_domains_free(zones);
+	ws_domains_settings_free(&zones->settings);
 	free(zones);
 }
 
 /* ---- leadership ---- */
 
-uint64_t ws_zones_steps(const struct ws_zones *zones)
+uint64_t ws_domains_steps(const struct ws_failure_domains *zones)
 {
 	return zones->steps;
 }
 
 static void destroy(void *self)
 {
-	ws_zones_free(self);
+	ws_domains_free(self);
 }
 
 static void elected(void *self, const struct ws_election_facts *facts)
 {
-	struct ws_zones *zones = self;
+	struct ws_failure_domains *zones = self;
 	const double now = facts->now;
 
-	for (struct ws_zones_domain *domain = zones->domains; domain; domain = domain->hh.next) {
-		domain->state = WS_ZONES_HEALTHY;
-		domain->evidence = WS_ZONES_NO_EVIDENCE;
+	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next) {
+		domain->state = WS_DOMAINS_HEALTHY;
+		domain->evidence = WS_DOMAINS_NO_EVIDENCE;
 		domain->penalty = 0;
 		domain->since = domain->penalty_at = domain->clean_since = domain->recorded_at =
 		    now;
@@ -161,12 +162,12 @@
 }
 
 /* The listing of holds is complete: what it did not name is not held. */
-static void holds_read(struct ws_zones *zones)
+static void holds_read(struct ws_failure_domains *zones)
 {
-	for (struct ws_zones_domain *domain = zones->domains; domain; domain = domain->hh.next) {
+	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next) {
 		if (domain->held != domain->held_read) {
-			ws_zones_logf(zones, "zones: domain %s is %s by operators", domain->name,
-				      domain->held_read ? "held" : "released");
+			ws_domains_logf(zones, "zones: domain %s is %s by operators", domain->name,
+					domain->held_read ? "held" : "released");
 			domain->record_due = true;
 		}
 		domain->held = domain->held_read;
@@ -176,15 +177,15 @@
 
 static void records_loaded(void *self, double now)
 {
-	struct ws_zones *zones = self;
+	struct ws_failure_domains *zones = self;
 
 	(void)now;
 	holds_read(zones);
-	for (struct ws_zones_domain *domain = zones->domains; domain; domain = domain->hh.next)
-		if (domain->state != WS_ZONES_HEALTHY)
-			ws_zones_logf(zones, "zones: domain %s is %s on record, penalty %.2f",
-				      domain->name, ws_zones_state_name(domain->state),
-				      domain->penalty);
+	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next)
+		if (domain->state != WS_DOMAINS_HEALTHY)
+			ws_domains_logf(zones, "zones: domain %s is %s on record, penalty %.2f",
+					domain->name, ws_domains_state_name(domain->state),
+					domain->penalty);
 }
 
 static void records_read(void *self, const char *name_prefix)
@@ -195,114 +196,114 @@
 
 static void stepped_down(void *self)
 {
-	struct ws_zones *zones = self;
+	struct ws_failure_domains *zones = self;
 
-	ws_zones_plan_free(zones);
+	ws_domains_plan_free(zones);
 }
 
 /* ---- machines ---- */
 
 static void *machine_added(void *self, double now, const struct ws_machine_facts *facts)
 {
-	struct ws_zones *zones = self;
-	struct ws_zones_machine *machine = calloc(1, sizeof(*machine));
+	struct ws_failure_domains *zones = self;
+	struct ws_domains_machine *machine = calloc(1, sizeof(*machine));
 
 	(void)now;
 	if (!machine)
 		abort();
-	machine->presence = WS_ZONES_SINGLE; /* counts from its first heartbeat on */
+	machine->presence = WS_DOMAINS_SINGLE; /* counts from its first heartbeat on */
 	machine->ramp = fmod((double)zones->machine_count++ * RAMP_STEP, 1);
-	ws_zones_join(zones, machine, facts);
+	ws_domains_join(zones, machine, facts);
 	if (facts->expected)
-		ws_zones_set_presence(zones, machine, WS_ZONES_EXPECTED);
+		ws_domains_set_presence(zones, machine, WS_DOMAINS_EXPECTED);
 	return machine;
 }
 
 static void machine_changed(void *self, void *handle, const struct ws_machine_facts *facts)
 {
-	ws_zones_leave(handle);
-	ws_zones_join(self, handle, facts);
+	ws_domains_leave(handle);
+	ws_domains_join(self, handle, facts);
 }
 
 /* A silent machine that is gone still speaks for its domain's loss. */
-static void count_removed(const struct ws_zones_machine *machine)
+static void count_removed(const struct ws_domains_machine *machine)
 {
-	for (size_t i = 0; i < WS_ZONES_MEMBERSHIPS; i++) {
-		struct ws_zones_domain *domain = machine->memberships[i].domain;
+	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
+		struct ws_failure_domain *domain = machine->memberships[i].domain;
 
-		if (domain && domain->state != WS_ZONES_HEALTHY)
+		if (domain && domain->state != WS_DOMAINS_HEALTHY)
 			domain->removed++;
 	}
 }
 
 static void machine_removed(void *self, void *handle)
 {
-	struct ws_zones *zones = self;
-	struct ws_zones_machine *machine = handle;
+	struct ws_failure_domains *zones = self;
+	struct ws_domains_machine *machine = handle;
 
-	ws_zones_set_presence(zones, machine, WS_ZONES_SINGLE);
-	ws_zones_leave(machine);
+	ws_domains_set_presence(zones, machine, WS_DOMAINS_SINGLE);
+	ws_domains_leave(machine);
 	free(machine);
 }
 
 static void machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss)
 {
-	struct ws_zones *zones = self;
-	struct ws_zones_machine *machine = handle;
+	struct ws_failure_domains *zones = self;
+	struct ws_domains_machine *machine = handle;
 
 	(void)now;
 	machine->affected = 0;
 	if (loss == WS_LOSS_LEASE)
 		return;
-	if (machine->presence == WS_ZONES_SILENT)
+	if (machine->presence == WS_DOMAINS_SILENT)
 		count_removed(machine);
-	ws_zones_set_presence(zones, machine, WS_ZONES_SINGLE);
+	ws_domains_set_presence(zones, machine, WS_DOMAINS_SINGLE);
 }
 
 static void heartbeat_seen(void *self, double now, void *handle)
 {
-	struct ws_zones_machine *machine = handle;
+	struct ws_domains_machine *machine = handle;
 
-	if (machine->presence == WS_ZONES_SILENT)
-		ws_zones_called_off(self, machine);
-	ws_zones_listen(self, now);
-	ws_zones_set_presence(self, machine, WS_ZONES_LIVE);
+	if (machine->presence == WS_DOMAINS_SILENT)
+		ws_domains_called_off(self, machine);
+	ws_domains_listen(self, now);
+	ws_domains_set_presence(self, machine, WS_DOMAINS_LIVE);
 }
 
 static void command_answered(void *self, void *handle, bool answered)
 {
 	(void)self;
-	ws_zones_set_unanswered(handle, !answered);
+	ws_domains_set_unanswered(handle, !answered);
 }
 
 /* ---- placement ---- */
 
 static bool machine_avoided(void *self, double now, const void *handle)
 {
-	const struct ws_zones *zones = self;
-	const struct ws_zones_machine *machine = handle;
+	const struct ws_failure_domains *zones = self;
+	const struct ws_domains_machine *machine = handle;
 
-	for (size_t i = 0; i < WS_ZONES_MEMBERSHIPS && !zones->later_format; i++) {
-		const struct ws_zones_domain *domain = machine->memberships[i].domain;
+	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS && !zones->later_format; i++) {
+		const struct ws_failure_domain *domain = machine->memberships[i].domain;
 
-		if (domain && ws_zones_domain_avoids(zones, domain, machine, now))
+		if (domain && ws_failure_domain_avoids(zones, domain, machine, now))
 			return true;
 	}
 	return false;
 }
 
 /* The domain of a zone if it is dark, or recovering within its hold-down; else NULL. */
-static const struct ws_zones_domain *zone_in_trouble(struct ws_zones *zones, double now,
-						     const char *zone)
+static const struct ws_failure_domain *zone_in_trouble(struct ws_failure_domains *zones, double now,
+						       const char *zone)
 {
-	const struct ws_zones_domain *domain = ws_zones_domain_find(zones, zone);
+	const struct ws_failure_domain *domain = ws_failure_domain_find(zones, zone);
 
 	if (!domain || !domain->is_zone || zones->later_format)
 		return NULL;
-	if (domain->state == WS_ZONES_DARK)
+	if (domain->state == WS_DOMAINS_DARK)
 		return domain;
-	return domain->state == WS_ZONES_RECOVERING &&
-		       now - domain->clean_since < ws_zones_hold_down(zones, domain)
+	return domain->state == WS_DOMAINS_RECOVERING &&
+		       now - domain->clean_since < ws_domains_hold_down(zones, domain)
 		   ? domain
 		   : NULL;
 }
@@ -315,26 +316,27 @@
 /* A machine takes its time to boot, so only a zone that flapped is closed while it recovers. */
 static bool zone_closed(void *self, double now, const char *zone)
 {
-	const struct ws_zones_domain *domain = zone_in_trouble(self, now, zone);
+	const struct ws_failure_domain *domain = zone_in_trouble(self, now, zone);
 
-	return domain && (domain->state == WS_ZONES_DARK || domain->penalty > FIRST_LOSS);
+	return domain && (domain->state == WS_DOMAINS_DARK || domain->penalty > FIRST_LOSS);
 }
 
 /* ---- tick ---- */
 
-static void domains_write(struct ws_zones *zones, double now, struct ws_request_queue *out)
+static void domains_write(struct ws_failure_domains *zones, double now,
+			  struct ws_request_queue *out)
 {
-	for (struct ws_zones_domain *domain = zones->domains; domain; domain = domain->hh.next) {
-		char name[WS_ZONES_NAME_MAX + 16];
+	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next) {
+		char name[WS_DOMAINS_NAME_MAX + 16];
 		bool trouble =
-		    domain->state == WS_ZONES_DARK || domain->state == WS_ZONES_RECOVERING;
+		    domain->state == WS_DOMAINS_DARK || domain->state == WS_DOMAINS_RECOVERING;
 		bool old =
 		    trouble && now - domain->recorded_at > RECORD_LEASES * zones->limits.lease_s;
 
 		if (!domain->record_due && !old)
 			continue;
 		snprintf(name, sizeof(name), "domain/%s", domain->name);
-		ws_request_write(out, name, ws_zones_domain_record(zones, domain, now),
+		ws_request_write(out, name, ws_failure_domain_record(zones, domain, now),
 				 domain->record_due);
 		domain->record_due = false;
 		domain->recorded_at = now;
@@ -343,26 +345,26 @@
 
 static void tick(void *self, const struct ws_tick_facts *facts, struct ws_request_queue *out)
 {
-	struct ws_zones *zones = self;
+	struct ws_failure_domains *zones = self;
 
 	if (zones->later_format)
 		return;
-	ws_zones_health_tick(zones, facts);
+	ws_domains_health_tick(zones, facts);
 	if (!facts->serving)
 		return;
 	domains_write(zones, facts->now, out);
-	ws_zones_plan_tick(zones, facts->now, out);
+	ws_domains_plan_tick(zones, facts->now, out);
 	if (facts->now >= zones->hold_read_next) {
 		zones->hold_read_next = facts->now + HOLD_READ_LEASES * zones->limits.lease_s;
 		ws_request_read(out, "hold/");
 	}
 }
 
-const struct ws_subsystem_ops ws_zones_ops = {
+const struct ws_subsystem_ops ws_domains_ops = {
     .prefix = "zones/",
     .destroy = destroy,
     .elected = elected,
-    .record_loaded = ws_zones_record_loaded,
+    .record_loaded = ws_domains_record_loaded,
     .records_loaded = records_loaded,
     .stepped_down = stepped_down,
     .records_read = records_read,
@@ -375,8 +377,8 @@
     .machine_avoided = machine_avoided,
     .zone_avoided = zone_avoided,
     .zone_closed = zone_closed,
-    .attempt_surveyed = ws_zones_attempt_surveyed,
-    .job_surveyed = ws_zones_job_surveyed,
-    .survey_done = ws_zones_survey_done,
+    .attempt_surveyed = ws_domains_attempt_surveyed,
+    .job_surveyed = ws_domains_job_surveyed,
+    .survey_done = ws_domains_survey_done,
     .tick = tick,
 };
--- a/src/zones/plan.c
+++ b/src/failure_domains/plan.c
@@ -10,7 +10,7 @@
 /* Bytes of a plan record besides its entries, and of an entry besides its job's name. */
 #define PART_BYTES 64
 #define ENTRY_BYTES 40
-/* The share of the state service's changes in a report period that moves may take. */
+/* The share of the store's changes in a heartbeat interval that moves may take. */
 #define WINDOW_SHARE 0.25
 #define WINDOW_MIN 8
 /* Progress is written so often at most, in leases. */
@@ -18,9 +18,9 @@
 
 /* ---- entries ---- */
 
-static struct ws_zones_entry *entry_get(struct ws_zones_plan *plan, const char *job)
+static struct ws_domains_entry *entry_get(struct ws_domains_plan *plan, const char *job)
 {
-	struct ws_zones_entry *entry;
+	struct ws_domains_entry *entry;
 
 	HASH_FIND_STR(plan->entries, job, entry);
 	if (entry)
@@ -35,9 +35,9 @@
 	return entry;
 }
 
-static struct ws_zones_part *part_get(struct ws_zones_plan *plan, int64_t number)
+static struct ws_domains_part *part_get(struct ws_domains_plan *plan, int64_t number)
 {
-	struct ws_zones_part *part;
+	struct ws_domains_part *part;
 
 	HASH_FIND(hh, plan->parts, &number, sizeof(number), part);
 	if (part)
@@ -52,11 +52,11 @@
 	return part;
 }
 
-void ws_zones_plan_free(struct ws_zones *zones)
+void ws_domains_plan_free(struct ws_failure_domains *zones)
 {
-	struct ws_zones_plan *plan = &zones->plan;
-	struct ws_zones_entry *entry = plan->entries, *next_entry;
-	struct ws_zones_part *part = plan->parts, *next_part;
+	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_entry *entry = plan->entries, *next_entry;
+	struct ws_domains_part *part = plan->parts, *next_part;
 
 	HASH_CLEAR(hh, plan->entries);
 	for (; entry; entry = next_entry) {
@@ -73,7 +73,7 @@
 
 /* ---- order ---- */
 
-static size_t class_position(const struct ws_zones_settings *settings, const char *job_class)
+static size_t class_position(const struct ws_domains_settings *settings, const char *job_class)
 {
 	for (size_t i = 0; i < settings->class_count; i++)
 		if (!strcmp(settings->class_order[i], job_class))
@@ -82,60 +82,61 @@
 }
 
 /* Why the entry stands where it does: the first of the rules that speaks for it. */
-static enum ws_zones_reason reason_of(const struct ws_zones *zones,
-				      const struct ws_zones_entry *entry)
+static enum ws_domains_reason reason_of(const struct ws_failure_domains *zones,
+					const struct ws_domains_entry *entry)
 {
 	if (entry->pinned)
-		return WS_ZONES_PINNED;
+		return WS_DOMAINS_PINNED;
 	if (entry->class_position < zones->settings.class_count)
-		return WS_ZONES_BY_CLASS;
+		return WS_DOMAINS_BY_CLASS;
 	if (entry->first_replica)
-		return WS_ZONES_BY_FIRST_REPLICA;
+		return WS_DOMAINS_BY_FIRST_REPLICA;
 	if (entry->guaranteed)
-		return WS_ZONES_BY_GUARANTEE;
+		return WS_DOMAINS_BY_GUARANTEE;
 	if (isfinite(entry->latest_start))
-		return WS_ZONES_BY_DEADLINE;
-	return WS_ZONES_BY_PRIORITY;
+		return WS_DOMAINS_BY_DEADLINE;
+	return WS_DOMAINS_BY_PRIORITY;
 }
 
-static int compare_sizes(size_t a, size_t b)
+static int compare_sizes(size_t left, size_t right)
 {
-	return (a > b) - (a < b);
+	return (left > right) - (left < right);
 }
 
-static int compare_entries(const struct ws_zones_entry *a, const struct ws_zones_entry *b)
+static int compare_entries(const struct ws_domains_entry *left,
+			   const struct ws_domains_entry *right)
 {
-	if (a->round != b->round)
-		return a->round < b->round ? -1 : 1;
-	if (a->recorded_position != b->recorded_position)
-		return compare_sizes(a->recorded_position, b->recorded_position);
-	if (a->class_position != b->class_position)
-		return compare_sizes(a->class_position, b->class_position);
-	if (a->guaranteed != b->guaranteed)
-		return a->guaranteed ? -1 : 1;
-	if (a->priority != b->priority)
-		return a->priority > b->priority ? -1 : 1;
-	if (a->first_replica != b->first_replica)
-		return a->first_replica ? -1 : 1;
-	if (a->latest_start != b->latest_start)
-		return a->latest_start < b->latest_start ? -1 : 1;
-	return strcmp(a->job, b->job);
+	if (left->round != right->round)
+		return left->round < right->round ? -1 : 1;
+	if (left->recorded_position != right->recorded_position)
+		return compare_sizes(left->recorded_position, right->recorded_position);
+	if (left->class_position != right->class_position)
+		return compare_sizes(left->class_position, right->class_position);
+	if (left->guaranteed != right->guaranteed)
+		return left->guaranteed ? -1 : 1;
+	if (left->priority != right->priority)
+		return left->priority > right->priority ? -1 : 1;
+	if (left->first_replica != right->first_replica)
+		return left->first_replica ? -1 : 1;
+	if (left->latest_start != right->latest_start)
+		return left->latest_start < right->latest_start ? -1 : 1;
+	return strcmp(left->job, right->job);
 }
 
 /* ---- survey ---- */
 
-bool ws_zones_attempt_surveyed(void *self, void *machine_handle)
+bool ws_domains_attempt_surveyed(void *self, void *machine_handle)
 {
-	struct ws_zones_machine *machine = machine_handle;
+	struct ws_domains_machine *machine = machine_handle;
 
 	(void)self;
-	if (machine->presence != WS_ZONES_SILENT)
+	if (machine->presence != WS_DOMAINS_SILENT)
 		return false;
-	for (size_t i = 0; i < WS_ZONES_MEMBERSHIPS; i++) {
-		const struct ws_zones_domain *domain = machine->memberships[i].domain;
+	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
+		const struct ws_failure_domain *domain = machine->memberships[i].domain;
 
 		if (domain &&
-		    (domain->state == WS_ZONES_DARK || domain->state == WS_ZONES_RECOVERING)) {
+		    (domain->state == WS_DOMAINS_DARK || domain->state == WS_DOMAINS_RECOVERING)) {
 			machine->affected++;
 			return true;
 		}
@@ -143,18 +144,19 @@
 	return false;
 }
 
-static bool pinned_to_dark(struct ws_zones *zones, const char *zone)
+static bool pinned_to_dark(struct ws_failure_domains *zones, const char *zone)
 {
-	const struct ws_zones_domain *domain = zone[0] ? ws_zones_domain_find(zones, zone) : NULL;
+	const struct ws_failure_domain *domain =
+	    zone[0] ? ws_failure_domain_find(zones, zone) : NULL;
 
-	return domain && domain->state == WS_ZONES_DARK;
+	return domain && domain->state == WS_DOMAINS_DARK;
 }
 
-void ws_zones_job_surveyed(void *self, const struct ws_job_facts *facts)
+void ws_domains_job_surveyed(void *self, const struct ws_job_facts *facts)
 {
-	struct ws_zones *zones = self;
-	struct ws_zones_plan *plan = &zones->plan;
-	struct ws_zones_entry *entry;
+	struct ws_failure_domains *zones = self;
+	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_entry *entry;
 
 	HASH_FIND_STR(plan->entries, facts->id, entry);
 	if (!entry && !facts->affected)
@@ -176,18 +178,18 @@
 }
 
 /* Over, or all of it placed anew or heard again, with no request left to take back. */
-static bool entry_finished(const struct ws_zones_plan *plan, const struct ws_zones_entry *entry)
+static bool entry_finished(const struct ws_domains_plan *plan, const struct ws_domains_entry *entry)
 {
 	if (entry->seen != plan->surveys) /* the core has no such job any more */
 		return true;
 	return !entry->affected && !entry->waiting && !entry->sent.position &&
-	       !entry->sent.room_ahead && !entry->sent.replicas_apart;
+	       !entry->sent.reserve_ahead && !entry->sent.replicas_apart;
 }
 
 /* Takes finished entries off the plan, as a list linked by `next_finished`. */
-static struct ws_zones_entry *take_finished(struct ws_zones_plan *plan)
+static struct ws_domains_entry *take_finished(struct ws_domains_plan *plan)
 {
-	struct ws_zones_entry *entry, *next, *finished = NULL;
+	struct ws_domains_entry *entry, *next, *finished = NULL;
 
 	HASH_ITER (hh, plan->entries, entry, next) {
 		if (!entry_finished(plan, entry))
@@ -199,16 +201,16 @@
 	return finished;
 }
 
-void ws_zones_survey_done(void *self, double now)
+void ws_domains_survey_done(void *self, double now)
 {
-	struct ws_zones *zones = self;
-	struct ws_zones_plan *plan = &zones->plan;
-	struct ws_zones_entry *finished = take_finished(plan);
+	struct ws_failure_domains *zones = self;
+	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_entry *finished = take_finished(plan);
 
 	(void)now;
 	HASH_SORT(plan->entries, compare_entries);
 	while (finished) {
-		struct ws_zones_entry *entry = finished;
+		struct ws_domains_entry *entry = finished;
 
 		finished = entry->next_finished;
 		plan->finished += entry->planned;
@@ -219,7 +221,7 @@
 	plan->surveyed = true;
 }
 
-void ws_zones_called_off(struct ws_zones *zones, struct ws_zones_machine *machine)
+void ws_domains_called_off(struct ws_failure_domains *zones, struct ws_domains_machine *machine)
 {
 	zones->plan.called_off += machine->affected;
 	machine->affected = 0;
@@ -229,10 +231,10 @@
 
 static json_t *plan_record(json_t *jobs)
 {
-	return json_pack("{s:i,s:o}", "v", WS_ZONES_FORMAT, "jobs", jobs);
+	return json_pack("{s:i,s:o}", "v", WS_DOMAINS_FORMAT, "jobs", jobs);
 }
 
-static void part_write(struct ws_zones_plan *plan, json_t *jobs, struct ws_request_queue *out)
+static void part_write(struct ws_domains_plan *plan, json_t *jobs, struct ws_request_queue *out)
 {
 	char name[64];
 
@@ -242,13 +244,13 @@
 }
 
 /* Puts on record what is not yet, in the order of the plan. */
-static void plan_write(struct ws_zones *zones, struct ws_request_queue *out)
+static void plan_write(struct ws_failure_domains *zones, struct ws_request_queue *out)
 {
-	struct ws_zones_plan *plan = &zones->plan;
+	struct ws_domains_plan *plan = &zones->plan;
 	size_t bytes = PART_BYTES;
 	json_t *jobs = NULL;
 
-	for (struct ws_zones_entry *entry = plan->entries; entry; entry = entry->hh.next) {
+	for (struct ws_domains_entry *entry = plan->entries; entry; entry = entry->hh.next) {
 		size_t size = ENTRY_BYTES + strlen(entry->job);
 
 		if (entry->part >= 0)
@@ -265,16 +267,16 @@
 		entry->part = plan->next_part;
 		json_array_append_new(jobs,
 				      json_pack("[s,I,s]", entry->job, (json_int_t)entry->planned,
-						ws_zones_reason_name(entry->reason)));
+						ws_domains_reason_name(entry->reason)));
 	}
 	if (jobs)
 		part_write(plan, jobs, out);
 }
 
 /* Takes parts without unfinished entries off the plan, as a list linked by `next_finished`. */
-static struct ws_zones_part *take_finished_parts(struct ws_zones_plan *plan)
+static struct ws_domains_part *take_finished_parts(struct ws_domains_plan *plan)
 {
-	struct ws_zones_part *part, *next, *finished = NULL;
+	struct ws_domains_part *part, *next, *finished = NULL;
 
 	HASH_ITER (hh, plan->parts, part, next) {
 		if (part->entries)
@@ -286,12 +288,12 @@
 	return finished;
 }
 
-static void parts_delete(struct ws_zones_plan *plan, struct ws_request_queue *out)
+static void parts_delete(struct ws_domains_plan *plan, struct ws_request_queue *out)
 {
-	struct ws_zones_part *finished = take_finished_parts(plan);
+	struct ws_domains_part *finished = take_finished_parts(plan);
 
 	while (finished) {
-		struct ws_zones_part *part = finished;
+		struct ws_domains_part *part = finished;
 		char name[64];
 
 		finished = part->next_finished;
@@ -302,18 +304,18 @@
 }
 
 /* An earlier leader's order is kept; jobs that are over drop out with the first survey. */
-void ws_zones_plan_loaded(struct ws_zones *zones, const char *number, json_t *value)
+void ws_domains_plan_loaded(struct ws_failure_domains *zones, const char *number, json_t *value)
 {
-	struct ws_zones_plan *plan = &zones->plan;
-	struct ws_zones_part *part = part_get(plan, strtoll(number, NULL, 10));
+	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_part *part = part_get(plan, strtoll(number, NULL, 10));
 	json_t *jobs = json_object_get(value, "jobs"), *job;
 	size_t i;
 
 	json_array_foreach (jobs, i, job) {
 		const char *id = json_string_value(json_array_get(job, 0));
-		struct ws_zones_entry *entry;
+		struct ws_domains_entry *entry;
 
-		if (!id || strlen(id) >= WS_ZONES_NAME_MAX)
+		if (!id || strlen(id) >= WS_DOMAINS_NAME_MAX)
 			continue;
 		entry = entry_get(plan, id);
 		if (entry->part >= 0)
@@ -325,14 +327,15 @@
 	}
 }
 
-static void progress_write(struct ws_zones *zones, double now, struct ws_request_queue *out)
+static void progress_write(struct ws_failure_domains *zones, double now,
+			   struct ws_request_queue *out)
 {
-	struct ws_zones_plan *plan = &zones->plan;
-	struct ws_zones_progress progress = {.planned = plan->finished,
-					     .called_off = plan->called_off};
+	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_progress progress = {.planned = plan->finished,
+					       .called_off = plan->called_off};
 	size_t open = 0;
 
-	for (struct ws_zones_entry *entry = plan->entries; entry; entry = entry->hh.next) {
+	for (struct ws_domains_entry *entry = plan->entries; entry; entry = entry->hh.next) {
 		size_t pinned = entry->pinned ? entry->affected + entry->waiting : 0;
 
 		progress.planned += entry->planned;
@@ -349,14 +352,14 @@
 		return;
 	plan->told = progress;
 	plan->told_at = now;
-	ws_zones_logf(zones,
-		      "zones: of %zu tasks planned %zu moved, %zu called off, %zu may be alive "
-		      "still, %zu wait for room, %zu for their zone",
-		      progress.planned, progress.moved, progress.called_off, progress.moving,
-		      progress.waiting, progress.pinned);
+	ws_domains_logf(zones,
+			"zones: of %zu tasks planned %zu moved, %zu called off, %zu may be alive "
+			"still, %zu wait for room, %zu for their zone",
+			progress.planned, progress.moved, progress.called_off, progress.moving,
+			progress.waiting, progress.pinned);
 	ws_request_write(
 	    out, "progress",
-	    json_pack("{s:i,s:I,s:I,s:I,s:I,s:I,s:I}", "v", WS_ZONES_FORMAT, "planned",
+	    json_pack("{s:i,s:I,s:I,s:I,s:I,s:I,s:I}", "v", WS_DOMAINS_FORMAT, "planned",
 		      (json_int_t)progress.planned, "moved", (json_int_t)progress.moved, "moving",
 		      (json_int_t)progress.moving, "waiting", (json_int_t)progress.waiting,
 		      "pinned", (json_int_t)progress.pinned, "called_off",
@@ -367,20 +370,20 @@
 /* ---- what the core is asked ---- */
 
 /* A domain that flaps gets room ahead only after a while, longer with each flap. */
-static bool ahead_due(const struct ws_zones *zones, double now)
+static bool ahead_due(const struct ws_failure_domains *zones, double now)
 {
-	for (const struct ws_zones_domain *domain = zones->domains; domain;
+	for (const struct ws_failure_domain *domain = zones->domains; domain;
 	     domain = domain->hh.next) {
 		double patience = zones->limits.lease_s / 4 * fmax(0, domain->penalty - 1);
 
-		if (domain->state == WS_ZONES_DARK &&
+		if (domain->state == WS_DOMAINS_DARK &&
 		    now - domain->since >= fmin(patience, zones->limits.lease_s))
 			return true;
 	}
 	return false;
 }
 
-static size_t window(const struct ws_zones *zones)
+static size_t window(const struct ws_failure_domains *zones)
 {
 	double most = WINDOW_SHARE * zones->limits.state_write_rps * zones->limits.report_s;
 
@@ -388,34 +391,35 @@
 }
 
 /* Whether some service of the plan has no replica that is surely heard. */
-static bool replica_missing(const struct ws_zones_plan *plan)
+static bool replica_missing(const struct ws_domains_plan *plan)
 {
-	for (const struct ws_zones_entry *entry = plan->entries; entry; entry = entry->hh.next)
+	for (const struct ws_domains_entry *entry = plan->entries; entry; entry = entry->hh.next)
 		if (entry->first_replica && !entry->pinned)
 			return true;
 	return false;
 }
 
-static void moves_request(struct ws_zones *zones, double now, struct ws_request_queue *out)
+static void moves_request(struct ws_failure_domains *zones, double now,
+			  struct ws_request_queue *out)
 {
 	const size_t most = window(zones);
 	const bool ahead = ahead_due(zones, now);
-	const bool trouble = ws_zones_in_state(zones, WS_ZONES_DARK) ||
-			     ws_zones_in_state(zones, WS_ZONES_RECOVERING);
+	const bool trouble = ws_domains_in_state(zones, WS_DOMAINS_DARK) ||
+			     ws_domains_in_state(zones, WS_DOMAINS_RECOVERING);
 	const bool apart = replica_missing(&zones->plan);
 	uint32_t position = 0;
 
-	for (struct ws_zones_entry *entry = zones->plan.entries; entry; entry = entry->hh.next) {
+	for (struct ws_domains_entry *entry = zones->plan.entries; entry; entry = entry->hh.next) {
 		struct ws_move move = {0};
 		bool open = trouble && !entry->pinned && (entry->affected || entry->waiting);
 
 		if (open && position < most)
 			move.position = ++position;
 		if (open && ahead)
-			move.room_ahead = (uint32_t)entry->affected;
+			move.reserve_ahead = (uint32_t)entry->affected;
 		move.replicas_apart = open && apart && entry->service;
 		if (move.position == entry->sent.position &&
-		    move.room_ahead == entry->sent.room_ahead &&
+		    move.reserve_ahead == entry->sent.reserve_ahead &&
 		    move.replicas_apart == entry->sent.replicas_apart)
 			continue;
 		entry->sent = move;
@@ -424,21 +428,22 @@
 	}
 }
 
-static void plan_log(const struct ws_zones *zones)
+static void plan_log(const struct ws_failure_domains *zones)
 {
-	const struct ws_zones_entry *first = zones->plan.entries;
+	const struct ws_domains_entry *first = zones->plan.entries;
 	size_t jobs = 0;
 
-	for (const struct ws_zones_entry *entry = first; entry; entry = entry->hh.next)
+	for (const struct ws_domains_entry *entry = first; entry; entry = entry->hh.next)
 		jobs += entry->part < 0;
 	if (jobs)
-		ws_zones_logf(zones, "zones: %zu jobs more in the plan, first of all %s (%s)", jobs,
-			      first->job, ws_zones_reason_name(first->reason));
+		ws_domains_logf(zones, "zones: %zu jobs more in the plan, first of all %s (%s)",
+				jobs, first->job, ws_domains_reason_name(first->reason));
 }
 
-void ws_zones_plan_tick(struct ws_zones *zones, double now, struct ws_request_queue *out)
+void ws_domains_plan_tick(struct ws_failure_domains *zones, double now,
+			  struct ws_request_queue *out)
 {
-	struct ws_zones_plan *plan = &zones->plan;
+	struct ws_domains_plan *plan = &zones->plan;
 
 	if (plan->surveyed) {
 		plan->surveyed = false;
@@ -448,17 +453,17 @@
 		parts_delete(plan, out);
 		progress_write(zones, now, out);
 	}
-	if ((!plan->entries && !plan->parts && !ws_zones_in_state(zones, WS_ZONES_DARK)) ||
+	if ((!plan->entries && !plan->parts && !ws_domains_in_state(zones, WS_DOMAINS_DARK)) ||
 	    now < plan->survey_next)
 		return;
 	if (!plan->entries && !plan->parts) { /* the counts of one trouble, from its beginning */
 		plan->finished = plan->called_off = 0;
-		plan->told = (struct ws_zones_progress){0};
+		plan->told = (struct ws_domains_progress){0};
 	}
 	plan->survey_next = now + zones->limits.report_s;
 	plan->surveys++;
-	for (struct ws_zones_domain *domain = zones->domains; domain; domain = domain->hh.next)
-		for (struct ws_zones_member *member = domain->members; member;
+	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next)
+		for (struct ws_domains_member *member = domain->members; member;
 		     member = member->next) {
 			zones->steps++;
 			member->machine->affected = 0;
--- /dev/null
+++ b/src/failure_domains/records.c
@@ -0,0 +1,116 @@
+/* Records of the zones package: what each holds, and what a leader takes over from them. */
+#include "internal.h"
+
+static const char *const state_names[] = {
+    [WS_DOMAINS_HEALTHY] = "healthy",
+    [WS_DOMAINS_SUSPECT] = "suspect",
+    [WS_DOMAINS_DARK] = "dark",
+    [WS_DOMAINS_RECOVERING] = "recovering",
+};
+#define STATES (sizeof(state_names) / sizeof(state_names[0]))
+
+static const char *const evidence_names[] = {
+    [WS_DOMAINS_NO_EVIDENCE] = "none",
+    [WS_DOMAINS_SILENCE] = "heartbeats stopped together",
+    [WS_DOMAINS_UNANSWERED] = "heartbeats stopped together, commands unanswered",
+    [WS_DOMAINS_LEASES_OUT] = "leases out, view of the rest not sound",
+    [WS_DOMAINS_RECORDED] = "on record",
+    [WS_DOMAINS_HEARD] = "half of it heard",
+    [WS_DOMAINS_NONE_LEFT] = "no machine left there",
+    [WS_DOMAINS_STABLE] = "stable",
+};
+
+static const char *const reason_names[] = {
+    [WS_DOMAINS_BY_CLASS] = "class",
+    [WS_DOMAINS_BY_GUARANTEE] = "guarantee",
+    [WS_DOMAINS_BY_FIRST_REPLICA] = "first replica",
+    [WS_DOMAINS_BY_DEADLINE] = "deadline",
+    [WS_DOMAINS_BY_PRIORITY] = "priority",
+    [WS_DOMAINS_PINNED] = "pinned",
+};
+
+const char *ws_domains_state_name(enum ws_domains_state state)
+{
+	return state_names[state];
+}
+
+const char *ws_domains_evidence_name(enum ws_domains_evidence evidence)
+{
+	return evidence_names[evidence];
+}
+
+const char *ws_domains_reason_name(enum ws_domains_reason reason)
+{
+	return reason_names[reason];
+}
+
+json_t *ws_failure_domain_record(const struct ws_failure_domains *zones,
+				 const struct ws_failure_domain *domain, double now)
+{
+	return json_pack("{s:i,s:s,s:s,s:f,s:f,s:b,s:I,s:I,s:I,s:I}", "v", WS_DOMAINS_FORMAT,
+			 "state", ws_domains_state_name(domain->state), "evidence",
+			 ws_domains_evidence_name(domain->evidence), "penalty",
+			 ws_domains_penalty(zones, domain, now), "for_s", now - domain->since,
+			 "held", domain->held, "live", (json_int_t)domain->live, "silent",
+			 (json_int_t)domain->silent, "unanswered", (json_int_t)domain->unanswered,
+			 "gone", (json_int_t)domain->removed);
+}
+
+static enum ws_domains_state state_read(const char *name)
+{
+	for (size_t i = 0; name && i < STATES; i++)
+		if (!strcmp(state_names[i], name))
+			return (enum ws_domains_state)i;
+	return WS_DOMAINS_HEALTHY;
+}
+
+/*
+ * An earlier leader's verdict. Whoever led since may not know these records, so it is taken as a
+ * start only: heartbeats decide from here on. How long ago it was written can't be known, so the
+ * penalty counts as undecayed and the stable time begins anew.
+ */
+static void domain_loaded(struct ws_failure_domains *zones, const char *name, json_t *value)
+{
+	struct ws_failure_domain *domain = ws_failure_domain_find(zones, name);
+
+	if (!domain) /* of a zone that machines brought, or of a domain declared no more */
+		domain = ws_domains_add_zone(zones, name);
+	if (!domain)
+		return;
+	domain->penalty = fmin(zones->settings.penalty_max,
+			       fmax(0, json_number_value(json_object_get(value, "penalty"))));
+	domain->state = state_read(json_string_value(json_object_get(value, "state")));
+	if (domain->state == WS_DOMAINS_SUSPECT)
+		domain->state = WS_DOMAINS_HEALTHY;
+	domain->evidence = WS_DOMAINS_RECORDED;
+}
+
+static void hold_loaded(struct ws_failure_domains *zones, const char *name)
+{
+	struct ws_failure_domain *domain = ws_failure_domain_find(zones, name);
+
+	if (domain)
+		domain->held_read = true;
+}
+
+void ws_domains_record_loaded(void *self, const char *name, json_t *value)
+{
+	struct ws_failure_domains *zones = self;
+	json_int_t format = json_integer_value(json_object_get(value, "v"));
+
+	if (format > WS_DOMAINS_FORMAT) {
+		if (!zones->later_format)
+			ws_domains_logf(zones,
+					"zones: record %s has format %lld, later than %d: records "
+					"are left alone and nothing is judged",
+					name, (long long)format, WS_DOMAINS_FORMAT);
+		zones->later_format = true;
+		return;
+	}
+	if (!strncmp(name, "domain/", 7))
+		domain_loaded(zones, name + 7, value);
+	else if (!strncmp(name, "hold/", 5))
+		hold_loaded(zones, name + 5);
+	else if (!strncmp(name, "plan/", 5))
+		ws_domains_plan_loaded(zones, name + 5, value);
+}
--- a/src/zones_command.c
+++ b/src/failure_domains_command.c
@@ -1,4 +1,4 @@
-#include "zones_command.h"
+#include "failure_domains_command.h"
 #include "state_tool.h"
 #include "io/codec.h"
 #include <stdio.h>
@@ -86,7 +86,7 @@
 static bool domain_exists(const char *name, const struct ws_settings *platform,
 			  const struct ws_subsystem_settings *subsystems)
 {
-	for (size_t i = 0; i < platform->nzones; i++)
+	for (size_t i = 0; i < platform->zone_count; i++)
 		if (!strcmp(platform->zones[i], name))
 			return true;
 	for (size_t i = 0; i < subsystems->zones.declared_count; i++)
@@ -95,21 +95,24 @@
 	return false;
 }
 
-/* Writes or removes a hold under the revision at which it was read; the outcome's status. */
+/* Writes or removes a session under the revision at which it was read; the outcome's status. */
 static int hold_write(struct ws_state_tool *tool, const char *key, bool hold)
 {
 	struct ws_call read = {.kind = WS_CALL_GET};
-	struct ws_cond condition = {0};
-	struct ws_op change = {0};
-	struct ws_call write = {
-	    .kind = WS_CALL_TXN, .conds = &condition, .nconds = 1, .ops = &change, .nops = 1};
+	struct ws_compare condition = {0};
+	struct ws_operation change = {0};
+	struct ws_call write = {.kind = WS_CALL_TRANSACTION,
+				.compares = &condition,
+				.compare_count = 1,
+				.operations = &change,
+				.operation_count = 1};
 	struct ws_result result;
 	int status;
 
 	snprintf(read.key, sizeof(read.key), "%s", key);
 	ws_state_tool_call(tool, &read, &result);
 	status = result.status;
-	condition.stamp = status == 200 && result.nkvs ? result.kvs[0].stamp : 0;
+	condition.revision = status == 200 && result.entry_count ? result.entries[0].revision : 0;
 	ws_result_free(&result);
 	if (status != 200 && status != 404)
 		return status;
@@ -142,22 +145,23 @@
 	return 0;
 }
 
-int ws_zones_command_run(const struct ws_zones_command *command, const struct ws_settings *platform,
-			 const struct ws_subsystem_settings *subsystems)
+int ws_domains_command_run(const struct ws_domains_command *command,
+			   const struct ws_settings *platform,
+			   const struct ws_subsystem_settings *subsystems)
 {
 	struct ws_state_tool *tool;
 	int status = 0;
 
-	if (command->verb > WS_ZONES_SHOW &&
+	if (command->verb > WS_DOMAINS_SHOW &&
 	    !domain_exists(command->domain, platform, subsystems)) {
 		fprintf(stderr, "waystep: there is no domain %s\n", command->domain);
 		return 2;
 	}
 	tool = ws_state_tool_open(platform);
-	if (command->verb == WS_ZONES_SHOW)
+	if (command->verb == WS_DOMAINS_SHOW)
 		status = show(tool);
 	else
-		status = hold(tool, command->domain, command->verb == WS_ZONES_HOLD);
+		status = hold(tool, command->domain, command->verb == WS_DOMAINS_HOLD);
 	ws_state_tool_close(tool);
 	return status;
 }
--- a/src/io/decode.c
+++ b/src/io/decode.c
@@ -1,4 +1,4 @@
-/* Reading: requests of users and workers, answers of workers, the cloud and the state service. */
+/* Reading: requests of users and workers, answers of workers, the cloud and the store. */
 #include "codec.h"
 #include "../log.h"
 #include "json_reader.h"
@@ -13,46 +13,46 @@
 /* ---- members of an object that is read ---- */
 
 /* False: malformed, or of another type. One that is missing or null gives "" where it may be. */
-static bool ws_member_string(struct ws_json object, const char *key, char *to, size_t n,
+static bool ws_member_string(struct ws_json object, const char *key, char *target, size_t size,
 			     bool may_be_null)
 {
 	struct ws_json value;
 	const char *text;
 	size_t len;
 
-	to[0] = 0;
+	target[0] = 0;
 	if (!ws_json_member(object, key, &value) || ws_json_is_null(value))
 		return may_be_null;
-	if (!ws_json_string(value, &text, &len) || !len || len >= n)
+	if (!ws_json_string(value, &text, &len) || !len || len >= size)
 		return false;
-	memcpy(to, text, len);
-	to[len] = 0;
+	memcpy(target, text, len);
+	target[len] = 0;
 	return true;
 }
 
-static bool ws_member_amount(struct ws_json object, const char *key, double *to)
+static bool ws_member_amount(struct ws_json object, const char *key, double *target)
 {
 	struct ws_json value;
 
-	return ws_json_member(object, key, &value) && ws_json_number(value, to) && isfinite(*to) &&
-	       *to >= 0 && *to < 1e12;
+	return ws_json_member(object, key, &value) && ws_json_number(value, target) &&
+	       isfinite(*target) && *target >= 0 && *target < 1e12;
 }
 
-static bool ws_member_bool(struct ws_json object, const char *key, bool *to)
+static bool ws_member_bool(struct ws_json object, const char *key, bool *target)
 {
 	struct ws_json value;
 
-	return ws_json_member(object, key, &value) && ws_json_bool(value, to);
+	return ws_json_member(object, key, &value) && ws_json_bool(value, target);
 }
 
-static bool ws_member_uint(struct ws_json object, const char *key, uint64_t *to)
+static bool ws_member_uint(struct ws_json object, const char *key, uint64_t *target)
 {
 	struct ws_json value;
 	int64_t n;
 
 	if (!ws_json_member(object, key, &value) || !ws_json_integer(value, &n) || n < 0)
 		return false;
-	*to = (uint64_t)n;
+	*target = (uint64_t)n;
 	return true;
 }
 
@@ -74,15 +74,15 @@
 }
 
 /* A name of an array, no longer than names are. */
-static bool ws_element_name(struct ws_json value, char *to)
+static bool ws_element_name(struct ws_json value, char *target)
 {
 	const char *text;
 	size_t len;
 
 	if (!ws_json_string(value, &text, &len) || len >= WS_NAME_MAX)
 		return false;
-	memcpy(to, text, len);
-	to[len] = 0;
+	memcpy(target, text, len);
+	target[len] = 0;
 	return true;
 }
 
@@ -103,88 +103,90 @@
 static const char *const ws_tiers[] = {"best_effort", "normal", "urgent", "production"};
 
 /* The machine types that a job may run on; no list: any. */
-static bool ws_decode_allowed_types(struct ws_json o, struct ws_spec *s)
+static bool ws_decode_allowed_types(struct ws_json json, struct ws_job_spec *spec)
 {
 	struct ws_json_elements elements;
 	struct ws_json type;
 	size_t count;
 
-	if (!ws_member_set(o, "flavours"))
+	if (!ws_member_set(json, "flavours"))
 		return true;
-	if (!ws_member_array(o, "flavours", &elements, &count) || !count || count > WS_MAX_ALLOWED)
+	if (!ws_member_array(json, "flavours", &elements, &count) || !count ||
+	    count > WS_MAX_ALLOWED)
 		return false;
 	while (ws_json_next(&elements, &type))
-		if (!ws_element_name(type, s->types[s->ntypes++]))
+		if (!ws_element_name(type, spec->types[spec->type_count++]))
 			return false;
 	return true;
 }
 
-static bool ws_decode_spec(struct ws_json o, struct ws_spec *s)
+static bool ws_decode_spec(struct ws_json json, struct ws_job_spec *spec)
 {
 	char text[WS_NAME_MAX];
 	uint64_t n;
 	int i;
 
-	if (!ws_json_is_object(o) || !ws_member_string(o, "nameId", s->id, sizeof(s->id), false) ||
-	    !ws_job_id_ok(s->id) ||
-	    !ws_member_string(o, "jobclass", s->job_class, sizeof(s->job_class), false) ||
-	    !ws_member_string(o, "owner", s->team, sizeof(s->team), false) ||
-	    !ws_member_string(o, "shape", text, sizeof(text), false))
+	if (!ws_json_is_object(json) ||
+	    !ws_member_string(json, "nameId", spec->id, sizeof(spec->id), false) ||
+	    !ws_job_id_ok(spec->id) ||
+	    !ws_member_string(json, "jobclass", spec->job_class, sizeof(spec->job_class), false) ||
+	    !ws_member_string(json, "owner", spec->team, sizeof(spec->team), false) ||
+	    !ws_member_string(json, "shape", text, sizeof(text), false))
 		return false;
-	s->service = !strcmp(text, "daemon");
-	s->gang = !strcmp(text, "gang");
-	if (!s->service && !s->gang && strcmp(text, "sweep"))
+	spec->service = !strcmp(text, "daemon");
+	spec->gang = !strcmp(text, "gang");
+	if (!spec->service && !spec->gang && strcmp(text, "sweep"))
 		return false;
-	if (!ws_member_string(o, "tier", text, sizeof(text), false))
+	if (!ws_member_string(json, "tier", text, sizeof(text), false))
 		return false;
 	for (i = 0; i < 4 && strcmp(text, ws_tiers[i]); i++)
 		;
 	if (i == 4)
 		return false;
-	s->tier = (enum ws_tier)i;
-	if (!ws_member_uint(o, "shards", &n) || n < 1 || n > WS_MAX_SHARDS)
+	spec->priority = (enum ws_priority_class)i;
+	if (!ws_member_uint(json, "shards", &n) || n < 1 || n > WS_MAX_TASKS)
 		return false;
-	s->tasks = (uint32_t)n;
-	if (!ws_member_amount(o, "vcpus", &s->cpus) ||
-	    !ws_member_amount(o, "accelerators", &s->gpus) ||
-	    !ws_member_amount(o, "memGb", &s->mem) ||
-	    !ws_member_string(o, "bundle", s->image, sizeof(s->image), false) ||
-	    !ws_member_amount(o, "sizeGb", &s->image_gb))
+	spec->tasks = (uint32_t)n;
+	if (!ws_member_amount(json, "vcpus", &spec->cpus) ||
+	    !ws_member_amount(json, "accelerators", &spec->gpus) ||
+	    !ws_member_amount(json, "memGb", &spec->mem_gb) ||
+	    !ws_member_string(json, "bundle", spec->image, sizeof(spec->image), false) ||
+	    !ws_member_amount(json, "sizeGb", &spec->image_gb))
 		return false;
-	if (!ws_decode_allowed_types(o, s) ||
-	    !ws_member_string(o, "hall", s->zone, sizeof(s->zone), true) ||
-	    !ws_member_bool(o, "samePlace", &s->one_zone) ||
-	    !ws_member_bool(o, "spread", &s->spread) ||
-	    !ws_member_bool(o, "reclaimable", &s->spot) ||
-	    !ws_member_amount(o, "expectedS", &s->estimate_s) ||
-	    !ws_member_amount(o, "snapshotEveryS", &s->checkpoint_s) ||
-	    !ws_member_amount(o, "snapshotS", &s->save_s))
+	if (!ws_decode_allowed_types(json, spec) ||
+	    !ws_member_string(json, "hall", spec->zone, sizeof(spec->zone), true) ||
+	    !ws_member_bool(json, "samePlace", &spec->one_zone) ||
+	    !ws_member_bool(json, "spread", &spec->spread) ||
+	    !ws_member_bool(json, "reclaimable", &spec->allows_preemptible) ||
+	    !ws_member_amount(json, "expectedS", &spec->estimate_s) ||
+	    !ws_member_amount(json, "snapshotEveryS", &spec->checkpoint_s) ||
+	    !ws_member_amount(json, "snapshotS", &spec->save_s))
 		return false;
-	s->deadline_s = -1;
-	return !ws_member_set(o, "dueS") || ws_member_amount(o, "dueS", &s->deadline_s);
+	spec->deadline_s = -1;
+	return !ws_member_set(json, "dueS") || ws_member_amount(json, "dueS", &spec->deadline_s);
 }
 
-int ws_decode_job(const char *body, size_t len, struct ws_spec *spec)
+int ws_decode_job(const char *body, size_t len, struct ws_job_spec *spec)
 {
-	struct ws_json o;
+	struct ws_json json;
 
 	memset(spec, 0, sizeof(*spec));
-	return ws_json_read(body, len, &o) && ws_decode_spec(o, spec) ? 0 : 400;
+	return ws_json_read(body, len, &json) && ws_decode_spec(json, spec) ? 0 : 400;
 }
 
-static bool ws_address(struct ws_json o, char *host, size_t n, int *port)
+static bool ws_address(struct ws_json json, char *host, size_t size, int *port)
 {
 	char text[80], *colon;
 
 	*port = 0;
 	host[0] = 0;
-	if (!ws_member_string(o, "address", text, sizeof(text), true))
+	if (!ws_member_string(json, "address", text, sizeof(text), true))
 		return false;
 	colon = strrchr(text, ':');
 	if (!colon)
 		return true;
 	*colon = 0;
-	if (strlen(text) < n)
+	if (strlen(text) < size)
 		strcpy(host, text);
 	*port = atoi(colon + 1);
 	if (*port < 1 || *port > 65535)
@@ -209,7 +211,7 @@
 	ws_logf(WS_LOG_ERROR, "a report has the unknown word \"%s\" as its %s", word, field);
 }
 
-static bool ws_decode_task(struct ws_json o, struct ws_task_report *t)
+static bool ws_decode_task(struct ws_json json, struct ws_task_status *status)
 {
 	static const char *const states[] = {"pulling", "running", "flushing", "exited", "waiting"};
 	static const char *const whys[] = {"",	   "done",    "stopped",    "error",	 "full",
@@ -220,19 +222,20 @@
 	unsigned long n;
 	int i;
 
-	if (!ws_json_is_object(o) || !ws_member_string(o, "shard", text, sizeof(text), false) ||
-	    !ws_member_uint(o, "tryNo", &t->attempt))
+	if (!ws_json_is_object(json) ||
+	    !ws_member_string(json, "shard", text, sizeof(text), false) ||
+	    !ws_member_uint(json, "tryNo", &status->attempt))
 		return false;
 	slash = strrchr(text, '/');
-	if (!slash || slash == text || (size_t)(slash - text) >= sizeof(t->job))
+	if (!slash || slash == text || (size_t)(slash - text) >= sizeof(status->job))
 		return false;
 	*slash = 0;
 	n = strtoul(slash + 1, &end, 10);
-	if (!isdigit((unsigned char)slash[1]) || *end || n >= WS_MAX_SHARDS)
+	if (!isdigit((unsigned char)slash[1]) || *end || n >= WS_MAX_TASKS)
 		return false;
-	t->task = (uint32_t)n;
-	strcpy(t->job, text);
-	if (!ws_member_string(o, "phase", text, sizeof(text), false))
+	status->task = (uint32_t)n;
+	strcpy(status->job, text);
+	if (!ws_member_string(json, "phase", text, sizeof(text), false))
 		return false;
 	for (i = 0; i < nstates && strcmp(text, states[i]); i++)
 		;
@@ -240,293 +243,300 @@
 		ws_unknown_word("phase", text);
 		i = WS_TASK_FETCHING; /* a state we do not know is at any rate alive */
 	}
-	t->state = (enum ws_task_state)i;
-	t->why = WS_WHY_NONE;
-	if (t->state == WS_TASK_EXITED) {
-		if (!ws_member_string(o, "cause", text, sizeof(text), true))
+	status->state = (enum ws_task_state)i;
+	status->exit_reason = WS_EXIT_NONE;
+	if (status->state == WS_TASK_EXITED) {
+		if (!ws_member_string(json, "cause", text, sizeof(text), true))
 			return false;
 		for (i = 1; i < nwhys && strcmp(text, whys[i]); i++)
 			;
 		if (i == nwhys && text[0])
 			ws_unknown_word("cause", text);
 		/* a cause we do not know blames nobody */
-		t->why = i < nwhys ? (enum ws_why)i : WS_WHY_STOPPED;
+		status->exit_reason = i < nwhys ? (enum ws_exit_reason)i : WS_EXIT_STOPPED;
 	}
 	return true;
 }
 
-static bool ws_decode_report_json(struct ws_json o, struct ws_report *r)
+static bool ws_decode_heartbeat_json(struct ws_json json, struct ws_heartbeat *heartbeat)
 {
 	struct ws_json_elements elements;
 	struct ws_json task;
 	size_t count;
 
-	memset(r, 0, sizeof(*r));
-	if (!ws_json_is_object(o) ||
-	    !ws_member_string(o, "host", r->machine, sizeof(r->machine), false) ||
-	    !ws_address(o, r->host, sizeof(r->host), &r->port) ||
-	    !ws_member_string(o, "flavour", r->type, sizeof(r->type), false) ||
-	    !ws_member_string(o, "hall", r->zone, sizeof(r->zone), false) ||
-	    !ws_member_bool(o, "reclaimable", &r->spot) ||
-	    !ws_member_uint(o, "tenure", &r->tenure) || r->tenure < 1 ||
-	    !ws_member_uint(o, "counter", &r->counter) || !ws_member_uint(o, "epoch", &r->epoch))
+	memset(heartbeat, 0, sizeof(*heartbeat));
+	if (!ws_json_is_object(json) ||
+	    !ws_member_string(json, "host", heartbeat->machine, sizeof(heartbeat->machine),
+			      false) ||
+	    !ws_address(json, heartbeat->address, sizeof(heartbeat->address), &heartbeat->port) ||
+	    !ws_member_string(json, "flavour", heartbeat->type, sizeof(heartbeat->type), false) ||
+	    !ws_member_string(json, "hall", heartbeat->zone, sizeof(heartbeat->zone), false) ||
+	    !ws_member_bool(json, "reclaimable", &heartbeat->preemptible) ||
+	    !ws_member_uint(json, "tenure", &heartbeat->incarnation) ||
+	    heartbeat->incarnation < 1 || !ws_member_uint(json, "counter", &heartbeat->sequence) ||
+	    !ws_member_uint(json, "epoch", &heartbeat->fencing_token))
 		return false;
-	r->notice_s = -1;
-	if (ws_member_set(o, "warningS") && !ws_member_amount(o, "warningS", &r->notice_s))
+	heartbeat->preemption_notice_s = -1;
+	if (ws_member_set(json, "warningS") &&
+	    !ws_member_amount(json, "warningS", &heartbeat->preemption_notice_s))
 		return false;
-	if (!ws_member_array(o, "shards", &elements, &count))
+	if (!ws_member_array(json, "shards", &elements, &count))
 		return false;
-	r->tasks = calloc(count + 1, sizeof(*r->tasks));
-	if (!r->tasks)
+	heartbeat->tasks = calloc(count + 1, sizeof(*heartbeat->tasks));
+	if (!heartbeat->tasks)
 		return false;
 	while (ws_json_next(&elements, &task)) {
-		if (!ws_decode_task(task, &r->tasks[r->ntasks])) {
-			ws_report_free(r);
+		if (!ws_decode_task(task, &heartbeat->tasks[heartbeat->task_count])) {
+			ws_heartbeat_free(heartbeat);
 			return false;
 		}
-		r->ntasks++;
+		heartbeat->task_count++;
 	}
 	return true;
 }
 
-bool ws_decode_report(const char *body, size_t len, struct ws_report *r)
+bool ws_decode_heartbeat(const char *body, size_t len, struct ws_heartbeat *heartbeat)
 {
-	struct ws_json o;
+	struct ws_json json;
 
-	return ws_json_read(body, len, &o) && ws_decode_report_json(o, r);
+	return ws_json_read(body, len, &json) && ws_decode_heartbeat_json(json, heartbeat);
 }
 
-void ws_report_free(struct ws_report *r)
+void ws_heartbeat_free(struct ws_heartbeat *heartbeat)
 {
-	free(r->tasks);
-	r->tasks = NULL;
-	r->ntasks = 0;
+	free(heartbeat->tasks);
+	heartbeat->tasks = NULL;
+	heartbeat->task_count = 0;
 }
 
-/* ---- answers of the state service that carry records: these live on ---- */
+/* ---- answers of the store that carry records: these live on ---- */
 
-static bool ws_record_stamp(json_t *o, const char *key, uint64_t *to)
+static bool ws_record_revision(json_t *object, const char *key, uint64_t *target)
 {
-	json_t *v = json_object_get(o, key);
+	json_t *value = json_object_get(object, key);
 
-	if (!json_is_integer(v) || json_integer_value(v) < 0)
+	if (!json_is_integer(value) || json_integer_value(value) < 0)
 		return false;
-	*to = (uint64_t)json_integer_value(v);
+	*target = (uint64_t)json_integer_value(value);
 	return true;
 }
 
-static bool ws_record_key(json_t *o, const char *name, char *to, size_t n)
+static bool ws_record_key(json_t *object, const char *name, char *target, size_t size)
 {
-	json_t *v = json_object_get(o, name);
-	const char *s = json_string_value(v);
-	size_t len = json_string_length(v);
+	json_t *value = json_object_get(object, name);
+	const char *s = json_string_value(value);
+	size_t len = json_string_length(value);
 
-	if (!s || !len || len >= n || strlen(s) != len)
+	if (!s || !len || len >= size || strlen(s) != len)
 		return false;
-	memcpy(to, s, len + 1);
+	memcpy(target, s, len + 1);
 	return true;
 }
 
-static bool ws_decode_kv(json_t *o, const char *name, struct ws_kv *kv, bool need_value)
+static bool ws_decode_kv(json_t *object, const char *name, struct ws_kv *entry, bool need_value)
 {
-	json_t *v;
+	json_t *value;
 
-	memset(kv, 0, sizeof(*kv));
-	if (!json_is_object(o) || !ws_record_key(o, name, kv->key, sizeof(kv->key)) ||
-	    !ws_record_stamp(o, "stamp", &kv->stamp))
+	memset(entry, 0, sizeof(*entry));
+	if (!json_is_object(object) ||
+	    !ws_record_key(object, name, entry->key, sizeof(entry->key)) ||
+	    !ws_record_revision(object, "stamp", &entry->revision))
 		return false;
-	v = json_object_get(o, "value");
-	if (need_value && !v)
+	value = json_object_get(object, "value");
+	if (need_value && !value)
 		return false;
-	kv->value = json_incref(v);
+	entry->value = json_incref(value);
 	return true;
 }
 
-static bool ws_decode_kvs(json_t *a, struct ws_result *r, bool events)
+static bool ws_decode_kvs(json_t *array, struct ws_result *result, bool events)
 {
 	size_t i;
-	json_t *e;
+	json_t *element;
 
-	if (!json_is_array(a))
+	if (!json_is_array(array))
 		return false;
-	r->kvs = calloc(json_array_size(a) + 1, sizeof(*r->kvs));
-	if (!r->kvs)
+	result->entries = calloc(json_array_size(array) + 1, sizeof(*result->entries));
+	if (!result->entries)
 		return false;
-	json_array_foreach (a, i, e) {
-		bool del = events && json_object_get(e, "delete");
+	json_array_foreach (array, i, element) {
+		bool del = events && json_object_get(element, "delete");
 
-		if (!ws_decode_kv(e,
+		if (!ws_decode_kv(element,
 				  del	   ? "delete"
 				  : events ? "write"
 					   : "k",
-				  &r->kvs[r->nkvs], !del))
+				  &result->entries[result->entry_count], !del))
 			return false;
 		if (del) {
-			json_decref(r->kvs[r->nkvs].value);
-			r->kvs[r->nkvs].value = NULL;
+			json_decref(result->entries[result->entry_count].value);
+			result->entries[result->entry_count].value = NULL;
 		}
-		r->nkvs++;
+		result->entry_count++;
 	}
 	return true;
 }
 
-static bool ws_decode_records(const struct ws_call *call, json_t *o, struct ws_result *r)
+static bool ws_decode_records(const struct ws_call *call, json_t *object, struct ws_result *result)
 {
 	if (call->kind == WS_CALL_GET) {
-		r->kvs = calloc(1, sizeof(*r->kvs));
-		if (!r->kvs || !ws_decode_kv(o, "k", r->kvs, true))
+		result->entries = calloc(1, sizeof(*result->entries));
+		if (!result->entries || !ws_decode_kv(object, "k", result->entries, true))
 			return false;
-		r->nkvs = 1;
-		return !strcmp(r->kvs->key, call->key);
+		result->entry_count = 1;
+		return !strcmp(result->entries->key, call->key);
 	}
-	r->more = json_is_true(json_object_get(o, "hasNext"));
-	if (!ws_record_stamp(o, "ledgerRev", &r->rev))
+	result->has_more = json_is_true(json_object_get(object, "hasNext"));
+	if (!ws_record_revision(object, "ledgerRev", &result->revision))
 		return false;
-	return call->kind == WS_CALL_LIST ? ws_decode_kvs(json_object_get(o, "entries"), r, false)
-					  : ws_decode_kvs(json_object_get(o, "news"), r, true);
+	return call->kind == WS_CALL_LIST
+		   ? ws_decode_kvs(json_object_get(object, "entries"), result, false)
+		   : ws_decode_kvs(json_object_get(object, "news"), result, true);
 }
 
 /* ---- all other answers ---- */
 
-static bool ws_decode_type(struct ws_json o, struct ws_type *t)
+static bool ws_decode_type(struct ws_json json, struct ws_machine_type *type)
 {
 	struct ws_json_elements zones;
 	struct ws_json zone;
 	size_t count;
 	char name[WS_NAME_MAX];
 
-	if (!ws_member_string(o, "name", t->name, sizeof(t->name), false) ||
-	    !ws_member_amount(o, "vcpus", &t->cpus) || t->cpus <= 0 ||
-	    !ws_member_amount(o, "memGb", &t->mem) || !ws_member_amount(o, "rate", &t->price) ||
-	    !ws_member_amount(o, "startupS", &t->boot_s))
-		return false;
-	if (!ws_member_amount(o, "accelerators", &t->gpus))
-		t->gpus = 0;
-	if (!ws_member_amount(o, "spotPrice", &t->spot_price))
-		t->spot_price = t->price;
-	if (!ws_member_amount(o, "localGb", &t->local_gb))
-		t->local_gb = 0;
-	if (!ws_member_amount(o, "fetchGbPerS", &t->fetch_gb_s))
-		t->fetch_gb_s = 0;
-	if (!ws_member_array(o, "halls", &zones, &count))
+	if (!ws_member_string(json, "name", type->name, sizeof(type->name), false) ||
+	    !ws_member_amount(json, "vcpus", &type->cpus) || type->cpus <= 0 ||
+	    !ws_member_amount(json, "memGb", &type->mem_gb) ||
+	    !ws_member_amount(json, "rate", &type->price) ||
+	    !ws_member_amount(json, "startupS", &type->boot_s))
+		return false;
+	if (!ws_member_amount(json, "accelerators", &type->gpus))
+		type->gpus = 0;
+	if (!ws_member_amount(json, "spotPrice", &type->preemptible_price))
+		type->preemptible_price = type->price;
+	if (!ws_member_amount(json, "localGb", &type->local_gb))
+		type->local_gb = 0;
+	if (!ws_member_amount(json, "fetchGbPerS", &type->fetch_gb_s))
+		type->fetch_gb_s = 0;
+	if (!ws_member_array(json, "halls", &zones, &count))
 		return false;
 	while (ws_json_next(&zones, &zone)) {
 		if (!ws_element_name(zone, name))
 			return false;
-		if (t->nzones < WS_MAX_ALLOWED)
-			strcpy(t->zones[t->nzones++], name);
+		if (type->zone_count < WS_MAX_ALLOWED)
+			strcpy(type->zones[type->zone_count++], name);
 	}
 	return true;
 }
 
-static bool ws_decode_types(struct ws_json o, struct ws_result *r)
+static bool ws_decode_types(struct ws_json json, struct ws_result *result)
 {
 	struct ws_json_elements elements;
 	struct ws_json type;
 	size_t count;
 
-	if (!ws_member_array(o, "flavours", &elements, &count) || !count)
+	if (!ws_member_array(json, "flavours", &elements, &count) || !count)
 		return false;
-	r->types = calloc(count, sizeof(*r->types));
-	if (!r->types)
+	result->types = calloc(count, sizeof(*result->types));
+	if (!result->types)
 		return false;
 	while (ws_json_next(&elements, &type)) {
-		if (!ws_decode_type(type, &r->types[r->ntypes]))
+		if (!ws_decode_type(type, &result->types[result->type_count]))
 			return false;
-		r->ntypes++;
+		result->type_count++;
 	}
 	return true;
 }
 
-static bool ws_decode_host(struct ws_json o, struct ws_host *h)
+static bool ws_decode_instance(struct ws_json json, struct ws_instance *instance)
 {
 	char phase[WS_NAME_MAX];
 
-	if (!ws_member_string(o, "nameId", h->name, sizeof(h->name), false) ||
-	    !ws_address(o, h->host, sizeof(h->host), &h->port) ||
-	    !ws_member_string(o, "flavour", h->type, sizeof(h->type), false) ||
-	    !ws_member_string(o, "hall", h->zone, sizeof(h->zone), false) ||
-	    !ws_member_bool(o, "reclaimable", &h->spot) ||
-	    !ws_member_string(o, "phase", phase, sizeof(phase), false))
-		return false;
-	if (!ws_member_amount(o, "ageS", &h->age_s))
-		h->age_s = 0;
-	h->phase = !strcmp(phase, "failed")    ? WS_HOST_FAILED
-		   : !strcmp(phase, "running") ? WS_HOST_RUNNING
-					       : WS_HOST_STARTING;
+	if (!ws_member_string(json, "nameId", instance->name, sizeof(instance->name), false) ||
+	    !ws_address(json, instance->address, sizeof(instance->address), &instance->port) ||
+	    !ws_member_string(json, "flavour", instance->type, sizeof(instance->type), false) ||
+	    !ws_member_string(json, "hall", instance->zone, sizeof(instance->zone), false) ||
+	    !ws_member_bool(json, "reclaimable", &instance->preemptible) ||
+	    !ws_member_string(json, "phase", phase, sizeof(phase), false))
+		return false;
+	if (!ws_member_amount(json, "ageS", &instance->age_s))
+		instance->age_s = 0;
+	instance->phase = !strcmp(phase, "failed")    ? WS_INSTANCE_FAILED
+			  : !strcmp(phase, "running") ? WS_INSTANCE_RUNNING
+						      : WS_INSTANCE_STARTING;
 	return true;
 }
 
-/* The cloud's machines: whole entries, or of a rental their names alone. */
-static bool ws_decode_hosts(struct ws_json o, struct ws_result *r, bool names)
+/* The cloud's machines: whole entries, or of a rented machine their names alone. */
+static bool ws_decode_instances(struct ws_json json, struct ws_result *result, bool names)
 {
 	struct ws_json_elements elements;
 	struct ws_json host;
 	size_t count;
 
-	if (!ws_member_array(o, "hosts", &elements, &count))
+	if (!ws_member_array(json, "hosts", &elements, &count))
 		return false;
-	r->hosts = calloc(count + 1, sizeof(*r->hosts));
-	if (!r->hosts)
+	result->instances = calloc(count + 1, sizeof(*result->instances));
+	if (!result->instances)
 		return false;
 	while (ws_json_next(&elements, &host)) {
-		struct ws_host *h = &r->hosts[r->nhosts];
+		struct ws_instance *instance = &result->instances[result->instance_count];
 
-		if (names ? !ws_element_name(host, h->name) || !h->name[0]
-			  : !ws_decode_host(host, h))
+		if (names ? !ws_element_name(host, instance->name) || !instance->name[0]
+			  : !ws_decode_instance(host, instance))
 			return false;
-		r->nhosts++;
+		result->instance_count++;
 	}
 	return true;
 }
 
-static bool ws_decode_orders_answer(struct ws_json o, struct ws_result *r)
+static bool ws_decode_commands_answer(struct ws_json json, struct ws_result *result)
 {
-	r->report = calloc(1, sizeof(*r->report));
-	if (r->report && ws_decode_report_json(o, r->report))
+	result->heartbeat = calloc(1, sizeof(*result->heartbeat));
+	if (result->heartbeat && ws_decode_heartbeat_json(json, result->heartbeat))
 		return true;
-	free(r->report);
-	r->report = NULL;
+	free(result->heartbeat);
+	result->heartbeat = NULL;
 	return false;
 }
 
-static bool ws_decode_ok(const struct ws_call *call, struct ws_json o, struct ws_result *r)
+static bool ws_decode_ok(const struct ws_call *call, struct ws_json json, struct ws_result *result)
 {
 	switch (call->kind) {
-	case WS_CALL_TXN: return ws_member_uint(o, "ledgerRev", &r->rev);
-	case WS_CALL_HOLD_NEW: return ws_member_uint(o, "permit", &r->hold);
-	case WS_CALL_TYPES: return ws_decode_types(o, r);
-	case WS_CALL_HOSTS:
-		if (!ws_member_bool(o, "hasNext", &r->more))
-			r->more = false;
-		return ws_decode_hosts(o, r, false);
-	case WS_CALL_RENT: return ws_decode_hosts(o, r, true);
-	case WS_CALL_ORDERS: return ws_decode_orders_answer(o, r);
+	case WS_CALL_TRANSACTION: return ws_member_uint(json, "ledgerRev", &result->revision);
+	case WS_CALL_SESSION_OPEN: return ws_member_uint(json, "permit", &result->session);
+	case WS_CALL_MACHINE_TYPES: return ws_decode_types(json, result);
+	case WS_CALL_INSTANCES:
+		if (!ws_member_bool(json, "hasNext", &result->has_more))
+			result->has_more = false;
+		return ws_decode_instances(json, result, false);
+	case WS_CALL_SCALE_OUT: return ws_decode_instances(json, result, true);
+	case WS_CALL_COMMANDS: return ws_decode_commands_answer(json, result);
 	default: return true;
 	}
 }
 
 /* The keys whose revisions had moved, of a transaction that was not carried out. */
-static void ws_decode_failed_keys(struct ws_json o, struct ws_result *r)
+static void ws_decode_failed_keys(struct ws_json json, struct ws_result *result)
 {
 	struct ws_json_elements elements;
 	struct ws_json key;
 	const char *text;
 	size_t count, len;
 
-	if (!ws_member_array(o, "failed", &elements, &count))
+	if (!ws_member_array(json, "failed", &elements, &count))
 		return;
-	r->failed = calloc(count + 1, sizeof(*r->failed));
-	while (r->failed && ws_json_next(&elements, &key))
+	result->failed_keys = calloc(count + 1, sizeof(*result->failed_keys));
+	while (result->failed_keys && ws_json_next(&elements, &key))
 		if (ws_json_string(key, &text, &len))
-			snprintf(r->failed[r->nfailed++], WS_KEY_MAX, "%s", text);
+			snprintf(result->failed_keys[result->failed_count++], WS_KEY_MAX, "%s",
+				 text);
 }
 
-static bool ws_no_capacity(struct ws_json o)
+static bool ws_no_capacity(struct ws_json json)
 {
 	char error[WS_NAME_MAX];
 
-	return ws_member_string(o, "error", error, sizeof(error), false) &&
+	return ws_member_string(json, "error", error, sizeof(error), false) &&
 	       !strcmp(error, "no capacity");
 }
 
@@ -539,60 +549,60 @@
 /* Answers whose status says it all. */
 static bool ws_plain_answer(const struct ws_call *call)
 {
-	return call->kind == WS_CALL_HOLD_EXTEND || call->kind == WS_CALL_HOLD_DROP ||
-	       call->kind == WS_CALL_RETURN;
+	return call->kind == WS_CALL_SESSION_RENEW || call->kind == WS_CALL_SESSION_CLOSE ||
+	       call->kind == WS_CALL_SCALE_IN;
 }
 
-static void ws_decode_records_reply(const struct ws_call *call, const char *body, size_t len,
-				    struct ws_result *r)
+static void ws_decode_store_reply(const struct ws_call *call, const char *body, size_t len,
+				  struct ws_result *result)
 {
 	/* amounts too large for a double, duplicate keys and deep nesting are malformed too */
-	json_t *o = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
+	json_t *object = json_loadb(body, len, JSON_REJECT_DUPLICATES, NULL);
 
-	if (!json_is_object(o) || !ws_decode_records(call, o, r))
-		ws_result_free(r); /* answered, but who knows what was done */
-	json_decref(o);
+	if (!json_is_object(object) || !ws_decode_records(call, object, result))
+		ws_result_free(result); /* answered, but who knows what was done */
+	json_decref(object);
 }
 
 void ws_decode_reply(const struct ws_call *call, int status, const char *body, size_t len,
-		     struct ws_result *r)
+		     struct ws_result *result)
 {
-	bool done = status == 200 || (status == 409 && call->kind == WS_CALL_ORDERS);
-	struct ws_json o;
+	bool done = status == 200 || (status == 409 && call->kind == WS_CALL_COMMANDS);
+	struct ws_json json;
 
-	memset(r, 0, sizeof(*r));
-	r->status = status;
+	memset(result, 0, sizeof(*result));
+	result->status = status;
 	if (status <= 0 || (done && ws_plain_answer(call)))
 		return;
 	if (ws_carries_records(call)) {
 		if (done)
-			ws_decode_records_reply(call, body, len, r);
+			ws_decode_store_reply(call, body, len, result);
 		return;
 	}
-	bool read = ws_json_read(body, len, &o) && ws_json_is_object(o);
+	bool read = ws_json_read(body, len, &json) && ws_json_is_object(json);
 
 	if (done) {
-		if (!read || !ws_decode_ok(call, o, r))
-			ws_result_free(r); /* answered, but who knows what was done */
-	} else if (read && status == 409 && call->kind == WS_CALL_TXN) {
-		ws_decode_failed_keys(o, r);
-	} else if (read && status == 503 && call->kind == WS_CALL_RENT) {
-		r->no_capacity = ws_no_capacity(o);
+		if (!read || !ws_decode_ok(call, json, result))
+			ws_result_free(result); /* answered, but who knows what was done */
+	} else if (read && status == 409 && call->kind == WS_CALL_TRANSACTION) {
+		ws_decode_failed_keys(json, result);
+	} else if (read && status == 503 && call->kind == WS_CALL_SCALE_OUT) {
+		result->no_capacity = ws_no_capacity(json);
 	}
 }
 
-void ws_result_free(struct ws_result *r)
+void ws_result_free(struct ws_result *result)
 {
-	for (size_t i = 0; i < r->nkvs; i++)
-		json_decref(r->kvs[i].value);
-	if (r->report) {
-		ws_report_free(r->report);
-		free(r->report);
+	for (size_t i = 0; i < result->entry_count; i++)
+		json_decref(result->entries[i].value);
+	if (result->heartbeat) {
+		ws_heartbeat_free(result->heartbeat);
+		free(result->heartbeat);
 	}
-	free(r->kvs);
-	free(r->failed);
-	free(r->types);
-	free(r->hosts);
-	free(r->withdrawn);
-	memset(r, 0, sizeof(*r));
+	free(result->entries);
+	free(result->failed_keys);
+	free(result->types);
+	free(result->instances);
+	free(result->cancellations);
+	memset(result, 0, sizeof(*result));
 }
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -1,13 +1,13 @@
-/* Writing: answers to users and workers, and calls to workers, the cloud and the state service. */
+/* Writing: answers to users and workers, and calls to workers, the cloud and the store. */
 #include "codec.h"
 #include "pool.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-static char *ws_dump(json_t *o)
+static char *ws_dump(json_t *object)
 {
-	char *s = o ? json_dumps(o, JSON_COMPACT) : NULL, *own = s ? strdup(s) : NULL;
+	char *s = object ? json_dumps(object, JSON_COMPACT) : NULL, *own = s ? strdup(s) : NULL;
 
 	if (s) { /* it may be the pool's, which ends here; what is part of others is given back */
 		json_free_t give;
@@ -15,85 +15,87 @@
 		json_get_alloc_funcs(NULL, &give);
 		give(s);
 	}
-	json_decref(o);
+	json_decref(object);
 	ws_pool_end();
 	return own;
 }
 
-char *ws_encode_user(const struct ws_action *a)
+char *ws_encode_user(const struct ws_effect *effect)
 {
 	static const char *const phases[] = {"queued", "running", "done", "withdrawn"};
-	json_t *o;
+	json_t *object;
 
-	if (a->status != 200 && a->status != 201)
+	if (effect->status != 200 && effect->status != 201)
 		return strdup("{}");
 	ws_pool_begin();
-	o = json_pack("{s:s,s:s}", "nameId", a->name, "phase", phases[a->phase]);
-	if (a->counts) {
-		json_object_set_new(o, "done", json_integer(a->done));
-		json_object_set_new(o, "running", json_integer(a->running));
+	object = json_pack("{s:s,s:s}", "nameId", effect->name, "phase", phases[effect->phase]);
+	if (effect->carries_counts) {
+		json_object_set_new(object, "done", json_integer(effect->done));
+		json_object_set_new(object, "running", json_integer(effect->running));
 	}
-	return ws_dump(o);
+	return ws_dump(object);
 }
 
-static json_t *ws_orders_json(const struct ws_order *o, size_t n)
+static json_t *ws_commands_json(const struct ws_command *command, size_t count)
 {
 	static const char *const verbs[] = {"run", "stop", "reap"};
-	json_t *a = json_array();
+	json_t *array = json_array();
 
-	for (size_t i = 0; i < n; i++) {
+	for (size_t i = 0; i < count; i++) {
 		char task[WS_ID_MAX + 16];
 		json_t *x;
 
-		snprintf(task, sizeof(task), "%s/%u", o[i].job, o[i].task);
-		x = json_pack("{s:s,s:s,s:I}", "verb", verbs[o[i].verb], "shard", task, "tryNo",
-			      (json_int_t)o[i].attempt);
-		if (o[i].verb == WS_STOP)
-			json_object_set_new(x, "windDownS", json_real(o[i].grace_s));
-		json_array_append_new(a, x);
+		snprintf(task, sizeof(task), "%s/%u", command[i].job, command[i].task);
+		x = json_pack("{s:s,s:s,s:I}", "verb", verbs[command[i].kind], "shard", task,
+			      "tryNo", (json_int_t)command[i].attempt);
+		if (command[i].kind == WS_COMMAND_STOP)
+			json_object_set_new(x, "windDownS", json_real(command[i].grace_s));
+		json_array_append_new(array, x);
 	}
-	return a;
+	return array;
 }
 
-char *ws_encode_report_answer(const struct ws_action *a)
+char *ws_encode_heartbeat_answer(const struct ws_effect *effect)
 {
-	bool names_leader = a->status == 421 && a->name[0];
+	bool names_leader = effect->status == 421 && effect->name[0];
 
-	if (a->status != 200 && !names_leader)
+	if (effect->status != 200 && !names_leader)
 		return strdup("{}");
 	ws_pool_begin();
 	if (names_leader)
-		return ws_dump(json_pack("{s:s}", "supervisor", a->name));
-	return ws_dump(json_pack("{s:I,s:o}", "epoch", (json_int_t)a->epoch, "orders",
-				 ws_orders_json(a->orders, a->norders)));
+		return ws_dump(json_pack("{s:s}", "supervisor", effect->name));
+	return ws_dump(json_pack("{s:I,s:o}", "epoch", (json_int_t)effect->fencing_token, "orders",
+				 ws_commands_json(effect->commands, effect->command_count)));
 }
 
-char *ws_encode_orders(uint64_t epoch, uint64_t tenure, const struct ws_order *o, size_t n)
+char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *command,
+			 size_t count)
 {
 	ws_pool_begin();
 	return ws_dump(json_pack("{s:I,s:I,s:o}", "epoch", (json_int_t)epoch, "tenure",
-				 (json_int_t)tenure, "orders", ws_orders_json(o, n)));
+				 (json_int_t)tenure, "orders", ws_commands_json(command, count)));
 }
 
-static json_t *ws_conditions_json(const struct ws_call *call)
+static json_t *ws_compares_json(const struct ws_call *call)
 {
 	json_t *list = json_array();
 
-	for (size_t i = 0; i < call->nconds; i++)
-		json_array_append_new(list, json_pack("{s:s,s:I}", "k", call->conds[i].key, "stamp",
-						      (json_int_t)call->conds[i].stamp));
+	for (size_t i = 0; i < call->compare_count; i++)
+		json_array_append_new(list,
+				      json_pack("{s:s,s:I}", "k", call->compares[i].key, "stamp",
+						(json_int_t)call->compares[i].revision));
 	return list;
 }
 
-static json_t *ws_change_json(const struct ws_op *op)
+static json_t *ws_operation_json(const struct ws_operation *operation)
 {
 	json_t *change;
 
-	if (!op->value)
-		return json_pack("{s:s}", "delete", op->key);
-	change = json_pack("{s:s,s:O}", "write", op->key, "value", op->value);
-	if (op->hold)
-		json_object_set_new(change, "permit", json_integer((json_int_t)op->hold));
+	if (!operation->value)
+		return json_pack("{s:s}", "delete", operation->key);
+	change = json_pack("{s:s,s:O}", "write", operation->key, "value", operation->value);
+	if (operation->session)
+		json_object_set_new(change, "permit", json_integer((json_int_t)operation->session));
 	return change;
 }
 
@@ -102,26 +104,26 @@
 	json_t *when, *then;
 
 	ws_pool_begin();
-	when = ws_conditions_json(call);
+	when = ws_compares_json(call);
 	then = json_array();
-	for (size_t i = 0; i < call->nops; i++)
-		json_array_append_new(then, ws_change_json(&call->ops[i]));
+	for (size_t i = 0; i < call->operation_count; i++)
+		json_array_append_new(then, ws_operation_json(&call->operations[i]));
 	return ws_dump(json_pack("{s:o,s:o}", "when", when, "then", then));
 }
 
-static char *ws_encode_return(const struct ws_call *call)
+static char *ws_encode_scale_in(const struct ws_call *call)
 {
 	json_t *names = json_array();
 
-	for (size_t i = 0; i < call->nnames; i++)
-		json_array_append_new(names, json_string(call->names[i]));
+	for (size_t i = 0; i < call->machine_count; i++)
+		json_array_append_new(names, json_string(call->machine_names[i]));
 	return ws_dump(json_pack("{s:o}", "hosts", names));
 }
 
-static char *ws_encode_rent(const struct ws_call *call)
+static char *ws_encode_scale_out(const struct ws_call *call)
 {
 	return ws_dump(json_pack("{s:s,s:s,s:s,s:b,s:i}", "booking", call->key, "flavour",
-				 call->type, "hall", call->zone, "reclaimable", call->spot,
+				 call->type, "hall", call->zone, "reclaimable", call->preemptible,
 				 "howMany", (int)call->count));
 }
 
@@ -138,10 +140,10 @@
 		break;
 	case WS_CALL_WATCH:
 		snprintf(path, WS_URL_MAX, "/watch?starts=%s&since=%llu&holdMs=%u", call->key,
-			 (unsigned long long)call->since, call->ms);
+			 (unsigned long long)call->since_revision, call->timeout_ms);
 		break;
-	case WS_CALL_TYPES: snprintf(path, WS_URL_MAX, "/machine_types"); break;
-	case WS_CALL_HOSTS:
+	case WS_CALL_MACHINE_TYPES: snprintf(path, WS_URL_MAX, "/machine_types"); break;
+	case WS_CALL_INSTANCES:
 		if (call->after[0])
 			snprintf(path, WS_URL_MAX, "/hosts?since=%s&most=500", call->after);
 		else
@@ -155,24 +157,29 @@
 {
 	*method = "POST";
 	switch (call->kind) {
-	case WS_CALL_TXN: snprintf(path, WS_URL_MAX, "/multi"); return ws_encode_transaction(call);
-	case WS_CALL_HOLD_NEW:
+	case WS_CALL_TRANSACTION:
+		snprintf(path, WS_URL_MAX, "/multi");
+		return ws_encode_transaction(call);
+	case WS_CALL_SESSION_OPEN:
 		snprintf(path, WS_URL_MAX, "/holds");
-		return ws_dump(json_pack("{s:i}", "ttlMs", (int)call->ms));
-	case WS_CALL_HOLD_EXTEND:
-		snprintf(path, WS_URL_MAX, "/holds/%llu/extend", (unsigned long long)call->hold);
+		return ws_dump(json_pack("{s:i}", "ttlMs", (int)call->timeout_ms));
+	case WS_CALL_SESSION_RENEW:
+		snprintf(path, WS_URL_MAX, "/holds/%llu/extend", (unsigned long long)call->session);
 		return NULL;
-	case WS_CALL_HOLD_DROP:
+	case WS_CALL_SESSION_CLOSE:
 		*method = "DELETE";
-		snprintf(path, WS_URL_MAX, "/holds/%llu", (unsigned long long)call->hold);
+		snprintf(path, WS_URL_MAX, "/holds/%llu", (unsigned long long)call->session);
 		return NULL;
-	case WS_CALL_RENT: snprintf(path, WS_URL_MAX, "/hosts"); return ws_encode_rent(call);
-	case WS_CALL_RETURN:
+	case WS_CALL_SCALE_OUT:
+		snprintf(path, WS_URL_MAX, "/hosts");
+		return ws_encode_scale_out(call);
+	case WS_CALL_SCALE_IN:
 		snprintf(path, WS_URL_MAX, "/hosts/return");
-		return ws_encode_return(call);
-	case WS_CALL_ORDERS:
+		return ws_encode_scale_in(call);
+	case WS_CALL_COMMANDS:
 		snprintf(path, WS_URL_MAX, "/commands");
-		return ws_encode_orders(call->epoch, call->tenure, call->orders, call->norders);
+		return ws_encode_commands(call->fencing_token, call->incarnation, call->commands,
+					  call->command_count);
 	default:
 		*method = "GET";
 		ws_encode_read(call, path);
--- a/src/io/http.c
+++ b/src/io/http.c
@@ -21,41 +21,41 @@
 	return (double)ts.tv_sec + (double)ts.tv_nsec * 1e-9;
 }
 
-struct ws_buf {
-	char *p;
-	size_t len, cap;
+struct ws_buffer {
+	char *data;
+	size_t length, capacity;
 };
 
-static bool ws_buf_add(struct ws_buf *b, const char *p, size_t n)
+static bool ws_buf_add(struct ws_buffer *buffer, const char *text, size_t length)
 {
-	if (b->len + n + 1 > b->cap) {
-		size_t cap = b->cap ? b->cap : 512;
+	if (buffer->length + length + 1 > buffer->capacity) {
+		size_t cap = buffer->capacity ? buffer->capacity : 512;
 		char *q;
 
-		while (cap < b->len + n + 1)
+		while (cap < buffer->length + length + 1)
 			cap *= 2;
-		q = realloc(b->p, cap);
+		q = realloc(buffer->data, cap);
 		if (!q)
 			return false;
-		b->p = q;
-		b->cap = cap;
+		buffer->data = q;
+		buffer->capacity = cap;
 	}
-	if (n)
-		memcpy(b->p + b->len, p, n);
-	b->len += n;
-	b->p[b->len] = 0;
+	if (length)
+		memcpy(buffer->data + buffer->length, text, length);
+	buffer->length += length;
+	buffer->data[buffer->length] = 0;
 	return true;
 }
 
-static void ws_buf_reset(struct ws_buf *b)
+static void ws_buf_reset(struct ws_buffer *buffer)
 {
-	if (b->cap > 16384) { /* one large message must not hold its memory for ever */
-		free(b->p);
-		*b = (struct ws_buf){0};
+	if (buffer->capacity > 16384) { /* one large message must not hold its memory for ever */
+		free(buffer->data);
+		*buffer = (struct ws_buffer){0};
 	}
-	b->len = 0;
-	if (b->p)
-		b->p[0] = 0;
+	buffer->length = 0;
+	if (buffer->data)
+		buffer->data[0] = 0;
 }
 
 static int ws_socket(void)
@@ -69,12 +69,12 @@
 
 /* ---------------- server ---------------- */
 
-struct ws_conn {
-	struct ws_server *server;
+struct ws_http_connection {
+	struct ws_http_server *server;
 	int fd;
-	ev_io rd, wr;
+	ev_io read_watcher, write_watcher;
 	http_parser parser;
-	struct ws_buf path, body, out;
+	struct ws_buffer path, body, out;
 	size_t sent;
 	uint64_t token; /* of the request being handled; 0: none */
 	bool busy, close_after, too_large, dead;
@@ -82,62 +82,64 @@
 	enum ws_conn_kind kind;
 	double used;  /* last time it took part in anything */
 	double began; /* since when a request is arriving; 0: none is */
-	struct ws_conn *next, *prev;
-	struct ws_conn *hash_next;
+	struct ws_http_connection *next, *prev;
+	struct ws_http_connection *hash_next;
 };
 
 #define WS_HASH 1024
 
-struct ws_server {
+struct ws_http_server {
 	struct ev_loop *loop;
 	int fd, port;
-	struct ws_server_opts o;
-	int n, kinds[WS_CONN_KINDS];
-	ev_io rd;
+	struct ws_http_server_options options;
+	int connection_count, kinds[WS_CONN_KINDS];
+	ev_io accept_watcher;
 	ev_timer sweep;
-	ws_request_fn fn;
-	void *ctx;
+	ws_request_fn callback;
+	void *context;
 	uint64_t next_token;
-	struct ws_conn *conns;
-	struct ws_conn *by_token[WS_HASH];
+	struct ws_http_connection *conns;
+	struct ws_http_connection *by_token[WS_HASH];
 };
 
-static void ws_conn_untoken(struct ws_conn *c)
+static void ws_conn_untoken(struct ws_http_connection *connection)
 {
-	struct ws_conn **p;
+	struct ws_http_connection **connection_link;
 
-	if (!c->token)
+	if (!connection->token)
 		return;
-	for (p = &c->server->by_token[c->token % WS_HASH]; *p && *p != c; p = &(*p)->hash_next)
+	for (connection_link = &connection->server->by_token[connection->token % WS_HASH];
+	     *connection_link && *connection_link != connection;
+	     connection_link = &(*connection_link)->hash_next)
 		;
-	if (*p)
-		*p = c->hash_next;
-	c->token = 0;
+	if (*connection_link)
+		*connection_link = connection->hash_next;
+	connection->token = 0;
 }
 
-static void ws_conn_close(struct ws_conn *c)
+static void ws_conn_close(struct ws_http_connection *connection)
 {
-	struct ws_server *s = c->server;
+	struct ws_http_server *server = connection->server;
 
-	if (c->dead)
+	if (connection->dead)
 		return;
-	c->dead = true;
-	ws_conn_untoken(c);
-	ev_io_stop(s->loop, &c->rd);
-	ev_io_stop(s->loop, &c->wr);
-	close(c->fd);
-	if (c->prev)
-		c->prev->next = c->next;
+	connection->dead = true;
+	ws_conn_untoken(connection);
+	ev_io_stop(server->loop, &connection->read_watcher);
+	ev_io_stop(server->loop, &connection->write_watcher);
+	close(connection->fd);
+	if (connection->prev)
+		connection->prev->next = connection->next;
 	else
-		s->conns = c->next;
-	if (c->next)
-		c->next->prev = c->prev;
-	s->n--;
-	s->kinds[c->kind]--;
-	free(c->path.p);
-	free(c->body.p);
-	free(c->out.p);
-	c->path = c->body = c->out = (struct ws_buf){0};
+		server->conns = connection->next;
+	if (connection->next)
+		connection->next->prev = connection->prev;
+	server->connection_count--;
+	server->kinds[connection->kind]--;
+	free(connection->path.data);
+	free(connection->body.data);
+	free(connection->out.data);
+	connection->path = connection->body = connection->out = (struct ws_buffer){0};
 }
 
 static const char *ws_reason(int status)
@@ -160,113 +162,117 @@
 	}
 }
 
-static void ws_conn_write(struct ws_conn *c)
+static void ws_conn_write(struct ws_http_connection *connection)
 {
-	while (c->sent < c->out.len) {
-		ssize_t n = send(c->fd, c->out.p + c->sent, c->out.len - c->sent, MSG_NOSIGNAL);
+	while (connection->sent < connection->out.length) {
+		ssize_t n = send(connection->fd, connection->out.data + connection->sent,
+				 connection->out.length - connection->sent, MSG_NOSIGNAL);
 
 		if (n < 0 && errno == EINTR)
 			continue;
 		if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-			ev_io_start(c->server->loop, &c->wr);
+			ev_io_start(connection->server->loop, &connection->write_watcher);
 			return;
 		}
 		if (n <= 0) {
-			ws_conn_close(c);
+			ws_conn_close(connection);
 			return;
 		}
-		c->sent += (size_t)n;
+		connection->sent += (size_t)n;
 	}
-	ev_io_stop(c->server->loop, &c->wr);
-	c->sent = 0;
-	ws_buf_reset(&c->out);
-	if (c->close_after)
-		ws_conn_close(c);
+	ev_io_stop(connection->server->loop, &connection->write_watcher);
+	connection->sent = 0;
+	ws_buf_reset(&connection->out);
+	if (connection->close_after)
+		ws_conn_close(connection);
 	else
-		ev_io_start(c->server->loop, &c->rd);
+		ev_io_start(connection->server->loop, &connection->read_watcher);
 }
 
-static void ws_conn_answer(struct ws_conn *c, int status, const char *body, size_t len,
-			   int retry_after)
+static void ws_conn_answer(struct ws_http_connection *connection, int status, const char *body,
+			   size_t len, int retry_after)
 {
 	char head[256], retry[48] = "";
 	int n;
 
-	if (c->server->kinds[c->kind] > c->server->o.keep[c->kind])
-		c->close_after = true;
+	if (connection->server->kinds[connection->kind] >
+	    connection->server->options.keep[connection->kind])
+		connection->close_after = true;
 	if (retry_after > 0)
 		snprintf(retry, sizeof(retry), "Retry-After: %d\r\n", retry_after);
 	n = snprintf(
 	    head, sizeof(head),
 	    "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %zu\r\n%s%s\r\n",
-	    status, ws_reason(status), len, retry, c->close_after ? "Connection: close\r\n" : "");
-	c->busy = false;
-	ws_conn_untoken(c);
-	if (!ws_buf_add(&c->out, head, (size_t)n) || !ws_buf_add(&c->out, body, len)) {
-		ws_conn_close(c);
+	    status, ws_reason(status), len, retry,
+	    connection->close_after ? "Connection: close\r\n" : "");
+	connection->busy = false;
+	ws_conn_untoken(connection);
+	if (!ws_buf_add(&connection->out, head, (size_t)n) ||
+	    !ws_buf_add(&connection->out, body, len)) {
+		ws_conn_close(connection);
 		return;
 	}
-	c->used = ws_now();
-	ws_conn_write(c);
+	connection->used = ws_now();
+	ws_conn_write(connection);
 }
 
-static void ws_conn_refuse(struct ws_conn *c, int status)
+static void ws_conn_refuse(struct ws_http_connection *connection, int status)
 {
-	c->close_after = true;
-	c->began = 0;
-	ws_conn_answer(c, status, "{}", 2, status == 503 ? 1 : 0);
+	connection->close_after = true;
+	connection->began = 0;
+	ws_conn_answer(connection, status, "{}", 2, status == 503 ? 1 : 0);
 }
 
-static int ws_on_url(http_parser *p, const char *at, size_t n)
+static int ws_on_url(http_parser *parser, const char *data, size_t length)
 {
-	struct ws_conn *c = p->data;
+	struct ws_http_connection *connection = parser->data;
 
-	if (c->path.len + n > WS_PATH_MAX)
-		c->too_large = true;
-	else if (!ws_buf_add(&c->path, at, n))
+	if (connection->path.length + length > WS_PATH_MAX)
+		connection->too_large = true;
+	else if (!ws_buf_add(&connection->path, data, length))
 		return 1;
 	return 0;
 }
 
-static int ws_on_body(http_parser *p, const char *at, size_t n)
+static int ws_on_body(http_parser *parser, const char *data, size_t length)
 {
-	struct ws_conn *c = p->data;
+	struct ws_http_connection *connection = parser->data;
 
-	if (c->body.len + n > WS_BODY_MAX)
-		c->too_large = true;
-	else if (!ws_buf_add(&c->body, at, n))
+	if (connection->body.length + length > WS_BODY_MAX)
+		connection->too_large = true;
+	else if (!ws_buf_add(&connection->body, data, length))
 		return 1;
-	return c->too_large;
+	return connection->too_large;
 }
 
-static int ws_on_begin(http_parser *p)
+static int ws_on_begin(http_parser *parser)
 {
-	struct ws_conn *c = p->data;
+	struct ws_http_connection *connection = parser->data;
 
-	ws_buf_reset(&c->path);
-	ws_buf_reset(&c->body);
-	c->too_large = false;
+	ws_buf_reset(&connection->path);
+	ws_buf_reset(&connection->body);
+	connection->too_large = false;
 	return 0;
 }
 
-static int ws_on_headers(http_parser *p)
+static int ws_on_headers(http_parser *parser)
 {
-	struct ws_conn *c = p->data;
+	struct ws_http_connection *connection = parser->data;
 
-	if (p->content_length != UINT64_MAX && p->content_length > WS_BODY_MAX) {
-		c->too_large = true;
+	if (parser->content_length != UINT64_MAX && parser->content_length > WS_BODY_MAX) {
+		connection->too_large = true;
 		return -1;
 	}
 	return 0;
 }
 
-static int ws_on_complete(http_parser *p)
+static int ws_on_complete(http_parser *parser)
 {
-	struct ws_conn *c = p->data;
+	struct ws_http_connection *connection = parser->data;
 
-	c->busy = true;
-	c->close_after = !http_should_keep_alive(p);
-	http_parser_pause(p, 1); /* one request at a time */
+	connection->busy = true;
+	connection->close_after = !http_should_keep_alive(parser);
+	http_parser_pause(parser, 1); /* one request at a time */
 	return 0;
 }
 
@@ -278,80 +284,83 @@
     .on_message_complete = ws_on_complete,
 };
 
-static void ws_conn_readable(struct ev_loop *loop, ev_io *w, int revents)
+static void ws_conn_readable(struct ev_loop *loop, ev_io *watcher, int revents)
 {
-	struct ws_conn *c = w->data;
-	struct ws_server *s = c->server;
+	struct ws_http_connection *connection = watcher->data;
+	struct ws_http_server *server = connection->server;
 	char buf[16384];
-	ssize_t n = recv(c->fd, buf, sizeof(buf), 0);
+	ssize_t n = recv(connection->fd, buf, sizeof(buf), 0);
 	size_t used;
 
 	(void)revents;
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (n <= 0) {
-		ws_conn_close(c);
-		free(c);
+		ws_conn_close(connection);
+		free(connection);
 		return;
 	}
-	c->used = ws_now();
-	if (!c->began)
-		c->began = c->used;
-	if (c->busy) { /* pipelined: not allowed */
-		ws_conn_close(c);
-		free(c);
+	connection->used = ws_now();
+	if (!connection->began)
+		connection->began = connection->used;
+	if (connection->busy) { /* pipelined: not allowed */
+		ws_conn_close(connection);
+		free(connection);
 		return;
 	}
-	used = http_parser_execute(&c->parser, &ws_server_parser, buf, (size_t)n);
-	if (c->too_large) {
-		ws_conn_refuse(c, c->path.len + 1 > WS_PATH_MAX ? 414 : 413);
-	} else if (HTTP_PARSER_ERRNO(&c->parser) == HPE_PAUSED) {
-		http_parser_pause(&c->parser, 0);
-		c->began = 0;
+	used = http_parser_execute(&connection->parser, &ws_server_parser, buf, (size_t)n);
+	if (connection->too_large) {
+		ws_conn_refuse(connection, connection->path.length + 1 > WS_PATH_MAX ? 414 : 413);
+	} else if (HTTP_PARSER_ERRNO(&connection->parser) == HPE_PAUSED) {
+		http_parser_pause(&connection->parser, 0);
+		connection->began = 0;
 		if (used + 1 < (size_t)n) /* more than one request's worth: answer, then close */
-			c->close_after = true;
-		ev_io_stop(loop, &c->rd);
-		c->token = ++s->next_token;
-		c->hash_next = s->by_token[c->token % WS_HASH];
-		s->by_token[c->token % WS_HASH] = c;
-		c->in_handler = true;
-		s->fn(s->ctx, c->token, http_method_str(c->parser.method),
-		      c->path.p ? c->path.p : "", c->body.p ? c->body.p : "", c->body.len);
-		c->in_handler = false;
-	} else if (c->parser.upgrade || HTTP_PARSER_ERRNO(&c->parser) != HPE_OK) {
-		ws_conn_refuse(c, 400);
+			connection->close_after = true;
+		ev_io_stop(loop, &connection->read_watcher);
+		connection->token = ++server->next_token;
+		connection->hash_next = server->by_token[connection->token % WS_HASH];
+		server->by_token[connection->token % WS_HASH] = connection;
+		connection->in_handler = true;
+		server->callback(
+		    server->context, connection->token, http_method_str(connection->parser.method),
+		    connection->path.data ? connection->path.data : "",
+		    connection->body.data ? connection->body.data : "", connection->body.length);
+		connection->in_handler = false;
+	} else if (connection->parser.upgrade || HTTP_PARSER_ERRNO(&connection->parser) != HPE_OK) {
+		ws_conn_refuse(connection, 400);
 	}
-	if (c->dead)
-		free(c);
+	if (connection->dead)
+		free(connection);
 }
 
-static void ws_conn_writable(struct ev_loop *loop, ev_io *w, int revents)
+static void ws_conn_writable(struct ev_loop *loop, ev_io *watcher, int revents)
 {
-	struct ws_conn *c = w->data;
+	struct ws_http_connection *connection = watcher->data;
 
 	(void)loop;
 	(void)revents;
-	ws_conn_write(c);
-	if (c->dead)
-		free(c);
+	ws_conn_write(connection);
+	if (connection->dead)
+		free(connection);
 }
 
-static void ws_accept(struct ev_loop *loop, ev_io *w, int revents)
+static void ws_accept(struct ev_loop *loop, ev_io *watcher, int revents)
 {
-	struct ws_server *s = w->data;
+	struct ws_http_server *server = watcher->data;
 
 	(void)revents;
 	for (int i = 0; i < 64; i++) {
-		int fd = accept4(s->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC), one = 1;
-		struct ws_conn *c;
+		int fd = accept4(server->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC), one = 1;
+		struct ws_http_connection *connection;
 
 		if (fd < 0) {
 			/* no descriptor to be had: asked again with the next sweep */
 			if (errno == EMFILE || errno == ENFILE)
-				ev_io_stop(loop, &s->rd);
+				ev_io_stop(loop, &server->accept_watcher);
 			return;
 		}
-		if (s->n >= s->o.max || !(c = calloc(1, sizeof(*c)))) {
+		if (server->connection_count >= server->options.max ||
+		    !(connection = calloc(1, sizeof(*connection)))) {
 			static const char full[] =
 			    "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
 			    "Content-Length: 0\r\nConnection: close\r\n\r\n";
@@ -361,243 +370,246 @@
 			continue;
 		}
 		setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-		c->server = s;
-		c->fd = fd;
-		c->used = ws_now();
-		http_parser_init(&c->parser, HTTP_REQUEST);
-		c->parser.data = c;
-		ev_io_init(&c->rd, ws_conn_readable, fd, EV_READ);
-		ev_io_init(&c->wr, ws_conn_writable, fd, EV_WRITE);
-		c->rd.data = c->wr.data = c;
-		c->next = s->conns;
-		if (s->conns)
-			s->conns->prev = c;
-		s->conns = c;
-		s->n++;
-		s->kinds[WS_CONN_NEW]++;
-		ev_io_start(loop, &c->rd);
+		connection->server = server;
+		connection->fd = fd;
+		connection->used = ws_now();
+		http_parser_init(&connection->parser, HTTP_REQUEST);
+		connection->parser.data = connection;
+		ev_io_init(&connection->read_watcher, ws_conn_readable, fd, EV_READ);
+		ev_io_init(&connection->write_watcher, ws_conn_writable, fd, EV_WRITE);
+		connection->read_watcher.data = connection->write_watcher.data = connection;
+		connection->next = server->conns;
+		if (server->conns)
+			server->conns->prev = connection;
+		server->conns = connection;
+		server->connection_count++;
+		server->kinds[WS_CONN_NEW]++;
+		ev_io_start(loop, &connection->read_watcher);
 	}
 }
 
 /* Connections that have been idle for long go, and requests that arrive too slowly. */
-static void ws_sweep(struct ev_loop *loop, ev_timer *w, int revents)
+static void ws_sweep(struct ev_loop *loop, ev_timer *watcher, int revents)
 {
-	struct ws_server *s = w->data;
+	struct ws_http_server *server = watcher->data;
 	double now = ws_now();
 
 	(void)revents;
-	ev_io_start(loop, &s->rd);
-	for (struct ws_conn *c = s->conns, *n; c; c = n) {
-		n = c->next;
-		if (c->busy)
+	ev_io_start(loop, &server->accept_watcher);
+	for (struct ws_http_connection *connection = server->conns, *next_connection; connection;
+	     connection = next_connection) {
+		next_connection = connection->next;
+		if (connection->busy)
 			continue;
-		if (c->began > 0 && now - c->began > s->o.slow)
-			ws_conn_refuse(c, 408);
-		else if (now - c->used > s->o.idle[c->kind])
-			ws_conn_close(c);
-		if (c->dead)
-			free(c);
+		if (connection->began > 0 && now - connection->began > server->options.slow)
+			ws_conn_refuse(connection, 408);
+		else if (now - connection->used > server->options.idle[connection->kind])
+			ws_conn_close(connection);
+		if (connection->dead)
+			free(connection);
 	}
 }
 
-struct ws_server *ws_server_new(struct ev_loop *loop, const char *host, int port,
-				const struct ws_server_opts *o, ws_request_fn fn, void *ctx,
-				char *err, size_t n)
+struct ws_http_server *ws_server_new(struct ev_loop *loop, const char *host, int port,
+				     const struct ws_http_server_options *options,
+				     ws_request_fn callback, void *ctx, char *err, size_t size)
 {
-	struct ws_server *s = calloc(1, sizeof(*s));
+	struct ws_http_server *server = calloc(1, sizeof(*server));
 	struct sockaddr_in a = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
 	socklen_t len = sizeof(a);
 	int one = 1;
 
-	if (!s)
+	if (!server)
 		return NULL;
 	inet_pton(AF_INET, host, &a.sin_addr);
-	s->fd = ws_socket();
-	setsockopt(s->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-	if (s->fd < 0 || bind(s->fd, (struct sockaddr *)&a, sizeof(a)) ||
-	    listen(s->fd, o->backlog)) {
-		snprintf(err, n, "can't listen on %s:%d: %s", host, port, strerror(errno));
-		if (s->fd >= 0)
-			close(s->fd);
-		free(s);
+	server->fd = ws_socket();
+	setsockopt(server->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
+	if (server->fd < 0 || bind(server->fd, (struct sockaddr *)&a, sizeof(a)) ||
+	    listen(server->fd, options->backlog)) {
+		snprintf(err, size, "can't listen on %s:%d: %s", host, port, strerror(errno));
+		if (server->fd >= 0)
+			close(server->fd);
+		free(server);
 		return NULL;
 	}
-	getsockname(s->fd, (struct sockaddr *)&a, &len);
-	s->port = ntohs(a.sin_port);
-	s->loop = loop;
-	s->o = *o;
-	s->fn = fn;
-	s->ctx = ctx;
-	ev_io_init(&s->rd, ws_accept, s->fd, EV_READ);
-	s->rd.data = s;
-	ev_io_start(loop, &s->rd);
-	ev_timer_init(&s->sweep, ws_sweep, o->slow, o->slow);
-	s->sweep.data = s;
-	ev_timer_start(loop, &s->sweep);
-	return s;
+	getsockname(server->fd, (struct sockaddr *)&a, &len);
+	server->port = ntohs(a.sin_port);
+	server->loop = loop;
+	server->options = *options;
+	server->callback = callback;
+	server->context = ctx;
+	ev_io_init(&server->accept_watcher, ws_accept, server->fd, EV_READ);
+	server->accept_watcher.data = server;
+	ev_io_start(loop, &server->accept_watcher);
+	ev_timer_init(&server->sweep, ws_sweep, options->slow, options->slow);
+	server->sweep.data = server;
+	ev_timer_start(loop, &server->sweep);
+	return server;
 }
 
-static struct ws_conn *ws_conn_find(const struct ws_server *s, uint64_t token)
+static struct ws_http_connection *ws_conn_find(const struct ws_http_server *server,
+					       uint64_t request_id)
 {
-	struct ws_conn *c = s->by_token[token % WS_HASH];
+	struct ws_http_connection *connection = server->by_token[request_id % WS_HASH];
 
-	while (c && c->token != token)
-		c = c->hash_next;
-	return c;
+	while (connection && connection->token != request_id)
+		connection = connection->hash_next;
+	return connection;
 }
 
 /* What a connection holds of its request stays until it is answered: only then it is read again. */
-bool ws_server_request(const struct ws_server *s, uint64_t token, struct ws_server_request *to)
+bool ws_server_request(const struct ws_http_server *server, uint64_t request_id,
+		       struct ws_http_request *request)
 {
-	const struct ws_conn *c = ws_conn_find(s, token);
+	const struct ws_http_connection *connection = ws_conn_find(server, request_id);
 
-	if (!c)
+	if (!connection)
 		return false;
-	to->method = http_method_str(c->parser.method);
-	to->url = c->path.p ? c->path.p : "";
-	to->body = c->body.p ? c->body.p : "";
-	to->len = c->body.len;
+	request->method = http_method_str(connection->parser.method);
+	request->url = connection->path.data ? connection->path.data : "";
+	request->body = connection->body.data ? connection->body.data : "";
+	request->len = connection->body.length;
 	return true;
 }
 
-void ws_server_kind(struct ws_server *s, uint64_t token, enum ws_conn_kind kind)
+void ws_server_kind(struct ws_http_server *server, uint64_t request_id, enum ws_conn_kind kind)
 {
-	struct ws_conn *c = ws_conn_find(s, token);
+	struct ws_http_connection *connection = ws_conn_find(server, request_id);
 
-	if (!c)
+	if (!connection)
 		return;
-	s->kinds[c->kind]--;
-	s->kinds[kind]++;
-	c->kind = kind;
+	server->kinds[connection->kind]--;
+	server->kinds[kind]++;
+	connection->kind = kind;
 }
 
-void ws_server_answer(struct ws_server *s, uint64_t token, int status, const char *body, size_t len,
-		      int retry_after)
+void ws_server_answer(struct ws_http_server *server, uint64_t request_id, int status,
+		      const char *body, size_t len, int retry_after)
 {
-	struct ws_conn *c = ws_conn_find(s, token);
+	struct ws_http_connection *connection = ws_conn_find(server, request_id);
 
-	if (!c)
+	if (!connection)
 		return;
-	ws_conn_answer(c, status, body, len, retry_after);
-	if (c->dead && !c->in_handler)
-		free(c);
+	ws_conn_answer(connection, status, body, len, retry_after);
+	if (connection->dead && !connection->in_handler)
+		free(connection);
 }
 
-int ws_server_port(const struct ws_server *s)
+int ws_server_port(const struct ws_http_server *server)
 {
-	return s->port;
+	return server->port;
 }
 
-int ws_server_conns(const struct ws_server *s, enum ws_conn_kind kind)
+int ws_server_conns(const struct ws_http_server *server, enum ws_conn_kind kind)
 {
-	return s->kinds[kind];
+	return server->kinds[kind];
 }
 
-void ws_server_free(struct ws_server *s)
+void ws_server_free(struct ws_http_server *server)
 {
-	if (!s)
+	if (!server)
 		return;
-	while (s->conns) {
-		struct ws_conn *c = s->conns;
+	while (server->conns) {
+		struct ws_http_connection *connection = server->conns;
 
-		ws_conn_close(c);
-		free(c);
+		ws_conn_close(connection);
+		free(connection);
 	}
-	ev_io_stop(s->loop, &s->rd);
-	ev_timer_stop(s->loop, &s->sweep);
-	close(s->fd);
-	free(s);
+	ev_io_stop(server->loop, &server->accept_watcher);
+	ev_timer_stop(server->loop, &server->sweep);
+	close(server->fd);
+	free(server);
 }
 
 /* ---------------- client ---------------- */
 
-struct ws_req {
+struct ws_client_request {
 	char *text;
-	size_t len;
+	size_t length;
 	double deadline;
 	bool started; /* bytes may have left */
-	ws_reply_fn fn;
-	void *ctx;
-	struct ws_req *next;
+	ws_reply_fn callback;
+	void *context;
+	struct ws_client_request *next;
 };
 
-struct ws_link {
-	struct ws_client *client;
+struct ws_client_connection {
+	struct ws_http_client *client;
 	int fd;
 	bool connected, close_after, complete, failed, reused;
-	ev_io rd, wr;
+	ev_io read_watcher, write_watcher;
 	http_parser parser;
-	struct ws_buf body;
+	struct ws_buffer body;
 	size_t sent;
-	struct ws_req *req;
+	struct ws_client_request *request;
 	double used;
-	struct ws_link *next;
+	struct ws_client_connection *next;
 };
 
-struct ws_client {
+struct ws_http_client {
 	struct ev_loop *loop;
-	struct sockaddr_in to;
-	struct ws_client_opts o;
-	struct ws_link *links;
-	struct ws_req *head, *tail;
-	int n, queued;
+	struct sockaddr_in address;
+	struct ws_http_client_options options;
+	struct ws_client_connection *links;
+	struct ws_client_request *head, *tail;
+	int connection_count, queued;
 	double tokens, tokens_at, used;
 	ev_timer timer;
 	bool freed, pumping;
 };
 
-static void ws_client_pump(struct ws_client *c);
+static void ws_client_pump(struct ws_http_client *client);
 
-static void ws_req_end(struct ws_req *r, int status, const char *body, size_t len)
+static void ws_req_end(struct ws_client_request *request, int status, const char *body, size_t len)
 {
-	r->fn(r->ctx, status, body, len);
-	free(r->text);
-	free(r);
+	request->callback(request->context, status, body, len);
+	free(request->text);
+	free(request);
 }
 
-static void ws_link_free(struct ws_link *l)
+static void ws_link_free(struct ws_client_connection *link)
 {
-	struct ws_client *c = l->client;
-	struct ws_link **p = &c->links;
+	struct ws_http_client *client = link->client;
+	struct ws_client_connection **link_link = &client->links;
 
-	while (*p && *p != l)
-		p = &(*p)->next;
-	if (*p)
-		*p = l->next;
-	c->n--;
-	ev_io_stop(c->loop, &l->rd);
-	ev_io_stop(c->loop, &l->wr);
-	close(l->fd);
-	free(l->body.p);
-	free(l);
+	while (*link_link && *link_link != link)
+		link_link = &(*link_link)->next;
+	if (*link_link)
+		*link_link = link->next;
+	client->connection_count--;
+	ev_io_stop(client->loop, &link->read_watcher);
+	ev_io_stop(client->loop, &link->write_watcher);
+	close(link->fd);
+	free(link->body.data);
+	free(link);
 }
 
-static void ws_link_fail(struct ws_link *l)
+static void ws_link_fail(struct ws_client_connection *link)
 {
-	struct ws_req *r = l->req;
-	bool sent = l->connected && l->sent > 0;
+	struct ws_client_request *request = link->request;
+	bool sent = link->connected && link->sent > 0;
 
-	ws_link_free(l);
-	if (r)
-		ws_req_end(r, sent ? 0 : -1, "", 0);
+	ws_link_free(link);
+	if (request)
+		ws_req_end(request, sent ? 0 : -1, "", 0);
 }
 
-static int ws_reply_body(http_parser *p, const char *at, size_t n)
+static int ws_reply_body(http_parser *parser, const char *data, size_t length)
 {
-	struct ws_link *l = p->data;
+	struct ws_client_connection *link = parser->data;
 
-	if (l->body.len + n > l->client->o.max_reply)
+	if (link->body.length + length > link->client->options.max_reply)
 		return 1;
-	return !ws_buf_add(&l->body, at, n);
+	return !ws_buf_add(&link->body, data, length);
 }
 
-static int ws_reply_complete(http_parser *p)
+static int ws_reply_complete(http_parser *parser)
 {
-	struct ws_link *l = p->data;
+	struct ws_client_connection *link = parser->data;
 
-	l->complete = true;
-	l->close_after = !http_should_keep_alive(p);
-	http_parser_pause(p, 1);
+	link->complete = true;
+	link->close_after = !http_should_keep_alive(parser);
+	http_parser_pause(parser, 1);
 	return 0;
 }
 
@@ -606,212 +618,217 @@
     .on_message_complete = ws_reply_complete,
 };
 
-static void ws_link_send(struct ws_link *l)
+static void ws_link_send(struct ws_client_connection *link)
 {
-	struct ws_req *r = l->req;
+	struct ws_client_request *request = link->request;
 
-	while (r && l->sent < r->len) {
-		ssize_t n = send(l->fd, r->text + l->sent, r->len - l->sent, MSG_NOSIGNAL);
+	while (request && link->sent < request->length) {
+		ssize_t n = send(link->fd, request->text + link->sent, request->length - link->sent,
+				 MSG_NOSIGNAL);
 
 		if (n < 0 && errno == EINTR)
 			continue;
 		if (n < 0 && errno == EAGAIN) {
-			ev_io_start(l->client->loop, &l->wr);
+			ev_io_start(link->client->loop, &link->write_watcher);
 			return;
 		}
 		if (n <= 0) {
-			l->failed = true;
+			link->failed = true;
 			return;
 		}
-		l->sent += (size_t)n;
+		link->sent += (size_t)n;
 	}
-	ev_io_stop(l->client->loop, &l->wr);
+	ev_io_stop(link->client->loop, &link->write_watcher);
 }
 
-static void ws_link_writable(struct ev_loop *loop, ev_io *w, int revents)
+static void ws_link_writable(struct ev_loop *loop, ev_io *watcher, int revents)
 {
-	struct ws_link *l = w->data;
-	struct ws_client *c = l->client;
+	struct ws_client_connection *link = watcher->data;
+	struct ws_http_client *client = link->client;
 	int e = 0;
 	socklen_t n = sizeof(e);
 
 	(void)loop;
 	(void)revents;
-	if (!l->connected) {
-		getsockopt(l->fd, SOL_SOCKET, SO_ERROR, &e, &n);
+	if (!link->connected) {
+		getsockopt(link->fd, SOL_SOCKET, SO_ERROR, &e, &n);
 		if (e) {
-			ws_link_fail(l);
-			ws_client_pump(c);
+			ws_link_fail(link);
+			ws_client_pump(client);
 			return;
 		}
-		l->connected = true;
-		ev_io_start(c->loop, &l->rd);
+		link->connected = true;
+		ev_io_start(client->loop, &link->read_watcher);
 	}
-	ws_link_send(l);
-	if (l->failed) {
-		ws_link_fail(l);
-		ws_client_pump(c);
+	ws_link_send(link);
+	if (link->failed) {
+		ws_link_fail(link);
+		ws_client_pump(client);
 	}
 }
 
-static void ws_link_readable(struct ev_loop *loop, ev_io *w, int revents)
+static void ws_link_readable(struct ev_loop *loop, ev_io *watcher, int revents)
 {
-	struct ws_link *l = w->data;
-	struct ws_client *c = l->client;
-	struct ws_req *r;
+	struct ws_client_connection *link = watcher->data;
+	struct ws_http_client *client = link->client;
+	struct ws_client_request *request;
 	char buf[16384];
-	ssize_t n = recv(l->fd, buf, sizeof(buf), 0);
+	ssize_t n = recv(link->fd, buf, sizeof(buf), 0);
 
 	(void)loop;
 	(void)revents;
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
-	if (n <= 0 || !l->req) {
-		if (n == 0 && l->req) /* an answer may end with the connection */
-			http_parser_execute(&l->parser, &ws_client_parser, buf, 0);
-		if (!l->complete) {
-			ws_link_fail(l);
-			ws_client_pump(c);
+	if (n <= 0 || !link->request) {
+		if (n == 0 && link->request) /* an answer may end with the connection */
+			http_parser_execute(&link->parser, &ws_client_parser, buf, 0);
+		if (!link->complete) {
+			ws_link_fail(link);
+			ws_client_pump(client);
 			return;
 		}
 	} else {
-		http_parser_execute(&l->parser, &ws_client_parser, buf, (size_t)n);
-		if (!l->complete && HTTP_PARSER_ERRNO(&l->parser) != HPE_OK) {
-			ws_link_fail(l);
-			ws_client_pump(c);
+		http_parser_execute(&link->parser, &ws_client_parser, buf, (size_t)n);
+		if (!link->complete && HTTP_PARSER_ERRNO(&link->parser) != HPE_OK) {
+			ws_link_fail(link);
+			ws_client_pump(client);
 			return;
 		}
 	}
-	if (!l->complete)
+	if (!link->complete)
 		return;
-	r = l->req;
-	l->req = NULL;
-	l->complete = false; /* an idle link that ends must not pass for an answered one */
-	l->used = ws_now();
-	int status = l->parser.status_code;
-	struct ws_buf body = l->body;
+	request = link->request;
+	link->request = NULL;
+	link->complete = false; /* an idle link that ends must not pass for an answered one */
+	link->used = ws_now();
+	int status = link->parser.status_code;
+	struct ws_buffer body = link->body;
 
-	l->body = (struct ws_buf){0};
-	if (l->close_after || n <= 0)
-		ws_link_free(l);
-	ws_client_pump(c);
-	ws_req_end(r, status, body.p ? body.p : "", body.len);
-	free(body.p);
+	link->body = (struct ws_buffer){0};
+	if (link->close_after || n <= 0)
+		ws_link_free(link);
+	ws_client_pump(client);
+	ws_req_end(request, status, body.data ? body.data : "", body.length);
+	free(body.data);
 }
 
-static void ws_link_use(struct ws_link *l, struct ws_req *r)
+static void ws_link_use(struct ws_client_connection *link, struct ws_client_request *request)
 {
-	l->req = r;
-	l->sent = 0;
-	l->complete = l->close_after = false;
-	http_parser_init(&l->parser, HTTP_RESPONSE);
-	l->parser.data = l;
-	if (l->connected)
-		ws_link_send(l);
+	link->request = request;
+	link->sent = 0;
+	link->complete = link->close_after = false;
+	http_parser_init(&link->parser, HTTP_RESPONSE);
+	link->parser.data = link;
+	if (link->connected)
+		ws_link_send(link);
 }
 
-static struct ws_link *ws_link_new(struct ws_client *c)
+static struct ws_client_connection *ws_link_new(struct ws_http_client *client)
 {
-	struct ws_link *l = calloc(1, sizeof(*l));
+	struct ws_client_connection *link = calloc(1, sizeof(*link));
 
-	if (!l)
+	if (!link)
 		return NULL;
-	l->fd = ws_socket();
-	if (l->fd < 0 ||
-	    (connect(l->fd, (struct sockaddr *)&c->to, sizeof(c->to)) && errno != EINPROGRESS)) {
-		if (l->fd >= 0)
-			close(l->fd);
-		free(l);
+	link->fd = ws_socket();
+	if (link->fd < 0 ||
+	    (connect(link->fd, (struct sockaddr *)&client->address, sizeof(client->address)) &&
+	     errno != EINPROGRESS)) {
+		if (link->fd >= 0)
+			close(link->fd);
+		free(link);
 		return NULL;
 	}
-	l->client = c;
-	ev_io_init(&l->rd, ws_link_readable, l->fd, EV_READ);
-	ev_io_init(&l->wr, ws_link_writable, l->fd, EV_WRITE);
-	l->rd.data = l->wr.data = l;
-	ev_io_start(c->loop, &l->wr);
-	l->next = c->links;
-	c->links = l;
-	c->n++;
-	return l;
+	link->client = client;
+	ev_io_init(&link->read_watcher, ws_link_readable, link->fd, EV_READ);
+	ev_io_init(&link->write_watcher, ws_link_writable, link->fd, EV_WRITE);
+	link->read_watcher.data = link->write_watcher.data = link;
+	ev_io_start(client->loop, &link->write_watcher);
+	link->next = client->links;
+	client->links = link;
+	client->connection_count++;
+	return link;
 }
 
-static bool ws_client_token(struct ws_client *c)
+static bool ws_client_token(struct ws_http_client *client)
 {
 	double now = ws_now();
 
-	if (c->o.rate <= 0)
+	if (client->options.rate <= 0)
 		return true;
-	c->tokens += (now - c->tokens_at) * c->o.rate;
-	c->tokens_at = now;
-	if (c->tokens > c->o.burst)
-		c->tokens = c->o.burst;
-	if (c->tokens < 1)
+	client->tokens += (now - client->tokens_at) * client->options.rate;
+	client->tokens_at = now;
+	if (client->tokens > client->options.burst)
+		client->tokens = client->options.burst;
+	if (client->tokens < 1)
 		return false;
-	c->tokens -= 1;
+	client->tokens -= 1;
 	return true;
 }
 
-static void ws_client_arm(struct ws_client *c)
+static void ws_client_arm(struct ws_http_client *client)
 {
 	double next = 1e18, now = ws_now();
 
-	for (struct ws_link *l = c->links; l; l = l->next)
-		if (l->req && l->req->deadline < next)
-			next = l->req->deadline;
-	for (struct ws_req *r = c->head; r; r = r->next)
-		if (r->deadline < next)
-			next = r->deadline;
-	if (c->head && c->o.rate > 0 && c->tokens < 1 && now + (1 - c->tokens) / c->o.rate < next)
-		next = now + (1 - c->tokens) / c->o.rate;
-	if (c->o.idle_s > 0)
-		for (struct ws_link *l = c->links; l; l = l->next)
-			if (!l->req && l->used + c->o.idle_s < next)
-				next = l->used + c->o.idle_s;
-	ev_timer_stop(c->loop, &c->timer);
+	for (struct ws_client_connection *link = client->links; link; link = link->next)
+		if (link->request && link->request->deadline < next)
+			next = link->request->deadline;
+	for (struct ws_client_request *request = client->head; request; request = request->next)
+		if (request->deadline < next)
+			next = request->deadline;
+	if (client->head && client->options.rate > 0 && client->tokens < 1 &&
+	    now + (1 - client->tokens) / client->options.rate < next)
+		next = now + (1 - client->tokens) / client->options.rate;
+	if (client->options.idle_s > 0)
+		for (struct ws_client_connection *other_link = client->links; other_link;
+		     other_link = other_link->next)
+			if (!other_link->request &&
+			    other_link->used + client->options.idle_s < next)
+				next = other_link->used + client->options.idle_s;
+	ev_timer_stop(client->loop, &client->timer);
 	if (next < 1e17) {
-		ev_now_update(c->loop);
-		ev_timer_set(&c->timer, next > now ? next - now + 0.001 : 0.001, 0);
-		ev_timer_start(c->loop, &c->timer);
+		ev_now_update(client->loop);
+		ev_timer_set(&client->timer, next > now ? next - now + 0.001 : 0.001, 0);
+		ev_timer_start(client->loop, &client->timer);
 	}
 }
 
-static void ws_client_pump(struct ws_client *c)
+static void ws_client_pump(struct ws_http_client *client)
 {
-	if (c->pumping)
+	if (client->pumping)
 		return;
-	c->pumping = true;
-	while (c->head) {
-		struct ws_link *l;
-		struct ws_req *r;
+	client->pumping = true;
+	while (client->head) {
+		struct ws_client_connection *link;
+		struct ws_client_request *request;
 
-		for (l = c->links; l && l->req; l = l->next)
+		for (link = client->links; link && link->request; link = link->next)
 			;
-		if (!l && c->n >= c->o.max_conns)
+		if (!link && client->connection_count >= client->options.max_conns)
 			break;
-		if (!ws_client_token(c))
+		if (!ws_client_token(client))
 			break;
-		r = c->head;
-		c->head = r->next;
-		if (!c->head)
-			c->tail = NULL;
-		c->queued--;
-		if (!l)
-			l = ws_link_new(c);
-		if (!l) {
-			ws_req_end(r, -1, "", 0);
+		request = client->head;
+		client->head = request->next;
+		if (!client->head)
+			client->tail = NULL;
+		client->queued--;
+		if (!link)
+			link = ws_link_new(client);
+		if (!link) {
+			ws_req_end(request, -1, "", 0);
 			continue;
 		}
-		ws_link_use(l, r);
-		if (l->failed)
-			ws_link_fail(l);
+		ws_link_use(link, request);
+		if (link->failed)
+			ws_link_fail(link);
 	}
-	c->pumping = false;
-	ws_client_arm(c);
+	client->pumping = false;
+	ws_client_arm(client);
 }
 
-static void ws_client_timer(struct ev_loop *loop, ev_timer *w, int revents)
+static void ws_client_timer(struct ev_loop *loop, ev_timer *watcher, int revents)
 {
-	struct ws_client *c = w->data;
+	struct ws_http_client *client = watcher->data;
 	double now = ws_now();
 	bool again = true;
 
@@ -819,144 +836,145 @@
 	(void)revents;
 	while (again) {
 		again = false;
-		for (struct ws_link *l = c->links; l; l = l->next) {
-			if (l->req && l->req->deadline <= now) {
-				ws_link_fail(l);
+		for (struct ws_client_connection *link = client->links; link; link = link->next) {
+			if (link->request && link->request->deadline <= now) {
+				ws_link_fail(link);
 				again = true;
 				break;
 			}
-			if (!l->req && c->o.idle_s > 0 && l->connected &&
-			    l->used + c->o.idle_s <= now) {
-				ws_link_free(l);
+			if (!link->request && client->options.idle_s > 0 && link->connected &&
+			    link->used + client->options.idle_s <= now) {
+				ws_link_free(link);
 				again = true;
 				break;
 			}
 		}
 	}
-	struct ws_req *late = NULL, *r;
+	struct ws_client_request *late = NULL, *request;
 
-	c->tail = NULL;
-	for (struct ws_req **p = &c->head; (r = *p);) {
-		if (r->deadline > now) {
-			c->tail = r;
-			p = &r->next;
+	client->tail = NULL;
+	for (struct ws_client_request **request_link = &client->head; (request = *request_link);) {
+		if (request->deadline > now) {
+			client->tail = request;
+			request_link = &request->next;
 			continue;
 		}
-		*p = r->next;
-		c->queued--;
-		r->next = late;
-		late = r;
+		*request_link = request->next;
+		client->queued--;
+		request->next = late;
+		late = request;
 	}
-	while ((r = late)) {
-		late = r->next;
-		ws_req_end(r, -1, "", 0);
+	while ((request = late)) {
+		late = request->next;
+		ws_req_end(request, -1, "", 0);
 	}
-	ws_client_pump(c);
+	ws_client_pump(client);
 }
 
-struct ws_client *ws_client_new(struct ev_loop *loop, const char *host, int port,
-				const struct ws_client_opts *o)
+struct ws_http_client *ws_client_new(struct ev_loop *loop, const char *host, int port,
+				     const struct ws_http_client_options *options)
 {
-	struct ws_client *c = calloc(1, sizeof(*c));
+	struct ws_http_client *client = calloc(1, sizeof(*client));
 
-	if (!c)
+	if (!client)
 		return NULL;
-	c->loop = loop;
-	c->o = *o;
-	c->tokens = o->burst;
-	c->tokens_at = c->used = ws_now();
-	c->to.sin_family = AF_INET;
-	c->to.sin_port = htons((uint16_t)port);
-	inet_pton(AF_INET, host, &c->to.sin_addr);
-	ev_timer_init(&c->timer, ws_client_timer, 0, 0);
-	c->timer.data = c;
-	return c;
+	client->loop = loop;
+	client->options = *options;
+	client->tokens = options->burst;
+	client->tokens_at = client->used = ws_now();
+	client->address.sin_family = AF_INET;
+	client->address.sin_port = htons((uint16_t)port);
+	inet_pton(AF_INET, host, &client->address.sin_addr);
+	ev_timer_init(&client->timer, ws_client_timer, 0, 0);
+	client->timer.data = client;
+	return client;
 }
 
-void ws_client_rate(struct ws_client *c, double rate, double burst)
+void ws_client_rate(struct ws_http_client *client, double rate, double burst)
 {
-	c->o.rate = rate;
-	c->o.burst = burst;
+	client->options.rate = rate;
+	client->options.burst = burst;
 }
 
-bool ws_client_send(struct ws_client *c, const char *method, const char *path, const char *body,
-		    size_t len, double timeout_s, bool urgent, ws_reply_fn fn, void *ctx)
+bool ws_client_send(struct ws_http_client *client, const char *method, const char *path,
+		    const char *body, size_t len, double timeout_s, bool urgent,
+		    ws_reply_fn callback, void *ctx)
 {
-	struct ws_req *r;
+	struct ws_client_request *request;
 	char head[WS_PATH_MAX + 256], ip[INET_ADDRSTRLEN];
 	int n;
 
-	if (c->queued >= c->o.max_queue && !urgent)
+	if (client->queued >= client->options.max_queue && !urgent)
 		return false;
-	r = calloc(1, sizeof(*r));
-	if (!r)
+	request = calloc(1, sizeof(*request));
+	if (!request)
 		return false;
-	inet_ntop(AF_INET, &c->to.sin_addr, ip, sizeof(ip));
+	inet_ntop(AF_INET, &client->address.sin_addr, ip, sizeof(ip));
 	n = snprintf(head, sizeof(head),
 		     "%s %s HTTP/1.1\r\nHost: %s:%d\r\n%sContent-Length: %zu\r\n\r\n", method, path,
-		     ip, ntohs(c->to.sin_port), len ? "Content-Type: application/json\r\n" : "",
-		     len);
-	if (n < 0 || (size_t)n >= sizeof(head) || !(r->text = malloc((size_t)n + len))) {
-		free(r);
+		     ip, ntohs(client->address.sin_port),
+		     len ? "Content-Type: application/json\r\n" : "", len);
+	if (n < 0 || (size_t)n >= sizeof(head) || !(request->text = malloc((size_t)n + len))) {
+		free(request);
 		return false;
 	}
-	memcpy(r->text, head, (size_t)n);
+	memcpy(request->text, head, (size_t)n);
 	if (len)
-		memcpy(r->text + n, body, len);
-	r->len = (size_t)n + len;
-	c->used = ws_now();
-	r->deadline = c->used + timeout_s;
-	r->fn = fn;
-	r->ctx = ctx;
+		memcpy(request->text + n, body, len);
+	request->length = (size_t)n + len;
+	client->used = ws_now();
+	request->deadline = client->used + timeout_s;
+	request->callback = callback;
+	request->context = ctx;
 	if (urgent) {
-		r->next = c->head;
-		c->head = r;
-		if (!c->tail)
-			c->tail = r;
+		request->next = client->head;
+		client->head = request;
+		if (!client->tail)
+			client->tail = request;
 	} else {
-		if (c->tail)
-			c->tail->next = r;
+		if (client->tail)
+			client->tail->next = request;
 		else
-			c->head = r;
-		c->tail = r;
+			client->head = request;
+		client->tail = request;
 	}
-	c->queued++;
-	ws_client_pump(c);
+	client->queued++;
+	ws_client_pump(client);
 	return true;
 }
 
-bool ws_client_idle(const struct ws_client *c, double now, double idle_s)
+bool ws_client_idle(const struct ws_http_client *client, double now, double idle_s)
 {
-	if (c->head || now - c->used < idle_s)
+	if (client->head || now - client->used < idle_s)
 		return false;
-	for (struct ws_link *l = c->links; l; l = l->next)
-		if (l->req)
+	for (struct ws_client_connection *link = client->links; link; link = link->next)
+		if (link->request)
 			return false;
 	return true;
 }
 
-int ws_client_conns(const struct ws_client *c)
+int ws_client_conns(const struct ws_http_client *client)
 {
-	return c->n;
+	return client->connection_count;
 }
 
-void ws_client_free(struct ws_client *c)
+void ws_client_free(struct ws_http_client *client)
 {
-	if (!c)
+	if (!client)
 		return;
-	ev_timer_stop(c->loop, &c->timer);
-	while (c->links) {
-		struct ws_req *r = c->links->req;
+	ev_timer_stop(client->loop, &client->timer);
+	while (client->links) {
+		struct ws_client_request *request = client->links->request;
 
-		ws_link_free(c->links);
-		if (r)
-			ws_req_end(r, 0, "", 0);
+		ws_link_free(client->links);
+		if (request)
+			ws_req_end(request, 0, "", 0);
 	}
-	while (c->head) {
-		struct ws_req *r = c->head;
+	while (client->head) {
+		struct ws_client_request *other_request = client->head;
 
-		c->head = r->next;
-		ws_req_end(r, -1, "", 0);
+		client->head = other_request->next;
+		ws_req_end(other_request, -1, "", 0);
 	}
-	free(c);
+	free(client);
 }
--- a/src/io/json_reader.h
+++ b/src/io/json_reader.h
@@ -1,7 +1,7 @@
 /*
  * Reading of JSON messages that are copied from and dropped again: reports, submissions, answers of
- * workers and the cloud. It is simdjson behind a C interface: a report of a dozen tasks takes it a
- * twentieth of the time that building a jansson document does. Records of the state service, which
+ * workers and the cloud. It is simdjson behind a C interface: a heartbeat of a dozen tasks takes it a
+ * twentieth of the time that building a jansson document does. Records of the store, which
  * live on, and all that is written stay with jansson.
  *
  * One document at a time, one thread: a value is good until the next ws_json_read. Documents with
@@ -43,9 +43,9 @@
 
 /* False: the value is of another type. Numbers may be integers; integers may not be reals. */
 bool ws_json_string(struct ws_json value, const char **text, size_t *len);
-bool ws_json_number(struct ws_json value, double *to);
-bool ws_json_integer(struct ws_json value, int64_t *to);
-bool ws_json_bool(struct ws_json value, bool *to);
+bool ws_json_number(struct ws_json value, double *target);
+bool ws_json_integer(struct ws_json value, int64_t *target);
+bool ws_json_bool(struct ws_json value, bool *target);
 
 /* False: not an array. */
 bool ws_json_elements(struct ws_json array, struct ws_json_elements *elements, size_t *count);
--- a/src/io/peer.h
+++ b/src/io/peer.h
@@ -11,20 +11,20 @@
 /* reply is NULL when none came. */
 typedef void (*ws_peer_done_fn)(void *ctx, const Ws__PeerFrame *reply);
 
-struct ws_peers *ws_peers_new(struct ev_loop *loop, const struct ws_settings *s, ws_peer_ask_fn fn,
-			      void *ctx, char *err, size_t n);
+struct ws_peers *ws_peers_new(struct ev_loop *loop, const struct ws_settings *settings,
+			      ws_peer_ask_fn callback, void *ctx, char *err, size_t size);
 /* Node: a name, or "" for whichever answered last. False: nobody to send to. */
-bool ws_peers_send(struct ws_peers *p, const char *node, Ws__PeerFrame *f, double timeout_s,
-		   ws_peer_done_fn fn, void *ctx);
-void ws_peers_reply(struct ws_peers *p, uint64_t from, Ws__PeerFrame *f);
-void ws_peers_free(struct ws_peers *p);
+bool ws_peers_send(struct ws_peers *peers, const char *node, Ws__PeerFrame *frame, double timeout_s,
+		   ws_peer_done_fn callback, void *ctx);
+void ws_peers_reply(struct ws_peers *peers, uint64_t from, Ws__PeerFrame *frame);
+void ws_peers_free(struct ws_peers *peers);
 
-/* The frame of a question for testimony; what it points to is the call's and t's. */
-void ws_testimony_ask(Ws__PeerFrame *f, Ws__Testimony *t, struct ws_call *call);
+/* The frame of a question for outage vote; what it points to is the call's and t's. */
+void ws_vote_set_question(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_call *call);
 /* A peer's answer to the core's terms; one that does not vouch, or makes no sense, is a plain 200.
  * False: it makes no sense. r's list is freed by ws_result_free. */
-bool ws_testimony_read(const Ws__PeerFrame *f, struct ws_result *r);
-/* Our answer, with the list in t, which is good until ws_testimony_free. */
-void ws_testimony_fill(Ws__PeerFrame *f, Ws__Testimony *t, struct ws_action *a);
-void ws_testimony_free(Ws__Testimony *t);
+bool ws_vote_read(const Ws__PeerFrame *frame, struct ws_result *result);
+/* Our answer, with the list in t, which is good until ws_vote_free. */
+void ws_vote_set_answer(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_effect *effect);
+void ws_vote_free(Ws__OutageVote *vote);
 #endif
--- a/src/io/pool.c
+++ b/src/io/pool.c
@@ -11,9 +11,9 @@
 static size_t ws_used, ws_misses, ws_spilt;
 static bool ws_on;
 
-static void *ws_pool_alloc(size_t n)
+static void *ws_pool_alloc(size_t count)
 {
-	size_t want = (n + 15) & ~(size_t)15;
+	size_t want = (count + 15) & ~(size_t)15;
 
 	if (ws_on && want <= WS_POOL_SIZE - ws_used) {
 		void *p = ws_block + ws_used;
@@ -25,7 +25,7 @@
 		ws_misses++;
 		ws_spilt++;
 	}
-	return malloc(n);
+	return malloc(count);
 }
 
 static void ws_pool_free(void *p)
--- a/src/main.c
+++ b/src/main.c
@@ -1,11 +1,11 @@
 /* waystep: a cluster scheduler. Command line, settings, log, loop. */
-#include "coldstart_command.h"
+#include "cold_start_command.h"
 #include "config.h"
 #include "io/pool.h"
 #include "io/service.h"
 #include "log.h"
 #include "subsystem_settings.h"
-#include "zones_command.h"
+#include "failure_domains_command.h"
 #include <argp.h>
 #include <signal.h>
 #include <stdio.h>
@@ -24,7 +24,7 @@
 	/* instead of running as a controller: */
 	bool check;
 	bool cold_start;
-	struct ws_zones_command command;
+	struct ws_domains_command command;
 };
 
 /* Options without a letter of their own. */
@@ -52,10 +52,12 @@
 	case 'p': a->policy = arg; return 0;
 	case 's': a->subsystems = arg; return 0;
 	case 'k': a->check = true; return 0;
-	case OPTION_DOMAINS: a->command = (struct ws_zones_command){WS_ZONES_SHOW, NULL}; return 0;
-	case OPTION_HOLD: a->command = (struct ws_zones_command){WS_ZONES_HOLD, arg}; return 0;
+	case OPTION_DOMAINS:
+		a->command = (struct ws_domains_command){WS_DOMAINS_SHOW, NULL};
+		return 0;
+	case OPTION_HOLD: a->command = (struct ws_domains_command){WS_DOMAINS_HOLD, arg}; return 0;
 	case OPTION_RELEASE:
-		a->command = (struct ws_zones_command){WS_ZONES_RELEASE, arg};
+		a->command = (struct ws_domains_command){WS_DOMAINS_RELEASE, arg};
 		return 0;
 	case OPTION_COLD_START: a->cold_start = true; return 0;
 	case ARGP_KEY_ARG: argp_error(state, "unexpected argument: %s", arg); return 0;
@@ -67,18 +69,18 @@
 	}
 }
 
-static void ws_stopped(struct ev_loop *loop, ev_timer *w, int revents)
+static void ws_stopped(struct ev_loop *loop, ev_timer *watcher, int revents)
 {
-	(void)w;
+	(void)watcher;
 	(void)revents;
 	ev_break(loop, EVBREAK_ALL);
 }
 
-/* Gives up the lead and leaves a moment for that to reach the state service. */
-static void ws_stop(struct ev_loop *loop, ev_signal *w, int revents)
+/* Gives up leadership and leaves a moment for that to reach the store. */
+static void ws_stop(struct ev_loop *loop, ev_signal *watcher, int revents)
 {
 	static ev_timer timer;
-	struct ws_service *service = w->data;
+	struct ws_service *service = watcher->data;
 
 	(void)revents;
 	if (ev_is_active(&timer)) {
@@ -108,34 +110,36 @@
 /* Reads and checks all files that the arguments name. */
 static bool ws_read_settings(const struct ws_args *args, struct ws_settings *settings,
 			     struct ws_policy *policy, struct ws_subsystem_settings *subsystems,
-			     char *err, size_t n)
+			     char *err, size_t size)
 {
 	ws_policy_defaults(policy);
 	ws_subsystem_defaults(subsystems);
-	if (!ws_config_settings(args->config, settings, err, n))
+	if (!ws_config_settings(args->config, settings, err, size))
 		return false;
-	if (args->policy && !ws_config_policy(args->policy, policy, err, n))
+	if (args->policy && !ws_config_policy(args->policy, policy, err, size))
 		return false;
-	return !args->subsystems || (ws_subsystem_read(args->subsystems, subsystems, err, n) &&
-				     ws_subsystem_attach(NULL, subsystems, settings, err, n));
+	return !args->subsystems || (ws_subsystem_read(args->subsystems, subsystems, err, size) &&
+				     ws_subsystem_attach(NULL, subsystems, settings, err, size));
 }
 
 static void ws_print_check(const char *file, const struct ws_settings *settings,
 			   const struct ws_policy *policy,
 			   const struct ws_subsystem_settings *subsystems)
 {
-	printf("%s: fine: node %s, %zu peers, %zu teams\n", file, settings->node, settings->npeers,
-	       settings->nteams);
+	printf("%s: fine: node %s, %zu peers, %zu teams\n", file, settings->node,
+	       settings->peer_count, settings->team_count);
 	if (subsystems->zones_on)
 		printf("subsystem zones is on, %zu domains besides the zones\n",
 		       subsystems->zones.declared_count);
 	if (subsystems->coldstart_on)
 		printf("subsystem coldstart is on\n");
-	if (ws_core_view_short(settings, policy))
+	if (ws_core_replica_age_limit_is_short(settings, policy))
 		printf(
 		    "%s: settings.workers.cancel_s is short for lease_s: in outages of the state "
 		    "service reports are answered for %.3g s at most\n",
-		    file, ws_core_view_s(settings) > 0 ? ws_core_view_s(settings) : 0);
+		    file,
+		    ws_core_replica_age_limit(settings) > 0 ? ws_core_replica_age_limit(settings)
+							    : 0);
 }
 
 /* Runs as a controller until it is told to stop; the exit status. */
@@ -157,7 +161,7 @@
 		return 1;
 	}
 	ws_logf(WS_LOG_INFO, "waystep %s on %s:%d, %zu peers", WS_VERSION, settings->bind.host,
-		settings->bind.port, settings->npeers);
+		settings->bind.port, settings->peer_count);
 	ws_logf(WS_LOG_INFO,
 		"planned by: values of %g KiB, %d changes a transaction, %g changes a second",
 		settings->value_kb, settings->txn_ops, settings->state_write_rps);
@@ -205,9 +209,9 @@
 	if (args.check) {
 		ws_print_check(args.config, &settings, &policy, &subsystems);
 	} else if (args.cold_start) {
-		status = ws_coldstart_command_run(&settings);
-	} else if (args.command.verb != WS_ZONES_NO_VERB) {
-		status = ws_zones_command_run(&args.command, &settings, &subsystems);
+		status = ws_cold_start_command_run(&settings);
+	} else if (args.command.verb != WS_DOMAINS_NO_VERB) {
+		status = ws_domains_command_run(&args.command, &settings, &subsystems);
 	} else {
 		ws_log_open(settings.node, getenv("LOG_LEVEL"));
 		ws_descriptors(settings.max_sockets);
--- a/src/state_tool.c
+++ b/src/state_tool.c
@@ -10,14 +10,14 @@
 
 struct ws_state_tool {
 	struct ev_loop *loop;
-	struct ws_client *client;
+	struct ws_http_client *client;
 	const struct ws_call *call; /* under way; NULL: none */
 	struct ws_result *result;
 };
 
 struct ws_state_tool *ws_state_tool_open(const struct ws_settings *settings)
 {
-	const struct ws_client_opts options = {
+	const struct ws_http_client_options options = {
 	    .max_conns = 1, .max_queue = 1, .max_reply = REPLY_BYTES_MAX};
 	struct ws_state_tool *tool = calloc(1, sizeof(*tool));
 
@@ -77,12 +77,12 @@
 
 		ws_state_tool_call(tool, &call, &result);
 		ok = result.status == 200;
-		more = ok && result.more && result.nkvs > 0;
-		for (size_t i = 0; ok && i < result.nkvs; i++)
-			ok = each(context, &result.kvs[i]);
+		more = ok && result.has_more && result.entry_count > 0;
+		for (size_t i = 0; ok && i < result.entry_count; i++)
+			ok = each(context, &result.entries[i]);
 		if (more)
 			snprintf(call.after, sizeof(call.after), "%s",
-				 result.kvs[result.nkvs - 1].key);
+				 result.entries[result.entry_count - 1].key);
 		ws_result_free(&result);
 		if (!ok)
 			return false;
--- a/src/state_tool.h
+++ b/src/state_tool.h
@@ -1,4 +1,4 @@
-/* Calls to the state service for operators' commands: one at a time, waited for. */
+/* Calls to the store for operators' commands: one at a time, waited for. */
 #ifndef WS_STATE_TOOL_H
 #define WS_STATE_TOOL_H
 #include "core/core.h"
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -10,14 +10,14 @@
 void ws_subsystem_defaults(struct ws_subsystem_settings *settings)
 {
 	settings->zones_on = false;
-	ws_zones_defaults(&settings->zones);
+	ws_domains_defaults(&settings->zones);
 	settings->coldstart_on = false;
-	ws_coldstart_defaults(&settings->coldstart);
+	ws_cold_start_defaults(&settings->coldstart);
 }
 
 void ws_subsystem_free(struct ws_subsystem_settings *settings)
 {
-	ws_zones_settings_free(&settings->zones);
+	ws_domains_settings_free(&settings->zones);
 }
 
 static void *allocate(size_t count, size_t size)
@@ -29,7 +29,7 @@
 	return memory;
 }
 
-static void read_networks(struct ws_config_reader *reader, struct ws_zones_declared *declared,
+static void read_networks(struct ws_config_reader *reader, struct ws_domains_declared *declared,
 			  size_t domain)
 {
 	char path[PATH_LENGTH];
@@ -37,40 +37,40 @@
 	snprintf(path, sizeof(path), "zones.domains[%zu].networks", domain);
 	declared->network_count = ws_config_count(reader, path, SIZE_MAX, true);
 	declared->networks = allocate(declared->network_count, sizeof(*declared->networks));
-	for (size_t i = 0; i < declared->network_count && reader->ok; i++) {
+	for (size_t i = 0; i < declared->network_count && reader->valid; i++) {
 		snprintf(path, sizeof(path), "zones.domains[%zu].networks[%zu]", domain, i);
-		ws_config_text(reader, path, declared->networks[i], WS_ZONES_NETWORK_MAX);
+		ws_config_text(reader, path, declared->networks[i], WS_DOMAINS_NETWORK_MAX);
 	}
 }
 
-static void read_domains(struct ws_config_reader *reader, struct ws_zones_settings *zones)
+static void read_domains(struct ws_config_reader *reader, struct ws_domains_settings *zones)
 {
 	static const char *const known[] = {"name", "networks"};
 	size_t count = ws_config_count(reader, "zones.domains", SIZE_MAX, false);
 	char path[PATH_LENGTH];
 
 	zones->declared = allocate(count, sizeof(*zones->declared));
-	for (size_t i = 0; i < count && reader->ok; i++) {
+	for (size_t i = 0; i < count && reader->valid; i++) {
 		snprintf(path, sizeof(path), "zones.domains[%zu]", i);
 		ws_config_known_keys(reader, path, known, sizeof(known) / sizeof(known[0]));
 		snprintf(path, sizeof(path), "zones.domains[%zu].name", i);
-		ws_config_text(reader, path, zones->declared[i].name, WS_ZONES_NAME_MAX);
+		ws_config_text(reader, path, zones->declared[i].name, WS_DOMAINS_NAME_MAX);
 		zones->declared_count = i + 1;
 		read_networks(reader, &zones->declared[i], i);
 	}
 }
 
-static void read_class_order(struct ws_config_reader *reader, struct ws_zones_settings *zones)
+static void read_class_order(struct ws_config_reader *reader, struct ws_domains_settings *zones)
 {
 	size_t count = ws_config_count(reader, "zones.class_order", SIZE_MAX, false);
 
 	zones->class_order = allocate(count, sizeof(*zones->class_order));
 	zones->class_count = count;
-	for (size_t i = 0; i < count && reader->ok; i++) {
+	for (size_t i = 0; i < count && reader->valid; i++) {
 		char path[PATH_LENGTH];
 
 		snprintf(path, sizeof(path), "zones.class_order[%zu]", i);
-		ws_config_text(reader, path, zones->class_order[i], WS_ZONES_NAME_MAX);
+		ws_config_text(reader, path, zones->class_order[i], WS_DOMAINS_NAME_MAX);
 	}
 }
 
@@ -78,7 +78,7 @@
 {
 	static const char *const known[] = {"enabled",	   "dark_share",  "stable_s",	 "ramp_s",
 					    "half_life_s", "penalty_max", "class_order", "domains"};
-	struct ws_zones_settings *zones = &settings->zones;
+	struct ws_domains_settings *zones = &settings->zones;
 
 	ws_config_known_keys(reader, "zones", known, sizeof(known) / sizeof(known[0]));
 	if (ws_toml_bool(reader->toml, "zones.enabled", &settings->zones_on) != WS_TOML_OK)
@@ -99,7 +99,7 @@
 static void read_coldstart(struct ws_config_reader *reader, struct ws_subsystem_settings *settings)
 {
 	static const char *const known[] = {"enabled", "keep_s", "heard_share"};
-	struct ws_coldstart_settings *coldstart = &settings->coldstart;
+	struct ws_cold_start_settings *coldstart = &settings->coldstart;
 
 	ws_config_known_keys(reader, "coldstart", known, sizeof(known) / sizeof(known[0]));
 	if (ws_toml_bool(reader->toml, "coldstart.enabled", &settings->coldstart_on) != WS_TOML_OK)
@@ -140,32 +140,32 @@
 	ws_log_write(WS_LOG_INFO, text);
 }
 
-static bool attach_zones(struct ws_core *core, const struct ws_zones_settings *settings,
+static bool attach_zones(struct ws_core *core, const struct ws_domains_settings *settings,
 			 const struct ws_cluster_limits *limits, char *error, size_t error_size)
 {
-	struct ws_zones_error wrong;
-	struct ws_zones *zones = ws_zones_new(settings, limits, log_line, &wrong);
+	struct ws_domains_error wrong;
+	struct ws_failure_domains *zones = ws_domains_new(settings, limits, log_line, &wrong);
 
 	if (!zones) {
 		snprintf(error, error_size, "zones.domains: %s%s%s %s", wrong.domain,
 			 wrong.network[0] ? ": " : "", wrong.network,
-			 ws_zones_error_text(wrong.code));
+			 ws_domains_error_text(wrong.code));
 		return false;
 	}
-	if (core && ws_core_attach(core, &ws_zones_ops, zones))
+	if (core && ws_core_attach(core, &ws_domains_ops, zones))
 		return true;
-	ws_zones_free(zones);
+	ws_domains_free(zones);
 	return !core;
 }
 
-static bool attach_coldstart(struct ws_core *core, const struct ws_coldstart_settings *settings,
+static bool attach_coldstart(struct ws_core *core, const struct ws_cold_start_settings *settings,
 			     const struct ws_cluster_limits *limits)
 {
-	struct ws_coldstart *coldstart = ws_coldstart_new(settings, limits, log_line);
+	struct ws_cold_start *coldstart = ws_cold_start_new(settings, limits, log_line);
 
-	if (ws_core_attach(core, &ws_coldstart_ops, coldstart))
+	if (ws_core_attach(core, &ws_cold_start_ops, coldstart))
 		return true;
-	ws_coldstart_free(coldstart);
+	ws_cold_start_free(coldstart);
 	return false;
 }
 
@@ -181,10 +181,10 @@
 	    .cancel_s = platform->cancel_s,
 	    .node_zone = platform->zone,
 	    .zones = names,
-	    .zone_count = platform->nzones,
+	    .zone_count = platform->zone_count,
 	};
 
-	for (size_t i = 0; i < platform->nzones; i++)
+	for (size_t i = 0; i < platform->zone_count; i++)
 		names[i] = platform->zones[i];
 	if ((settings->zones_on || !core) &&
 	    !attach_zones(core, &settings->zones, &limits, error, error_size))
--- a/src/subsystem_settings.h
+++ b/src/subsystem_settings.h
@@ -2,14 +2,14 @@
 #ifndef WS_SUBSYSTEM_SETTINGS_H
 #define WS_SUBSYSTEM_SETTINGS_H
 #include "core/core.h"
-#include "coldstart/coldstart.h"
-#include "zones/zones.h"
+#include "cold_start/cold_start.h"
+#include "failure_domains/failure_domains.h"
 
 struct ws_subsystem_settings {
 	bool zones_on;
-	struct ws_zones_settings zones;
+	struct ws_domains_settings zones;
 	bool coldstart_on;
-	struct ws_coldstart_settings coldstart;
+	struct ws_cold_start_settings coldstart;
 };
 
 /* All off. */
--- a/src/toml.h
+++ b/src/toml.h
@@ -10,18 +10,18 @@
 struct ws_toml;
 enum ws_toml_got { WS_TOML_OK, WS_TOML_MISSING, WS_TOML_WRONG_TYPE };
 
-struct ws_toml *ws_toml_open(const char *path, char *err, size_t n);
-void ws_toml_close(struct ws_toml *t);
+struct ws_toml *ws_toml_open(const char *path, char *err, size_t size);
+void ws_toml_close(struct ws_toml *toml);
 /* Paths as toml++ has them: "settings.workers.lease_s", "seeds[0].node". */
-enum ws_toml_got ws_toml_string(struct ws_toml *t, const char *path, char *to, size_t n);
-enum ws_toml_got ws_toml_number(struct ws_toml *t, const char *path, double *to);
-bool ws_toml_table(struct ws_toml *t, const char *path);
-bool ws_toml_has(struct ws_toml *t, const char *path);
+enum ws_toml_got ws_toml_string(struct ws_toml *toml, const char *path, char *target, size_t size);
+enum ws_toml_got ws_toml_number(struct ws_toml *toml, const char *path, double *target);
+bool ws_toml_table(struct ws_toml *toml, const char *path);
+bool ws_toml_has(struct ws_toml *toml, const char *path);
 /* Length of an array; -1 if there is none. */
-long ws_toml_length(struct ws_toml *t, const char *path);
+long ws_toml_length(struct ws_toml *toml, const char *path);
 /* Name of the i-th key of a table, of the root with an empty path; false behind the last. */
-bool ws_toml_key(struct ws_toml *t, const char *path, size_t i, char *to, size_t n);
-enum ws_toml_got ws_toml_bool(struct ws_toml *t, const char *path, bool *to);
+bool ws_toml_key(struct ws_toml *toml, const char *path, size_t index, char *target, size_t size);
+enum ws_toml_got ws_toml_bool(struct ws_toml *toml, const char *path, bool *target);
 #ifdef __cplusplus
 }
 #endif
--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -23,36 +23,36 @@
 /* The base with one field's value replaced; an empty value takes the field out. */
 static int with(const char *field, const char *value)
 {
-	struct ws_spec s;
+	struct ws_job_spec spec;
 	json_error_t e;
-	json_t *o = json_loads(base, 0, NULL), *v;
+	json_t *object = json_loads(base, 0, NULL), *v;
 	char *text;
 	int r;
 
 	if (!value[0]) {
-		json_object_del(o, field);
+		json_object_del(object, field);
 	} else {
 		v = json_loads(value, JSON_DECODE_ANY, &e);
-		json_object_set_new(o, field, v);
+		json_object_set_new(object, field, v);
 	}
-	text = json_dumps(o, 0);
-	r = ws_decode_job(text, strlen(text), &s);
+	text = json_dumps(object, 0);
+	r = ws_decode_job(text, strlen(text), &spec);
 	free(text);
-	json_decref(o);
+	json_decref(object);
 	return r;
 }
 
-/* Whether a report reads that has this member as well, which no protocol names. */
+/* Whether a heartbeat reads that has this member as well, which no protocol names. */
 static bool with_extra(const char *member)
 {
 	char text[1024];
-	struct ws_report r;
+	struct ws_heartbeat heartbeat;
 	bool ok;
 
 	snprintf(text, sizeof(text), "{%s,%s", member, report + 1);
-	ok = ws_decode_report(text, strlen(text), &r);
+	ok = ws_decode_heartbeat(text, strlen(text), &heartbeat);
 	if (ok)
-		ws_report_free(&r);
+		ws_heartbeat_free(&heartbeat);
 	return ok;
 }
 
@@ -79,40 +79,44 @@
 	check("a missing value", !with_extra("\"x\":"));
 	memset(deep, '[', sizeof(deep));
 	snprintf(text, sizeof(text), "{\"x\":%.*s}", (int)sizeof(deep), deep);
-	check("nested without end", !ws_decode_report(text, strlen(text), &(struct ws_report){0}));
+	check("nested without end",
+	      !ws_decode_heartbeat(text, strlen(text), &(struct ws_heartbeat){0}));
 	snprintf(text, sizeof(text), "%s}", report);
-	check("more behind the end", !ws_decode_report(text, strlen(text), &(struct ws_report){0}));
+	check("more behind the end",
+	      !ws_decode_heartbeat(text, strlen(text), &(struct ws_heartbeat){0}));
 }
 
 static uint64_t seed = 42;
-static unsigned rnd(unsigned n)
+static unsigned rnd(unsigned count)
 {
 	seed = seed * 6364136223846793005ULL + 1442695040888963407ULL;
-	return (unsigned)(seed >> 33) % n;
+	return (unsigned)(seed >> 33) % count;
 }
 
-/* A report of so many tasks, as text. */
+/* A heartbeat of so many tasks, as text. */
 static char *long_report(size_t tasks)
 {
-	json_t *o = json_loads(report, 0, NULL), *a = json_object_get(o, "shards");
+	json_t *object = json_loads(report, 0, NULL), *array = json_object_get(object, "shards");
 	char *text;
 
-	while (json_array_size(a) < tasks)
-		json_array_append_new(a, json_pack("{s:s,s:i,s:s}", "shard", "job-000412/17",
-						   "tryNo", 7, "phase", "running"));
-	text = json_dumps(o, JSON_COMPACT);
-	json_decref(o);
+	while (json_array_size(array) < tasks)
+		json_array_append_new(array, json_pack("{s:s,s:i,s:s}", "shard", "job-000412/17",
+						       "tryNo", 7, "phase", "running"));
+	text = json_dumps(object, JSON_COMPACT);
+	json_decref(object);
 	return text;
 }
 
 /* What messages are read and written with is taken in one piece; what is kept is not in it. */
 static void pool(void)
 {
-	struct ws_order orders[300] = {{.verb = WS_RUN, .job = "job-000412", .attempt = 9}};
-	struct ws_action a = {.status = 200, .epoch = 41, .orders = orders, .norders = 300};
+	struct ws_command orders[300] = {
+	    {.kind = WS_COMMAND_RUN, .job = "job-000412", .attempt = 9}};
+	struct ws_effect effect = {
+	    .status = 200, .fencing_token = 41, .commands = orders, .command_count = 300};
 	struct ws_call get = {.kind = WS_CALL_GET, .key = "job/a"};
 	static const char kv[] = "{\"k\":\"job/a\",\"value\":{\"x\":[1,2,\"y\"]},\"stamp\":412}";
-	struct ws_report r = {0};
+	struct ws_heartbeat heartbeat = {0};
 	struct ws_result kept;
 	char *text, *s;
 	size_t before;
@@ -122,42 +126,43 @@
 	before = ws_pool_misses();
 	text = long_report(64);
 	check("a report of 64 tasks reads",
-	      ws_decode_report(text, strlen(text), &r) && r.ntasks == 64);
-	ws_report_free(&r);
+	      ws_decode_heartbeat(text, strlen(text), &heartbeat) && heartbeat.task_count == 64);
+	ws_heartbeat_free(&heartbeat);
 	free(text);
-	s = ws_encode_report_answer(&a);
+	s = ws_encode_heartbeat_answer(&effect);
 	check("an answer of 300 commands is written", s && strstr(s, "\"orders\":[{"));
 	free(s);
 	check("with no memory beyond the pool's", ws_pool_misses() == before);
 	text = long_report(1000);
 	check("the longest report reads", strlen(text) < WS_BODY_MAX &&
-					      ws_decode_report(text, strlen(text), &r) &&
-					      r.ntasks == 1000);
-	ws_report_free(&r);
+					      ws_decode_heartbeat(text, strlen(text), &heartbeat) &&
+					      heartbeat.task_count == 1000);
+	ws_heartbeat_free(&heartbeat);
 	free(text);
 	check("in memory that is kept for the next", ws_json_capacity() <= WS_JSON_KEPT);
 	text = long_report(6000);
-	check("one that takes more reads all the same", ws_decode_report(text, strlen(text), &r) &&
-							    r.ntasks == 6000 &&
-							    ws_json_capacity() > WS_JSON_KEPT);
-	ws_report_free(&r);
+	check("one that takes more reads all the same",
+	      ws_decode_heartbeat(text, strlen(text), &heartbeat) && heartbeat.task_count == 6000 &&
+		  ws_json_capacity() > WS_JSON_KEPT);
+	ws_heartbeat_free(&heartbeat);
 	free(text);
 	check("and what it took is given back with the next",
-	      ws_decode_report(report, strlen(report), &r) && ws_json_capacity() <= WS_JSON_KEPT);
-	ws_report_free(&r);
+	      ws_decode_heartbeat(report, strlen(report), &heartbeat) &&
+		  ws_json_capacity() <= WS_JSON_KEPT);
+	ws_heartbeat_free(&heartbeat);
 	check("reports take nothing of jansson's", ws_pool_misses() == before);
-	a.orders = calloc(6000, sizeof(*a.orders));
-	a.norders = 6000;
-	for (size_t i = 0; i < a.norders; i++)
-		a.orders[i] = orders[0];
-	s = ws_encode_report_answer(&a);
+	effect.commands = calloc(6000, sizeof(*effect.commands));
+	effect.command_count = 6000;
+	for (size_t i = 0; i < effect.command_count; i++)
+		effect.commands[i] = orders[0];
+	s = ws_encode_heartbeat_answer(&effect);
 	check("an answer that takes more than the pool is written all the same",
 	      s && strlen(s) > 6000 * strlen("{\"verb\":\"run\"}") && ws_pool_misses() > before);
 	free(s);
-	free(a.orders);
+	free(effect.commands);
 	check("a key's value outlives them",
-	      kept.nkvs == 1 && json_integer_value(json_array_get(
-				    json_object_get(kept.kvs[0].value, "x"), 1)) == 2);
+	      kept.entry_count == 1 && json_integer_value(json_array_get(
+					   json_object_get(kept.entries[0].value, "x"), 1)) == 2);
 	ws_result_free(&kept);
 }
 
@@ -193,15 +198,16 @@
 					       {"dueS", "\"x\""},
 					       {"expectedS", "-1"},
 					       {"vcpus", "1e300"}};
-	struct ws_spec s;
-	struct ws_report r;
+	struct ws_job_spec spec;
+	struct ws_heartbeat heartbeat;
 	struct ws_result res;
 	struct ws_call call = {.kind = WS_CALL_GET};
 
-	check("the protocol's example", ws_decode_job(base, strlen(base), &s) == 0);
-	check("its fields", !strcmp(s.id, "job-000412") && s.tasks == 16 && s.cpus == 8 &&
-				s.one_zone && s.spot && !s.spread && s.tier == WS_URGENT &&
-				s.ntypes == 1 && s.deadline_s == 900);
+	check("the protocol's example", ws_decode_job(base, strlen(base), &spec) == 0);
+	check("its fields", !strcmp(spec.id, "job-000412") && spec.tasks == 16 && spec.cpus == 8 &&
+				spec.one_zone && spec.allows_preemptible && !spec.spread &&
+				spec.priority == WS_PRIORITY_URGENT && spec.type_count == 1 &&
+				spec.deadline_s == 900);
 	check("unknown fields", with("colour", "\"red\"") == 0);
 	check("no deadline", with("dueS", "") == 0 && with("dueS", "null") == 0);
 	check("no types", with("flavours", "") == 0 && with("flavours", "null") == 0);
@@ -209,14 +215,16 @@
 		check(need[i], with(need[i], "") == 400);
 	for (size_t i = 0; i < sizeof(wrong) / sizeof(wrong[0]); i++)
 		check(wrong[i][0], with(wrong[i][0], wrong[i][1]) == 400);
-	check("no JSON", ws_decode_job("{", 1, &s) == 400 && ws_decode_job("", 0, &s) == 400);
-	check("no object", ws_decode_job("[]", 2, &s) == 400 && ws_decode_job("3", 1, &s) == 400);
-	check("not finite", ws_decode_job("{\"vcpus\":1e999}", 15, &s) == 400);
+	check("no JSON", ws_decode_job("{", 1, &spec) == 400 && ws_decode_job("", 0, &spec) == 400);
+	check("no object",
+	      ws_decode_job("[]", 2, &spec) == 400 && ws_decode_job("3", 1, &spec) == 400);
+	check("not finite", ws_decode_job("{\"vcpus\":1e999}", 15, &spec) == 400);
 
-	check("a report", ws_decode_report(report, strlen(report), &r));
-	check("its tasks", r.ntasks == 2 && r.tasks[0].task == 3 && r.tasks[1].why == WS_WHY_DONE &&
-			       r.notice_s < 0 && r.port == 9000);
-	ws_report_free(&r);
+	check("a report", ws_decode_heartbeat(report, strlen(report), &heartbeat));
+	check("its tasks", heartbeat.task_count == 2 && heartbeat.tasks[0].task == 3 &&
+			       heartbeat.tasks[1].exit_reason == WS_EXIT_DONE &&
+			       heartbeat.preemption_notice_s < 0 && heartbeat.port == 9000);
+	ws_heartbeat_free(&heartbeat);
 	static const char gang[] =
 	    "{\"host\":\"n-1\",\"address\":\"10.1.0.2:9000\",\"flavour\":\"g8\",\"hall\":\"a\","
 	    "\"reclaimable\":false,\"tenure\":1,\"counter\":8,\"epoch\":4,\"shards\":["
@@ -225,15 +233,16 @@
 	    "{\"shard\":\"job-1/2\",\"tryNo\":2,\"phase\":\"exited\",\"cause\":\"incomplete\"},"
 	    "{\"shard\":\"job-1/3\",\"tryNo\":2,\"phase\":\"dreaming\"},"
 	    "{\"shard\":\"job-1/4\",\"tryNo\":2,\"phase\":\"exited\",\"cause\":\"boredom\"}]}";
-	check("a gang's words", ws_decode_report(gang, strlen(gang), &r) && r.ntasks == 5);
-	check("waiting", r.tasks[0].state == WS_TASK_WAITING);
-	check("mates_gone", r.tasks[1].why == WS_WHY_MATES);
-	check("incomplete", r.tasks[2].why == WS_WHY_ALONE);
-	check("an unknown state is alive", r.tasks[3].state == WS_TASK_FETCHING);
-	check("an unknown cause blames nobody", r.tasks[4].why == WS_WHY_STOPPED);
-	ws_report_free(&r);
+	check("a gang's words",
+	      ws_decode_heartbeat(gang, strlen(gang), &heartbeat) && heartbeat.task_count == 5);
+	check("waiting", heartbeat.tasks[0].state == WS_TASK_WAITING);
+	check("mates_gone", heartbeat.tasks[1].exit_reason == WS_EXIT_MEMBER_LOST);
+	check("incomplete", heartbeat.tasks[2].exit_reason == WS_EXIT_GANG_INCOMPLETE);
+	check("an unknown state is alive", heartbeat.tasks[3].state == WS_TASK_FETCHING);
+	check("an unknown cause blames nobody", heartbeat.tasks[4].exit_reason == WS_EXIT_STOPPED);
+	ws_heartbeat_free(&heartbeat);
 	check("a gang", with("shape", "\"gang\"") == 0);
-	check("no report", !ws_decode_report("{}", 2, &r));
+	check("no report", !ws_decode_heartbeat("{}", 2, &heartbeat));
 
 	strcpy(call.key, "job/job-1");
 	ws_decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &res);
@@ -242,7 +251,7 @@
 	ws_decode_reply(&call, 200, "garbage", 7, &res);
 	check("garbage is no answer", res.status == 0);
 	ws_result_free(&res);
-	call.kind = WS_CALL_RENT;
+	call.kind = WS_CALL_SCALE_OUT;
 	ws_decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &res);
 	check("trouble is no refusal", res.status == 503 && !res.no_capacity);
 	ws_result_free(&res);
@@ -272,15 +281,16 @@
 			if (n < 2)
 				break;
 		}
-		if (!ws_decode_job(text, n, &s) && (s.tasks < 1 || s.tasks > WS_MAX_SHARDS ||
-						    !(s.cpus >= 0) || !ws_job_id_ok(s.id)))
+		if (!ws_decode_job(text, n, &spec) &&
+		    (spec.tasks < 1 || spec.tasks > WS_MAX_TASKS || !(spec.cpus >= 0) ||
+		     !ws_job_id_ok(spec.id)))
 			check("a mangled job out of bounds is accepted", false);
-		if (ws_decode_report(text, n, &r)) {
-			if (r.tenure < 1 || !r.machine[0])
+		if (ws_decode_heartbeat(text, n, &heartbeat)) {
+			if (heartbeat.incarnation < 1 || !heartbeat.machine[0])
 				check("a mangled report out of bounds is accepted", false);
-			ws_report_free(&r);
+			ws_heartbeat_free(&heartbeat);
 		}
-		for (int k = WS_CALL_GET; k <= WS_CALL_ORDERS; k++) {
+		for (int k = WS_CALL_GET; k <= WS_CALL_COMMANDS; k++) {
 			call.kind = (enum ws_call_kind)k;
 			ws_decode_reply(&call, rnd(4) ? 200 : 409, text, n, &res);
 			ws_result_free(&res);
--- a/tests/coldstart_loopback_test.c
+++ b/tests/cold_start_loopback_test.c
@@ -2,7 +2,7 @@
  * Three controllers, as processes, and stand-in workers. All controllers are killed while jobs run,
  * and started again: within the lease, with a store that has lost a record, and after all leases
  * are out. Every order is counted by kind: none starts or stops work that is healthy.
- * coldstart_loopback_test WAYSTEP SUBSYSTEMS.
+ * cold_start_loopback_test WAYSTEP SUBSYSTEMS.
  */
 #include "check.h"
 #include "loopback.h"
--- a/tests/coldstart_test.c
+++ b/tests/cold_start_test.c
@@ -3,7 +3,7 @@
  * start has its bounds where the note says, its records read back; and the core merges what several
  * subsystems ask of one job.
  */
-#include "../src/coldstart/internal.h"
+#include "../src/cold_start/internal.h"
 #include "../src/core/internal.h"
 #include "../src/subsystem_settings.h"
 #include "check.h"
@@ -13,7 +13,7 @@
 
 static const struct ws_settings platform = {.zone = "a",
 					    .zones = {"a", "b"},
-					    .nzones = 2,
+					    .zone_count = 2,
 					    .report_s = 2,
 					    .lease_s = LEASE_S,
 					    .cancel_s = 46,
@@ -62,94 +62,94 @@
 
 /* ---- the rule ---- */
 
-static struct ws_coldstart *package(void)
+static struct ws_cold_start *package(void)
 {
-	struct ws_coldstart_settings settings;
+	struct ws_cold_start_settings settings;
 	const struct ws_cluster_limits limits = {.report_s = 2,
 						 .lease_s = LEASE_S,
 						 .cancel_s = 46,
 						 .state_write_rps = 50,
 						 .value_bytes = 4096};
 
-	ws_coldstart_defaults(&settings);
-	return ws_coldstart_new(&settings, &limits, NULL);
+	ws_cold_start_defaults(&settings);
+	return ws_cold_start_new(&settings, &limits, NULL);
 }
 
 /* The phase of a leader that has no proof of another for so long, with a phase on record. */
-static enum ws_coldstart_phase phase_after(double unproven_s, const char *recorded,
-					   uint64_t recorded_term, uint64_t proven_term)
+static enum ws_cold_start_phase phase_after(double unproven_s, const char *recorded,
+					    uint64_t recorded_term, uint64_t proven_term)
 {
-	struct ws_coldstart *coldstart = package();
+	struct ws_cold_start *coldstart = package();
 	const struct ws_election_facts facts = {.now = 100,
 						.term = 50,
 						.unproven_s = unproven_s,
 						.proven_term = proven_term,
 						.leases_out = 117};
-	enum ws_coldstart_phase phase;
+	enum ws_cold_start_phase phase;
 
-	ws_coldstart_ops.elected(coldstart, &facts);
+	ws_cold_start_ops.elected(coldstart, &facts);
 	if (recorded) {
 		json_t *value =
 		    json_pack("{s:i,s:s,s:I,s:I}", "v", 1, "phase", recorded, "term",
 			      (json_int_t)recorded_term, "began", (json_int_t)recorded_term);
 
-		ws_coldstart_ops.record_loaded(coldstart, "phase", value);
+		ws_cold_start_ops.record_loaded(coldstart, "phase", value);
 		json_decref(value);
 	}
-	ws_coldstart_ops.records_loaded(coldstart, 100);
+	ws_cold_start_ops.records_loaded(coldstart, 100);
 	phase = coldstart->phase;
-	ws_coldstart_free(coldstart);
+	ws_cold_start_free(coldstart);
 	return phase;
 }
 
 static void check_rule(void)
 {
 	check("a proof younger than half a lease is warm",
-	      phase_after(0.49 * LEASE_S, NULL, 0, 40) == WS_COLDSTART_NONE);
+	      phase_after(0.49 * LEASE_S, NULL, 0, 40) == WS_COLD_START_NONE);
 	check("an older one is cold",
-	      phase_after(0.5 * LEASE_S, NULL, 0, 40) == WS_COLDSTART_OBSERVING);
-	check("none is cold", phase_after(INFINITY, NULL, 0, 0) == WS_COLDSTART_OBSERVING);
+	      phase_after(0.5 * LEASE_S, NULL, 0, 40) == WS_COLD_START_OBSERVING);
+	check("none is cold", phase_after(INFINITY, NULL, 0, 0) == WS_COLD_START_OBSERVING);
 	check("a warm leader goes on with the phase of the one before it",
-	      phase_after(1, "recovering", 40, 40) == WS_COLDSTART_OBSERVING);
+	      phase_after(1, "recovering", 40, 40) == WS_COLD_START_OBSERVING);
 	check("but not where another led in between",
-	      phase_after(1, "observing", 40, 45) == WS_COLDSTART_ENDED);
-	check("nor with one that is ended", phase_after(1, "ended", 40, 40) == WS_COLDSTART_NONE);
+	      phase_after(1, "observing", 40, 45) == WS_COLD_START_ENDED);
+	check("nor with one that is ended", phase_after(1, "ended", 40, 40) == WS_COLD_START_NONE);
 	check("a cold one goes on with any that is open",
-	      phase_after(INFINITY, "observing", 40, 0) == WS_COLDSTART_OBSERVING);
+	      phase_after(INFINITY, "observing", 40, 0) == WS_COLD_START_OBSERVING);
 }
 
 /* ---- records ---- */
 
 static void check_records(void)
 {
-	struct ws_coldstart *coldstart = package();
+	struct ws_cold_start *coldstart = package();
 	const struct ws_election_facts facts = {
 	    .now = 100, .term = 50, .unproven_s = INFINITY, .leases_out = 117};
-	const struct ws_finding finding = {
-	    .kind = WS_FINDING_UNKNOWN_JOB, .machine = "m", .job = "job-000001"};
+	const struct ws_reconciliation finding = {
+	    .result = WS_RECONCILED_UNKNOWN_JOB, .machine = "m", .job = "job-000001"};
 	json_t *value;
 
-	ws_coldstart_ops.elected(coldstart, &facts);
+	ws_cold_start_ops.elected(coldstart, &facts);
 	value = json_pack("{s:i,s:f,s:s}", "v", 1, "kept_s", 30.0, "machine", "m");
-	ws_coldstart_ops.record_loaded(coldstart, "kept/job-000001", value);
+	ws_cold_start_ops.record_loaded(coldstart, "kept/job-000001", value);
 	json_decref(value);
-	ws_coldstart_ops.records_loaded(coldstart, 100);
-	check("an unknown job is kept", ws_coldstart_ops.attempt_found(coldstart, 101, &finding));
-	value = ws_coldstart_kept_record(coldstart->kept, 111);
+	ws_cold_start_ops.records_loaded(coldstart, 100);
+	check("an unknown job is kept", ws_cold_start_ops.attempt_found(coldstart, 101, &finding));
+	value = ws_cold_start_quarantine_record(coldstart->kept, 111);
 	check("and for how long it was kept before counts",
 	      fabs(json_number_value(json_object_get(value, "kept_s")) - 41) < 1e-6);
 	json_decref(value);
-	value = ws_coldstart_account_record(coldstart, 110);
+	value = ws_cold_start_account_record(coldstart, 110);
 	check("the account counts it",
 	      json_integer_value(
 		  json_object_get(json_object_get(value, "findings"), "unknown_job")) == 1);
 	json_decref(value);
 	coldstart->limits.value_bytes = 100;
-	value = ws_coldstart_account_record(coldstart, 110);
+	value = ws_cold_start_account_record(coldstart, 110);
 	check("one that is too large goes without its zones",
 	      !json_object_get(value, "zones") && json_object_get(value, "findings"));
 	json_decref(value);
-	ws_coldstart_free(coldstart);
+	ws_cold_start_free(coldstart);
 }
 
 /* ---- moves of several subsystems ---- */
@@ -168,30 +168,32 @@
 
 static void check_moves(void)
 {
-	static const struct ws_spec spec = {.id = "job-000001", .team = "t", .tasks = 1, .cpus = 1};
-	struct mover first = {.move = {.job = "job-000001", .position = 3, .room_ahead = 2}};
+	static const struct ws_job_spec spec = {
+	    .id = "job-000001", .team = "t", .tasks = 1, .cpus = 1};
+	struct mover first = {.move = {.job = "job-000001", .position = 3, .reserve_ahead = 2}};
 	struct mover second = {
-	    .move = {.job = "job-000001", .position = 5, .room_ahead = 1, .replicas_apart = true}};
+	    .move = {
+		.job = "job-000001", .position = 5, .reserve_ahead = 1, .replicas_apart = true}};
 	struct ws_policy policy;
 	struct ws_core *core;
 	const struct ws_job *job;
-	json_t *record = ws_record_spec(&spec, WS_QUEUED, 0);
+	json_t *record = ws_record_spec(&spec, WS_JOB_QUEUED, 0);
 
 	ws_policy_defaults(&policy);
 	core = ws_core_new(&platform, &policy, NULL, 0, 1);
 	ws_core_attach(core, &mover_ops, &first);
 	ws_core_attach(core, &mover_ops, &second);
-	ws_job_event(core, "job-000001", record, 1);
+	ws_job_record_changed(core, "job-000001", record, 1);
 	json_decref(record);
 	job = ws_job_find(core, "job-000001");
 	ws_subsystems_tick(core);
 	check("of two places the smaller one counts",
-	      job->move_position == 3 && job->room_ahead == 2 && job->replicas_apart);
+	      job->move_position == 3 && job->reserve_ahead == 2 && job->replicas_apart);
 	first.move = (struct ws_move){.job = "job-000001"};
 	core->now += 1;
 	ws_subsystems_tick(core);
 	check("and the other one when that is given up",
-	      job->move_position == 5 && job->room_ahead == 1 && job->replicas_apart);
+	      job->move_position == 5 && job->reserve_ahead == 1 && job->replicas_apart);
 	ws_core_free(core);
 }
 
--- a/tests/zones_loopback_test.c
+++ b/tests/failure_domains_loopback_test.c
@@ -1,7 +1,7 @@
 /*
  * Three controllers, as processes, and stand-in workers in three zones: accrual and stock matching
  * run, one zone goes dark, both land on the others, the zone comes back. The history is checked:
- * one final answer a job, nothing runs twice. zones_loopback_test WAYSTEP SUBSYSTEMS.
+ * one final answer a job, nothing runs twice. failure_domains_loopback_test WAYSTEP SUBSYSTEMS.
  */
 #include "check.h"
 #include "loopback.h"
--- a/tests/zones_test.c
+++ b/tests/failure_domains_test.c
@@ -3,12 +3,12 @@
  * the longest prefix wins, for IPv4 and IPv6.
  */
 #include "../src/subsystem_settings.h"
-#include "../src/zones/internal.h"
+#include "../src/failure_domains/internal.h"
 #include "check.h"
 #include "subsystem_text.h"
 
 static const struct ws_settings platform = {
-    .zone = "a", .zones = {"a", "b"}, .nzones = 2, .report_s = 2, .lease_s = 16};
+    .zone = "a", .zones = {"a", "b"}, .zone_count = 2, .report_s = 2, .lease_s = 16};
 
 struct refusal {
 	const char *text, *names; /* what the message must name */
@@ -95,58 +95,59 @@
 {
 	struct ws_subsystem_settings settings;
 	struct ws_cluster_limits limits = {.report_s = 2, .lease_s = 16, .node_zone = "a"};
-	struct ws_zones_error wrong;
-	struct ws_zones *zones;
+	struct ws_domains_error wrong;
+	struct ws_failure_domains *zones;
 	char error[512];
 
 	check("declared domains are read",
 	      read_text(declared, &settings, error, sizeof(error)) && settings.zones_on &&
 		  settings.zones.declared_count == 4 && settings.zones.class_count == 2);
-	zones = ws_zones_new(&settings.zones, &limits, log_text, &wrong);
+	zones = ws_domains_new(&settings.zones, &limits, log_text, &wrong);
 	check("and taken", zones != NULL);
 	for (size_t i = 0; zones && i < sizeof(lookups) / sizeof(lookups[0]); i++) {
 		const struct ws_machine_facts facts = {
 		    .name = "m", .address = lookups[i].address, .zone = "z"};
-		struct ws_zones_machine machine = {0};
-		const struct ws_zones_domain *got;
+		struct ws_domains_machine machine = {0};
+		const struct ws_failure_domain *got;
 		char what[128];
 
-		ws_zones_join(zones, &machine, &facts);
+		ws_domains_join(zones, &machine, &facts);
 		got = machine.memberships[1].domain;
 		snprintf(what, sizeof(what), "%s is in %s", lookups[i].address,
 			 lookups[i].domain ? lookups[i].domain : "its zone alone");
 		check(what, machine.memberships[0].domain &&
 				(lookups[i].domain ? got && !strcmp(got->name, lookups[i].domain)
 						   : !got));
-		ws_zones_leave(&machine);
+		ws_domains_leave(&machine);
 	}
 	check("two addresses were reported as unreadable", unreadable == 2);
-	ws_zones_free(zones);
+	ws_domains_free(zones);
 	ws_subsystem_free(&settings);
 }
 
 /* A record of a zone that the settings don't list is a leader's verdict all the same. */
 static void check_unlisted(void)
 {
-	struct ws_zones_settings settings;
+	struct ws_domains_settings settings;
 	struct ws_cluster_limits limits = {.report_s = 2, .lease_s = 16, .node_zone = "a"};
-	struct ws_zones_error wrong;
-	struct ws_zones *zones;
-	const struct ws_zones_domain *domain;
+	struct ws_domains_error wrong;
+	struct ws_failure_domains *zones;
+	const struct ws_failure_domain *domain;
 	json_t *record = json_pack("{s:i,s:s,s:f}", "v", 1, "state", "dark", "penalty", 2.0);
 
-	ws_zones_defaults(&settings);
-	zones = ws_zones_new(&settings, &limits, log_text, &wrong);
-	ws_zones_ops.elected(zones, &(struct ws_election_facts){.now = 10});
-	ws_zones_ops.record_loaded(zones, "domain/far", record);
-	ws_zones_ops.records_loaded(zones, 10);
-	domain = ws_zones_domain_find(zones, "far");
+	ws_domains_defaults(&settings);
+	zones = ws_domains_new(&settings, &limits, log_text, &wrong);
+	ws_domains_ops.elected(zones, &(struct ws_election_facts){.now = 10});
+	ws_domains_ops.record_loaded(zones, "domain/far", record);
+	ws_domains_ops.records_loaded(zones, 10);
+	domain = ws_failure_domain_find(zones, "far");
 	check("a zone on record that is not listed is dark",
-	      domain && domain->state == WS_ZONES_DARK && domain->penalty == 2);
-	check("and avoided", ws_zones_ops.zone_avoided(zones, 11, "far"));
-	check("one that nobody has heard of is not", !ws_zones_ops.zone_avoided(zones, 11, "near"));
+	      domain && domain->state == WS_DOMAINS_DARK && domain->penalty == 2);
+	check("and avoided", ws_domains_ops.zone_avoided(zones, 11, "far"));
+	check("one that nobody has heard of is not",
+	      !ws_domains_ops.zone_avoided(zones, 11, "near"));
 	json_decref(record);
-	ws_zones_free(zones);
+	ws_domains_free(zones);
 }
 
 int main(void)
--- a/tests/frames_test.c
+++ b/tests/frames_test.c
@@ -13,7 +13,7 @@
 
 /* Sends this and waits for an answer; its length, 0 if the other side closes, -1 if nothing comes.
  */
-static ssize_t tell(int port, const void *bytes, size_t n, uint8_t *answer, size_t max)
+static ssize_t tell(int port, const void *bytes, size_t count, uint8_t *answer, size_t max)
 {
 	struct sockaddr_in a = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
 	struct timeval t = {.tv_sec = 3};
@@ -32,7 +32,8 @@
 	if (fd < 0)
 		return -1;
 	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &t, sizeof(t));
-	got = send(fd, bytes, n, MSG_NOSIGNAL) == (ssize_t)n ? recv(fd, answer, max, 0) : -1;
+	got =
+	    send(fd, bytes, count, MSG_NOSIGNAL) == (ssize_t)count ? recv(fd, answer, max, 0) : -1;
 	close(fd);
 	return got;
 }
@@ -58,7 +59,7 @@
 	char file[] = "/tmp/waystep-frames-XXXXXX", log[64];
 	int port = free_port(), peer = free_port(), status = 0;
 	FILE *f = fdopen(mkstemp(file), "w");
-	Ws__PeerFrame *r;
+	Ws__PeerFrame *frame;
 	uint8_t in[512];
 	ssize_t n;
 	pid_t pid;
@@ -85,10 +86,11 @@
 		_exit(99);
 	}
 	n = tell(peer, unknown, sizeof(unknown) - 1, in, sizeof(in));
-	r = n > 4 ? ws__peer_frame__unpack(NULL, (size_t)n - 4, in + 4) : NULL;
+	frame = n > 4 ? ws__peer_frame__unpack(NULL, (size_t)n - 4, in + 4) : NULL;
 	check("a frame of an unknown kind gets 400",
-	      r && r->kind == WS__PEER_FRAME__KIND__REPLY && r->id == 8 && r->status == 400);
-	ws__peer_frame__free_unpacked(r, NULL);
+	      frame && frame->kind == WS__PEER_FRAME__KIND__REPLY && frame->id == 8 &&
+		  frame->status == 400);
+	ws__peer_frame__free_unpacked(frame, NULL);
 	check("and is logged", logged(log, "a frame of kind 9 of node-1 is refused"));
 	check("a frame that can't be read ends its connection",
 	      tell(peer, garbled, sizeof(garbled) - 1, in, sizeof(in)) == 0);
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -10,22 +10,22 @@
 const char *const loopback_zones[LOOPBACK_NODES] = {"a", "b", "c"};
 struct loopback_node loopback_nodes[LOOPBACK_NODES];
 static struct ev_loop *loop;
-static struct ws_server *state, *cloud;
+static struct ws_http_server *state, *cloud;
 static const char *program, *subsystems;
 static ev_timer ticker;
 
-void loopback_answer(struct ws_server *server, uint64_t token, int status, json_t *body)
+void loopback_answer(struct ws_http_server *server, uint64_t request_id, int status, json_t *body)
 {
 	char *text = json_dumps(body, 0);
 
-	ws_server_answer(server, token, status, text, strlen(text), 0);
+	ws_server_answer(server, request_id, status, text, strlen(text), 0);
 	free(text);
 	json_decref(body);
 }
 
-static void on_tick(struct ev_loop *l, ev_timer *timer, int events)
+static void on_tick(struct ev_loop *loop, ev_timer *timer, int events)
 {
-	(void)l;
+	(void)loop;
 	(void)timer;
 	(void)events;
 	loopback_state_step();
@@ -33,17 +33,17 @@
 	loopback_users_step();
 }
 
-static void settings_write(int n)
+static void settings_write(int count)
 {
-	struct loopback_node *node = &loopback_nodes[n];
+	struct loopback_node *node = &loopback_nodes[count];
 	FILE *f;
 
 	strcpy(node->file, "/tmp/waystep-loopback-XXXXXX");
 	f = fdopen(mkstemp(node->file), "w");
-	fprintf(f, "node='node-%d'\nzone='%s'\nbind='127.0.0.1:%d'\npeer_bind='127.0.0.1:%d'\n", n,
-		loopback_zones[n], node->port, node->peer_port);
+	fprintf(f, "node='node-%d'\nzone='%s'\nbind='127.0.0.1:%d'\npeer_bind='127.0.0.1:%d'\n",
+		count, loopback_zones[count], node->port, node->peer_port);
 	for (int i = 0; i < LOOPBACK_NODES; i++)
-		if (i != n)
+		if (i != count)
 			fprintf(f,
 				"[[seeds]]\nnode='node-%d'\nzone='%s'\nendpoint='127.0.0.1:%d'\n",
 				i, loopback_zones[i], loopback_nodes[i].peer_port);
@@ -59,28 +59,28 @@
 	fclose(f);
 }
 
-void loopback_start_node(int n)
+void loopback_start_node(int count)
 {
-	loopback_nodes[n].pid = fork();
-	if (loopback_nodes[n].pid)
+	loopback_nodes[count].pid = fork();
+	if (loopback_nodes[count].pid)
 		return;
 	if (!getenv("LOG_LEVEL"))
 		(void)!freopen("/dev/null", "w", stderr);
 	if (subsystems)
 		execl(program, program, "--subsystems", subsystems, "--config",
-		      loopback_nodes[n].file, (char *)NULL);
+		      loopback_nodes[count].file, (char *)NULL);
 	else
-		execl(program, program, "--config", loopback_nodes[n].file, (char *)NULL);
+		execl(program, program, "--config", loopback_nodes[count].file, (char *)NULL);
 	_exit(99);
 }
 
-void loopback_kill_node(int n)
+void loopback_kill_node(int count)
 {
-	if (loopback_nodes[n].pid <= 0)
+	if (loopback_nodes[count].pid <= 0)
 		return;
-	kill(loopback_nodes[n].pid, SIGKILL);
-	waitpid(loopback_nodes[n].pid, NULL, 0);
-	loopback_nodes[n].pid = 0;
+	kill(loopback_nodes[count].pid, SIGKILL);
+	waitpid(loopback_nodes[count].pid, NULL, 0);
+	loopback_nodes[count].pid = 0;
 }
 
 void loopback_kill_all(void)
@@ -97,9 +97,9 @@
 
 void loopback_start(const char *binary, const char *switches)
 {
-	static const struct ws_server_opts options = {
+	static const struct ws_http_server_options options = {
 	    .max = 200, .backlog = 64, .keep = {200, 200, 200}, .idle = {60, 60, 60}, .slow = 60};
-	struct ws_client_opts users = {
+	struct ws_http_client_options users = {
 	    .max_conns = 4, .max_queue = LOOPBACK_JOBS, .max_reply = 65536};
 
 	signal(SIGPIPE, SIG_IGN);
@@ -124,9 +124,9 @@
 	ev_timer_start(loop, &ticker);
 }
 
-static void on_signal(struct ev_loop *l, ev_signal *watcher, int events)
+static void on_signal(struct ev_loop *loop, ev_signal *watcher, int events)
 {
-	(void)l;
+	(void)loop;
 	(void)watcher;
 	(void)events;
 	loopback_kill_all();
@@ -218,7 +218,7 @@
 		_exit(99);
 	}
 	close(ends[1]);
-	while (waitpid(pid, &status, WNOHANG) == 0) /* it talks to our state service */
+	while (waitpid(pid, &status, WNOHANG) == 0) /* it talks to our store */
 		ev_run(loop, EVRUN_ONCE);
 	got = read(ends[0], line, size - 1);
 	line[got > 0 ? got : 0] = 0;
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -1,5 +1,5 @@
 /*
- * A whole cluster on loopback sockets for one test process: stand-ins for state service, cloud,
+ * A whole cluster on loopback sockets for one test process: stand-ins for store, cloud,
  * workers and users round real controller processes, and the history of what ran where.
  */
 #ifndef WS_TEST_LOOPBACK_H
--- a/tests/loopback_cloud.c
+++ b/tests/loopback_cloud.c
@@ -1,7 +1,7 @@
 /* The loopback cluster's cloud: the workers are owned, and there is nothing to rent. */
 #include "loopback_parts.h"
 
-static struct ws_server *cloud;
+static struct ws_http_server *cloud;
 
 static json_t *hosts(void)
 {
@@ -20,27 +20,28 @@
 	return list;
 }
 
-static void on_cloud(void *context, uint64_t token, const char *method, const char *path,
+static void on_cloud(void *context, uint64_t request_id, const char *method, const char *path,
 		     const char *body, size_t length)
 {
 	(void)context;
 	(void)body;
 	(void)length;
 	if (!strcmp(path, "/machine_types"))
-		loopback_answer(cloud, token, 200,
+		loopback_answer(cloud, request_id, 200,
 				json_pack("{s:[{s:s,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:[s,s,s]}]}",
 					  "flavours", "name", "std", "vcpus", 16.0, "accelerators",
 					  0.0, "memGb", 64.0, "localGb", 20.0, "fetchGbPerS", 1.0,
 					  "rate", 1.0, "spotPrice", 0.4, "startupS", 30.0, "halls",
 					  "a", "b", "c"));
 	else if (!strcmp(method, "GET"))
-		loopback_answer(cloud, token, 200,
+		loopback_answer(cloud, request_id, 200,
 				json_pack("{s:o,s:b}", "hosts", hosts(), "hasNext", 0));
 	else
-		loopback_answer(cloud, token, 503, json_pack("{s:s}", "error", "no capacity"));
+		loopback_answer(cloud, request_id, 503, json_pack("{s:s}", "error", "no capacity"));
 }
 
-struct ws_server *loopback_cloud_open(struct ev_loop *loop, const struct ws_server_opts *options)
+struct ws_http_server *loopback_cloud_open(struct ev_loop *loop,
+					   const struct ws_http_server_options *options)
 {
 	char error[200];
 
--- a/tests/loopback_parts.h
+++ b/tests/loopback_parts.h
@@ -25,8 +25,8 @@
 struct loopback_worker {
 	char name[32];
 	int zone, port, node;
-	struct ws_server *server;
-	struct ws_client *to[LOOPBACK_NODES];
+	struct ws_http_server *server;
+	struct ws_http_client *clients[LOOPBACK_NODES];
 	uint64_t tenure, counter, epoch, report;
 	double answered_sent, sent_at, next_report;
 	bool waiting, dark;
@@ -38,7 +38,7 @@
 	pid_t pid;
 	int port, peer_port;
 	char file[64];
-	struct ws_client *client;
+	struct ws_http_client *client;
 };
 
 extern const char *const loopback_zones[LOOPBACK_NODES];
@@ -47,10 +47,11 @@
 extern struct loopback_counts loopback_count;
 
 /* Answers a request and drops the body. */
-void loopback_answer(struct ws_server *server, uint64_t token, int status, json_t *body);
+void loopback_answer(struct ws_http_server *server, uint64_t request_id, int status, json_t *body);
 
-/* loopback_state.c: the state service */
-struct ws_server *loopback_state_open(struct ev_loop *loop, const struct ws_server_opts *options);
+/* loopback_state.c: the store */
+struct ws_http_server *loopback_state_open(struct ev_loop *loop,
+					   const struct ws_http_server_options *options);
 void loopback_state_close(void);
 /* Ends holds that were not renewed, answers watches. */
 void loopback_state_step(void);
@@ -58,10 +59,12 @@
 json_t *loopback_record(const char *key);
 
 /* loopback_cloud.c: a cloud that has nothing to rent */
-struct ws_server *loopback_cloud_open(struct ev_loop *loop, const struct ws_server_opts *options);
+struct ws_http_server *loopback_cloud_open(struct ev_loop *loop,
+					   const struct ws_http_server_options *options);
 
 /* loopback_workers.c */
-void loopback_worker_open(struct ev_loop *loop, int i, const struct ws_server_opts *options);
+void loopback_worker_open(struct ev_loop *loop, int index,
+			  const struct ws_http_server_options *options);
 void loopback_workers_close(void);
 void loopback_workers_step(void);
 
--- a/tests/loopback_state.c
+++ b/tests/loopback_state.c
@@ -1,11 +1,11 @@
-/* The loopback cluster's state service: records, holds, watches. */
+/* The loopback cluster's store: records, holds, watches. */
 #include "loopback_parts.h"
 #include "../src/core/core.h"
 
 #define WATCHES 32
 #define HOLDS 256
 
-static struct ws_server *state;
+static struct ws_http_server *state;
 static json_t *records, *removed;
 static json_int_t revision = 1;
 static struct {
@@ -76,19 +76,19 @@
 	}
 }
 
-static void on_watch(uint64_t token, const char *path, const char *prefix)
+static void on_watch(uint64_t request_id, const char *path, const char *prefix)
 {
 	for (int i = 0; i < WATCHES; i++) {
 		if (watches[i].token)
 			continue;
-		watches[i].token = token;
+		watches[i].token = request_id;
 		watches[i].since = atoll(strstr(path, "since=") + 6);
 		watches[i].until = ws_now() + atof(strstr(path, "holdMs=") + 7) / 1000;
 		snprintf(watches[i].prefix, sizeof(watches[i].prefix), "%s", prefix);
 		watches_wake();
 		return;
 	}
-	loopback_answer(state, token, 503, json_object());
+	loopback_answer(state, request_id, 503, json_object());
 }
 
 static bool hold_live(json_int_t id)
@@ -96,7 +96,7 @@
 	return id > 0 && id <= (json_int_t)hold_count && holds[id - 1].live;
 }
 
-static void on_transaction(uint64_t token, json_t *body)
+static void on_transaction(uint64_t request_id, json_t *body)
 {
 	json_t *failed = json_array(), *entry;
 	size_t i;
@@ -110,7 +110,7 @@
 			json_array_append_new(failed, json_string(key));
 	}
 	if (json_array_size(failed)) {
-		loopback_answer(state, token, 409,
+		loopback_answer(state, request_id, 409,
 				json_pack("{s:o,s:I}", "failed", failed, "ledgerRev", revision));
 		return;
 	}
@@ -125,7 +125,7 @@
 		else
 			record_put(json_string_value(json_object_get(entry, "delete")), NULL, 0);
 	}
-	loopback_answer(state, token, 200, json_pack("{s:I}", "ledgerRev", revision));
+	loopback_answer(state, request_id, 200, json_pack("{s:I}", "ledgerRev", revision));
 	watches_wake();
 }
 
@@ -146,7 +146,7 @@
 	watches_wake();
 }
 
-static void on_hold(uint64_t token, const char *method, const char *path, json_t *body)
+static void on_hold(uint64_t request_id, const char *method, const char *path, json_t *body)
 {
 	json_int_t id = atoll(path + strcspn(path + 1, "/") + 2);
 
@@ -155,16 +155,16 @@
 		id = ++hold_count % HOLDS;
 		holds[id - 1].live = true;
 	} else if (!hold_live(id)) {
-		loopback_answer(state, token, 404, json_object());
+		loopback_answer(state, request_id, 404, json_object());
 		return;
 	} else if (!strcmp(method, "DELETE")) {
 		hold_end(id);
 	}
 	holds[id - 1].until = ws_now() + holds[id - 1].ttl;
-	loopback_answer(state, token, 200, json_pack("{s:I}", "permit", id));
+	loopback_answer(state, request_id, 200, json_pack("{s:I}", "permit", id));
 }
 
-static void on_state(void *context, uint64_t token, const char *method, const char *path,
+static void on_state(void *context, uint64_t request_id, const char *method, const char *path,
 		     const char *body, size_t length)
 {
 	json_t *request = length ? json_loadb(body, length, 0, NULL) : NULL;
@@ -174,28 +174,29 @@
 	if (strstr(path, "starts="))
 		sscanf(strstr(path, "starts=") + 7, "%63[^&]", prefix);
 	if (!strncmp(path, "/kv?", 4)) {
-		loopback_answer(state, token, 200,
+		loopback_answer(state, request_id, 200,
 				json_pack("{s:o,s:b,s:I}", "entries", record_list(prefix, 0, false),
 					  "hasNext", 0, "ledgerRev", revision));
 	} else if (!strncmp(path, "/kv/", 4)) {
 		json_t *record = json_object_get(records, path + 4);
 
-		loopback_answer(state, token, record ? 200 : 404,
+		loopback_answer(state, request_id, record ? 200 : 404,
 				record ? json_pack("{s:s,s:O,s:O}", "k", path + 4, "value",
 						   json_object_get(record, "value"), "stamp",
 						   json_object_get(record, "stamp"))
 				       : json_pack("{s:I}", "ledgerRev", revision));
 	} else if (!strncmp(path, "/watch", 6)) {
-		on_watch(token, path, prefix);
+		on_watch(request_id, path, prefix);
 	} else if (!strcmp(path, "/multi")) {
-		on_transaction(token, request);
+		on_transaction(request_id, request);
 	} else {
-		on_hold(token, method, path, request);
+		on_hold(request_id, method, path, request);
 	}
 	json_decref(request);
 }
 
-struct ws_server *loopback_state_open(struct ev_loop *loop, const struct ws_server_opts *options)
+struct ws_http_server *loopback_state_open(struct ev_loop *loop,
+					   const struct ws_http_server_options *options)
 {
 	char error[200];
 
--- a/tests/loopback_users.c
+++ b/tests/loopback_users.c
@@ -40,7 +40,7 @@
 	json_decref(message);
 }
 
-static void job_send(struct loopback_job *job, struct ws_client *client)
+static void job_send(struct loopback_job *job, struct ws_http_client *client)
 {
 	char text[700];
 
@@ -62,7 +62,7 @@
 		return;
 	next_poll = ws_now() + POLL_S;
 	for (unsigned i = 0; i < job_count; i++) {
-		struct ws_client *client = loopback_nodes[next_node++ % LOOPBACK_NODES].client;
+		struct ws_http_client *client = loopback_nodes[next_node++ % LOOPBACK_NODES].client;
 		char path[sizeof(jobs[i].id) + 16];
 
 		snprintf(path, sizeof(path), "/v2/runs/%.31s", jobs[i].id);
