--- a/tests/loopback_workers.c
+++ b/tests/loopback_workers.c
@@ -18,194 +18,197 @@
 		}
 }
 
-static json_t *report(struct loopback_worker *w)
+static json_t *report(struct loopback_worker *worker)
 {
 	static const char *const names[] = {"pulling", "running", "exited"};
 	json_t *tasks = json_array();
 	char address[32];
 
-	for (unsigned i = 0; i < w->count; i++) {
-		const struct loopback_task *t = &w->tasks[i];
+	for (unsigned i = 0; i < worker->count; i++) {
+		const struct loopback_task *task = &worker->tasks[i];
 		char name[64];
-		json_t *o;
-
-		snprintf(name, sizeof(name), "%s/%u", t->job, t->number);
-		o = json_pack("{s:s,s:I,s:s}", "shard", name, "tryNo", (json_int_t)t->attempt,
-			      "phase", names[t->state]);
-		if (t->cause)
-			json_object_set_new(o, "cause", json_string(t->cause));
-		json_array_append_new(tasks, o);
+		json_t *object;
+
+		snprintf(name, sizeof(name), "%s/%u", task->job, task->number);
+		object = json_pack("{s:s,s:I,s:s}", "shard", name, "tryNo",
+				   (json_int_t)task->attempt, "phase", names[task->state]);
+		if (task->cause)
+			json_object_set_new(object, "cause", json_string(task->cause));
+		json_array_append_new(tasks, object);
 	}
-	snprintf(address, sizeof(address), "127.0.0.1:%d", w->port);
-	return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "host", w->name, "address",
-			 address, "flavour", "std", "hall", loopback_zones[w->zone], "reclaimable",
-			 0, "tenure", (json_int_t)w->tenure, "counter", (json_int_t)++w->counter,
-			 "epoch", (json_int_t)w->epoch, "warningS", "shards", tasks);
+	snprintf(address, sizeof(address), "127.0.0.1:%d", worker->port);
+	return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "host", worker->name,
+			 "address", address, "flavour", "std", "hall", loopback_zones[worker->zone],
+			 "reclaimable", 0, "tenure", (json_int_t)worker->tenure, "counter",
+			 (json_int_t)++worker->counter, "epoch", (json_int_t)worker->epoch,
+			 "warningS", "shards", tasks);
 }
 
-static void changed(struct loopback_worker *w)
+static void changed(struct loopback_worker *worker)
 {
-	if (w->next_report > ws_now() + 0.1)
-		w->next_report = ws_now() + 0.1;
+	if (worker->next_report > ws_now() + 0.1)
+		worker->next_report = ws_now() + 0.1;
 }
 
-static void order(struct loopback_worker *w, json_t *o)
+static void order(struct loopback_worker *worker, json_t *object)
 {
-	const char *verb = json_string_value(json_object_get(o, "verb"));
-	const char *shard = json_string_value(json_object_get(o, "shard"));
-	uint64_t attempt = (uint64_t)json_integer_value(json_object_get(o, "tryNo"));
+	const char *verb = json_string_value(json_object_get(object, "verb"));
+	const char *shard = json_string_value(json_object_get(object, "shard"));
+	uint64_t attempt = (uint64_t)json_integer_value(json_object_get(object, "tryNo"));
 	unsigned number = (unsigned)atoi(strrchr(shard, '/') + 1);
-	struct loopback_task *t = NULL;
+	struct loopback_task *task = NULL;
 	char job[32];
 
 	snprintf(job, sizeof(job), "%.*s", (int)strcspn(shard, "/"), shard);
-	for (unsigned i = 0; i < w->count; i++)
-		if (w->tasks[i].attempt == attempt && w->tasks[i].number == number &&
-		    !strcmp(w->tasks[i].job, job))
-			t = &w->tasks[i];
-	if (!strcmp(verb, "run") && !t && w->count < LOOPBACK_TASKS) {
+	for (unsigned i = 0; i < worker->count; i++)
+		if (worker->tasks[i].attempt == attempt && worker->tasks[i].number == number &&
+		    !strcmp(worker->tasks[i].job, job))
+			task = &worker->tasks[i];
+	if (!strcmp(verb, "run") && !task && worker->count < LOOPBACK_TASKS) {
 		loopback_count.run_orders++;
-		t = &w->tasks[w->count++];
-		*t = (struct loopback_task){
+		task = &worker->tasks[worker->count++];
+		*task = (struct loopback_task){
 		    .number = number, .attempt = attempt, .until = ws_now() + 0.1};
-		snprintf(t->job, sizeof(t->job), "%s", job);
-	} else if (!strcmp(verb, "stop") && t && t->state != LOOPBACK_EXITED) {
+		snprintf(task->job, sizeof(task->job), "%s", job);
+	} else if (!strcmp(verb, "stop") && task && task->state != LOOPBACK_EXITED) {
 		loopback_count.stop_orders++;
-		t->state = LOOPBACK_EXITED;
-		t->cause = "stopped";
-	} else if (!strcmp(verb, "reap") && t && t->state == LOOPBACK_EXITED) {
+		task->state = LOOPBACK_EXITED;
+		task->cause = "stopped";
+	} else if (!strcmp(verb, "reap") && task && task->state == LOOPBACK_EXITED) {
 		loopback_count.reap_orders++;
-		*t = w->tasks[--w->count];
+		*task = worker->tasks[--worker->count];
 	}
-	changed(w);
+	changed(worker);
 }
 
 /* Orders with a token; false if it is too low. */
-static bool orders(struct loopback_worker *w, json_t *message)
+static bool orders(struct loopback_worker *worker, json_t *message)
 {
 	uint64_t epoch = (uint64_t)json_integer_value(json_object_get(message, "epoch"));
-	json_t *o;
+	json_t *object;
 	size_t i;
 
-	if (epoch < w->epoch)
+	if (epoch < worker->epoch)
 		return false;
-	if (epoch > w->epoch)
-		changed(w);
-	w->epoch = epoch;
-	json_array_foreach (json_object_get(message, "orders"), i, o)
-		order(w, o);
+	if (epoch > worker->epoch)
+		changed(worker);
+	worker->epoch = epoch;
+	json_array_foreach (json_object_get(message, "orders"), i, object)
+		order(worker, object);
 	return true;
 }
 
-static void on_command(void *context, uint64_t token, const char *method, const char *path,
+static void on_command(void *context, uint64_t request_id, const char *method, const char *path,
 		       const char *body, size_t length)
 {
-	struct loopback_worker *w = context;
+	struct loopback_worker *worker = context;
 	json_t *message = json_loadb(body, length, 0, NULL);
 	bool ok;
 
 	(void)method;
 	(void)path;
-	if (w->dark) { /* nobody hears the answer */
+	if (worker->dark) { /* nobody hears the answer */
 		json_decref(message);
 		return;
 	}
-	ok = json_integer_value(json_object_get(message, "tenure")) == (json_int_t)w->tenure &&
-	     orders(w, message);
-	loopback_answer(w->server, token, ok ? 200 : 409, report(w));
+	ok = json_integer_value(json_object_get(message, "tenure")) == (json_int_t)worker->tenure &&
+	     orders(worker, message);
+	loopback_answer(worker->server, request_id, ok ? 200 : 409, report(worker));
 	json_decref(message);
 }
 
 static void on_answer(void *context, int status, const char *body, size_t length)
 {
-	struct loopback_worker *w = context;
+	struct loopback_worker *worker = context;
 	json_t *message;
 	const char *leader;
 
-	w->waiting = false;
-	if (w->dark)
+	worker->waiting = false;
+	if (worker->dark)
 		return;
 	message = json_loadb(body, length, 0, NULL);
 	leader = json_string_value(json_object_get(message, "supervisor"));
-	if (status == 200 && orders(w, message)) {
-		w->answered_sent = w->sent_at;
-	} else if (status == 421 && leader && atoi(leader + 5) != w->node) {
-		w->node = atoi(leader + 5);
-		w->next_report = ws_now() + 0.1;
+	if (status == 200 && orders(worker, message)) {
+		worker->answered_sent = worker->sent_at;
+	} else if (status == 421 && leader && atoi(leader + 5) != worker->node) {
+		worker->node = atoi(leader + 5);
+		worker->next_report = ws_now() + 0.1;
 	} else {
-		w->node = (w->node + 1) % LOOPBACK_NODES;
-		w->next_report = ws_now() + 1;
+		worker->node = (worker->node + 1) % LOOPBACK_NODES;
+		worker->next_report = ws_now() + 1;
 	}
 	json_decref(message);
 }
 
-static void task_step(struct loopback_worker *w, struct loopback_task *t)
+static void task_step(struct loopback_worker *worker, struct loopback_task *task)
 {
-	struct loopback_job *job = loopback_job_of(t->job);
+	struct loopback_job *job = loopback_job_of(task->job);
 
-	if (t->state == LOOPBACK_EXITED || ws_now() < t->until)
+	if (task->state == LOOPBACK_EXITED || ws_now() < task->until)
 		return;
-	if (t->state == LOOPBACK_PULLING) {
-		t->state = LOOPBACK_RUNNING;
-		t->until = job->service ? 1e18 : ws_now() + job->run_s;
+	if (task->state == LOOPBACK_PULLING) {
+		task->state = LOOPBACK_RUNNING;
+		task->until = job->service ? 1e18 : ws_now() + job->run_s;
 		loopback_count.starts++;
-		check_alone(t);
+		check_alone(task);
 	} else {
-		t->state = LOOPBACK_EXITED;
-		t->cause = "done";
+		task->state = LOOPBACK_EXITED;
+		task->cause = "done";
 		loopback_count.finishes++;
 	}
-	changed(w);
+	changed(worker);
 }
 
-static void worker_step(struct loopback_worker *w)
+static void worker_step(struct loopback_worker *worker)
 {
 	char *text;
 	json_t *body;
 
-	if (ws_now() - w->answered_sent > LOOPBACK_LEASE_S) {
-		for (unsigned i = 0; i < w->count; i++)
-			loopback_count.lost += w->tasks[i].state != LOOPBACK_EXITED;
-		w->count = 0;
-		w->tenure++;
-		w->answered_sent = ws_now();
+	if (ws_now() - worker->answered_sent > LOOPBACK_LEASE_S) {
+		for (unsigned i = 0; i < worker->count; i++)
+			loopback_count.lost += worker->tasks[i].state != LOOPBACK_EXITED;
+		worker->count = 0;
+		worker->tenure++;
+		worker->answered_sent = ws_now();
 	}
-	for (unsigned i = 0; i < w->count; i++)
-		task_step(w, &w->tasks[i]);
-	if (w->dark || w->waiting || ws_now() < w->next_report)
+	for (unsigned i = 0; i < worker->count; i++)
+		task_step(worker, &worker->tasks[i]);
+	if (worker->dark || worker->waiting || ws_now() < worker->next_report)
 		return;
-	body = report(w);
+	body = report(worker);
 	text = json_dumps(body, 0);
 	json_decref(body);
-	w->sent_at = ws_now();
-	w->next_report = ws_now() + LOOPBACK_REPORT_S;
-	w->waiting = ws_client_send(w->to[w->node], "POST", "/checkin", text, strlen(text), 4,
-				    false, on_answer, w);
+	worker->sent_at = ws_now();
+	worker->next_report = ws_now() + LOOPBACK_REPORT_S;
+	worker->waiting = ws_client_send(worker->clients[worker->node], "POST", "/checkin", text,
+					 strlen(text), 4, false, on_answer, worker);
 	free(text);
 }
 
-void loopback_worker_open(struct ev_loop *loop, int i, const struct ws_server_opts *options)
+void loopback_worker_open(struct ev_loop *loop, int index,
+			  const struct ws_http_server_options *options)
 {
-	struct ws_client_opts client = {.max_conns = 1, .max_queue = 2, .max_reply = 65536};
-	struct loopback_worker *w = &loopback_workers[i];
+	struct ws_http_client_options client = {.max_conns = 1, .max_queue = 2, .max_reply = 65536};
+	struct loopback_worker *worker = &loopback_workers[index];
 	char error[200];
 
-	snprintf(w->name, sizeof(w->name), "n-%06d", i);
-	w->zone = i % LOOPBACK_NODES;
-	w->server =
-	    ws_server_new(loop, "127.0.0.1", 0, options, on_command, w, error, sizeof(error));
-	w->port = ws_server_port(w->server);
-	w->tenure = 1;
-	w->answered_sent = ws_now();
+	snprintf(worker->name, sizeof(worker->name), "n-%06d", index);
+	worker->zone = index % LOOPBACK_NODES;
+	worker->server =
+	    ws_server_new(loop, "127.0.0.1", 0, options, on_command, worker, error, sizeof(error));
+	worker->port = ws_server_port(worker->server);
+	worker->tenure = 1;
+	worker->answered_sent = ws_now();
 	for (int n = 0; n < LOOPBACK_NODES; n++)
-		w->to[n] = ws_client_new(loop, "127.0.0.1", loopback_nodes[n].port, &client);
+		worker->clients[n] =
+		    ws_client_new(loop, "127.0.0.1", loopback_nodes[n].port, &client);
 }
 
 void loopback_workers_close(void)
 {
 	for (int i = 0; i < LOOPBACK_WORKERS; i++) {
 		for (int n = 0; n < LOOPBACK_NODES; n++)
-			ws_client_free(loopback_workers[i].to[n]);
+			ws_client_free(loopback_workers[i].clients[n]);
 		ws_server_free(loopback_workers[i].server);
 	}
 }
@@ -225,11 +228,12 @@
 
 unsigned loopback_running_on(int worker, const char *job)
 {
-	const struct loopback_worker *w = &loopback_workers[worker];
+	const struct loopback_worker *other_worker = &loopback_workers[worker];
 	unsigned n = 0;
 
-	for (unsigned i = 0; i < w->count; i++)
-		n += w->tasks[i].state == LOOPBACK_RUNNING && !strcmp(w->tasks[i].job, job);
+	for (unsigned i = 0; i < other_worker->count; i++)
+		n += other_worker->tasks[i].state == LOOPBACK_RUNNING &&
+		     !strcmp(other_worker->tasks[i].job, job);
 	return n;
 }
 
--- a/tests/random_coldstart.c
+++ b/tests/random_cold_start.c
@@ -1,6 +1,6 @@
 /*
  * Scenarios drawn at random: all controllers stop, once or several times, and return together or
- * one by one; machines lose power, zones are late, the state service is out or slow, late messages
+ * one by one; machines lose power, zones are late, the store is out or slow, late messages
  * come, and the store may lose records. No order may start anew what is alive, and in the end every
  * job is answered for.
  */
@@ -13,45 +13,45 @@
 	return spans[random_draw(10)] + random_draw(10) / 10.0;
 }
 
-static void draw_return(double at, double span)
+static void draw_return(double time, double span)
 {
 	if (random_chance(30))
-		random_event(at, "crash-in-turn first=%.1f every=%u", span, 1 + random_draw(30));
+		random_event(time, "crash-in-turn first=%.1f every=%u", span, 1 + random_draw(30));
 	else if (random_chance(10))
 		for (unsigned n = 0; n < 3; n++)
-			random_event(at, "freeze %u for=%.1f", n, span + random_draw(4));
+			random_event(time, "freeze %u for=%.1f", n, span + random_draw(4));
 	else
-		random_event(at, "crash all for=%.1f", span);
+		random_event(time, "crash all for=%.1f", span);
 }
 
 /* What else fails with the site. */
-static void draw_company(double at, double span, unsigned zones)
+static void draw_company(double time, double span, unsigned zones)
 {
 	if (random_chance(30))
-		random_event(at, "power-loss share=0.%u for=%u", 2 + random_draw(8),
+		random_event(time, "power-loss share=0.%u for=%u", 2 + random_draw(8),
 			     3 + random_draw(60));
 	if (random_chance(25))
-		random_event(at, "dark %c for=%u", 'a' + (int)random_draw(zones),
+		random_event(time, "dark %c for=%u", 'a' + (int)random_draw(zones),
 			     5 + random_draw(50));
 	if (random_chance(20))
-		random_event(at, "state-outage for=%.1f", span + random_draw(10));
+		random_event(time, "state-outage for=%.1f", span + random_draw(10));
 	if (random_chance(15))
-		random_event(at + span, "slow-state 0.%u for=10", 1 + random_draw(8));
+		random_event(time + span, "slow-state 0.%u for=10", 1 + random_draw(8));
 	if (random_chance(15))
-		random_event(at + span, "refuse %u for=%u", random_draw(3), 3 + random_draw(20));
+		random_event(time + span, "refuse %u for=%u", random_draw(3), 3 + random_draw(20));
 	if (random_chance(15))
-		random_event(at + span, "cloud-outage for=20");
+		random_event(time + span, "cloud-outage for=20");
 	if (random_chance(20))
-		random_event(at - 6, "copies %u for=8 for-next", 10 + random_draw(30));
+		random_event(time - 6, "copies %u for=8 for-next", 10 + random_draw(30));
 	if (random_chance(15))
-		random_event(at - 1, "late orders times=3 by=%u", 5 + random_draw(25));
+		random_event(time - 1, "late orders times=3 by=%u", 5 + random_draw(25));
 	if (random_chance(15))
-		random_event(at - 3, "late-writes 0.5 for=4 most=15");
+		random_event(time - 3, "late-writes 0.5 for=4 most=15");
 	if (random_chance(15))
-		random_event(at + span, "crash-on txn %sskip=%u for=3",
+		random_event(time + span, "crash-on txn %sskip=%u for=3",
 			     random_chance(50) ? "after " : "", random_draw(6));
 	if (random_chance(25))
-		random_event(at + span + random_draw(8), "crash leader for=%u",
+		random_event(time + span + random_draw(8), "crash leader for=%u",
 			     2 + random_draw(20));
 }
 
--- a/tests/random_zones.c
+++ b/tests/random_failure_domains.c
@@ -1,6 +1,6 @@
 /*
  * Scenarios drawn at random: zones go dark while leaders end, are cut off and refused, answers are
- * lost, and reports come twice. In the end every job is answered for.
+ * lost, and heartbeats come twice. In the end every job is answered for.
  */
 #include "random_parts.h"
 
--- a/tests/random_parts.c
+++ b/tests/random_parts.c
@@ -35,28 +35,28 @@
 }
 
 struct event {
-	double at;
+	double time;
 	char text[120];
 };
 static struct event events[EVENTS_MAX];
 static size_t event_count;
 
-void random_event(double at, const char *format, ...)
+void random_event(double time, const char *format, ...)
 {
 	struct event *e = &events[event_count++];
 	va_list arguments;
 
-	e->at = at;
+	e->time = time;
 	va_start(arguments, format);
 	vsnprintf(e->text, sizeof(e->text), format, arguments);
 	va_end(arguments);
 }
 
-static int by_time(const void *a, const void *b)
+static int by_time(const void *left, const void *right)
 {
-	const struct event *x = a, *y = b;
+	const struct event *x = left, *y = right;
 
-	return (x->at > y->at) - (x->at < y->at);
+	return (x->time > y->time) - (x->time < y->time);
 }
 
 void random_cluster(unsigned zones)
@@ -119,7 +119,7 @@
 	generate();
 	qsort(events, event_count, sizeof(*events), by_time);
 	for (size_t i = 0; i < event_count; i++)
-		random_line("at %.2f %s", events[i].at, events[i].text);
+		random_line("at %.2f %s", events[i].time, events[i].text);
 	random_line("at %d expect leader", PLAYED_S);
 	random_line("at %d expect all-answered 75", PLAYED_S);
 	ok = !error[0] && sim_play(sim, error, sizeof(error));
--- a/tests/random_parts.h
+++ b/tests/random_parts.h
@@ -8,8 +8,8 @@
 bool random_chance(unsigned percent);
 /* A line of the scenario; an event goes in by its time, when all are drawn. */
 void random_line(const char *format, ...) __attribute__((format(printf, 1, 2)));
-void random_event(double at, const char *format, ...) __attribute__((format(printf, 2, 3)));
-/* Lease, report period, zones, machines and a team. */
+void random_event(double time, const char *format, ...) __attribute__((format(printf, 2, 3)));
+/* Lease, heartbeat interval, zones, machines and a team. */
 void random_cluster(unsigned zones);
 /* A job of any shape, which its user may cancel. */
 void random_job(unsigned number, unsigned zones);
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -7,7 +7,7 @@
 #include "codec.h"
 #include "peer.h"
 
-/* As production wrote them: an array under way, a gang as it knew them, one that is withdrawn. */
+/* As production wrote them: an array under way, a gang as it knew them, one that is cancelled. */
 static const char array_job[] =
     "{\"ph\":\"running\",\"at\":1764642032.1234567,\"cl\":\"accrual-batch\",\"tm\":\"ledger-ops-"
     "03\","
@@ -32,13 +32,13 @@
 static const char old_types[] = "[[\"std16\",16.0,0.0,128.0,80.0,0.4,0.91,0.41,35.0,[\"huye\"]]]";
 
 /* What production's reader of job records asks for: these fields, of these types. */
-static bool old_reads_job(json_t *v)
+static bool old_reads_job(json_t *value)
 {
 	static const char *const need[] = {"ph:s", "at:f", "cl:s", "tm:s", "sv:b", "ti:i", "n:i",
 					   "c:f",  "g:f",  "m:f",  "im:s", "gb:f", "ty:a", "z:s",
 					   "fl:i", "e:f",  "ck:f", "sa:f", "dl:f"};
 	static const char *const phases = " queued running done withdrawn ";
-	json_t *e, *p = json_object_get(v, "p"), *d = json_object_get(v, "d");
+	json_t *element, *p = json_object_get(value, "p"), *d = json_object_get(value, "d");
 	char name[8], phase[32];
 	size_t i;
 
@@ -46,25 +46,25 @@
 		const char *colon = strchr(need[i], ':');
 
 		snprintf(name, sizeof(name), "%.*s", (int)(colon - need[i]), need[i]);
-		e = json_object_get(v, name);
-		if (!(colon[1] == 's'	? json_is_string(e)
-		      : colon[1] == 'f' ? json_is_number(e)
-		      : colon[1] == 'b' ? json_is_boolean(e)
-		      : colon[1] == 'i' ? json_is_integer(e)
-					: json_is_array(e)))
+		element = json_object_get(value, name);
+		if (!(colon[1] == 's'	? json_is_string(element)
+		      : colon[1] == 'f' ? json_is_number(element)
+		      : colon[1] == 'b' ? json_is_boolean(element)
+		      : colon[1] == 'i' ? json_is_integer(element)
+					: json_is_array(element)))
 			return false;
 	}
-	snprintf(phase, sizeof(phase), " %s ", json_string_value(json_object_get(v, "ph")));
+	snprintf(phase, sizeof(phase), " %s ", json_string_value(json_object_get(value, "ph")));
 	if (!strstr(phases, phase) || (d && !json_is_string(d)) || (p && !json_is_array(p)))
 		return false;
-	json_array_foreach (p, i,
-			    e) { /* [term, zone, shared, "rest[/tenure][#number]=1-3,5;..."] */
-		const char *t = json_string_value(json_array_get(e, 3));
+	json_array_foreach (
+	    p, i, element) { /* [term, zone, shared, "rest[/incarnation][#number]=1-3,5;..."] */
+		const char *t = json_string_value(json_array_get(element, 3));
 		bool named = false;
 
-		if (json_array_size(e) != 4 || !json_is_integer(json_array_get(e, 0)) ||
-		    !json_is_string(json_array_get(e, 1)) ||
-		    !json_is_string(json_array_get(e, 2)) || !t || !*t)
+		if (json_array_size(element) != 4 || !json_is_integer(json_array_get(element, 0)) ||
+		    !json_is_string(json_array_get(element, 1)) ||
+		    !json_is_string(json_array_get(element, 2)) || !t || !*t)
 			return false;
 		for (const char *q = t; *q;) {
 			size_t n = strcspn(q, "/#=;");
@@ -89,96 +89,102 @@
 	return true;
 }
 
-static bool assigned(const struct ws_assigned *l, size_t n, const char *machine, uint32_t task,
-		     uint64_t attempt, uint64_t tenure)
+static bool assigned(const struct ws_recorded_attempt *recorded, size_t count, const char *machine,
+		     uint32_t task, uint64_t attempt, uint64_t tenure)
 {
-	for (size_t i = 0; i < n; i++)
-		if (!strcmp(l[i].machine, machine) && l[i].task == task && l[i].tenure == tenure &&
-		    l[i].attempt == attempt)
+	for (size_t i = 0; i < count; i++)
+		if (!strcmp(recorded[i].machine, machine) && recorded[i].task == task &&
+		    recorded[i].incarnation == tenure && recorded[i].number == attempt)
 			return true;
 	return false;
 }
 
 static void read_jobs(void)
 {
-	json_t *v = json_loads(array_job, 0, NULL);
-	struct ws_job *j = ws_record_read_job("job-000001", v);
-	struct ws_assigned *l;
+	json_t *value = json_loads(array_job, 0, NULL);
+	struct ws_job *job = ws_record_read_job("job-000001", value);
+	struct ws_recorded_attempt *recorded;
 	size_t n;
 
-	check("the statement holds for production's own", old_reads_job(v));
-	check("an array's record reads", j && j->phase == WS_RUNNING && j->spec.tasks == 40 &&
-					     j->ndone == 21 && j->tasks[33].saved &&
-					     !j->tasks[20].done && j->spec.spot && !j->spec.gang &&
-					     j->spec.ntypes == 2 && j->spec.deadline_s == 133);
-	n = ws_record_read_assigned(v, &l);
+	check("the statement holds for production's own", old_reads_job(value));
+	check("an array's record reads",
+	      job && job->phase == WS_JOB_RUNNING && job->spec.tasks == 40 &&
+		  job->done_count == 21 && job->tasks[33].recorded && !job->tasks[20].done &&
+		  job->spec.allows_preemptible && !job->spec.gang && job->spec.type_count == 2 &&
+		  job->spec.deadline_s == 133);
+	n = ws_record_read_attempts(value, &recorded);
 	check("all its attempts", n == 12);
-	check("a range", assigned(l, n, "n-000031", 21, (41ULL << 24) + 5, 1));
-	check("a list", assigned(l, n, "n-000031", 30, (41ULL << 24) + 5, 1));
-	check("the number of the one before", assigned(l, n, "n-000032", 23, (41ULL << 24) + 5, 1));
-	check("a tenure", assigned(l, n, "n-000040", 24, (41ULL << 24) + 9, 2));
-	check("another term", assigned(l, n, "n-000091", 31, (57ULL << 24) + 1, 1));
-	free(l);
-	check("withdrawn, and still readable for it",
-	      ws_record_withdraw(v) && old_reads_job(v) && ws_record_pieces(v) == 0);
-	json_decref(v);
-	if (j) {
-		free(j->tasks);
-		free(j);
+	check("a range", assigned(recorded, n, "n-000031", 21, (41ULL << 24) + 5, 1));
+	check("a list", assigned(recorded, n, "n-000031", 30, (41ULL << 24) + 5, 1));
+	check("the number of the one before",
+	      assigned(recorded, n, "n-000032", 23, (41ULL << 24) + 5, 1));
+	check("a tenure", assigned(recorded, n, "n-000040", 24, (41ULL << 24) + 9, 2));
+	check("another term", assigned(recorded, n, "n-000091", 31, (57ULL << 24) + 1, 1));
+	free(recorded);
+	check("withdrawn, and still readable for it", ws_record_cancel(value) &&
+							  old_reads_job(value) &&
+							  ws_record_continuation_count(value) == 0);
+	json_decref(value);
+	if (job) {
+		free(job->tasks);
+		free(job);
 	}
-	v = json_loads(gang_job, 0, NULL);
-	j = ws_record_read_job("job-000002", v);
-	check("a gang's record reads", j && j->spec.gang && j->spec.one_zone && !j->spec.spread &&
-					   j->phase == WS_QUEUED && j->spec.checkpoint_s == 20 &&
-					   !strcmp(j->spec.zone, "huye"));
-	json_decref(v);
-	v = j ? ws_record_spec(&j->spec, WS_QUEUED, 1.5) : NULL;
-	check("and is written as production reads it", v && old_reads_job(v));
-	json_object_del(v, "fl");
-	check("the statement sees a missing field", v && !old_reads_job(v));
-	json_decref(v);
-	if (j) {
-		free(j->tasks);
-		free(j);
+	value = json_loads(gang_job, 0, NULL);
+	job = ws_record_read_job("job-000002", value);
+	check("a gang's record reads", job && job->spec.gang && job->spec.one_zone &&
+					   !job->spec.spread && job->phase == WS_JOB_QUEUED &&
+					   job->spec.checkpoint_s == 20 &&
+					   !strcmp(job->spec.zone, "huye"));
+	json_decref(value);
+	value = job ? ws_record_spec(&job->spec, WS_JOB_QUEUED, 1.5) : NULL;
+	check("and is written as production reads it", value && old_reads_job(value));
+	json_object_del(value, "fl");
+	check("the statement sees a missing field", value && !old_reads_job(value));
+	json_decref(value);
+	if (job) {
+		free(job->tasks);
+		free(job);
 	}
 }
 
-/* A record of 16 KiB's time: 400 attempts on as many machines, withdrawn under a limit of 2 KiB. */
+/* A record of 16 KiB's time: 400 attempts on as many machines, cancelled under a limit of 2 KiB. */
 static void split(void)
 {
-	json_t *v = json_loads(array_job, 0, NULL), *pieces[8];
+	json_t *value = json_loads(array_job, 0, NULL), *pieces[8];
 	char text[8192];
 	size_t len = 0, n, total;
-	struct ws_assigned *l;
+	struct ws_recorded_attempt *recorded;
 
 	for (int i = 0; i < 400; i++)
 		len += (size_t)snprintf(text + len, sizeof(text) - len, "%s%03d%s=%d", i ? ";" : "",
 					i, i ? "" : "#7", i);
-	json_object_set_new(v, "n", json_integer(400));
-	json_object_set_new(v, "p", json_pack("[[i,s,s,s]]", 41, "huye", "n-000", text));
-	check("a large record of production reads", ws_record_read_assigned(v, &l) == 400);
-	free(l);
-	ws_record_withdraw(v);
-	ws_record_split(v, 2000, pieces, 7, &n);
-	check("it is split", n >= 1 && n <= 3 && ws_record_pieces(v) == n);
-	check("its own record fits and reads", ws_record_size(v) <= 2000 && old_reads_job(v));
-	total = ws_record_read_assigned(v, &l);
+	json_object_set_new(value, "n", json_integer(400));
+	json_object_set_new(value, "p", json_pack("[[i,s,s,s]]", 41, "huye", "n-000", text));
+	check("a large record of production reads",
+	      ws_record_read_attempts(value, &recorded) == 400);
+	free(recorded);
+	ws_record_cancel(value);
+	ws_record_split_attempts(value, 2000, pieces, 7, &n);
+	check("it is split", n >= 1 && n <= 3 && ws_record_continuation_count(value) == n);
+	check("its own record fits and reads",
+	      ws_record_size(value) <= 2000 && old_reads_job(value));
+	total = ws_record_read_attempts(value, &recorded);
 	check("the first attempt is in it",
-	      assigned(l, total, "n-000000", 0, (41ULL << 24) + 7, 1));
-	free(l);
+	      assigned(recorded, total, "n-000000", 0, (41ULL << 24) + 7, 1));
+	free(recorded);
 	for (size_t i = 0; i < n; i++) {
-		size_t k = ws_record_read_assigned(pieces[i], &l);
+		size_t k = ws_record_read_attempts(pieces[i], &recorded);
 
 		check("a piece fits", ws_record_size(pieces[i]) <= 2000);
 		if (i + 1 == n)
 			check("the last attempt is in the last",
-			      assigned(l, k, "n-000399", 399, (41ULL << 24) + 7, 1));
+			      assigned(recorded, k, "n-000399", 399, (41ULL << 24) + 7, 1));
 		total += k;
-		free(l);
+		free(recorded);
 		json_decref(pieces[i]);
 	}
 	check("no attempt is lost", total == 400);
-	json_decref(v);
+	json_decref(value);
 }
 
 static struct ws_settings settings = {.node = "n",
@@ -189,48 +195,51 @@
 				      .value_kb = 2,
 				      .txn_ops = 4,
 				      .zones = {"huye"},
-				      .nzones = 1};
+				      .zone_count = 1};
 
 static void others(void)
 {
-	struct ws_policy p;
-	struct ws_rental r = {0};
-	struct ws_type t[WS_MAX_TYPES];
-	struct ws_core *c;
-	struct ws_machine *m;
-	json_t *v = json_loads(old_rental, 0, NULL), *w;
+	struct ws_policy policy;
+	struct ws_scale_out request = {0};
+	struct ws_machine_type type[WS_MAX_TYPES];
+	struct ws_core *core;
+	struct ws_machine *machine;
+	json_t *value = json_loads(old_rental, 0, NULL), *w;
 
-	check("a rental reads", ws_record_read_rental(v, &r) && r.nhosts == 3 && r.spot &&
-				    r.state == WS_RENTAL_GOT && !strcmp(r.hosts[2], "n-000102"));
-	w = ws_record_rental(&r);
-	check("and is written alike", json_equal(v, w));
-	json_decref(v);
+	check("a rental reads", ws_record_read_scale_out(value, &request) &&
+				    request.instance_count == 3 && request.preemptible &&
+				    request.state == WS_SCALE_OUT_GRANTED &&
+				    !strcmp(request.instances[2], "n-000102"));
+	w = ws_record_scale_out(&request);
+	check("and is written alike", json_equal(value, w));
+	json_decref(value);
 	json_decref(w);
-	free(r.hosts);
-	v = json_loads(old_types, 0, NULL);
-	check("types read",
-	      ws_record_read_types(v, t) == 1 && t[0].cpus == 16 && !strcmp(t[0].zones[0], "huye"));
-	w = ws_record_types(t, 1);
-	check("and are written alike", json_equal(v, w));
-	json_decref(v);
+	free(request.instances);
+	value = json_loads(old_types, 0, NULL);
+	check("types read", ws_record_read_types(value, type) == 1 && type[0].cpus == 16 &&
+				!strcmp(type[0].zones[0], "huye"));
+	w = ws_record_types(type, 1);
+	check("and are written alike", json_equal(value, w));
+	json_decref(value);
 	json_decref(w);
-	ws_policy_defaults(&p);
-	c = ws_core_new(&settings, &p, NULL, 1, 1);
-	v = json_loads(old_chunk, 0, NULL);
-	ws_record_read_chunk(c, v, 0);
-	m = ws_machine_find(c, "n-000002");
-	check("the fleet reads",
-	      m && m->port == 9000 && m->tenure == 3 && m->spot && m->ncache == 1);
-	w = ws_record_chunk(c, 0);
+	ws_policy_defaults(&policy);
+	core = ws_core_new(&settings, &policy, NULL, 1, 1);
+	value = json_loads(old_chunk, 0, NULL);
+	ws_record_read_machine_shard(core, value, 0);
+	machine = ws_machine_find(core, "n-000002");
+	check("the fleet reads", machine && machine->port == 9000 && machine->incarnation == 3 &&
+				     machine->preemptible && machine->image_cache_count == 1);
+	w = ws_record_machine_shard(core, 0);
 	check("and is written in its form",
 	      json_array_size(json_object_get(w, "m")) == 2 &&
 		  json_array_size(json_array_get(json_object_get(w, "m"), 1)) == 8);
-	json_decref(v);
+	json_decref(value);
 	json_decref(w);
-	ws_core_free(c);
+	ws_core_free(core);
 }
 
-/* Frames byte by byte: a report passed on, one of a kind and with a field that nobody knows yet. */
+/* Frames byte by byte: a heartbeat forwarded, one of a kind and with a field that nobody knows yet.
+ */
 static void frames(void)
 {
 	static const uint8_t report[] = "\x08\x01\x10\x07\x1a\x06node-1\x22\x04POST\x2a\x08/checkin"
@@ -238,68 +247,75 @@
 	static const uint8_t later[] = "\x08\x09\x10\x08\x1a\x06node-1\x98\x06\x05";
 	static const uint8_t reply[] = "\x10\x07\x38\xf7\x03\x40\x01";
 	uint8_t out[64];
-	Ws__PeerFrame *f = ws__peer_frame__unpack(NULL, sizeof(report) - 1, report);
+	Ws__PeerFrame *frame = ws__peer_frame__unpack(NULL, sizeof(report) - 1, report);
 
-	check("a report passed on", f && f->kind == WS__PEER_FRAME__KIND__REPORT && f->id == 7 &&
-					!strcmp(f->path, "/checkin") && f->body.len == 2);
-	check("is packed alike", f && ws__peer_frame__pack(f, out) == sizeof(report) - 1 &&
+	check("a report passed on", frame && frame->kind == WS__PEER_FRAME__KIND__HEARTBEAT &&
+					frame->id == 7 && !strcmp(frame->path, "/checkin") &&
+					frame->body.len == 2);
+	check("is packed alike", frame && ws__peer_frame__pack(frame, out) == sizeof(report) - 1 &&
 				     !memcmp(out, report, sizeof(report) - 1));
-	ws__peer_frame__free_unpacked(f, NULL);
-	f = ws__peer_frame__unpack(NULL, sizeof(later) - 1, later);
-	check("an unknown kind is none we know", f && f->kind == 9 && f->id == 8);
-	ws__peer_frame__free_unpacked(f, NULL);
-	f = ws__peer_frame__unpack(NULL, sizeof(reply) - 1, reply);
-	check("a reply", f && f->kind == WS__PEER_FRAME__KIND__REPLY && f->status == 503 &&
-			     f->retry_after == 1);
-	ws__peer_frame__free_unpacked(f, NULL);
+	ws__peer_frame__free_unpacked(frame, NULL);
+	frame = ws__peer_frame__unpack(NULL, sizeof(later) - 1, later);
+	check("an unknown kind is none we know", frame && frame->kind == 9 && frame->id == 8);
+	ws__peer_frame__free_unpacked(frame, NULL);
+	frame = ws__peer_frame__unpack(NULL, sizeof(reply) - 1, reply);
+	check("a reply", frame && frame->kind == WS__PEER_FRAME__KIND__REPLY &&
+			     frame->status == 503 && frame->retry_after == 1);
+	ws__peer_frame__free_unpacked(frame, NULL);
 }
 
 /* Testimony there and back; what production sends, or what makes no sense, is none. */
 static void testimony(void)
 {
-	struct ws_withdrawal list[] = {{"job-000007", 41}, {"job-000003", 43}};
-	struct ws_action a = {.status = 503, .vouched = true, .more = true, .nwithdrawn = 2};
-	struct ws_call call = {.since = 40, .epoch = 12, .after = "job-000002"};
-	Ws__PeerFrame f = WS__PEER_FRAME__INIT, *got;
-	Ws__Testimony t = WS__TESTIMONY__INIT;
-	struct ws_result r;
+	struct ws_cancellation list[] = {{"job-000007", 41}, {"job-000003", 43}};
+	struct ws_effect effect = {
+	    .status = 503, .vote_granted = true, .has_more = true, .cancellation_count = 2};
+	struct ws_call call = {.since_revision = 40, .fencing_token = 12, .after = "job-000002"};
+	Ws__PeerFrame frame = WS__PEER_FRAME__INIT, *got;
+	Ws__OutageVote vote = WS__OUTAGE_VOTE__INIT;
+	struct ws_result result;
 	uint8_t out[256];
 	size_t n;
 
-	ws_testimony_ask(&f, &t, &call);
-	n = ws__peer_frame__pack(&f, out);
+	ws_vote_set_question(&frame, &vote, &call);
+	n = ws__peer_frame__pack(&frame, out);
 	got = ws__peer_frame__unpack(NULL, n, out);
-	check("a question", got && got->kind == WS__PEER_FRAME__KIND__TESTIFY &&
-				got->testimony->leader == 12 && got->testimony->since == 40 &&
-				!strcmp(got->testimony->after, "job-000002"));
+	check("a question", got && got->kind == WS__PEER_FRAME__KIND__OUTAGE_VOTE &&
+				got->vote->leader_revision == 12 &&
+				got->vote->since_revision == 40 &&
+				!strcmp(got->vote->after_job, "job-000002"));
 	ws__peer_frame__free_unpacked(got, NULL);
 
-	a.withdrawn = list;
-	ws__peer_frame__init(&f);
-	ws__testimony__init(&t);
-	ws_testimony_fill(&f, &t, &a);
-	n = ws__peer_frame__pack(&f, out);
-	ws_testimony_free(&t);
+	effect.cancellations = list;
+	ws__peer_frame__init(&frame);
+	ws__outage_vote__init(&vote);
+	ws_vote_set_answer(&frame, &vote, &effect);
+	n = ws__peer_frame__pack(&frame, out);
+	ws_vote_free(&vote);
 	got = ws__peer_frame__unpack(NULL, n, out);
-	check("an answer", got && ws_testimony_read(got, &r) && r.status == 503 && r.vouched &&
-			       r.more && r.nwithdrawn == 2 && r.withdrawn[1].stamp == 43 &&
-			       !strcmp(r.withdrawn[0].job, "job-000007"));
-	ws_result_free(&r);
+	check("an answer", got && ws_vote_read(got, &result) && result.status == 503 &&
+			       result.vote_granted && result.has_more &&
+			       result.cancellation_count == 2 &&
+			       result.cancellations[1].revision == 43 &&
+			       !strcmp(result.cancellations[0].job, "job-000007"));
+	ws_result_free(&result);
 	ws__peer_frame__free_unpacked(got, NULL);
 
 	snprintf(list[1].job, sizeof(list[1].job), "no/job");
-	ws__peer_frame__init(&f);
-	ws__testimony__init(&t);
-	ws_testimony_fill(&f, &t, &a);
+	ws__peer_frame__init(&frame);
+	ws__outage_vote__init(&vote);
+	ws_vote_set_answer(&frame, &vote, &effect);
 	check("an answer with a name that no job has",
-	      !ws_testimony_read(&f, &r) && r.status != 503 && !r.vouched && !r.withdrawn);
-	ws_testimony_free(&t);
+	      !ws_vote_read(&frame, &result) && result.status != 503 && !result.vote_granted &&
+		  !result.cancellations);
+	ws_vote_free(&vote);
 
-	a.vouched = false;
-	ws__peer_frame__init(&f);
-	ws_testimony_fill(&f, &t, &a);
+	effect.vote_granted = false;
+	ws__peer_frame__init(&frame);
+	ws_vote_set_answer(&frame, &vote, &effect);
 	check("production's answer, and of one that can't vouch, has no list",
-	      !f.testimony && ws_testimony_read(&f, &r) && r.status == 503 && !r.vouched);
+	      !frame.vote && ws_vote_read(&frame, &result) && result.status == 503 &&
+		  !result.vote_granted);
 }
 
 int main(void)
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -12,7 +12,7 @@
 	bool digests = false;
 
 	for (int i = 1; i < argc; i++) {
-		struct sim *s;
+		struct sim *sim;
 		FILE *f;
 		char line[300], err[512] = "";
 		bool ok = true;
@@ -22,7 +22,7 @@
 			continue;
 		}
 		if (!strcmp(argv[i], "-c")) {
-			sim_coldstart_always = true;
+			sim_cold_start_always = true;
 			continue;
 		}
 		if (!strcmp(argv[i], "-d")) {
@@ -38,16 +38,16 @@
 			perror(argv[i]);
 			return 2;
 		}
-		s = sim_new();
+		sim = sim_new();
 		while (ok && fgets(line, sizeof(line), f))
-			ok = sim_line(s, line, err, sizeof(err));
+			ok = sim_line(sim, line, err, sizeof(err));
 		fclose(f);
-		ok = ok && sim_play(s, err, sizeof(err));
+		ok = ok && sim_play(sim, err, sizeof(err));
 		printf("%s %s%s%s\n", ok ? "ok  " : "FAIL", argv[i], ok ? "" : ": ", err);
 		if (digests)
-			sim_print_digest(s, strrchr(argv[i], '/') ? strrchr(argv[i], '/') + 1
-								  : argv[i]);
-		sim_free(s);
+			sim_print_digest(sim, strrchr(argv[i], '/') ? strrchr(argv[i], '/') + 1
+								    : argv[i]);
+		sim_free(sim);
 		ok ? good++ : bad++;
 	}
 	printf("%d passed, %d failed\n", good, bad);
--- a/tests/settings_test.c
+++ b/tests/settings_test.c
@@ -29,9 +29,9 @@
 #define N (sizeof(figures) / sizeof(figures[0]))
 
 /* Settings with one figure replaced; an empty value leaves it out. */
-static bool read_with(size_t which, const char *value, char *err, size_t n)
+static bool read_with(size_t which, const char *value, char *err, size_t size)
 {
-	static struct ws_settings s;
+	static struct ws_settings settings;
 	char file[] = "/tmp/waystep-settings-XXXXXX";
 	FILE *f = fdopen(mkstemp(file), "w");
 	const char *table = "";
@@ -52,7 +52,7 @@
 	}
 	fclose(f);
 	err[0] = 0;
-	ok = ws_config_settings(file, &s, err, n);
+	ok = ws_config_settings(file, &settings, err, size);
 	unlink(file);
 	return ok;
 }
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -1,43 +1,43 @@
 #include "sim_parts.h"
 
 bool sim_verbose;
-bool sim_coldstart_always;
+bool sim_cold_start_always;
 
 const struct sim_version sim_this_version = {
     .create = ws_core_new,
     .destroy = ws_core_free,
     .tick = ws_core_tick,
-    .pop = ws_core_pop,
+    .pop = ws_core_next_effect,
     .complete = ws_core_complete,
     .resign = ws_core_resign,
-    .ready = ws_core_ready,
-    .leading = ws_core_leading,
+    .ready = ws_core_is_ready,
+    .leading = ws_core_is_leader,
     .submit = ws_core_submit,
-    .poll = ws_core_poll,
-    .abort = ws_core_abort,
-    .report = ws_core_report,
-    .testify = ws_core_testify,
-    .free_action = ws_action_free,
+    .poll = ws_core_query_status,
+    .abort = ws_core_cancel,
+    .report = ws_core_heartbeat,
+    .testify = ws_core_outage_vote_unlisted,
+    .free_action = ws_effect_free,
     .free_call = ws_call_free,
 };
 
-void sim_fail(struct sim *s, const char *fmt, ...)
+void sim_fail(struct sim *sim, const char *fmt, ...)
 {
 	va_list ap;
 	int n;
 
-	if (s->err[0])
+	if (sim->err[0])
 		return;
-	n = snprintf(s->err, sizeof(s->err), "at %.2f s: ", s->now);
+	n = snprintf(sim->err, sizeof(sim->err), "at %.2f s: ", sim->now);
 	va_start(ap, fmt);
-	vsnprintf(s->err + n, sizeof(s->err) - (size_t)n, fmt, ap);
+	vsnprintf(sim->err + n, sizeof(sim->err) - (size_t)n, fmt, ap);
 	va_end(ap);
 }
 
-double sim_rnd(struct sim *s)
+double sim_rnd(struct sim *sim)
 {
-	s->rnd = s->rnd * 6364136223846793005ULL + 1442695040888963407ULL;
-	return (double)(s->rnd >> 33) / (double)(1ULL << 31);
+	sim->random_state = sim->random_state * 6364136223846793005ULL + 1442695040888963407ULL;
+	return (double)(sim->random_state >> 33) / (double)(1ULL << 31);
 }
 
 static struct sim *log_sim;
@@ -47,425 +47,451 @@
 		fprintf(stderr, "%9.3f %d %s\n", log_sim ? log_sim->now : 0, level, text);
 }
 
-int sim_leader(struct sim *s)
+int sim_leader(struct sim *sim)
 {
-	for (int i = 0; i < s->nnodes; i++)
-		if (s->nodes[i].up && s->nodes[i].v->leading(s->nodes[i].core))
+	for (int i = 0; i < sim->node_count; i++)
+		if (sim->nodes[i].is_up && sim->nodes[i].version->leading(sim->nodes[i].core))
 			return i;
 	return -1;
 }
 
 /* ---- calls under way ---- */
 
-static void result_clear(struct ws_result *r)
+static void result_clear(struct ws_result *result)
 {
-	for (size_t i = 0; i < r->nkvs; i++)
-		json_decref(r->kvs[i].value);
-	free(r->kvs);
-	free(r->failed);
-	free(r->types);
-	free(r->hosts);
-	free(r->withdrawn);
-	if (r->report)
-		free(r->report->tasks);
-	free(r->report);
-	memset(r, 0, sizeof(*r));
+	for (size_t i = 0; i < result->entry_count; i++)
+		json_decref(result->entries[i].value);
+	free(result->entries);
+	free(result->failed_keys);
+	free(result->types);
+	free(result->instances);
+	free(result->cancellations);
+	if (result->heartbeat)
+		free(result->heartbeat->tasks);
+	free(result->heartbeat);
+	memset(result, 0, sizeof(*result));
 }
 
-static void flight_add(struct sim *s, struct sim_flight *f)
+static void flight_add(struct sim *sim, struct sim_call_in_flight *flight)
 {
-	struct sim_flight **p = &s->flights;
+	struct sim_call_in_flight **flight_link = &sim->calls_in_flight;
 
-	while (*p && (*p)->at <= f->at)
-		p = &(*p)->next;
-	f->next = *p;
-	*p = f;
+	while (*flight_link && (*flight_link)->due_at <= flight->due_at)
+		flight_link = &(*flight_link)->next;
+	flight->next = *flight_link;
+	*flight_link = flight;
 }
 
-void sim_node_crash(struct sim *s, int i, double back)
+void sim_node_crash(struct sim *sim, int index, double back)
 {
-	struct sim_node *nd = &s->nodes[i];
+	struct sim_node *node = &sim->nodes[index];
 
-	if (!nd->up)
+	if (!node->is_up)
 		return;
 	sim_log(WS_LOG_INFO, "---- a node crashes");
-	nd->up = false;
-	nd->life++;
-	nd->up_at = s->now + back;
-	nd->v->destroy(nd->core);
-	nd->core = NULL;
+	node->is_up = false;
+	node->life++;
+	node->up_at = sim->now + back;
+	node->version->destroy(node->core);
+	node->core = NULL;
 }
 
 /* What the leader has to read of what a watch brings. */
-static void sim_count_watched(struct sim *s, const struct ws_result *r)
+static void sim_count_watched(struct sim *sim, const struct ws_result *result)
 {
-	s->watched += r->nkvs;
-	for (size_t i = 0; i < r->nkvs; i++)
-		if (r->kvs[i].value)
-			s->watched_size += json_dumpb(r->kvs[i].value, NULL, 0, JSON_COMPACT);
+	sim->watched += result->entry_count;
+	for (size_t i = 0; i < result->entry_count; i++)
+		if (result->entries[i].value)
+			sim->watched_size +=
+			    json_dumpb(result->entries[i].value, NULL, 0, JSON_COMPACT);
 }
 
-static bool is_state(enum ws_call_kind k)
+static bool is_state(enum ws_call_kind kind)
 {
-	return k <= WS_CALL_HOLD_DROP;
+	return kind <= WS_CALL_SESSION_CLOSE;
 }
 
-static bool is_cloud(enum ws_call_kind k)
+static bool is_cloud(enum ws_call_kind kind)
 {
-	return k >= WS_CALL_TYPES && k <= WS_CALL_RETURN;
+	return kind >= WS_CALL_MACHINE_TYPES && kind <= WS_CALL_SCALE_IN;
 }
 
-static void call_start(struct sim *s, int node, struct ws_call *c)
+static void call_start(struct sim *sim, int node, struct ws_call *call)
 {
-	struct sim_flight *f = calloc(1, sizeof(*f));
-	struct sim_node *nd = &s->nodes[node];
-	bool mine = s->crash != CRASH_NONE && c->kind == s->crash_kind && sim_leader(s) == node &&
-		    (c->kind != WS_CALL_TXN || c->nops) && s->crash_skip-- <= 0;
-
-	bool lag =
-	    c->kind == WS_CALL_TXN && c->nops && s->now < s->lag_until && sim_rnd(s) < s->lag_share;
-
-	if (mine && s->crash == CRASH_BEFORE) {
-		s->crash = CRASH_NONE;
-		free(f);
-		nd->v->free_call(c);
-		sim_node_crash(s, node, s->down_for);
+	struct sim_call_in_flight *flight = calloc(1, sizeof(*flight));
+	struct sim_node *other_node = &sim->nodes[node];
+	bool mine =
+	    sim->crash != CRASH_NONE && call->kind == sim->crash_kind && sim_leader(sim) == node &&
+	    (call->kind != WS_CALL_TRANSACTION || call->operation_count) && sim->crash_skip-- <= 0;
+
+	bool lag = call->kind == WS_CALL_TRANSACTION && call->operation_count &&
+		   sim->now < sim->lag_until && sim_rnd(sim) < sim->lag_share;
+
+	if (mine && sim->crash == CRASH_BEFORE) {
+		sim->crash = CRASH_NONE;
+		free(flight);
+		other_node->version->free_call(call);
+		sim_node_crash(sim, node, sim->down_for);
 		return;
 	}
-	f->node = node;
-	f->life = nd->life;
-	f->call = c;
-	f->call_version = nd->v;
-	f->at = s->now + (is_cloud(c->kind) ? 0.2 : 0.004);
-	if (is_state(c->kind) && s->now < s->state_slow)
-		f->at += s->state_slow_by * (0.2 + 0.8 * sim_rnd(s));
-	if (is_state(c->kind) && s->now < nd->cut_state) {
-		f->stage = 1;
-		f->at = s->now + 1;
-	} else if (is_state(c->kind) && c->kind != WS_CALL_WATCH &&
-		   (s->now < s->state_down || s->now < nd->refused)) {
-		f->stage = 1;
-		f->res.status = 503;
-	} else if (c->kind == WS_CALL_TXN && (lag || (s->late_txn > 0 && sim_leader(s) == node))) {
+	flight->node = node;
+	flight->life = other_node->life;
+	flight->call = call;
+	flight->call_version = other_node->version;
+	flight->due_at = sim->now + (is_cloud(call->kind) ? 0.2 : 0.004);
+	if (is_state(call->kind) && sim->now < sim->state_slow)
+		flight->due_at += sim->state_slow_by * (0.2 + 0.8 * sim_rnd(sim));
+	if (is_state(call->kind) && sim->now < other_node->cut_state) {
+		flight->stage = 1;
+		flight->due_at = sim->now + 1;
+	} else if (is_state(call->kind) && call->kind != WS_CALL_WATCH &&
+		   (sim->now < sim->state_down || sim->now < other_node->refused)) {
+		flight->stage = 1;
+		flight->result.status = 503;
+	} else if (call->kind == WS_CALL_TRANSACTION &&
+		   (lag || (sim->late_txn > 0 && sim_leader(sim) == node))) {
 		/* given up on, and carried out all the same some time later */
-		struct sim_flight *g = calloc(1, sizeof(*g));
-
-		s->late_txn -= !lag;
-		g->stage = 1;
-		g->node = node;
-		g->life = nd->life;
-		g->at = s->now + 1;
-		g->call = c;
-		g->call_version = nd->v;
-		f->stage = 2;
-		f->at = !lag		 ? s->now + s->late_by
-			: s->lag_at_once ? s->now + 0.004
-					 : s->now + 2 + (s->lag_most - 2) * sim_rnd(s);
-		f->call = calloc(1, sizeof(*f->call));
-		*f->call = *c;
-		f->call->ctx = NULL;
-		f->call_version = &sim_this_version; /* a copy that no core knows of */
-		f->call->ops = calloc(c->nops + 1, sizeof(*c->ops));
-		f->call->conds = calloc(c->nconds + 1, sizeof(*c->conds));
-		memcpy(f->call->ops, c->ops, c->nops * sizeof(*c->ops));
-		memcpy(f->call->conds, c->conds, c->nconds * sizeof(*c->conds));
-		for (size_t i = 0; i < c->nops; i++)
-			json_incref(c->ops[i].value);
-		flight_add(s, g);
+		struct sim_call_in_flight *other_flight = calloc(1, sizeof(*other_flight));
+
+		sim->late_txn -= !lag;
+		other_flight->stage = 1;
+		other_flight->node = node;
+		other_flight->life = other_node->life;
+		other_flight->due_at = sim->now + 1;
+		other_flight->call = call;
+		other_flight->call_version = other_node->version;
+		flight->stage = 2;
+		flight->due_at = !lag ? sim->now + sim->late_by
+				 : sim->lag_at_once
+				     ? sim->now + 0.004
+				     : sim->now + 2 + (sim->lag_most - 2) * sim_rnd(sim);
+		flight->call = calloc(1, sizeof(*flight->call));
+		*flight->call = *call;
+		flight->call->context = NULL;
+		flight->call_version = &sim_this_version; /* a copy that no core knows of */
+		flight->call->operations =
+		    calloc(call->operation_count + 1, sizeof(*call->operations));
+		flight->call->compares = calloc(call->compare_count + 1, sizeof(*call->compares));
+		memcpy(flight->call->operations, call->operations,
+		       call->operation_count * sizeof(*call->operations));
+		memcpy(flight->call->compares, call->compares,
+		       call->compare_count * sizeof(*call->compares));
+		for (size_t i = 0; i < call->operation_count; i++)
+			json_incref(call->operations[i].value);
+		flight_add(sim, other_flight);
 	}
 	if (mine) { /* carried out, but its sender is gone */
-		s->crash = CRASH_NONE;
-		flight_add(s, f);
-		sim_node_crash(s, node, s->down_for);
+		sim->crash = CRASH_NONE;
+		flight_add(sim, flight);
+		sim_node_crash(sim, node, sim->down_for);
 		return;
 	}
-	flight_add(s, f);
+	flight_add(sim, flight);
 }
 
-static void complete(struct sim *s, struct sim_flight *f)
+static void complete(struct sim *sim, struct sim_call_in_flight *flight)
 {
-	struct sim_node *nd = &s->nodes[f->node];
+	struct sim_node *node = &sim->nodes[flight->node];
 
-	if (nd->up && nd->life == f->life && s->now < nd->frozen) {
-		f->at = nd->frozen;
-		flight_add(s, f);
+	if (node->is_up && node->life == flight->life && sim->now < node->frozen) {
+		flight->due_at = node->frozen;
+		flight_add(sim, flight);
 		return;
 	}
-	if (nd->up && nd->life == f->life) {
-		if (is_state(f->call->kind) && s->now < nd->cut_state)
-			f->res.status = 0;
-		nd->v->complete(nd->core, s->now * (1 + nd->skew), f->call, &f->res);
+	if (node->is_up && node->life == flight->life) {
+		if (is_state(flight->call->kind) && sim->now < node->cut_state)
+			flight->result.status = 0;
+		node->version->complete(node->core, sim->now * (1 + node->skew), flight->call,
+					&flight->result);
 	} else {
-		f->call_version->free_call(f->call);
+		flight->call_version->free_call(flight->call);
 	}
-	result_clear(&f->res);
-	free(f);
+	result_clear(&flight->result);
+	free(flight);
 }
 
-static void flight_go(struct sim *s, struct sim_flight *f)
+static void flight_go(struct sim *sim, struct sim_call_in_flight *flight)
 {
-	struct ws_call *c = f->call;
-	struct sim_node *nd = &s->nodes[f->node];
+	struct ws_call *call = flight->call;
+	struct sim_node *node = &sim->nodes[flight->node];
 
-	if (f->stage == 1) {
-		complete(s, f);
+	if (flight->stage == 1) {
+		complete(sim, flight);
 		return;
 	}
-	if (f->stage == 2) {
-		if (s->now < s->state_down) { /* waits for the service to be back */
-			f->at = s->state_down + 0.1;
-			flight_add(s, f);
+	if (flight->stage == 2) {
+		if (sim->now < sim->state_down) { /* waits for the service to be back */
+			flight->due_at = sim->state_down + 0.1;
+			flight_add(sim, flight);
 			return;
 		}
-		sim_state_do(s, c, &f->res);
-		f->call_version->free_call(c);
-		result_clear(&f->res);
-		free(f);
+		sim_state_do(sim, call, &flight->result);
+		flight->call_version->free_call(call);
+		result_clear(&flight->result);
+		free(flight);
 		return;
 	}
-	if (c->kind == WS_CALL_WATCH) {
-		s->asked += !c->ms;
-		bool blind = s->now < s->state_down || s->now < nd->refused ||
-			     s->now < nd->cut_state || (c->ms && s->now < nd->blind);
-
-		if ((blind || !sim_watch_ready(s, c, &f->res)) &&
-		    s->now < c->made / (1 + nd->skew) + c->ms / 1000.0 && nd->life == f->life) {
-			result_clear(&f->res);
-			f->at = s->now + STEP / 2;
-			flight_add(s, f);
+	if (call->kind == WS_CALL_WATCH) {
+		sim->asked += !call->timeout_ms;
+		bool blind = sim->now < sim->state_down || sim->now < node->refused ||
+			     sim->now < node->cut_state ||
+			     (call->timeout_ms && sim->now < node->blind);
+
+		if ((blind || !sim_watch_ready(sim, call, &flight->result)) &&
+		    sim->now < call->created_at / (1 + node->skew) + call->timeout_ms / 1000.0 &&
+		    node->life == flight->life) {
+			result_clear(&flight->result);
+			flight->due_at = sim->now + STEP / 2;
+			flight_add(sim, flight);
 			return;
 		}
 		if (blind) {
-			result_clear(&f->res);
-			f->res.status = s->now < nd->cut_state ? 0 : 503;
+			result_clear(&flight->result);
+			flight->result.status = sim->now < node->cut_state ? 0 : 503;
 		}
-		if (f->node == sim_leader(s))
-			sim_count_watched(s, &f->res);
-		if (c->ms && s->now < s->watch_late) { /* one that is not left open overtakes it */
-			f->stage = 1;
-			f->at = s->now + s->watch_late_by * sim_rnd(s);
-			flight_add(s, f);
+		if (flight->node == sim_leader(sim))
+			sim_count_watched(sim, &flight->result);
+		if (call->timeout_ms &&
+		    sim->now < sim->watch_late) { /* one that is not left open overtakes it */
+			flight->stage = 1;
+			flight->due_at = sim->now + sim->watch_late_by * sim_rnd(sim);
+			flight_add(sim, flight);
 			return;
 		}
-	} else if (is_state(c->kind)) {
-		sim_state_do(s, c, &f->res);
-		if (c->kind == WS_CALL_TXN && s->lose_txn > 0 && sim_leader(s) == f->node) {
-			s->lose_txn--;
-			result_clear(&f->res);
-			f->at = s->now + 1;
-			f->stage = 1;
-			flight_add(s, f);
+	} else if (is_state(call->kind)) {
+		sim_state_do(sim, call, &flight->result);
+		if (call->kind == WS_CALL_TRANSACTION && sim->lose_txn > 0 &&
+		    sim_leader(sim) == flight->node) {
+			sim->lose_txn--;
+			result_clear(&flight->result);
+			flight->due_at = sim->now + 1;
+			flight->stage = 1;
+			flight_add(sim, flight);
 			return;
 		}
-	} else if (is_cloud(c->kind)) {
-		sim_cloud_do(s, c, &f->res);
-		if (c->kind == WS_CALL_RENT && s->lose_rent > 0) {
-			s->lose_rent--;
-			result_clear(&f->res);
-			f->at = s->now + 2;
-			f->stage = 1;
-			flight_add(s, f);
+	} else if (is_cloud(call->kind)) {
+		sim_cloud_do(sim, call, &flight->result);
+		if (call->kind == WS_CALL_SCALE_OUT && sim->lose_rent > 0) {
+			sim->lose_rent--;
+			result_clear(&flight->result);
+			flight->due_at = sim->now + 2;
+			flight->stage = 1;
+			flight_add(sim, flight);
 			return;
 		}
-	} else if (c->kind == WS_CALL_ORDERS) {
-		int i = sim_worker_at(c->host);
-		struct sim_worker *w = &s->w[i];
-		bool lost = !sim_worker_live(s, w) || sim_apart(s, w, nd);
+	} else if (call->kind == WS_CALL_COMMANDS) {
+		int i = sim_worker_at(call->address);
+		struct sim_worker *worker = &sim->workers[i];
+		bool lost = !sim_worker_live(sim, worker) || sim_apart(sim, worker, node);
 		double late = 0;
 
-		s->commands++;
+		sim->commands++;
 
-		if (w->dead || w->deleted) { /* nobody answers the attempt to connect */
-			f->res.status = -1;
-			f->at = s->now + fmin(s->report, s->lease / 16);
-			f->stage = 1;
-			flight_add(s, f);
+		if (worker->dead || worker->deleted) { /* nobody answers the attempt to connect */
+			flight->result.status = -1;
+			flight->due_at = sim->now + fmin(sim->report, sim->lease / 16);
+			flight->stage = 1;
+			flight_add(sim, flight);
 			return;
 		}
-		if (s->now < w->deaf_until) { /* never arrives */
-			f->at = s->now + s->report;
-			f->stage = 1;
-			flight_add(s, f);
+		if (sim->now < worker->deaf_until) { /* never arrives */
+			flight->due_at = sim->now + sim->report;
+			flight->stage = 1;
+			flight_add(sim, flight);
 			return;
 		}
-		if (s->late_orders > 0) {
-			s->late_orders--;
-			late = s->now + s->late_orders_by;
+		if (sim->late_command_count > 0) {
+			sim->late_command_count--;
+			late = sim->now + sim->late_commands_by;
 		} else if (lost) {
-			late = fmax(fmax(w->cut_until, w->hang_until),
-				    fmax(fmax(nd->cut_workers, s->zone_cut), w->pin_until)) +
-			       0.05;
+			late =
+			    fmax(fmax(worker->cut_until, worker->hang_until),
+				 fmax(fmax(node->cut_workers, sim->zone_cut), worker->pin_until)) +
+			    0.05;
 		}
 		if (late > 0) {
-			struct sim_late *l = calloc(1, sizeof(*l));
-
-			l->at = late;
-			l->worker = i;
-			l->epoch = c->epoch;
-			l->tenure = c->tenure;
-			l->n = c->norders;
-			l->orders = calloc(c->norders + 1, sizeof(*l->orders));
-			if (c->norders)
-				memcpy(l->orders, c->orders, c->norders * sizeof(*l->orders));
-			l->next = s->late;
-			s->late = l;
+			struct sim_late_command *late_command = calloc(1, sizeof(*late_command));
+
+			late_command->due_at = late;
+			late_command->worker = i;
+			late_command->fencing_token = call->fencing_token;
+			late_command->incarnation = call->incarnation;
+			late_command->command_count = call->command_count;
+			late_command->commands =
+			    calloc(call->command_count + 1, sizeof(*late_command->commands));
+			if (call->command_count)
+				memcpy(late_command->commands, call->commands,
+				       call->command_count * sizeof(*late_command->commands));
+			late_command->next = sim->late_commands;
+			sim->late_commands = late_command;
 		} else {
-			f->res.report = calloc(1, sizeof(*f->res.report));
-			f->res.status = sim_worker_command(s, w, c->epoch, c->tenure, c->orders,
-							   c->norders, f->res.report);
-			if (s->slow_orders > 0) {
-				f->at = s->now + s->slow_orders;
-				f->stage = 1;
-				flight_add(s, f);
+			flight->result.heartbeat = calloc(1, sizeof(*flight->result.heartbeat));
+			flight->result.status = sim_worker_command(
+			    sim, worker, call->fencing_token, call->incarnation, call->commands,
+			    call->command_count, flight->result.heartbeat);
+			if (sim->slow_commands > 0) {
+				flight->due_at = sim->now + sim->slow_commands;
+				flight->stage = 1;
+				flight_add(sim, flight);
 				return;
 			}
-			if (s->lose_orders > 0) {
-				s->lose_orders--;
-				result_clear(&f->res);
+			if (sim->lose_commands > 0) {
+				sim->lose_commands--;
+				result_clear(&flight->result);
 				late = 1;
 			}
 		}
 		if (late > 0) {
-			f->at = s->now + s->report;
-			f->stage = 1;
-			flight_add(s, f);
+			flight->due_at = sim->now + sim->report;
+			flight->stage = 1;
+			flight_add(sim, flight);
 			return;
 		}
-	} else if (c->kind == WS_CALL_TESTIFY) {
+	} else if (call->kind == WS_CALL_OUTAGE_VOTE) {
 		int i;
 
-		for (i = 0; i < s->nnodes && strcmp(s->nodes[i].set.node, c->key); i++)
+		for (i = 0; i < sim->node_count && strcmp(sim->nodes[i].settings.node, call->key);
+		     i++)
 			;
-		f->stage = 1;
-		if (i < s->nnodes && s->nodes[i].up && s->now >= nd->cut_peers &&
-		    s->now >= s->nodes[i].cut_peers && s->now >= s->nodes[i].frozen) {
+		flight->stage = 1;
+		if (i < sim->node_count && sim->nodes[i].is_up && sim->now >= node->cut_peers &&
+		    sim->now >= sim->nodes[i].cut_peers && sim->now >= sim->nodes[i].frozen) {
 			/* the answer comes back by the token, see node_drain */
-			uint64_t token =
-			    ++s->next_token << SIM_TOKEN_SHIFT | (uint64_t)f->node | 1ULL << 61;
+			uint64_t request_id = ++sim->next_token << SIM_TOKEN_SHIFT |
+					      (uint64_t)flight->node | 1ULL << 61;
 
-			f->token = token;
-			f->at = s->now + 0.5;
-			flight_add(s, f);
+			flight->token = request_id;
+			flight->due_at = sim->now + 0.5;
+			flight_add(sim, flight);
 			/* only if both are of this version does what they ask and tell go further
 			 */
-			if (s->nodes[i].v == &sim_this_version && nd->v == &sim_this_version)
-				ws_core_vouch(s->nodes[i].core, s->now * (1 + s->nodes[i].skew),
-					      token, c->epoch, c->since, c->after);
+			if (sim->nodes[i].version == &sim_this_version &&
+			    node->version == &sim_this_version)
+				ws_core_outage_vote(sim->nodes[i].core,
+						    sim->now * (1 + sim->nodes[i].skew), request_id,
+						    call->fencing_token, call->since_revision,
+						    call->after);
 			else
-				s->nodes[i].v->testify(s->nodes[i].core,
-						       s->now * (1 + s->nodes[i].skew), token);
+				sim->nodes[i].version->testify(sim->nodes[i].core,
+							       sim->now * (1 + sim->nodes[i].skew),
+							       request_id);
 			return;
 		}
-		f->at = s->now + 0.3;
-		flight_add(s, f);
+		flight->due_at = sim->now + 0.3;
+		flight_add(sim, flight);
 		return;
 	}
-	f->stage = 1;
-	f->at = s->now + 0.004;
-	flight_add(s, f);
+	flight->stage = 1;
+	flight->due_at = sim->now + 0.004;
+	flight_add(sim, flight);
 }
 
 /* ---- nodes ---- */
 
 /* From now on it is of this version, which plans by the lower limits from its start. */
-static void node_lower(struct sim *s, int i)
+static void node_lower(struct sim *sim, int index)
 {
-	s->nodes[i].v = &sim_this_version;
-	s->nodes[i].set.value_kb = fmin(s->value_kb, s->next_value_kb);
-	s->nodes[i].set.txn_ops = s->txn_ops < s->next_txn_ops ? s->txn_ops : s->next_txn_ops;
+	sim->nodes[index].version = &sim_this_version;
+	sim->nodes[index].settings.value_kb = fmin(sim->value_kb, sim->next_value_kb);
+	sim->nodes[index].settings.txn_ops =
+	    sim->txn_ops < sim->next_txn_ops ? sim->txn_ops : sim->next_txn_ops;
 }
 
-static void node_start(struct sim *s, int i)
+static void node_start(struct sim *sim, int index)
 {
-	struct sim_node *nd = &s->nodes[i];
-
-	nd->up = true;
-	nd->core = nd->v->create(&nd->set, &s->pol, sim_log, s->now * (1 + nd->skew),
-				 nd->life * 977 + (uint64_t)i + 1);
-	sim_zones_attach(s, nd);
-	sim_coldstart_attach(s, nd);
+	struct sim_node *node = &sim->nodes[index];
+
+	node->is_up = true;
+	node->core = node->version->create(&node->settings, &sim->policy, sim_log,
+					   sim->now * (1 + node->skew),
+					   node->life * 977 + (uint64_t)index + 1);
+	sim_domains_attach(sim, node);
+	sim_cold_start_attach(sim, node);
 }
 
-static void relay(struct sim *s, int from, const struct ws_action *a)
+static void relay(struct sim *sim, int from, const struct ws_effect *effect)
 {
-	struct ws_action no = {.token = a->token, .status = 503, .retry_after = 1};
+	struct ws_effect other_effect = {
+	    .request_id = effect->request_id, .status = 503, .retry_after = 1};
 	int to = -1;
 
-	for (int i = 0; i < s->nnodes; i++)
-		if (i != from && s->nodes[i].up && s->now >= s->nodes[i].frozen &&
-		    s->now >= s->nodes[from].cut_peers && s->now >= s->nodes[i].cut_peers &&
-		    (a->name[0] ? !strcmp(a->name, s->nodes[i].set.node) : to < 0))
+	for (int i = 0; i < sim->node_count; i++)
+		if (i != from && sim->nodes[i].is_up && sim->now >= sim->nodes[i].frozen &&
+		    sim->now >= sim->nodes[from].cut_peers && sim->now >= sim->nodes[i].cut_peers &&
+		    (effect->name[0] ? !strcmp(effect->name, sim->nodes[i].settings.node) : to < 0))
 			to = i;
 	if (to < 0) {
-		if (a->token >> 62 & 1)
-			sim_worker_answer(s, &no);
+		if (effect->request_id >> 62 & 1)
+			sim_worker_answer(sim, &other_effect);
 		else
-			sim_user_answer(s, &no);
+			sim_user_answer(sim, &other_effect);
 		return;
 	}
-	struct sim_node *nd = &s->nodes[to];
-	double t = s->now * (1 + nd->skew);
+	struct sim_node *node = &sim->nodes[to];
+	double t = sim->now * (1 + node->skew);
 
-	if (a->token >> 62 & 1) {
-		struct sim_worker *w = &s->w[a->token & (SIM_WORKERS - 1)];
-		struct ws_report r;
+	if (effect->request_id >> 62 & 1) {
+		struct sim_worker *worker = &sim->workers[effect->request_id & (SIM_WORKERS - 1)];
+		struct ws_heartbeat heartbeat;
 
-		if (a->token != w->report_id)
+		if (effect->request_id != worker->heartbeat_id)
 			return;
-		sim_worker_report(w, &r, s);
-		r.counter = w->counter;
-		nd->v->report(nd->core, t, a->token, &r, true);
-		free(r.tasks);
+		sim_worker_report(worker, &heartbeat, sim);
+		heartbeat.sequence = worker->sequence;
+		node->version->report(node->core, t, effect->request_id, &heartbeat, true);
+		free(heartbeat.tasks);
 	} else {
-		struct sim_job *j = &s->jobs[a->token & (SIM_JOBS - 1)];
-		int kind = sim_user_asked(s, a->token);
+		struct sim_job *job = &sim->jobs[effect->request_id & (SIM_JOBS - 1)];
+		int kind = sim_user_asked(sim, effect->request_id);
 
 		if (kind)
-			sim_ask(s, to, j, kind, a->token, true);
+			sim_ask(sim, to, job, kind, effect->request_id, true);
 	}
 }
 
-static void testified(struct sim *s, const struct sim_node *nd, struct ws_action *a,
-		      struct sim_flight *f)
+static void testified(struct sim *sim, const struct sim_node *node, struct ws_effect *effect,
+		      struct sim_call_in_flight *flight)
 {
-	struct sim_flight **p = &s->flights;
-
-	while (*p != f)
-		p = &(*p)->next;
-	*p = f->next;
-	f->at = s->now + 0.002;
-	flight_add(s, f);
-	f->res.status = a->status;
-	if (nd->v != &sim_this_version || s->nodes[f->node].v != &sim_this_version)
+	struct sim_call_in_flight **flight_link = &sim->calls_in_flight;
+
+	while (*flight_link != flight)
+		flight_link = &(*flight_link)->next;
+	*flight_link = flight->next;
+	flight->due_at = sim->now + 0.002;
+	flight_add(sim, flight);
+	flight->result.status = effect->status;
+	if (node->version != &sim_this_version ||
+	    sim->nodes[flight->node].version != &sim_this_version)
 		return;
-	f->res.vouched = a->vouched;
-	f->res.more = a->more;
-	f->res.nwithdrawn = a->nwithdrawn;
-	f->res.withdrawn = a->withdrawn;
-	a->withdrawn = NULL;
+	flight->result.vote_granted = effect->vote_granted;
+	flight->result.has_more = effect->has_more;
+	flight->result.cancellation_count = effect->cancellation_count;
+	flight->result.cancellations = effect->cancellations;
+	effect->cancellations = NULL;
 }
 
-static void node_drain(struct sim *s, int i)
+static void node_drain(struct sim *sim, int index)
 {
-	struct ws_action *a;
-
-	while (s->nodes[i].up && s->now >= s->nodes[i].frozen &&
-	       (a = s->nodes[i].v->pop(s->nodes[i].core))) {
-		sim_digest_add(s, i, a);
-		switch (a->kind) {
-		case WS_ACT_CALL: call_start(s, i, a->call); break;
-		case WS_ACT_ANSWER_USER: sim_user_answer(s, a); break;
-		case WS_ACT_ANSWER_REPORT: sim_worker_answer(s, a); break;
-		case WS_ACT_RELAY: relay(s, i, a); break;
-		case WS_ACT_ANSWER_TESTIFY:
-			for (struct sim_flight *f = s->flights; f; f = f->next)
-				if (f->token == a->token) {
-					testified(s, &s->nodes[i], a, f);
+	struct ws_effect *effect;
+
+	while (sim->nodes[index].is_up && sim->now >= sim->nodes[index].frozen &&
+	       (effect = sim->nodes[index].version->pop(sim->nodes[index].core))) {
+		sim_digest_add(sim, index, effect);
+		switch (effect->kind) {
+		case WS_EFFECT_CALL: call_start(sim, index, effect->call); break;
+		case WS_EFFECT_ANSWER_USER: sim_user_answer(sim, effect); break;
+		case WS_EFFECT_ANSWER_HEARTBEAT: sim_worker_answer(sim, effect); break;
+		case WS_EFFECT_FORWARD: relay(sim, index, effect); break;
+		case WS_EFFECT_ANSWER_VOTE:
+			for (struct sim_call_in_flight *flight = sim->calls_in_flight; flight;
+			     flight = flight->next)
+				if (flight->token == effect->request_id) {
+					testified(sim, &sim->nodes[index], effect, flight);
 					break;
 				}
 			break;
 		}
-		s->nodes[i].v->free_action(a);
+		sim->nodes[index].version->free_action(effect);
 	}
 }
 
@@ -495,7 +521,7 @@
 	return p ? atof(p + strlen(key)) : otherwise;
 }
 
-bool sim_option_text(const char *text, const char *name, char *to, size_t n)
+bool sim_option_text(const char *text, const char *name, char *target, size_t size)
 {
 	char key[64];
 	const char *p;
@@ -505,7 +531,7 @@
 	if (!p)
 		return false;
 	p += strlen(key);
-	snprintf(to, n, "%.*s", (int)strcspn(p, " "), p);
+	snprintf(target, size, "%.*s", (int)strcspn(p, " "), p);
 	return true;
 }
 
@@ -522,227 +548,228 @@
 	return false;
 }
 
-static void add_job(struct sim *s, const char *id, const char *text, double at)
+static void add_job(struct sim *sim, const char *id, const char *text, double time)
 {
-	struct sim_job *j = &s->jobs[s->njobs++];
-	struct ws_spec *p = &j->spec;
+	struct sim_job *job = &sim->jobs[sim->job_count++];
+	struct ws_job_spec *spec = &job->spec;
 	char tier[32] = "normal", list[64];
 
-	memset(j, 0, sizeof(*j));
-	snprintf(p->id, sizeof(p->id), "%s", id);
-	strcpy(p->job_class, "c");
-	sim_option_text(text, "class", p->job_class, sizeof(p->job_class));
-	strcpy(p->team, "t");
-	sim_option_text(text, "team", p->team, sizeof(p->team));
-	p->service = flag(text, "service");
-	p->gang = flag(text, "gang");
-	p->spread = flag(text, "spread");
-	p->one_zone = flag(text, "one-zone");
-	p->spot = flag(text, "spot");
-	sim_option_text(text, "zone", p->zone, sizeof(p->zone));
+	memset(job, 0, sizeof(*job));
+	snprintf(spec->id, sizeof(spec->id), "%s", id);
+	strcpy(spec->job_class, "c");
+	sim_option_text(text, "class", spec->job_class, sizeof(spec->job_class));
+	strcpy(spec->team, "t");
+	sim_option_text(text, "team", spec->team, sizeof(spec->team));
+	spec->service = flag(text, "service");
+	spec->gang = flag(text, "gang");
+	spec->spread = flag(text, "spread");
+	spec->one_zone = flag(text, "one-zone");
+	spec->allows_preemptible = flag(text, "spot");
+	sim_option_text(text, "zone", spec->zone, sizeof(spec->zone));
 	if (sim_option_text(text, "type", list, sizeof(list)))
-		strcpy(p->types[p->ntypes++], list);
+		strcpy(spec->types[spec->type_count++], list);
 	sim_option_text(text, "tier", tier, sizeof(tier));
-	p->tier = !strcmp(tier, "production") ? WS_PRODUCTION
-		  : !strcmp(tier, "urgent")   ? WS_URGENT
-		  : !strcmp(tier, "best")     ? WS_BEST_EFFORT
-					      : WS_NORMAL;
-	p->tasks = (uint32_t)sim_option(text, "tasks", 1);
-	p->cpus = sim_option(text, "cpus", 4);
-	p->mem = sim_option(text, "mem", 1);
-	strcpy(p->image, "img");
-	sim_option_text(text, "image", p->image, sizeof(p->image));
-	p->image_gb = sim_option(text, "gb", 0.5);
-	p->deadline_s = sim_option(text, "deadline", -1);
-	p->estimate_s = sim_option(text, "estimate", 0);
-	p->checkpoint_s = sim_option(text, "checkpoint", 0);
-	p->save_s = sim_option(text, "save", 0);
-	j->run_s = sim_option(text, "run", 10);
-	j->bad = flag(text, "bad");
-	j->submit_at = at;
-	j->node = s->njobs;
-	j->task_done = calloc(p->tasks, sizeof(bool));
-	HASH_ADD_KEYPTR(hh, s->by_id, p->id, strlen(p->id), j);
+	spec->priority = !strcmp(tier, "production") ? WS_PRIORITY_PRODUCTION
+			 : !strcmp(tier, "urgent")   ? WS_PRIORITY_URGENT
+			 : !strcmp(tier, "best")     ? WS_PRIORITY_BEST_EFFORT
+						     : WS_PRIORITY_NORMAL;
+	spec->tasks = (uint32_t)sim_option(text, "tasks", 1);
+	spec->cpus = sim_option(text, "cpus", 4);
+	spec->mem_gb = sim_option(text, "mem", 1);
+	strcpy(spec->image, "img");
+	sim_option_text(text, "image", spec->image, sizeof(spec->image));
+	spec->image_gb = sim_option(text, "gb", 0.5);
+	spec->deadline_s = sim_option(text, "deadline", -1);
+	spec->estimate_s = sim_option(text, "estimate", 0);
+	spec->checkpoint_s = sim_option(text, "checkpoint", 0);
+	spec->save_s = sim_option(text, "save", 0);
+	job->run_s = sim_option(text, "run", 10);
+	job->bad = flag(text, "bad");
+	job->submit_at = time;
+	job->node = sim->job_count;
+	job->task_done = calloc(spec->tasks, sizeof(bool));
+	HASH_ADD_KEYPTR(hh, sim->by_id, spec->id, strlen(spec->id), job);
 }
 
-bool sim_line(struct sim *s, char *line, char *err, size_t n)
+bool sim_line(struct sim *sim, char *line, char *err, size_t size)
 {
 	char copy[300], *p = copy;
 	const char *w;
 
-	s->line++;
+	sim->line++;
 	line[strcspn(line, "#\r\n")] = 0;
 	snprintf(copy, sizeof(copy), "%s", line);
 	w = sim_word(&p);
 	if (!w)
 		return true;
 	if (!strcmp(w, "at")) {
-		struct sim_order *o = &s->orders[s->norders];
+		struct sim_timed_line *timed_line = &sim->timed_lines[sim->timed_line_count];
 
 		w = sim_word(&p);
-		if (!w || s->norders == 256) {
-			snprintf(err, n, "line %d: at needs a time", s->line);
+		if (!w || sim->timed_line_count == 256) {
+			snprintf(err, size, "line %d: at needs a time", sim->line);
 			return false;
 		}
-		o->at = atof(w);
-		o->line = s->line;
-		snprintf(o->text, sizeof(o->text), "%s", p);
-		if (s->norders && o->at < s->orders[s->norders - 1].at) {
-			snprintf(err, n, "line %d: times must not fall", s->line);
+		timed_line->time = atof(w);
+		timed_line->line = sim->line;
+		snprintf(timed_line->text, sizeof(timed_line->text), "%s", p);
+		if (sim->timed_line_count &&
+		    timed_line->time < sim->timed_lines[sim->timed_line_count - 1].time) {
+			snprintf(err, size, "line %d: times must not fall", sim->line);
 			return false;
 		}
-		s->norders++;
-		s->end = o->at > s->end ? o->at : s->end;
+		sim->timed_line_count++;
+		sim->end = timed_line->time > sim->end ? timed_line->time : sim->end;
 	} else if (!strcmp(w, "nodes")) {
-		s->nnodes = atoi(sim_word(&p));
+		sim->node_count = atoi(sim_word(&p));
 	} else if (!strcmp(w, "lease")) {
-		s->lease = atof(sim_word(&p));
+		sim->lease = atof(sim_word(&p));
 	} else if (!strcmp(w, "report")) {
-		s->report = atof(sim_word(&p));
+		sim->report = atof(sim_word(&p));
 	} else if (!strcmp(w, "gang-wait")) {
-		s->gang_wait = atof(sim_word(&p));
+		sim->gang_wait = atof(sim_word(&p));
 	} else if (!strcmp(w, "gang-peer")) {
-		s->gang_peer = atof(sim_word(&p));
+		sim->gang_peer = atof(sim_word(&p));
 	} else if (!strcmp(w, "old")) { /* so many nodes run the version in production at first */
-		s->old_nodes = atoi(sim_word(&p));
+		sim->old_nodes = atoi(sim_word(&p));
 		if (!sim_production_version()) {
-			snprintf(err, n, "line %d: the version in production was not built",
-				 s->line);
+			snprintf(err, size, "line %d: the version in production was not built",
+				 sim->line);
 			return false;
 		}
 	} else if (!strcmp(w, "next-limits")) { /* KiB of a value, changes a transaction */
-		s->next_value_kb = atof(sim_word(&p));
-		s->next_txn_ops = atoi(sim_word(&p));
+		sim->next_value_kb = atof(sim_word(&p));
+		sim->next_txn_ops = atoi(sim_word(&p));
 	} else if (!strcmp(w, "cancel")) {
-		s->cancel_s = atof(sim_word(&p));
+		sim->cancel_s = atof(sim_word(&p));
 	} else if (!strcmp(w, "seed")) {
-		s->rnd = (uint64_t)atoi(sim_word(&p));
+		sim->random_state = (uint64_t)atoi(sim_word(&p));
 	} else if (!strcmp(w, "capacity")) {
-		s->cap_limit = atoi(sim_word(&p));
+		sim->cap_limit = atoi(sim_word(&p));
 	} else if (!strcmp(w, "zone")) {
-		snprintf(s->zones[s->nzones++], 32, "%s", sim_word(&p));
+		snprintf(sim->zones[sim->zone_count++], 32, "%s", sim_word(&p));
 	} else if (!strcmp(w, "team")) {
-		struct ws_team_setting *t = &s->teams[s->nteams++];
+		struct ws_team_setting *team_settings = &sim->teams[sim->team_count++];
 
-		snprintf(t->name, sizeof(t->name), "%s", sim_word(&p));
-		t->cpus = atof(sim_word(&p));
-		t->cpus_max = atof(sim_word(&p));
+		snprintf(team_settings->name, sizeof(team_settings->name), "%s", sim_word(&p));
+		team_settings->cpus = atof(sim_word(&p));
+		team_settings->cpus_max = atof(sim_word(&p));
 	} else if (!strcmp(w, "type")) {
-		struct ws_type *t = &s->types[s->ntypes++].t;
-
-		snprintf(t->name, sizeof(t->name), "%s", sim_word(&p));
-		t->cpus = atof(sim_word(&p));
-		t->mem = atof(sim_word(&p));
-		t->price = atof(sim_word(&p));
-		t->spot_price = t->price / 2;
-		t->fetch_gb_s = 0.5;
-		t->boot_s = atof(sim_word(&p));
+		struct ws_machine_type *other_type = &sim->types[sim->type_count++].type;
+
+		snprintf(other_type->name, sizeof(other_type->name), "%s", sim_word(&p));
+		other_type->cpus = atof(sim_word(&p));
+		other_type->mem_gb = atof(sim_word(&p));
+		other_type->price = atof(sim_word(&p));
+		other_type->preemptible_price = other_type->price / 2;
+		other_type->fetch_gb_s = 0.5;
+		other_type->boot_s = atof(sim_word(&p));
 		while ((w = sim_word(&p)))
-			snprintf(t->zones[t->nzones++], WS_NAME_MAX, "%s", w);
+			snprintf(other_type->zones[other_type->zone_count++], WS_NAME_MAX, "%s", w);
 	} else if (!strcmp(w, "objective")) {
-		struct ws_objective *o = &s->objectives[s->nobjectives++];
+		struct ws_objective *objective = &sim->objectives[sim->objective_count++];
 
-		snprintf(o->kind, sizeof(o->kind), "%s", sim_word(&p));
-		snprintf(o->job_class, sizeof(o->job_class), "%s", sim_word(&p));
-		o->within_s = atof(sim_word(&p));
+		snprintf(objective->kind, sizeof(objective->kind), "%s", sim_word(&p));
+		snprintf(objective->job_class, sizeof(objective->job_class), "%s", sim_word(&p));
+		objective->within_s = atof(sim_word(&p));
 	} else if (!strcmp(w, "owned")) {
 		const char *type = sim_word(&p), *zone = sim_word(&p);
 		int t, k = 1;
 
-		for (t = 0; t < s->ntypes && strcmp(s->types[t].t.name, type); t++)
+		for (t = 0; t < sim->type_count && strcmp(sim->types[t].type.name, type); t++)
 			;
 		if ((w = sim_word(&p)))
 			k = atoi(w);
-		while (k-- > 0 && t < s->ntypes)
-			sim_add_worker(s, t, zone, false, true);
-	} else if (!sim_coldstart_line(s, w, line) && !sim_zones_line(s, w, p, line)) {
-		snprintf(err, n, "line %d: %s?", s->line, w);
+		while (k-- > 0 && t < sim->type_count)
+			sim_add_worker(sim, t, zone, false, true);
+	} else if (!sim_cold_start_line(sim, w, line) && !sim_domains_line(sim, w, p, line)) {
+		snprintf(err, size, "line %d: %s?", sim->line, w);
 		return false;
 	}
 	return true;
 }
 
-static int node_named(struct sim *s, const char *w)
+static int node_named(struct sim *sim, const char *name)
 {
-	if (!strcmp(w, "leader"))
-		return sim_leader(s);
-	return atoi(w) % s->nnodes;
+	if (!strcmp(name, "leader"))
+		return sim_leader(sim);
+	return atoi(name) % sim->node_count;
 }
 
-static struct sim_worker *machine_named(struct sim *s, const char *w)
+static struct sim_worker *machine_named(struct sim *sim, const char *name)
 {
 	struct sim_worker *best = NULL;
 
-	for (int i = 0; i < s->nw; i++) {
-		struct sim_worker *x = &s->w[i];
+	for (int i = 0; i < sim->worker_count; i++) {
+		struct sim_worker *worker = &sim->workers[i];
 		int n = 0, b = 0;
 
-		if (!strcmp(w, x->name))
-			return x;
-		if (x->deleted || x->dead || !x->up)
+		if (!strcmp(name, worker->name))
+			return worker;
+		if (worker->deleted || worker->dead || !worker->is_up)
 			continue;
-		if (!strcmp(w, "rental") && x->owned)
+		if (!strcmp(name, "rental") && worker->owned)
 			continue;
-		if (!strcmp(w, "owned") && !x->owned)
+		if (!strcmp(name, "owned") && !worker->owned)
 			continue;
-		for (int k = 0; k < x->ntasks; k++)
-			n += x->tasks[k].state != WS_TASK_EXITED;
-		for (int k = 0; best && k < best->ntasks; k++)
+		for (int k = 0; k < worker->task_count; k++)
+			n += worker->tasks[k].state != WS_TASK_EXITED;
+		for (int k = 0; best && k < best->task_count; k++)
 			b += best->tasks[k].state != WS_TASK_EXITED;
 		if (!best || n > b)
-			best = x;
+			best = worker;
 	}
 	return best;
 }
 
 /* What befalls a machine. */
-static void trouble(struct sim *s, struct sim_worker *w, const char *verb, double span)
+static void trouble(struct sim *sim, struct sim_worker *worker, const char *verb, double span)
 {
 	if (!strcmp(verb, "hang"))
-		w->hang_until = s->now + span;
+		worker->hang_until = sim->now + span;
 	else if (!strcmp(verb, "pin"))
-		w->pin = sim_leader(s) + 1, w->pin_until = s->now + span;
+		worker->pin = sim_leader(sim) + 1, worker->pin_until = sim->now + span;
 	else if (!strcmp(verb, "reboot")) { /* an empty worker under the same name */
-		w->ntasks = w->nimages = 0;
-		w->counter = w->epoch = 0;
-		w->tenure = 1;
-		w->waiting = false;
-		w->answered_sent = w->next_report = s->now;
+		worker->task_count = worker->image_count = 0;
+		worker->sequence = worker->fencing_token = 0;
+		worker->incarnation = 1;
+		worker->waiting = false;
+		worker->answered_sent = worker->next_heartbeat_at = sim->now;
 	} else if (!strcmp(verb, "deaf"))
-		w->deaf_until = s->now + span;
+		worker->deaf_until = sim->now + span;
 	else if (!strcmp(verb, "mute"))
-		w->mute_until = s->now + span;
+		worker->mute_until = sim->now + span;
 	else if (!strcmp(verb, "cut-machine"))
-		w->cut_until = s->now + span;
+		worker->cut_until = sim->now + span;
 	else if (!strcmp(verb, "die"))
-		w->dead = true, w->died_at = s->now;
+		worker->dead = true, worker->died_at = sim->now;
 	else if (!strcmp(verb, "fail-tasks"))
-		w->failing = true;
+		worker->failing = true;
 	else if (!strcmp(verb, "take"))
-		w->deleted = true, w->deleted_at = s->now;
+		worker->deleted = true, worker->deleted_at = sim->now;
 	else {
-		w->notice_at = s->now;
-		w->take_at = s->now + span;
-		sim_worker_changed(w, s->now);
+		worker->preemption_notice_at = sim->now;
+		worker->preempted_at = sim->now + span;
+		sim_worker_changed(worker, sim->now);
 	}
 }
 
-static void act(struct sim *s, const struct sim_order *o)
+static void act(struct sim *sim, const struct sim_timed_line *timed_line)
 {
 	char text[256], full[256], *p = text;
 	const char *verb, *who;
 	double span;
-	struct sim_worker *w;
+	struct sim_worker *worker;
 	int i;
 
-	snprintf(text, sizeof(text), "%s", o->text);
-	snprintf(full, sizeof(full), "%s", o->text);
+	snprintf(text, sizeof(text), "%s", timed_line->text);
+	snprintf(full, sizeof(full), "%s", timed_line->text);
 	verb = sim_word(&p);
 	if (!verb)
 		return;
 	span = sim_option(full, "for", 5);
 	if (!strcmp(verb, "expect")) {
-		sim_expect(s, p);
+		sim_expect(sim, p);
 		return;
 	}
 	sim_log(WS_LOG_INFO, full);
@@ -751,98 +778,100 @@
 		who = "";
 	if (!strcmp(verb,
 		    "once-returned")) { /* the rest of the line so long after the first return */
-		s->after_return = atof(who);
-		snprintf(s->then, sizeof(s->then), "%s", p);
+		sim->after_return = atof(who);
+		snprintf(sim->then, sizeof(sim->then), "%s", p);
 	} else if (!strcmp(verb, "submit")) {
-		add_job(s, who, full, s->now);
+		add_job(sim, who, full, sim->now);
 	} else if (!strcmp(verb, "submit-many")) { /* so many, one each step from now on */
 		int first = atoi(sim_option_text(full, "first", text, sizeof(text)) ? text : "1");
 
-		for (i = 0; i < atoi(who) && s->njobs < SIM_JOBS; i++) {
+		for (i = 0; i < atoi(who) && sim->job_count < SIM_JOBS; i++) {
 			char id[WS_ID_MAX];
 
 			snprintf(id, sizeof(id), "job-%06d", first + i);
-			add_job(s, id, full, s->now + i * sim_option(full, "every", STEP));
+			add_job(sim, id, full, sim->now + i * sim_option(full, "every", STEP));
 		}
 	} else if (!strcmp(verb, "ask")) { /* for a job that nobody submitted */
-		add_job(s, who, full, -1);
+		add_job(sim, who, full, -1);
 	} else if (!strcmp(verb, "abort")) {
-		struct sim_job *j = sim_job_of(s, who);
+		struct sim_job *job = sim_job_of(sim, who);
 		char at[16];
 
-		if (j)
-			j->abort_at = s->now;
-		if (j && sim_option_text(full, "at", at, sizeof(at))) /* of this node first */
-			j->node = node_named(s, at) - 1;
+		if (job)
+			job->abort_at = sim->now;
+		if (job && sim_option_text(full, "at", at, sizeof(at))) /* of this node first */
+			job->node = node_named(sim, at) - 1;
 	} else if (!strcmp(verb, "look")) { /* asked for and sent again, at all nodes */
-		if (sim_job_of(s, who))
-			sim_look(s, sim_job_of(s, who));
+		if (sim_job_of(sim, who))
+			sim_look(sim, sim_job_of(sim, who));
 	} else if (!strcmp(verb, "abort-many")) { /* so many from a number on, each step one */
 		for (i = 0; i < atoi(who); i++) {
 			char id[WS_ID_MAX];
-			struct sim_job *j;
+			struct sim_job *other_job;
 
 			snprintf(id, sizeof(id), "job-%06d", (int)sim_option(full, "first", 1) + i);
-			if ((j = sim_job_of(s, id)))
-				j->abort_at = s->now + i * sim_option(full, "every", STEP);
+			if ((other_job = sim_job_of(sim, id)))
+				other_job->abort_at =
+				    sim->now + i * sim_option(full, "every", STEP);
 		}
 	} else if (!strcmp(verb, "crash")) {
 		if (!strcmp(who, "all"))
-			sim_coldstart_stopped(s);
-		for (i = 0; i < s->nnodes; i++)
-			if (!strcmp(who, "all") || i == node_named(s, who))
-				sim_node_crash(s, i, span);
+			sim_cold_start_stopped(sim);
+		for (i = 0; i < sim->node_count; i++)
+			if (!strcmp(who, "all") || i == node_named(sim, who))
+				sim_node_crash(sim, i, span);
 	} else if (!strcmp(verb, "upgrade")) { /* killed, and back with this version */
-		if ((i = node_named(s, who)) < 0) {
-			sim_fail(s, "nobody leads");
+		if ((i = node_named(sim, who)) < 0) {
+			sim_fail(sim, "nobody leads");
 			return;
 		}
-		sim_node_crash(s, i, span);
-		node_lower(s, i);
+		sim_node_crash(sim, i, span);
+		node_lower(sim, i);
 	} else if (!strcmp(verb, "lower-limits")) {
-		s->lowered = true;
+		sim->lowered = true;
 		if (who[0]) { /* by more than the settings told */
-			s->next_value_kb = atof(who);
-			s->next_txn_ops = (int)sim_option(full, "ops", 12);
+			sim->next_value_kb = atof(who);
+			sim->next_txn_ops = (int)sim_option(full, "ops", 12);
 		}
-		s->value_kb = s->next_value_kb;
-		s->txn_ops = s->next_txn_ops;
+		sim->value_kb = sim->next_value_kb;
+		sim->txn_ops = sim->next_txn_ops;
 	} else if (!strcmp(verb, "resign")) {
-		if ((i = node_named(s, who)) >= 0)
-			s->nodes[i].v->resign(s->nodes[i].core, s->now * (1 + s->nodes[i].skew));
+		if ((i = node_named(sim, who)) >= 0)
+			sim->nodes[i].version->resign(sim->nodes[i].core,
+						      sim->now * (1 + sim->nodes[i].skew));
 	} else if (!strcmp(verb, "cut") || !strcmp(verb, "refuse") || !strcmp(verb, "blind") ||
 		   !strcmp(verb, "freeze")) {
-		i = node_named(s, who);
+		i = node_named(sim, who);
 		if (i < 0) {
-			sim_fail(s, "nobody leads");
+			sim_fail(sim, "nobody leads");
 			return;
 		}
 		bool all = flag(full, "all");
 
 		if (!strcmp(verb, "refuse"))
-			s->nodes[i].refused = s->now + span;
+			sim->nodes[i].refused = sim->now + span;
 		if (!strcmp(verb, "freeze")) /* it stands still; what reaches it waits */
-			s->nodes[i].frozen = s->now + span;
+			sim->nodes[i].frozen = sim->now + span;
 		if (!strcmp(verb, "blind")) /* its watches wait, all else is served */
-			s->nodes[i].blind = s->now + span;
+			sim->nodes[i].blind = sim->now + span;
 		if (all || flag(full, "state"))
-			s->nodes[i].cut_state = s->now + span;
+			sim->nodes[i].cut_state = sim->now + span;
 		if (all || flag(full, "workers"))
-			s->nodes[i].cut_workers = s->now + span;
+			sim->nodes[i].cut_workers = sim->now + span;
 		if (all || flag(full, "peers"))
-			s->nodes[i].cut_peers = s->now + span;
+			sim->nodes[i].cut_peers = sim->now + span;
 	} else if (!strcmp(verb, "state-outage")) {
-		s->state_down = s->now + span;
+		sim->state_down = sim->now + span;
 	} else if (!strcmp(verb, "slow-state")) { /* slow-state BY for=SPAN */
-		s->state_slow = s->now + span;
-		s->state_slow_by = atof(who);
+		sim->state_slow = sim->now + span;
+		sim->state_slow_by = atof(who);
 	} else if (!strcmp(verb, "late-watches")) { /* late-watches BY for=SPAN */
-		s->watch_late = s->now + span;
-		s->watch_late_by = atof(who);
+		sim->watch_late = sim->now + span;
+		sim->watch_late_by = atof(who);
 	} else if (!strcmp(verb, "cloud-outage")) {
-		s->cloud_down = s->now + span;
+		sim->cloud_down = sim->now + span;
 	} else if (!strcmp(verb, "zone-cut")) {
-		s->zone_cut = s->now + span;
+		sim->zone_cut = sim->now + span;
 	} else if (!strcmp(verb, "hang") || !strcmp(verb, "cut-machine") || !strcmp(verb, "die") ||
 		   !strcmp(verb, "fail-tasks") || !strcmp(verb, "pin") || !strcmp(verb, "notice") ||
 		   !strcmp(verb, "take") || !strcmp(verb, "deaf") || !strcmp(verb, "mute") ||
@@ -850,302 +879,314 @@
 		/* so many, the one with most on it first; those that are gone are not named again
 		 */
 		for (int k = (int)sim_option(full, "times", 1); k > 0; k--) {
-			if (!(w = machine_named(s, who))) {
-				sim_fail(s, "no machine %s", who);
+			if (!(worker = machine_named(sim, who))) {
+				sim_fail(sim, "no machine %s", who);
 				return;
 			}
-			trouble(s, w, verb, span);
+			trouble(sim, worker, verb, span);
 		}
 	} else if (!strcmp(verb, "lose-answer")) {
 		int k = (int)sim_option(full, "times", 1);
 
 		if (!strcmp(who, "rent"))
-			s->lose_rent = k;
+			sim->lose_rent = k;
 		else if (!strcmp(who, "txn"))
-			s->lose_txn = k;
+			sim->lose_txn = k;
 		else
-			s->lose_orders = k;
+			sim->lose_commands = k;
 	} else if (!strcmp(verb, "late")) {
 		if (!strcmp(who, "txn")) {
-			s->late_txn = (int)sim_option(full, "times", 1);
-			s->late_by = sim_option(full, "by", 5);
+			sim->late_txn = (int)sim_option(full, "times", 1);
+			sim->late_by = sim_option(full, "by", 5);
 		} else {
-			s->late_orders = (int)sim_option(full, "times", 1);
-			s->late_orders_by = sim_option(full, "by", 5);
+			sim->late_command_count = (int)sim_option(full, "times", 1);
+			sim->late_commands_by = sim_option(full, "by", 5);
 		}
 	} else if (!strcmp(verb, "crash-on")) {
-		s->crash_kind = !strcmp(who, "txn")	 ? WS_CALL_TXN
-				: !strcmp(who, "orders") ? WS_CALL_ORDERS
-				: !strcmp(who, "rent")	 ? WS_CALL_RENT
-							 : WS_CALL_RETURN;
-		s->crash = flag(full, "after") ? CRASH_AFTER : CRASH_BEFORE;
-		s->crash_skip = (int)sim_option(full, "skip", 0);
-		s->down_for = span;
+		sim->crash_kind = !strcmp(who, "txn")	   ? WS_CALL_TRANSACTION
+				  : !strcmp(who, "orders") ? WS_CALL_COMMANDS
+				  : !strcmp(who, "rent")   ? WS_CALL_SCALE_OUT
+							   : WS_CALL_SCALE_IN;
+		sim->crash = flag(full, "after") ? CRASH_AFTER : CRASH_BEFORE;
+		sim->crash_skip = (int)sim_option(full, "skip", 0);
+		sim->down_for = span;
 	} else if (!strcmp(verb, "copies")) { /* copies BY for=SPAN */
-		s->copies_by = atof(who);
-		s->copies_until = s->now + span;
-		s->copies_share = sim_option(full, "share", 1);
-		s->copies_for_next = flag(full, "for-next");
+		sim->copies_by = atof(who);
+		sim->copies_until = sim->now + span;
+		sim->copies_share = sim_option(full, "share", 1);
+		sim->copies_for_next = flag(full, "for-next");
 	} else if (!strcmp(verb, "looks")) { /* looks SHARE for=SPAN: that share cancels at once */
-		s->looks_until = s->now + span;
-		s->abort_share = atof(who);
+		sim->looks_until = sim->now + span;
+		sim->abort_share = atof(who);
 	} else if (!strcmp(verb, "abort-at-end")) { /* abort-at-end SHARE for=SPAN */
-		s->end_until = s->now + span;
-		s->end_share = atof(who);
+		sim->end_until = sim->now + span;
+		sim->end_share = atof(who);
 	} else if (!strcmp(verb, "late-writes")) { /* late-writes SHARE for=SPAN [at-once] */
-		s->lag_until = s->now + span;
-		s->lag_share = atof(who);
-		s->lag_most = sim_option(full, "most", 12);
-		s->lag_at_once = flag(full, "at-once");
+		sim->lag_until = sim->now + span;
+		sim->lag_share = atof(who);
+		sim->lag_most = sim_option(full, "most", 12);
+		sim->lag_at_once = flag(full, "at-once");
 	} else if (!strcmp(verb, "garble")) { /* a record that nobody can read */
-		json_t *v = json_pack("{s:i}", "x", 1);
+		json_t *value = json_pack("{s:i}", "x", 1);
 
-		s->rev++;
-		sim_kv_put(s, who, v, 0);
-		json_decref(v);
+		sim->revision++;
+		sim_kv_put(sim, who, value, 0);
+		json_decref(value);
 	} else if (!strcmp(verb, "slow-orders")) {
-		s->slow_orders = atof(who);
+		sim->slow_commands = atof(who);
 	} else if (!strcmp(verb, "stutter")) {
-		s->stutter = true;
+		sim->stutter = true;
 	} else if (!strcmp(verb, "foreign")) { /* MACHINE job=ID: its task 0 runs there, unasked */
-		if (!(w = machine_named(s, who)) || w->ntasks == SIM_TASKS) {
-			sim_fail(s, "no machine %s", who);
+		if (!(worker = machine_named(sim, who)) || worker->task_count == SIM_TASKS) {
+			sim_fail(sim, "no machine %s", who);
 			return;
 		}
-		memset(&w->tasks[w->ntasks], 0, sizeof(w->tasks[0]));
-		sim_option_text(full, "job", w->tasks[w->ntasks].job, WS_ID_MAX);
-		w->tasks[w->ntasks].attempt = 7;
-		w->tasks[w->ntasks++].state = WS_TASK_FETCHING;
-		w->tasks[w->ntasks - 1].left = 1e6;
-		sim_worker_changed(w, s->now);
+		memset(&worker->tasks[worker->task_count], 0, sizeof(worker->tasks[0]));
+		sim_option_text(full, "job", worker->tasks[worker->task_count].job, WS_ID_MAX);
+		worker->tasks[worker->task_count].attempt = 7;
+		worker->tasks[worker->task_count++].state = WS_TASK_FETCHING;
+		worker->tasks[worker->task_count - 1].seconds_left = 1e6;
+		sim_worker_changed(worker, sim->now);
 	} else if (!strcmp(verb, "no-boot")) {
-		s->no_boot = atoi(who);
+		sim->no_boot = atoi(who);
 	} else if (!strcmp(verb, "instant-boot")) {
-		s->instant_boot = 1;
-	} else if (!sim_coldstart_act(s, verb, who, full) && !sim_zones_act(s, verb, who, full)) {
-		sim_fail(s, "line %d: %s?", o->line, verb);
+		sim->instant_boot = 1;
+	} else if (!sim_cold_start_act(sim, verb, who, full) &&
+		   !sim_domains_act(sim, verb, who, full)) {
+		sim_fail(sim, "line %d: %s?", timed_line->line, verb);
 	}
 }
 
 struct sim *sim_new(void)
 {
-	struct sim *s = calloc(1, sizeof(*s));
-
-	s->w = calloc(SIM_WORKERS, sizeof(*s->w));
-	s->jobs = calloc(SIM_JOBS, sizeof(*s->jobs));
-	s->nnodes = 3;
-	s->lease = 16;
-	s->report = 2;
-	s->cancel_s = 46;
-	s->lag = 5;
-	s->gang_wait = 30;
-	s->gang_peer = 8;
-	s->value_kb = 4;
-	s->txn_ops = 12;
-	s->cap_limit = 100;
-	s->rnd = 12345;
-	ws_policy_defaults(&s->pol);
-	ws_zones_defaults(&s->zones_settings);
-	ws_coldstart_defaults(&s->coldstart_settings);
-	s->coldstart_on = sim_coldstart_always;
-	sim_digest_begin(s);
-	return s;
+	struct sim *sim = calloc(1, sizeof(*sim));
+
+	sim->workers = calloc(SIM_WORKERS, sizeof(*sim->workers));
+	sim->jobs = calloc(SIM_JOBS, sizeof(*sim->jobs));
+	sim->node_count = 3;
+	sim->lease = 16;
+	sim->report = 2;
+	sim->cancel_s = 46;
+	sim->lag = 5;
+	sim->gang_wait = 30;
+	sim->gang_peer = 8;
+	sim->value_kb = 4;
+	sim->txn_ops = 12;
+	sim->cap_limit = 100;
+	sim->random_state = 12345;
+	ws_policy_defaults(&sim->policy);
+	ws_domains_defaults(&sim->zones_settings);
+	ws_cold_start_defaults(&sim->coldstart_settings);
+	sim->coldstart_on = sim_cold_start_always;
+	sim_digest_begin(sim);
+	return sim;
 }
 
 /* Whether another node has begun to lead since this was last asked. */
-static bool begun(struct sim *s)
+static bool begun(struct sim *sim)
 {
-	struct sim_kv *k;
+	struct sim_entry *entry;
 	const char *node;
 
-	HASH_FIND_STR(s->kv, "leader", k);
-	if (!k || k->stamp == s->led)
+	HASH_FIND_STR(sim->entries, "leader", entry);
+	if (!entry || entry->revision == sim->led)
 		return false;
-	node = ws_record_leader_node(k->value);
-	for (int i = 0; i < s->nnodes; i++)
-		if (!strcmp(s->nodes[i].set.node, node) && s->nodes[i].up &&
-		    s->nodes[i].v->leading(s->nodes[i].core)) {
-			s->led = k->stamp;
+	node = ws_record_leader_node(entry->value);
+	for (int i = 0; i < sim->node_count; i++)
+		if (!strcmp(sim->nodes[i].settings.node, node) && sim->nodes[i].is_up &&
+		    sim->nodes[i].version->leading(sim->nodes[i].core)) {
+			sim->led = entry->revision;
 			return true;
 		}
 	return false;
 }
 
-bool sim_play(struct sim *s, char *err, size_t n)
+bool sim_play(struct sim *sim, char *err, size_t size)
 {
 	int next = 0;
 
-	log_sim = s;
-	for (int i = 0; i < s->nnodes; i++) {
-		struct ws_settings *x = &s->nodes[i].set;
+	log_sim = sim;
+	for (int i = 0; i < sim->node_count; i++) {
+		struct ws_settings *settings = &sim->nodes[i].settings;
 
-		snprintf(x->node, sizeof(x->node), "node-%d", i);
-		snprintf(x->zone, sizeof(x->zone), "%s", s->zones[i % s->nzones]);
-		for (int k = 0; k < s->nnodes; k++)
+		snprintf(settings->node, sizeof(settings->node), "node-%d", i);
+		snprintf(settings->zone, sizeof(settings->zone), "%s",
+			 sim->zones[i % sim->zone_count]);
+		for (int k = 0; k < sim->node_count; k++)
 			if (k != i)
-				snprintf(x->peers[x->npeers++].node, WS_NAME_MAX, "node-%d", k);
-		for (int k = 0; k < s->nzones; k++)
-			snprintf(x->zones[x->nzones++], WS_NAME_MAX, "%s", s->zones[k]);
-		for (int k = 0; k < s->nteams; k++)
-			x->teams[x->nteams++] = s->teams[k];
-		for (int k = 0; k < s->nobjectives; k++)
-			x->objectives[x->nobjectives++] = s->objectives[k];
-		x->report_s = s->report;
-		x->lease_s = s->lease;
-		x->cancel_s = s->cancel_s;
-		x->state_rps = 250;
-		x->state_write_rps = 50;
+				snprintf(settings->peers[settings->peer_count++].node, WS_NAME_MAX,
+					 "node-%d", k);
+		for (int k = 0; k < sim->zone_count; k++)
+			snprintf(settings->zones[settings->zone_count++], WS_NAME_MAX, "%s",
+				 sim->zones[k]);
+		for (int k = 0; k < sim->team_count; k++)
+			settings->teams[settings->team_count++] = sim->teams[k];
+		for (int k = 0; k < sim->objective_count; k++)
+			settings->objectives[settings->objective_count++] = sim->objectives[k];
+		settings->report_s = sim->report;
+		settings->lease_s = sim->lease;
+		settings->cancel_s = sim->cancel_s;
+		settings->state_rps = 250;
+		settings->state_write_rps = 50;
 		/* the new version plans by the lower limits from its start */
-		x->value_kb = s->value_kb;
-		x->txn_ops = s->txn_ops;
-		x->gang_wait_s = s->gang_wait;
-		x->gang_peer_s = s->gang_peer;
-		s->nodes[i].v = &sim_this_version;
-		if (i < s->old_nodes)
-			s->nodes[i].v = sim_production_version();
-		else if (s->next_value_kb > 0)
-			node_lower(s, i);
-		x->cloud_rps = 2;
-		x->list_lag_s = s->lag;
-		s->nodes[i].skew = i == 1 ? 0.0005 : 0;
-		node_start(s, i);
+		settings->value_kb = sim->value_kb;
+		settings->txn_ops = sim->txn_ops;
+		settings->gang_wait_s = sim->gang_wait;
+		settings->gang_peer_s = sim->gang_peer;
+		sim->nodes[i].version = &sim_this_version;
+		if (i < sim->old_nodes)
+			sim->nodes[i].version = sim_production_version();
+		else if (sim->next_value_kb > 0)
+			node_lower(sim, i);
+		settings->cloud_rps = 2;
+		settings->list_lag_s = sim->lag;
+		sim->nodes[i].skew = i == 1 ? 0.0005 : 0;
+		node_start(sim, i);
 	}
-	while (!s->err[0] && s->now <= s->end + STEP / 2) {
-		struct sim_flight *f;
-
-		while (next < s->norders && s->orders[next].at <= s->now + 1e-9)
-			act(s, &s->orders[next++]);
-		if (s->was_down && s->now >= s->state_down)
-			for (int i = 0; i < s->nholds; i++)
-				if (s->holds[i].live)
-					s->holds[i].until = s->now + s->holds[i].ttl;
-		if (s->then[0] && s->returned_at > 0 &&
-		    s->now >= s->returned_at + s->after_return) {
-			struct sim_order o = {.at = s->now};
-
-			snprintf(o.text, sizeof(o.text), "%s", s->then);
-			s->then[0] = 0;
-			act(s, &o);
+	while (!sim->err[0] && sim->now <= sim->end + STEP / 2) {
+		struct sim_call_in_flight *flight;
+
+		while (next < sim->timed_line_count &&
+		       sim->timed_lines[next].time <= sim->now + 1e-9)
+			act(sim, &sim->timed_lines[next++]);
+		if (sim->was_down && sim->now >= sim->state_down)
+			for (int i = 0; i < sim->session_count; i++)
+				if (sim->sessions[i].live)
+					sim->sessions[i].until = sim->now + sim->sessions[i].ttl;
+		if (sim->then[0] && sim->returned_at > 0 &&
+		    sim->now >= sim->returned_at + sim->after_return) {
+			struct sim_timed_line timed_line = {.time = sim->now};
+
+			snprintf(timed_line.text, sizeof(timed_line.text), "%s", sim->then);
+			sim->then[0] = 0;
+			act(sim, &timed_line);
 		}
-		for (int i = 0; i < s->nholds; i++)
-			if (s->holds[i].live && s->now >= s->state_down &&
-			    s->now > s->holds[i].until + 0.05)
-				sim_hold_end(s, &s->holds[i]);
-		s->was_down = s->now < s->state_down;
-		bool next_leader = begun(s);
-
-		for (struct sim_held **p = &s->held, *h; (h = *p);) {
-			if (h->node < 0 ? !next_leader : h->at > s->now) {
-				p = &h->next;
+		for (int i = 0; i < sim->session_count; i++)
+			if (sim->sessions[i].live && sim->now >= sim->state_down &&
+			    sim->now > sim->sessions[i].until + 0.05)
+				sim_hold_end(sim, &sim->sessions[i]);
+		sim->was_down = sim->now < sim->state_down;
+		bool next_leader = begun(sim);
+
+		for (struct sim_delayed_heartbeat **delayed_link = &sim->delayed_heartbeats,
+						  *delayed;
+		     (delayed = *delayed_link);) {
+			if (delayed->node < 0 ? !next_leader : delayed->due_at > sim->now) {
+				delayed_link = &delayed->next;
 				continue;
 			}
-			*p = h->next;
+			*delayed_link = delayed->next;
 			/* its sender gave up long ago: nobody hears the answer */
-			for (int i = 0; i < s->nnodes; i++)
-				if (s->nodes[i].up && (h->node == i || h->node < 0))
-					s->nodes[i].v->report(s->nodes[i].core,
-							      s->now * (1 + s->nodes[i].skew),
-							      1ULL << 60, &h->r, false);
-			free(h->r.tasks);
-			free(h);
+			for (int i = 0; i < sim->node_count; i++)
+				if (sim->nodes[i].is_up &&
+				    (delayed->node == i || delayed->node < 0))
+					sim->nodes[i].version->report(
+					    sim->nodes[i].core, sim->now * (1 + sim->nodes[i].skew),
+					    1ULL << 60, &delayed->heartbeat, false);
+			free(delayed->heartbeat.tasks);
+			free(delayed);
 		}
-		for (struct sim_late **l = &s->late, *x; (x = *l);) {
-			if (x->at > s->now) {
-				l = &x->next;
+		for (struct sim_late_command **late_command_link = &sim->late_commands,
+					     *late_command;
+		     (late_command = *late_command_link);) {
+			if (late_command->due_at > sim->now) {
+				late_command_link = &late_command->next;
 				continue;
 			}
-			*l = x->next;
-			if (sim_worker_live(s, &s->w[x->worker]))
-				sim_worker_command(s, &s->w[x->worker], x->epoch, x->tenure,
-						   x->orders, x->n, NULL);
-			free(x->orders);
-			free(x);
+			*late_command_link = late_command->next;
+			if (sim_worker_live(sim, &sim->workers[late_command->worker]))
+				sim_worker_command(
+				    sim, &sim->workers[late_command->worker],
+				    late_command->fencing_token, late_command->incarnation,
+				    late_command->commands, late_command->command_count, NULL);
+			free(late_command->commands);
+			free(late_command);
 		}
-		for (int i = 0; i < s->nnodes; i++) {
-			if (!s->nodes[i].up && s->now >= s->nodes[i].up_at)
-				node_start(s, i);
-			if (s->now < s->nodes[i].frozen)
+		for (int i = 0; i < sim->node_count; i++) {
+			if (!sim->nodes[i].is_up && sim->now >= sim->nodes[i].up_at)
+				node_start(sim, i);
+			if (sim->now < sim->nodes[i].frozen)
 				continue;
-			if (s->nodes[i].up)
-				s->nodes[i].v->tick(s->nodes[i].core,
-						    s->now * (1 + s->nodes[i].skew));
-			node_drain(s, i);
+			if (sim->nodes[i].is_up)
+				sim->nodes[i].version->tick(sim->nodes[i].core,
+							    sim->now * (1 + sim->nodes[i].skew));
+			node_drain(sim, i);
 		}
-		for (int i = 0; i < s->nw; i++)
-			sim_worker_step(s, &s->w[i]);
-		sim_gangs_step(s);
-		sim_users_step(s);
-		sim_coldstart_step(s);
+		for (int i = 0; i < sim->worker_count; i++)
+			sim_worker_step(sim, &sim->workers[i]);
+		sim_gangs_step(sim);
+		sim_users_step(sim);
+		sim_cold_start_step(sim);
 		/* all that falls within this step, in the order of its time */
-		double step_end = s->now + STEP;
+		double step_end = sim->now + STEP;
 		for (;;) {
-			for (int i = 0; i < s->nnodes; i++)
-				node_drain(s, i);
-			f = s->flights;
-			if (!f || f->at >= step_end)
+			for (int i = 0; i < sim->node_count; i++)
+				node_drain(sim, i);
+			flight = sim->calls_in_flight;
+			if (!flight || flight->due_at >= step_end)
 				break;
-			s->flights = f->next;
-			s->now = f->at > s->now ? f->at : s->now;
-			flight_go(s, f);
+			sim->calls_in_flight = flight->next;
+			sim->now = flight->due_at > sim->now ? flight->due_at : sim->now;
+			flight_go(sim, flight);
 		}
-		s->now = step_end;
-		sim_check_quota(s);
+		sim->now = step_end;
+		sim_check_quota(sim);
 	}
-	snprintf(err, n, "%s", s->err);
-	return !s->err[0];
+	snprintf(err, size, "%s", sim->err);
+	return !sim->err[0];
 }
 
-void sim_print_digest(const struct sim *s, const char *name)
+void sim_print_digest(const struct sim *sim, const char *name)
 {
-	printf("digest %s %016llx %llu effects\n", name, (unsigned long long)s->digest,
-	       (unsigned long long)s->digest_lines);
+	printf("digest %s %016llx %llu effects\n", name, (unsigned long long)sim->digest,
+	       (unsigned long long)sim->digest_lines);
 }
 
-void sim_free(struct sim *s)
+void sim_free(struct sim *sim)
 {
-	struct sim_kv *k, *t;
+	struct sim_entry *entry, *next_entry;
 
-	while (s->flights) {
-		struct sim_flight *f = s->flights;
+	while (sim->calls_in_flight) {
+		struct sim_call_in_flight *flight = sim->calls_in_flight;
 
-		s->flights = f->next;
-		f->call_version->free_call(f->call);
-		result_clear(&f->res);
-		free(f);
+		sim->calls_in_flight = flight->next;
+		flight->call_version->free_call(flight->call);
+		result_clear(&flight->result);
+		free(flight);
 	}
-	while (s->held) {
-		struct sim_held *h = s->held;
+	while (sim->delayed_heartbeats) {
+		struct sim_delayed_heartbeat *delayed = sim->delayed_heartbeats;
 
-		s->held = h->next;
-		free(h->r.tasks);
-		free(h);
+		sim->delayed_heartbeats = delayed->next;
+		free(delayed->heartbeat.tasks);
+		free(delayed);
 	}
-	while (s->late) {
-		struct sim_late *l = s->late;
+	while (sim->late_commands) {
+		struct sim_late_command *late_command = sim->late_commands;
 
-		s->late = l->next;
-		free(l->orders);
-		free(l);
+		sim->late_commands = late_command->next;
+		free(late_command->commands);
+		free(late_command);
 	}
-	for (int i = 0; i < s->nnodes; i++)
-		if (s->nodes[i].core)
-			s->nodes[i].v->destroy(s->nodes[i].core);
-	HASH_ITER (hh, s->kv, k, t) {
-		HASH_DEL(s->kv, k);
-		json_decref(k->value);
-		free(k);
+	for (int i = 0; i < sim->node_count; i++)
+		if (sim->nodes[i].core)
+			sim->nodes[i].version->destroy(sim->nodes[i].core);
+	HASH_ITER (hh, sim->entries, entry, next_entry) {
+		HASH_DEL(sim->entries, entry);
+		json_decref(entry->value);
+		free(entry);
 	}
-	for (size_t i = 0; i < s->nhist; i++)
-		json_decref(s->hist[i].value);
-	HASH_CLEAR(hh, s->by_id);
-	for (int i = 0; i < s->njobs; i++) {
-		free(s->jobs[i].task_done);
-		free(s->jobs[i].displaced_at);
-		free(s->jobs[i].killed_at);
+	for (size_t i = 0; i < sim->history_count; i++)
+		json_decref(sim->history[i].value);
+	HASH_CLEAR(hh, sim->by_id);
+	for (int i = 0; i < sim->job_count; i++) {
+		free(sim->jobs[i].task_done);
+		free(sim->jobs[i].displaced_at);
+		free(sim->jobs[i].killed_at);
 	}
-	ws_zones_settings_free(&s->zones_settings);
-	free(s->hist);
-	free(s->jobs);
-	free(s->w);
-	free(s);
+	ws_domains_settings_free(&sim->zones_settings);
+	free(sim->history);
+	free(sim->jobs);
+	free(sim->workers);
+	free(sim);
 }
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -1,111 +1,118 @@
 /* The cloud: machines for rent. */
 #include "sim_parts.h"
 
-int sim_add_worker(struct sim *s, int type, const char *zone, bool spot, bool owned)
+int sim_add_worker(struct sim *sim, int type, const char *zone, bool spot, bool owned)
 {
-	struct sim_worker *w;
+	struct sim_worker *worker;
 
-	if (s->nw == SIM_WORKERS) {
-		sim_fail(s, "too many machines");
+	if (sim->worker_count == SIM_WORKERS) {
+		sim_fail(sim, "too many machines");
 		return 0;
 	}
-	w = &s->w[s->nw];
-	memset(w, 0, sizeof(*w));
-	snprintf(w->name, sizeof(w->name), "n-%06d", s->nw);
-	w->type = type;
-	snprintf(w->zone, sizeof(w->zone), "%s", zone);
-	w->spot = spot;
-	w->owned = owned;
-	w->rented = s->now;
-	w->boots = owned || s->instant_boot
-		       ? s->now
-		       : s->now + s->types[type].t.boot_s * (0.8 + 0.4 * sim_rnd(s));
-	if (!owned && s->no_boot > 0) {
-		s->no_boot--;
-		w->never = true;
+	worker = &sim->workers[sim->worker_count];
+	memset(worker, 0, sizeof(*worker));
+	snprintf(worker->name, sizeof(worker->name), "n-%06d", sim->worker_count);
+	worker->type = type;
+	snprintf(worker->zone, sizeof(worker->zone), "%s", zone);
+	worker->preemptible = spot;
+	worker->owned = owned;
+	worker->rented = sim->now;
+	worker->boots = owned || sim->instant_boot
+			    ? sim->now
+			    : sim->now + sim->types[type].type.boot_s * (0.8 + 0.4 * sim_rnd(sim));
+	if (!owned && sim->no_boot > 0) {
+		sim->no_boot--;
+		worker->never = true;
 	}
-	return s->nw++;
+	return sim->worker_count++;
 }
 
-void sim_cloud_do(struct sim *s, struct ws_call *c, struct ws_result *r)
+void sim_cloud_do(struct sim *sim, struct ws_call *call, struct ws_result *result)
 {
 	int n = 0, b;
 
-	r->status = 200;
-	if (s->now < s->cloud_down) {
-		r->status = 503;
+	result->status = 200;
+	if (sim->now < sim->cloud_down) {
+		result->status = 503;
 		return;
 	}
-	switch (c->kind) {
-	case WS_CALL_TYPES:
-		r->types = calloc((size_t)s->ntypes, sizeof(*r->types));
-		for (int i = 0; i < s->ntypes; i++)
-			r->types[r->ntypes++] = s->types[i].t;
+	switch (call->kind) {
+	case WS_CALL_MACHINE_TYPES:
+		result->types = calloc((size_t)sim->type_count, sizeof(*result->types));
+		for (int i = 0; i < sim->type_count; i++)
+			result->types[result->type_count++] = sim->types[i].type;
 		break;
-	case WS_CALL_HOSTS:
-		r->hosts = calloc((size_t)s->nw + 1, sizeof(*r->hosts));
-		for (int i = 0; i < s->nw; i++) {
-			struct sim_worker *w = &s->w[i];
-			struct ws_host *h = &r->hosts[r->nhosts];
+	case WS_CALL_INSTANCES:
+		result->instances =
+		    calloc((size_t)sim->worker_count + 1, sizeof(*result->instances));
+		for (int i = 0; i < sim->worker_count; i++) {
+			struct sim_worker *worker = &sim->workers[i];
+			struct ws_instance *instance = &result->instances[result->instance_count];
 
 			/* what is gone is listed for another lag */
-			if ((w->deleted && s->now > w->deleted_at + s->lag) ||
-			    (!w->owned && s->now < w->rented + s->lag) ||
-			    strcmp(w->name, c->after) <= 0)
+			if ((worker->deleted && sim->now > worker->deleted_at + sim->lag) ||
+			    (!worker->owned && sim->now < worker->rented + sim->lag) ||
+			    strcmp(worker->name, call->after) <= 0)
 				continue;
-			strcpy(h->name, w->name);
-			strcpy(h->type, s->types[w->type].t.name);
-			strcpy(h->zone, w->zone);
-			h->spot = w->spot;
-			h->age_s = s->now - w->rented;
+			strcpy(instance->name, worker->name);
+			strcpy(instance->type, sim->types[worker->type].type.name);
+			strcpy(instance->zone, worker->zone);
+			instance->preemptible = worker->preemptible;
+			instance->age_s = sim->now - worker->rented;
 			/* the protocol: listed as running for about 30 s longer */
-			h->phase = w->dead && s->now > w->died_at + 30 ? WS_HOST_FAILED
-				   : w->up			       ? WS_HOST_RUNNING
-								       : WS_HOST_STARTING;
-			r->nhosts++;
+			instance->phase = worker->dead && sim->now > worker->died_at + 30
+					      ? WS_INSTANCE_FAILED
+					  : worker->is_up ? WS_INSTANCE_RUNNING
+							  : WS_INSTANCE_STARTING;
+			result->instance_count++;
 		}
 		break;
-	case WS_CALL_RENT:
-		for (b = 0; b < s->nbooked && strcmp(s->booked[b].name, c->key); b++)
+	case WS_CALL_SCALE_OUT:
+		for (b = 0; b < sim->request_count && strcmp(sim->booked[b].name, call->key); b++)
 			;
-		if (b == s->nbooked) {
+		if (b == sim->request_count) {
 			int t;
 
-			for (t = 0; t < s->ntypes && strcmp(s->types[t].t.name, c->type); t++)
+			for (t = 0;
+			     t < sim->type_count && strcmp(sim->types[t].type.name, call->type);
+			     t++)
 				;
-			for (int i = 0; i < s->nw; i++)
-				n += !s->w[i].deleted && !s->w[i].owned;
-			if (t == s->ntypes || n >= s->cap_limit) {
-				r->status = 503;
-				r->no_capacity = true;
+			for (int i = 0; i < sim->worker_count; i++)
+				n += !sim->workers[i].deleted && !sim->workers[i].owned;
+			if (t == sim->type_count || n >= sim->cap_limit) {
+				result->status = 503;
+				result->no_capacity = true;
 				return;
 			}
-			snprintf(s->booked[b].name, WS_NAME_MAX, "%.*s", WS_NAME_MAX - 1, c->key);
-			s->booked[b].first = s->nw;
-			for (uint32_t i = 0; i < c->count && n < s->cap_limit; i++, n++) {
-				sim_add_worker(s, t, c->zone, c->spot, false);
-				s->booked[b].n++;
-				s->rented++;
+			snprintf(sim->booked[b].name, WS_NAME_MAX, "%.*s", WS_NAME_MAX - 1,
+				 call->key);
+			sim->booked[b].first = sim->worker_count;
+			for (uint32_t i = 0; i < call->count && n < sim->cap_limit; i++, n++) {
+				sim_add_worker(sim, t, call->zone, call->preemptible, false);
+				sim->booked[b].n++;
+				sim->rented++;
 			}
-			s->nbooked++;
+			sim->request_count++;
 		}
-		r->hosts = calloc((size_t)s->booked[b].n + 1, sizeof(*r->hosts));
-		for (int i = 0; i < s->booked[b].n; i++)
-			strcpy(r->hosts[r->nhosts++].name, s->w[s->booked[b].first + i].name);
+		result->instances =
+		    calloc((size_t)sim->booked[b].n + 1, sizeof(*result->instances));
+		for (int i = 0; i < sim->booked[b].n; i++)
+			strcpy(result->instances[result->instance_count++].name,
+			       sim->workers[sim->booked[b].first + i].name);
 		break;
-	case WS_CALL_RETURN:
-		for (size_t i = 0; i < c->nnames; i++)
-			for (int k = 0; k < s->nw; k++)
-				if (!strcmp(s->w[k].name, c->names[i])) {
-					if (s->w[k].owned)
-						sim_fail(s, "owned machine %s returned",
-							 c->names[i]);
-					s->returned += !s->w[k].deleted;
-					if (!s->returned_at)
-						s->returned_at = s->now;
-					if (!s->w[k].deleted)
-						s->w[k].deleted_at = s->now;
-					s->w[k].deleted = true;
+	case WS_CALL_SCALE_IN:
+		for (size_t i = 0; i < call->machine_count; i++)
+			for (int k = 0; k < sim->worker_count; k++)
+				if (!strcmp(sim->workers[k].name, call->machine_names[i])) {
+					if (sim->workers[k].owned)
+						sim_fail(sim, "owned machine %s returned",
+							 call->machine_names[i]);
+					sim->returned += !sim->workers[k].deleted;
+					if (!sim->returned_at)
+						sim->returned_at = sim->now;
+					if (!sim->workers[k].deleted)
+						sim->workers[k].deleted_at = sim->now;
+					sim->workers[k].deleted = true;
 				}
 		break;
 	default: break;
--- a/tests/sim_digest.c
+++ b/tests/sim_digest.c
@@ -14,16 +14,16 @@
 
 FILE *sim_trace;
 
-static void put(struct sim *s, const char *text, size_t n)
+static void put(struct sim *sim, const char *text, size_t length)
 {
-	for (size_t i = 0; i < n; i++)
-		s->digest = (s->digest ^ (unsigned char)text[i]) * FNV_PRIME;
+	for (size_t i = 0; i < length; i++)
+		sim->digest = (sim->digest ^ (unsigned char)text[i]) * FNV_PRIME;
 	if (sim_trace)
-		fwrite(text, 1, n, sim_trace);
+		fwrite(text, 1, length, sim_trace);
 }
 
-static void say(struct sim *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-static void say(struct sim *s, const char *fmt, ...)
+static void say(struct sim *sim, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+static void say(struct sim *sim, const char *fmt, ...)
 {
 	char text[1024];
 	va_list ap;
@@ -32,109 +32,117 @@
 	va_start(ap, fmt);
 	n = vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	put(s, text, (size_t)n < sizeof(text) ? (size_t)n : sizeof(text) - 1);
+	put(sim, text, (size_t)n < sizeof(text) ? (size_t)n : sizeof(text) - 1);
 }
 
-static void say_commands(struct sim *s, const struct ws_order *orders, size_t n)
+static void say_commands(struct sim *sim, const struct ws_command *orders, size_t count)
 {
 	static const char *const words[] = {"run", "stop", "reap"};
 
-	for (size_t i = 0; i < n; i++)
-		say(s, " (%s %s/%u %llu %.17g)", words[orders[i].verb], orders[i].job,
+	for (size_t i = 0; i < count; i++)
+		say(sim, " (%s %s/%u %llu %.17g)", words[orders[i].kind], orders[i].job,
 		    orders[i].task, (unsigned long long)orders[i].attempt, orders[i].grace_s);
 }
 
-static void say_transaction(struct sim *s, const struct ws_call *call)
+static void say_transaction(struct sim *sim, const struct ws_call *call)
 {
-	say(s, "txn paced=%d", call->paced);
-	for (size_t i = 0; i < call->nconds; i++)
-		say(s, " (if %s %llu)", call->conds[i].key,
-		    (unsigned long long)call->conds[i].stamp);
-	for (size_t i = 0; i < call->nops; i++) {
-		const struct ws_op *op = &call->ops[i];
-		char *value =
-		    op->value ? json_dumps(op->value, JSON_COMPACT | JSON_ENCODE_ANY) : NULL;
+	say(sim, "txn paced=%d", call->self_paced);
+	for (size_t i = 0; i < call->compare_count; i++)
+		say(sim, " (if %s %llu)", call->compares[i].key,
+		    (unsigned long long)call->compares[i].revision);
+	for (size_t i = 0; i < call->operation_count; i++) {
+		const struct ws_operation *operation = &call->operations[i];
+		char *value = operation->value
+				  ? json_dumps(operation->value, JSON_COMPACT | JSON_ENCODE_ANY)
+				  : NULL;
 
-		say(s, " (put %s %llu ", op->key, (unsigned long long)op->hold);
+		say(sim, " (put %s %llu ", operation->key, (unsigned long long)operation->session);
 		if (value)
-			put(s, value, strlen(value));
-		say(s, ")");
+			put(sim, value, strlen(value));
+		say(sim, ")");
 		free(value);
 	}
 }
 
-static void say_call(struct sim *s, const struct ws_call *call)
+static void say_call(struct sim *sim, const struct ws_call *call)
 {
 	switch (call->kind) {
-	case WS_CALL_GET: say(s, "get %s", call->key); break;
-	case WS_CALL_LIST: say(s, "list %s after=%s", call->key, call->after); break;
-	case WS_CALL_TXN: say_transaction(s, call); break;
+	case WS_CALL_GET: say(sim, "get %s", call->key); break;
+	case WS_CALL_LIST: say(sim, "list %s after=%s", call->key, call->after); break;
+	case WS_CALL_TRANSACTION: say_transaction(sim, call); break;
 	case WS_CALL_WATCH:
-		say(s, "watch %s %llu %u", call->key, (unsigned long long)call->since, call->ms);
+		say(sim, "watch %s %llu %u", call->key, (unsigned long long)call->since_revision,
+		    call->timeout_ms);
 		break;
-	case WS_CALL_HOLD_NEW: say(s, "session-new %u", call->ms); break;
-	case WS_CALL_HOLD_EXTEND:
-		say(s, "session-extend %llu", (unsigned long long)call->hold);
+	case WS_CALL_SESSION_OPEN: say(sim, "session-new %u", call->timeout_ms); break;
+	case WS_CALL_SESSION_RENEW:
+		say(sim, "session-extend %llu", (unsigned long long)call->session);
 		break;
-	case WS_CALL_HOLD_DROP: say(s, "session-drop %llu", (unsigned long long)call->hold); break;
-	case WS_CALL_TYPES: say(s, "types"); break;
-	case WS_CALL_HOSTS: say(s, "instances after=%s", call->after); break;
-	case WS_CALL_RENT:
-		say(s, "scale-out %s %s %s %d %u", call->key, call->type, call->zone, call->spot,
-		    call->count);
+	case WS_CALL_SESSION_CLOSE:
+		say(sim, "session-drop %llu", (unsigned long long)call->session);
 		break;
-	case WS_CALL_RETURN:
-		say(s, "scale-in");
-		for (size_t i = 0; i < call->nnames; i++)
-			say(s, " %s", call->names[i]);
+	case WS_CALL_MACHINE_TYPES: say(sim, "types"); break;
+	case WS_CALL_INSTANCES: say(sim, "instances after=%s", call->after); break;
+	case WS_CALL_SCALE_OUT:
+		say(sim, "scale-out %s %s %s %d %u", call->key, call->type, call->zone,
+		    call->preemptible, call->count);
 		break;
-	case WS_CALL_ORDERS:
-		say(s, "commands %s:%d %llu %llu", call->host, call->port,
-		    (unsigned long long)call->epoch, (unsigned long long)call->tenure);
-		say_commands(s, call->orders, call->norders);
+	case WS_CALL_SCALE_IN:
+		say(sim, "scale-in");
+		for (size_t i = 0; i < call->machine_count; i++)
+			say(sim, " %s", call->machine_names[i]);
 		break;
-	case WS_CALL_TESTIFY:
-		say(s, "vote %s after=%s %llu %llu", call->key, call->after,
-		    (unsigned long long)call->since, (unsigned long long)call->epoch);
+	case WS_CALL_COMMANDS:
+		say(sim, "commands %s:%d %llu %llu", call->address, call->port,
+		    (unsigned long long)call->fencing_token, (unsigned long long)call->incarnation);
+		say_commands(sim, call->commands, call->command_count);
+		break;
+	case WS_CALL_OUTAGE_VOTE:
+		say(sim, "vote %s after=%s %llu %llu", call->key, call->after,
+		    (unsigned long long)call->since_revision,
+		    (unsigned long long)call->fencing_token);
 		break;
 	}
-	say(s, " urgent=%d", call->urgent);
+	say(sim, " urgent=%d", call->urgent);
 }
 
-static void say_vote(struct sim *s, const struct ws_action *a)
+static void say_vote(struct sim *sim, const struct ws_effect *effect)
 {
-	say(s, "vote-answer %llu %d %d %d", (unsigned long long)a->token, a->status, a->vouched,
-	    a->more);
-	for (size_t i = 0; i < a->nwithdrawn; i++)
-		say(s, " (%s %llu)", a->withdrawn[i].job,
-		    (unsigned long long)a->withdrawn[i].stamp);
+	say(sim, "vote-answer %llu %d %d %d", (unsigned long long)effect->request_id,
+	    effect->status, effect->vote_granted, effect->has_more);
+	for (size_t i = 0; i < effect->cancellation_count; i++)
+		say(sim, " (%s %llu)", effect->cancellations[i].job,
+		    (unsigned long long)effect->cancellations[i].revision);
 }
 
-void sim_digest_begin(struct sim *s)
+void sim_digest_begin(struct sim *sim)
 {
-	s->digest = FNV_OFFSET;
+	sim->digest = FNV_OFFSET;
 }
 
-void sim_digest_add(struct sim *s, int node, const struct ws_action *a)
+void sim_digest_add(struct sim *sim, int node, const struct ws_effect *effect)
 {
-	s->digest_lines++;
-	say(s, "%.9f %d ", s->now, node);
-	switch (a->kind) {
-	case WS_ACT_CALL: say_call(s, a->call); break;
-	case WS_ACT_ANSWER_USER:
-		say(s, "user-answer %llu %d %d %s %d %u %u %d", (unsigned long long)a->token,
-		    a->status, a->retry_after, a->name, (int)a->phase, a->done, a->running,
-		    a->counts);
+	sim->digest_lines++;
+	say(sim, "%.9f %d ", sim->now, node);
+	switch (effect->kind) {
+	case WS_EFFECT_CALL: say_call(sim, effect->call); break;
+	case WS_EFFECT_ANSWER_USER:
+		say(sim, "user-answer %llu %d %d %s %d %u %u %d",
+		    (unsigned long long)effect->request_id, effect->status, effect->retry_after,
+		    effect->name, (int)effect->phase, effect->done, effect->running,
+		    effect->carries_counts);
 		break;
-	case WS_ACT_ANSWER_REPORT:
-		say(s, "heartbeat-answer %llu %d %d %s %llu", (unsigned long long)a->token,
-		    a->status, a->retry_after, a->name, (unsigned long long)a->epoch);
-		say_commands(s, a->orders, a->norders);
+	case WS_EFFECT_ANSWER_HEARTBEAT:
+		say(sim, "heartbeat-answer %llu %d %d %s %llu",
+		    (unsigned long long)effect->request_id, effect->status, effect->retry_after,
+		    effect->name, (unsigned long long)effect->fencing_token);
+		say_commands(sim, effect->commands, effect->command_count);
 		break;
-	case WS_ACT_RELAY:
-		say(s, "forward %llu %s %d", (unsigned long long)a->token, a->name, a->pinned);
+	case WS_EFFECT_FORWARD:
+		say(sim, "forward %llu %s %d", (unsigned long long)effect->request_id, effect->name,
+		    effect->worker_pinned);
 		break;
-	case WS_ACT_ANSWER_TESTIFY: say_vote(s, a); break;
+	case WS_EFFECT_ANSWER_VOTE: say_vote(sim, effect); break;
 	}
-	say(s, "\n");
+	say(sim, "\n");
 }
--- a/tests/sim_production.c
+++ b/tests/sim_production.c
@@ -13,10 +13,10 @@
 /* ---- enumerators ---- */
 
 static const int priorities[] = {
-    [WS_BEST_EFFORT] = PRODUCTION_BEST_EFFORT,
-    [WS_NORMAL] = PRODUCTION_NORMAL,
-    [WS_URGENT] = PRODUCTION_URGENT,
-    [WS_PRODUCTION] = PRODUCTION_HIGHEST,
+    [WS_PRIORITY_BEST_EFFORT] = PRODUCTION_BEST_EFFORT,
+    [WS_PRIORITY_NORMAL] = PRODUCTION_NORMAL,
+    [WS_PRIORITY_URGENT] = PRODUCTION_URGENT,
+    [WS_PRIORITY_PRODUCTION] = PRODUCTION_HIGHEST,
 };
 
 static const int task_states[] = {
@@ -26,58 +26,58 @@
 };
 
 static const int exit_reasons[] = {
-    [WS_WHY_NONE] = PRODUCTION_EXIT_NONE,
-    [WS_WHY_DONE] = PRODUCTION_EXIT_DONE,
-    [WS_WHY_STOPPED] = PRODUCTION_EXIT_STOPPED,
-    [WS_WHY_ERROR] = PRODUCTION_EXIT_ERROR,
-    [WS_WHY_FULL] = PRODUCTION_EXIT_FULL,
-    [WS_WHY_BUSY] = PRODUCTION_EXIT_BUSY,
-    [WS_WHY_UNKNOWN] = PRODUCTION_EXIT_UNKNOWN,
-    [WS_WHY_MATES] = PRODUCTION_EXIT_GANG_MEMBER_LOST,
-    [WS_WHY_ALONE] = PRODUCTION_EXIT_GANG_INCOMPLETE,
+    [WS_EXIT_NONE] = PRODUCTION_EXIT_NONE,
+    [WS_EXIT_DONE] = PRODUCTION_EXIT_DONE,
+    [WS_EXIT_STOPPED] = PRODUCTION_EXIT_STOPPED,
+    [WS_EXIT_ERROR] = PRODUCTION_EXIT_ERROR,
+    [WS_EXIT_FULL] = PRODUCTION_EXIT_FULL,
+    [WS_EXIT_BUSY] = PRODUCTION_EXIT_BUSY,
+    [WS_EXIT_UNKNOWN] = PRODUCTION_EXIT_UNKNOWN,
+    [WS_EXIT_MEMBER_LOST] = PRODUCTION_EXIT_GANG_MEMBER_LOST,
+    [WS_EXIT_GANG_INCOMPLETE] = PRODUCTION_EXIT_GANG_INCOMPLETE,
 };
 
 static const int instance_phases[] = {
-    [WS_HOST_STARTING] = PRODUCTION_INSTANCE_STARTING,
-    [WS_HOST_RUNNING] = PRODUCTION_INSTANCE_RUNNING,
-    [WS_HOST_FAILED] = PRODUCTION_INSTANCE_FAILED,
+    [WS_INSTANCE_STARTING] = PRODUCTION_INSTANCE_STARTING,
+    [WS_INSTANCE_RUNNING] = PRODUCTION_INSTANCE_RUNNING,
+    [WS_INSTANCE_FAILED] = PRODUCTION_INSTANCE_FAILED,
 };
 
 static const int command_kinds[] = {
-    [PRODUCTION_COMMAND_RUN] = WS_RUN,
-    [PRODUCTION_COMMAND_STOP] = WS_STOP,
-    [PRODUCTION_COMMAND_REAP] = WS_REAP,
+    [PRODUCTION_COMMAND_RUN] = WS_COMMAND_RUN,
+    [PRODUCTION_COMMAND_STOP] = WS_COMMAND_STOP,
+    [PRODUCTION_COMMAND_REAP] = WS_COMMAND_REAP,
 };
 
 static const int call_kinds[] = {
     [PRODUCTION_CALL_GET] = WS_CALL_GET,
     [PRODUCTION_CALL_LIST] = WS_CALL_LIST,
-    [PRODUCTION_CALL_TRANSACTION] = WS_CALL_TXN,
+    [PRODUCTION_CALL_TRANSACTION] = WS_CALL_TRANSACTION,
     [PRODUCTION_CALL_WATCH] = WS_CALL_WATCH,
-    [PRODUCTION_CALL_SESSION_NEW] = WS_CALL_HOLD_NEW,
-    [PRODUCTION_CALL_SESSION_EXTEND] = WS_CALL_HOLD_EXTEND,
-    [PRODUCTION_CALL_SESSION_DROP] = WS_CALL_HOLD_DROP,
-    [PRODUCTION_CALL_TYPES] = WS_CALL_TYPES,
-    [PRODUCTION_CALL_INSTANCES] = WS_CALL_HOSTS,
-    [PRODUCTION_CALL_SCALE_OUT] = WS_CALL_RENT,
-    [PRODUCTION_CALL_SCALE_IN] = WS_CALL_RETURN,
-    [PRODUCTION_CALL_COMMANDS] = WS_CALL_ORDERS,
-    [PRODUCTION_CALL_OUTAGE_VOTE] = WS_CALL_TESTIFY,
+    [PRODUCTION_CALL_SESSION_NEW] = WS_CALL_SESSION_OPEN,
+    [PRODUCTION_CALL_SESSION_EXTEND] = WS_CALL_SESSION_RENEW,
+    [PRODUCTION_CALL_SESSION_DROP] = WS_CALL_SESSION_CLOSE,
+    [PRODUCTION_CALL_TYPES] = WS_CALL_MACHINE_TYPES,
+    [PRODUCTION_CALL_INSTANCES] = WS_CALL_INSTANCES,
+    [PRODUCTION_CALL_SCALE_OUT] = WS_CALL_SCALE_OUT,
+    [PRODUCTION_CALL_SCALE_IN] = WS_CALL_SCALE_IN,
+    [PRODUCTION_CALL_COMMANDS] = WS_CALL_COMMANDS,
+    [PRODUCTION_CALL_OUTAGE_VOTE] = WS_CALL_OUTAGE_VOTE,
 };
 
 static const int effect_kinds[] = {
-    [PRODUCTION_EFFECT_CALL] = WS_ACT_CALL,
-    [PRODUCTION_EFFECT_ANSWER_USER] = WS_ACT_ANSWER_USER,
-    [PRODUCTION_EFFECT_ANSWER_HEARTBEAT] = WS_ACT_ANSWER_REPORT,
-    [PRODUCTION_EFFECT_FORWARD] = WS_ACT_RELAY,
-    [PRODUCTION_EFFECT_ANSWER_OUTAGE_VOTE] = WS_ACT_ANSWER_TESTIFY,
+    [PRODUCTION_EFFECT_CALL] = WS_EFFECT_CALL,
+    [PRODUCTION_EFFECT_ANSWER_USER] = WS_EFFECT_ANSWER_USER,
+    [PRODUCTION_EFFECT_ANSWER_HEARTBEAT] = WS_EFFECT_ANSWER_HEARTBEAT,
+    [PRODUCTION_EFFECT_FORWARD] = WS_EFFECT_FORWARD,
+    [PRODUCTION_EFFECT_ANSWER_OUTAGE_VOTE] = WS_EFFECT_ANSWER_VOTE,
 };
 
 static const int job_phases[] = {
-    [PRODUCTION_JOB_QUEUED] = WS_QUEUED,
-    [PRODUCTION_JOB_RUNNING] = WS_RUNNING,
-    [PRODUCTION_JOB_DONE] = WS_DONE,
-    [PRODUCTION_JOB_CANCELLED] = WS_CANCELLED,
+    [PRODUCTION_JOB_QUEUED] = WS_JOB_QUEUED,
+    [PRODUCTION_JOB_RUNNING] = WS_JOB_RUNNING,
+    [PRODUCTION_JOB_DONE] = WS_JOB_DONE,
+    [PRODUCTION_JOB_CANCELLED] = WS_JOB_CANCELLED,
 };
 
 static const int log_levels[] = {
@@ -88,208 +88,211 @@
 
 /* ---- into the core ---- */
 
-static void convert_endpoint(struct production_endpoint *to, const struct ws_endpoint *from)
-{
-	PRODUCTION_COPY_TEXT(to->node, from->node);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	PRODUCTION_COPY_TEXT(to->address, from->host);
-	to->port = from->port;
-}
-
-static void convert_team(struct production_team *to, const struct ws_team_setting *from)
-{
-	PRODUCTION_COPY_TEXT(to->name, from->name);
-	to->cpus = from->cpus;
-	to->cpus_max = from->cpus_max;
-	to->gpus = from->gpus;
-	to->gpus_max = from->gpus_max;
-}
-
-static void convert_objective(struct production_objective *to, const struct ws_objective *from)
-{
-	PRODUCTION_COPY_TEXT(to->kind, from->kind);
-	PRODUCTION_COPY_TEXT(to->job_class, from->job_class);
-	to->within_s = from->within_s;
-	to->share = from->share;
-}
-
-static void convert_settings_lists(struct production_settings *to, const struct ws_settings *from)
-{
-	to->peer_count = from->npeers;
-	for (size_t i = 0; i < from->nzones; i++)
-		PRODUCTION_COPY_TEXT(to->zones[i], from->zones[i]);
-	to->zone_count = from->nzones;
-	to->team_count = from->nteams;
-	to->objective_count = from->nobjectives;
-	for (size_t i = 0; i < from->npeers; i++)
-		convert_endpoint(&to->peers[i], &from->peers[i]);
-	for (size_t i = 0; i < from->nteams; i++)
-		convert_team(&to->teams[i], &from->teams[i]);
-	for (size_t i = 0; i < from->nobjectives; i++)
-		convert_objective(&to->objectives[i], &from->objectives[i]);
-}
-
-static void convert_settings_limits(struct production_settings *to, const struct ws_settings *from)
-{
-	to->heartbeat_s = from->report_s;
-	to->lease_s = from->lease_s;
-	to->cancel_s = from->cancel_s;
-	to->store_requests_per_s = from->state_rps;
-	to->store_writes_per_s = from->state_write_rps;
-	to->value_kb = from->value_kb;
-	to->transaction_operations = from->txn_ops;
-	to->cloud_requests_per_s = from->cloud_rps;
-	to->list_lag_s = from->list_lag_s;
-	to->core_share = from->core_share;
-	to->ram_mb = from->ram_mb;
-	to->max_sockets = from->max_sockets;
-	to->sockets = from->sockets;
-}
-
-static void convert_settings(struct production_settings *to, const struct ws_settings *from)
-{
-	PRODUCTION_COPY_TEXT(to->node, from->node);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	convert_endpoint(&to->bind, &from->bind);
-	convert_endpoint(&to->peer_bind, &from->peer_bind);
-	convert_endpoint(&to->cloud, &from->cloud);
-	convert_endpoint(&to->store, &from->state);
-	convert_settings_lists(to, from);
-	convert_settings_limits(to, from);
-}
-
-static void convert_policy(struct production_policy *to, const struct ws_policy *from)
-{
-	to->delta = from->delta;
-	to->scale_out_max = from->rentals_max;
-	to->wait_max_s = from->wait_max_s;
-	to->latency_bound_s = from->latency_bound_s;
-	to->instance_ceiling = from->rental_ceiling;
-	to->waiting_demand_units = from->waiting_loads;
-	to->empty_wait_s = from->empty_wait_s;
-	to->sizing_period_s = from->sizing_period_s;
-	to->leader_ttl_ratio = from->leader_ttl_ratio;
-	to->silent_ratio = from->silent_ratio;
-	to->boot_patience = from->boot_patience;
-}
-
-static void convert_job_spec(struct production_job_spec *to, const struct ws_spec *from)
-{
-	PRODUCTION_COPY_TEXT(to->id, from->id);
-	PRODUCTION_COPY_TEXT(to->job_class, from->job_class);
-	PRODUCTION_COPY_TEXT(to->team, from->team);
-	to->service = from->service;
-	to->gang = from->gang;
-	to->priority = PRODUCTION_ENUMERATOR(priorities, from->tier);
-	to->tasks = from->tasks;
-	to->cpus = from->cpus;
-	to->gpus = from->gpus;
-	to->memory = from->mem;
-	PRODUCTION_COPY_TEXT(to->image, from->image);
-	to->image_gb = from->image_gb;
-	to->type_count = from->ntypes;
-	for (size_t i = 0; i < from->ntypes; i++)
-		PRODUCTION_COPY_TEXT(to->types[i], from->types[i]);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	to->one_zone = from->one_zone;
-	to->spread = from->spread;
-	to->preemptible = from->spot;
-	to->estimate_s = from->estimate_s;
-	to->checkpoint_s = from->checkpoint_s;
-	to->save_s = from->save_s;
-	to->deadline_s = from->deadline_s;
-}
-
-static void convert_machine_type(struct production_machine_type *to, const struct ws_type *from)
-{
-	PRODUCTION_COPY_TEXT(to->name, from->name);
-	to->cpus = from->cpus;
-	to->gpus = from->gpus;
-	to->memory = from->mem;
-	to->local_gb = from->local_gb;
-	to->fetch_gb_s = from->fetch_gb_s;
-	to->price = from->price;
-	to->preemptible_price = from->spot_price;
-	to->boot_s = from->boot_s;
-	to->zone_count = from->nzones;
-	for (size_t i = 0; i < from->nzones; i++)
-		PRODUCTION_COPY_TEXT(to->zones[i], from->zones[i]);
-}
-
-static void convert_task(struct production_task_status *to, const struct ws_task_report *from)
-{
-	PRODUCTION_COPY_TEXT(to->job, from->job);
-	to->task = from->task;
-	to->attempt = from->attempt;
-	to->state = PRODUCTION_ENUMERATOR(task_states, from->state);
-	to->exit_reason = PRODUCTION_ENUMERATOR(exit_reasons, from->why);
-}
-
-static void convert_heartbeat(struct production_heartbeat *to, const struct ws_report *from)
-{
-	PRODUCTION_COPY_TEXT(to->machine, from->machine);
-	PRODUCTION_COPY_TEXT(to->address, from->host);
-	to->port = from->port;
-	PRODUCTION_COPY_TEXT(to->type, from->type);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	to->preemptible = from->spot;
-	to->incarnation = from->tenure;
-	to->sequence_number = from->counter;
-	to->fencing_token = from->epoch;
-	to->preemption_notice_s = from->notice_s;
-	to->task_count = from->ntasks;
-	to->tasks = production_allocate(from->ntasks, sizeof(*to->tasks));
-	for (size_t i = 0; i < from->ntasks; i++)
-		convert_task(&to->tasks[i], &from->tasks[i]);
-}
-
-static void convert_instance(struct production_instance *to, const struct ws_host *from)
-{
-	PRODUCTION_COPY_TEXT(to->name, from->name);
-	PRODUCTION_COPY_TEXT(to->address, from->host);
-	to->port = from->port;
-	PRODUCTION_COPY_TEXT(to->type, from->type);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	to->preemptible = from->spot;
-	to->phase = PRODUCTION_ENUMERATOR(instance_phases, from->phase);
-	to->age_s = from->age_s;
-}
-
-static void convert_record(struct production_record *to, const struct ws_kv *from)
-{
-	PRODUCTION_COPY_TEXT(to->key, from->key);
-	to->value = from->value;
-	to->revision = from->stamp;
+static void convert_endpoint(struct production_endpoint *target, const struct ws_endpoint *from)
+{
+	PRODUCTION_COPY_TEXT(target->node, from->node);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	PRODUCTION_COPY_TEXT(target->address, from->host);
+	target->port = from->port;
+}
+
+static void convert_team(struct production_team *target, const struct ws_team_setting *from)
+{
+	PRODUCTION_COPY_TEXT(target->name, from->name);
+	target->cpus = from->cpus;
+	target->cpus_max = from->cpus_max;
+	target->gpus = from->gpus;
+	target->gpus_max = from->gpus_max;
+}
+
+static void convert_objective(struct production_objective *target, const struct ws_objective *from)
+{
+	PRODUCTION_COPY_TEXT(target->kind, from->kind);
+	PRODUCTION_COPY_TEXT(target->job_class, from->job_class);
+	target->within_s = from->within_s;
+	target->share = from->share;
+}
+
+static void convert_settings_lists(struct production_settings *target,
+				   const struct ws_settings *from)
+{
+	target->peer_count = from->peer_count;
+	for (size_t i = 0; i < from->zone_count; i++)
+		PRODUCTION_COPY_TEXT(target->zones[i], from->zones[i]);
+	target->zone_count = from->zone_count;
+	target->team_count = from->team_count;
+	target->objective_count = from->objective_count;
+	for (size_t i = 0; i < from->peer_count; i++)
+		convert_endpoint(&target->peers[i], &from->peers[i]);
+	for (size_t i = 0; i < from->team_count; i++)
+		convert_team(&target->teams[i], &from->teams[i]);
+	for (size_t i = 0; i < from->objective_count; i++)
+		convert_objective(&target->objectives[i], &from->objectives[i]);
+}
+
+static void convert_settings_limits(struct production_settings *target,
+				    const struct ws_settings *from)
+{
+	target->heartbeat_s = from->report_s;
+	target->lease_s = from->lease_s;
+	target->cancel_s = from->cancel_s;
+	target->store_requests_per_s = from->state_rps;
+	target->store_writes_per_s = from->state_write_rps;
+	target->value_kb = from->value_kb;
+	target->transaction_operations = from->txn_ops;
+	target->cloud_requests_per_s = from->cloud_rps;
+	target->list_lag_s = from->list_lag_s;
+	target->core_share = from->core_share;
+	target->ram_mb = from->ram_mb;
+	target->max_sockets = from->max_sockets;
+	target->sockets = from->sockets;
+}
+
+static void convert_settings(struct production_settings *target, const struct ws_settings *from)
+{
+	PRODUCTION_COPY_TEXT(target->node, from->node);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	convert_endpoint(&target->bind, &from->bind);
+	convert_endpoint(&target->peer_bind, &from->peer_bind);
+	convert_endpoint(&target->cloud, &from->cloud);
+	convert_endpoint(&target->store, &from->state);
+	convert_settings_lists(target, from);
+	convert_settings_limits(target, from);
+}
+
+static void convert_policy(struct production_policy *target, const struct ws_policy *from)
+{
+	target->delta = from->delta;
+	target->scale_out_max = from->rentals_max;
+	target->wait_max_s = from->wait_max_s;
+	target->latency_bound_s = from->latency_bound_s;
+	target->instance_ceiling = from->rental_ceiling;
+	target->waiting_demand_units = from->waiting_loads;
+	target->empty_wait_s = from->empty_wait_s;
+	target->sizing_period_s = from->sizing_period_s;
+	target->leader_ttl_ratio = from->leader_ttl_ratio;
+	target->silent_ratio = from->silent_ratio;
+	target->boot_patience = from->boot_patience;
+}
+
+static void convert_job_spec(struct production_job_spec *target, const struct ws_job_spec *from)
+{
+	PRODUCTION_COPY_TEXT(target->id, from->id);
+	PRODUCTION_COPY_TEXT(target->job_class, from->job_class);
+	PRODUCTION_COPY_TEXT(target->team, from->team);
+	target->service = from->service;
+	target->gang = from->gang;
+	target->priority = PRODUCTION_ENUMERATOR(priorities, from->priority);
+	target->tasks = from->tasks;
+	target->cpus = from->cpus;
+	target->gpus = from->gpus;
+	target->memory = from->mem_gb;
+	PRODUCTION_COPY_TEXT(target->image, from->image);
+	target->image_gb = from->image_gb;
+	target->type_count = from->type_count;
+	for (size_t i = 0; i < from->type_count; i++)
+		PRODUCTION_COPY_TEXT(target->types[i], from->types[i]);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	target->one_zone = from->one_zone;
+	target->spread = from->spread;
+	target->preemptible = from->allows_preemptible;
+	target->estimate_s = from->estimate_s;
+	target->checkpoint_s = from->checkpoint_s;
+	target->save_s = from->save_s;
+	target->deadline_s = from->deadline_s;
+}
+
+static void convert_machine_type(struct production_machine_type *target,
+				 const struct ws_machine_type *from)
+{
+	PRODUCTION_COPY_TEXT(target->name, from->name);
+	target->cpus = from->cpus;
+	target->gpus = from->gpus;
+	target->memory = from->mem_gb;
+	target->local_gb = from->local_gb;
+	target->fetch_gb_s = from->fetch_gb_s;
+	target->price = from->price;
+	target->preemptible_price = from->preemptible_price;
+	target->boot_s = from->boot_s;
+	target->zone_count = from->zone_count;
+	for (size_t i = 0; i < from->zone_count; i++)
+		PRODUCTION_COPY_TEXT(target->zones[i], from->zones[i]);
+}
+
+static void convert_task(struct production_task_status *target, const struct ws_task_status *from)
+{
+	PRODUCTION_COPY_TEXT(target->job, from->job);
+	target->task = from->task;
+	target->attempt = from->attempt;
+	target->state = PRODUCTION_ENUMERATOR(task_states, from->state);
+	target->exit_reason = PRODUCTION_ENUMERATOR(exit_reasons, from->exit_reason);
+}
+
+static void convert_heartbeat(struct production_heartbeat *target, const struct ws_heartbeat *from)
+{
+	PRODUCTION_COPY_TEXT(target->machine, from->machine);
+	PRODUCTION_COPY_TEXT(target->address, from->address);
+	target->port = from->port;
+	PRODUCTION_COPY_TEXT(target->type, from->type);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	target->preemptible = from->preemptible;
+	target->incarnation = from->incarnation;
+	target->sequence_number = from->sequence;
+	target->fencing_token = from->fencing_token;
+	target->preemption_notice_s = from->preemption_notice_s;
+	target->task_count = from->task_count;
+	target->tasks = production_allocate(from->task_count, sizeof(*target->tasks));
+	for (size_t i = 0; i < from->task_count; i++)
+		convert_task(&target->tasks[i], &from->tasks[i]);
+}
+
+static void convert_instance(struct production_instance *target, const struct ws_instance *from)
+{
+	PRODUCTION_COPY_TEXT(target->name, from->name);
+	PRODUCTION_COPY_TEXT(target->address, from->address);
+	target->port = from->port;
+	PRODUCTION_COPY_TEXT(target->type, from->type);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	target->preemptible = from->preemptible;
+	target->phase = PRODUCTION_ENUMERATOR(instance_phases, from->phase);
+	target->age_s = from->age_s;
+}
+
+static void convert_record(struct production_record *target, const struct ws_kv *from)
+{
+	PRODUCTION_COPY_TEXT(target->key, from->key);
+	target->value = from->value;
+	target->revision = from->revision;
 }
 
 /* Values of records are borrowed; clear_result() frees the rest. */
-static void convert_result(struct production_result *to, const struct ws_result *from)
-{
-	to->status = from->status;
-	to->revision = from->rev;
-	to->session = from->hold;
-	to->more = from->more;
-	to->no_capacity = from->no_capacity;
-	to->record_count = from->nkvs;
-	to->records = production_allocate(from->nkvs, sizeof(*to->records));
-	for (size_t i = 0; i < from->nkvs; i++)
-		convert_record(&to->records[i], &from->kvs[i]);
-	to->failed_key_count = from->nfailed;
-	to->failed_keys = production_allocate(from->nfailed, sizeof(*to->failed_keys));
-	for (size_t i = 0; i < from->nfailed; i++)
-		PRODUCTION_COPY_TEXT(to->failed_keys[i], from->failed[i]);
-	to->type_count = from->ntypes;
-	to->types = production_allocate(from->ntypes, sizeof(*to->types));
-	for (size_t i = 0; i < from->ntypes; i++)
-		convert_machine_type(&to->types[i], &from->types[i]);
-	to->instance_count = from->nhosts;
-	to->instances = production_allocate(from->nhosts, sizeof(*to->instances));
-	for (size_t i = 0; i < from->nhosts; i++)
-		convert_instance(&to->instances[i], &from->hosts[i]);
-	to->heartbeat = NULL;
-	if (from->report) {
-		to->heartbeat = production_allocate(1, sizeof(*to->heartbeat));
-		convert_heartbeat(to->heartbeat, from->report);
+static void convert_result(struct production_result *target, const struct ws_result *from)
+{
+	target->status = from->status;
+	target->revision = from->revision;
+	target->session = from->session;
+	target->more = from->has_more;
+	target->no_capacity = from->no_capacity;
+	target->record_count = from->entry_count;
+	target->records = production_allocate(from->entry_count, sizeof(*target->records));
+	for (size_t i = 0; i < from->entry_count; i++)
+		convert_record(&target->records[i], &from->entries[i]);
+	target->failed_key_count = from->failed_count;
+	target->failed_keys = production_allocate(from->failed_count, sizeof(*target->failed_keys));
+	for (size_t i = 0; i < from->failed_count; i++)
+		PRODUCTION_COPY_TEXT(target->failed_keys[i], from->failed_keys[i]);
+	target->type_count = from->type_count;
+	target->types = production_allocate(from->type_count, sizeof(*target->types));
+	for (size_t i = 0; i < from->type_count; i++)
+		convert_machine_type(&target->types[i], &from->types[i]);
+	target->instance_count = from->instance_count;
+	target->instances = production_allocate(from->instance_count, sizeof(*target->instances));
+	for (size_t i = 0; i < from->instance_count; i++)
+		convert_instance(&target->instances[i], &from->instances[i]);
+	target->heartbeat = NULL;
+	if (from->heartbeat) {
+		target->heartbeat = production_allocate(1, sizeof(*target->heartbeat));
+		convert_heartbeat(target->heartbeat, from->heartbeat);
 	}
 }
 
@@ -306,91 +309,92 @@
 
 /* ---- out of the core ---- */
 
-static void convert_command(struct ws_order *to, const struct production_command *from)
+static void convert_command(struct ws_command *command, const struct production_command *from)
 {
-	to->verb = PRODUCTION_ENUMERATOR(command_kinds, from->kind);
-	PRODUCTION_COPY_TEXT(to->job, from->job);
-	to->task = from->task;
-	to->attempt = from->attempt;
-	to->grace_s = from->grace_s;
+	command->kind = PRODUCTION_ENUMERATOR(command_kinds, from->kind);
+	PRODUCTION_COPY_TEXT(command->job, from->job);
+	command->task = from->task;
+	command->attempt = from->attempt;
+	command->grace_s = from->grace_s;
 }
 
-static void convert_compare(struct ws_cond *to, const struct production_compare *from)
+static void convert_compare(struct ws_compare *compare, const struct production_compare *from)
 {
-	PRODUCTION_COPY_TEXT(to->key, from->key);
-	to->stamp = from->revision;
+	PRODUCTION_COPY_TEXT(compare->key, from->key);
+	compare->revision = from->revision;
 }
 
-static void convert_operation(struct ws_op *to, const struct production_operation *from)
+static void convert_operation(struct ws_operation *operation,
+			      const struct production_operation *from)
 {
-	PRODUCTION_COPY_TEXT(to->key, from->key);
-	to->value = json_incref(from->value);
-	to->hold = from->session;
+	PRODUCTION_COPY_TEXT(operation->key, from->key);
+	operation->value = json_incref(from->value);
+	operation->session = from->session;
 }
 
-static void convert_call_lists(struct ws_call *to, const struct production_call *from)
+static void convert_call_lists(struct ws_call *call, const struct production_call *from)
 {
-	to->nconds = from->compare_count;
-	to->conds = production_allocate(from->compare_count, sizeof(*to->conds));
+	call->compare_count = from->compare_count;
+	call->compares = production_allocate(from->compare_count, sizeof(*call->compares));
 	for (size_t i = 0; i < from->compare_count; i++)
-		convert_compare(&to->conds[i], &from->compares[i]);
-	to->nops = from->operation_count;
-	to->ops = production_allocate(from->operation_count, sizeof(*to->ops));
+		convert_compare(&call->compares[i], &from->compares[i]);
+	call->operation_count = from->operation_count;
+	call->operations = production_allocate(from->operation_count, sizeof(*call->operations));
 	for (size_t i = 0; i < from->operation_count; i++)
-		convert_operation(&to->ops[i], &from->operations[i]);
-	to->nnames = from->name_count;
-	to->names = production_allocate(from->name_count, sizeof(*to->names));
+		convert_operation(&call->operations[i], &from->operations[i]);
+	call->machine_count = from->name_count;
+	call->machine_names = production_allocate(from->name_count, sizeof(*call->machine_names));
 	for (size_t i = 0; i < from->name_count; i++)
-		PRODUCTION_COPY_TEXT(to->names[i], from->names[i]);
-	to->norders = from->command_count;
-	to->orders = production_allocate(from->command_count, sizeof(*to->orders));
+		PRODUCTION_COPY_TEXT(call->machine_names[i], from->names[i]);
+	call->command_count = from->command_count;
+	call->commands = production_allocate(from->command_count, sizeof(*call->commands));
 	for (size_t i = 0; i < from->command_count; i++)
-		convert_command(&to->orders[i], &from->commands[i]);
-}
-
-static void convert_call(struct ws_call *to, const struct production_call *from)
-{
-	to->kind = PRODUCTION_ENUMERATOR(call_kinds, from->kind);
-	PRODUCTION_COPY_TEXT(to->key, from->key);
-	PRODUCTION_COPY_TEXT(to->after, from->after);
-	to->since = from->since;
-	to->ms = from->duration_ms;
-	to->hold = from->session;
-	PRODUCTION_COPY_TEXT(to->type, from->type);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	to->spot = from->preemptible;
-	to->count = from->count;
-	PRODUCTION_COPY_TEXT(to->host, from->address);
-	to->port = from->port;
-	to->epoch = from->fencing_token;
-	to->tenure = from->incarnation;
-	to->urgent = from->urgent;
-	to->paced = from->paced;
-	to->made = from->made_at;
-	convert_call_lists(to, from);
-	to->ctx = from->origin;
-}
-
-static void convert_effect(struct ws_action *to, const struct production_effect *from)
-{
-	to->kind = PRODUCTION_ENUMERATOR(effect_kinds, from->kind);
-	to->token = from->token;
-	to->status = from->status;
-	to->retry_after = from->retry_after;
-	PRODUCTION_COPY_TEXT(to->name, from->name);
-	to->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
-	to->done = from->done;
-	to->running = from->running;
-	to->counts = from->has_counts;
-	to->pinned = from->pinned;
-	to->epoch = from->fencing_token;
-	to->norders = from->command_count;
-	to->orders = production_allocate(from->command_count, sizeof(*to->orders));
+		convert_command(&call->commands[i], &from->commands[i]);
+}
+
+static void convert_call(struct ws_call *call, const struct production_call *from)
+{
+	call->kind = PRODUCTION_ENUMERATOR(call_kinds, from->kind);
+	PRODUCTION_COPY_TEXT(call->key, from->key);
+	PRODUCTION_COPY_TEXT(call->after, from->after);
+	call->since_revision = from->since;
+	call->timeout_ms = from->duration_ms;
+	call->session = from->session;
+	PRODUCTION_COPY_TEXT(call->type, from->type);
+	PRODUCTION_COPY_TEXT(call->zone, from->zone);
+	call->preemptible = from->preemptible;
+	call->count = from->count;
+	PRODUCTION_COPY_TEXT(call->address, from->address);
+	call->port = from->port;
+	call->fencing_token = from->fencing_token;
+	call->incarnation = from->incarnation;
+	call->urgent = from->urgent;
+	call->self_paced = from->paced;
+	call->created_at = from->made_at;
+	convert_call_lists(call, from);
+	call->context = from->origin;
+}
+
+static void convert_effect(struct ws_effect *effect, const struct production_effect *from)
+{
+	effect->kind = PRODUCTION_ENUMERATOR(effect_kinds, from->kind);
+	effect->request_id = from->token;
+	effect->status = from->status;
+	effect->retry_after = from->retry_after;
+	PRODUCTION_COPY_TEXT(effect->name, from->name);
+	effect->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
+	effect->done = from->done;
+	effect->running = from->running;
+	effect->carries_counts = from->has_counts;
+	effect->worker_pinned = from->pinned;
+	effect->fencing_token = from->fencing_token;
+	effect->command_count = from->command_count;
+	effect->commands = production_allocate(from->command_count, sizeof(*effect->commands));
 	for (size_t i = 0; i < from->command_count; i++)
-		convert_command(&to->orders[i], &from->commands[i]);
+		convert_command(&effect->commands[i], &from->commands[i]);
 	if (from->call) {
-		to->call = production_allocate(1, sizeof(*to->call));
-		convert_call(to->call, from->call);
+		effect->call = production_allocate(1, sizeof(*effect->call));
+		convert_call(effect->call, from->call);
 	}
 }
 
@@ -440,10 +444,10 @@
 	api->tick(production_of(core), now);
 }
 
-static struct ws_action *next_effect(struct ws_core *core)
+static struct ws_effect *next_effect(struct ws_core *core)
 {
 	struct production_effect *neutral = api->next_effect(production_of(core));
-	struct ws_action *effect;
+	struct ws_effect *effect;
 
 	if (!neutral)
 		return NULL;
@@ -456,7 +460,7 @@
 /* Frees the simulator's copy of a call, whose origin has gone back to its core or is freed. */
 static void free_copy(struct ws_call *call)
 {
-	call->ctx = NULL;
+	call->context = NULL;
 	ws_call_free(call);
 }
 
@@ -466,14 +470,14 @@
 	struct production_result neutral = {0};
 
 	convert_result(&neutral, result);
-	api->complete(production_of(core), now, call->ctx, &neutral);
+	api->complete(production_of(core), now, call->context, &neutral);
 	clear_result(&neutral);
 	free_copy(call);
 }
 
 static void free_call(struct ws_call *call)
 {
-	api->free_call(call->ctx);
+	api->free_call(call->context);
 	free_copy(call);
 }
 
@@ -492,40 +496,40 @@
 	return api->leading(production_of_const(core));
 }
 
-static void submit(struct ws_core *core, double now, double wall, uint64_t token,
-		   const struct ws_spec *spec, bool forwarded)
+static void submit(struct ws_core *core, double now, double wall, uint64_t request_id,
+		   const struct ws_job_spec *spec, bool forwarded)
 {
 	struct production_job_spec neutral = {0};
 
 	convert_job_spec(&neutral, spec);
-	api->submit(production_of(core), now, wall, token, &neutral, forwarded);
+	api->submit(production_of(core), now, wall, request_id, &neutral, forwarded);
 }
 
-static void poll_job(struct ws_core *core, double now, uint64_t token, const char *job,
+static void poll_job(struct ws_core *core, double now, uint64_t request_id, const char *job,
 		     bool forwarded)
 {
-	api->poll(production_of(core), now, token, job, forwarded);
+	api->poll(production_of(core), now, request_id, job, forwarded);
 }
 
-static void abort_job(struct ws_core *core, double now, uint64_t token, const char *job,
+static void abort_job(struct ws_core *core, double now, uint64_t request_id, const char *job,
 		      bool forwarded)
 {
-	api->abort(production_of(core), now, token, job, forwarded);
+	api->abort(production_of(core), now, request_id, job, forwarded);
 }
 
-static void take_heartbeat(struct ws_core *core, double now, uint64_t token,
-			   const struct ws_report *heartbeat, bool forwarded)
+static void take_heartbeat(struct ws_core *core, double now, uint64_t request_id,
+			   const struct ws_heartbeat *heartbeat, bool forwarded)
 {
 	struct production_heartbeat neutral = {0};
 
 	convert_heartbeat(&neutral, heartbeat);
-	api->heartbeat(production_of(core), now, token, &neutral, forwarded);
+	api->heartbeat(production_of(core), now, request_id, &neutral, forwarded);
 	free(neutral.tasks);
 }
 
-static void outage_vote(struct ws_core *core, double now, uint64_t token)
+static void outage_vote(struct ws_core *core, double now, uint64_t request_id)
 {
-	api->outage_vote(production_of(core), now, token);
+	api->outage_vote(production_of(core), now, request_id);
 }
 
 /* The library's functions, loaded once and kept; NULL where it can't be loaded. */
@@ -559,7 +563,7 @@
 	    .abort = abort_job,
 	    .report = take_heartbeat,
 	    .testify = outage_vote,
-	    .free_action = ws_action_free,
+	    .free_action = ws_effect_free,
 	    .free_call = free_call,
 	};
 
--- a/tests/sim_state.c
+++ b/tests/sim_state.c
@@ -1,176 +1,189 @@
-/* The state service: keys, holds, watches. */
+/* The store: keys, holds, watches. */
 #include "sim_parts.h"
 
-static void history(struct sim *s, const char *key, json_t *v)
+static void history(struct sim *sim, const char *key, json_t *value)
 {
-	if (s->nhist == s->hist_cap) {
-		s->hist_cap = s->hist_cap ? 2 * s->hist_cap : 256;
-		s->hist = realloc(s->hist, s->hist_cap * sizeof(*s->hist));
+	if (sim->history_count == sim->history_capacity) {
+		sim->history_capacity = sim->history_capacity ? 2 * sim->history_capacity : 256;
+		sim->history = realloc(sim->history, sim->history_capacity * sizeof(*sim->history));
 	}
-	snprintf(s->hist[s->nhist].key, WS_KEY_MAX, "%s", key);
-	s->hist[s->nhist].value = json_incref(v);
-	s->hist[s->nhist++].stamp = s->rev;
+	snprintf(sim->history[sim->history_count].key, WS_KEY_MAX, "%s", key);
+	sim->history[sim->history_count].value = json_incref(value);
+	sim->history[sim->history_count++].revision = sim->revision;
 }
 
-void sim_kv_put(struct sim *s, const char *key, json_t *v, uint64_t hold)
+void sim_kv_put(struct sim *sim, const char *key, json_t *value, uint64_t hold)
 {
-	struct sim_kv *k;
+	struct sim_entry *entry;
 
-	HASH_FIND_STR(s->kv, key, k);
-	if (!v) {
-		if (!k)
+	HASH_FIND_STR(sim->entries, key, entry);
+	if (!value) {
+		if (!entry)
 			return;
-		history(s, key, NULL); /* key may be the entry's own */
-		HASH_DEL(s->kv, k);
-		json_decref(k->value);
-		free(k);
+		history(sim, key, NULL); /* key may be the entry's own */
+		HASH_DEL(sim->entries, entry);
+		json_decref(entry->value);
+		free(entry);
 		return;
 	}
-	if (!k) {
-		k = calloc(1, sizeof(*k));
-		snprintf(k->key, sizeof(k->key), "%s", key);
-		HASH_ADD_STR(s->kv, key, k);
+	if (!entry) {
+		entry = calloc(1, sizeof(*entry));
+		snprintf(entry->key, sizeof(entry->key), "%s", key);
+		HASH_ADD_STR(sim->entries, key, entry);
 	} else {
-		json_decref(k->value);
+		json_decref(entry->value);
 	}
-	k->value = json_deep_copy(v);
-	k->stamp = s->rev;
-	k->hold = hold;
-	history(s, key, k->value);
+	entry->value = json_deep_copy(value);
+	entry->revision = sim->revision;
+	entry->session = hold;
+	history(sim, key, entry->value);
 }
 
-void sim_hold_end(struct sim *s, struct sim_hold *h)
+void sim_hold_end(struct sim *sim, struct sim_session *session)
 {
-	struct sim_kv *k, *t;
+	struct sim_entry *entry, *next_entry;
 
-	h->live = false;
-	HASH_ITER (hh, s->kv, k, t)
-		if (k->hold == h->id) {
-			s->rev++;
-			sim_kv_put(s, k->key, NULL, 0);
+	session->live = false;
+	HASH_ITER (hh, sim->entries, entry, next_entry)
+		if (entry->session == session->id) {
+			sim->revision++;
+			sim_kv_put(sim, entry->key, NULL, 0);
 		}
 }
 
-static struct sim_hold *hold_find(struct sim *s, uint64_t id)
+static struct sim_session *hold_find(struct sim *sim, uint64_t id)
 {
-	return id && id <= (uint64_t)s->nholds && s->holds[id - 1].live ? &s->holds[id - 1] : NULL;
+	return id && id <= (uint64_t)sim->session_count && sim->sessions[id - 1].live
+		   ? &sim->sessions[id - 1]
+		   : NULL;
 }
 
-static int by_key(struct sim_kv *a, struct sim_kv *b)
+static int by_key(struct sim_entry *entry, struct sim_entry *other_entry)
 {
-	return strcmp(a->key, b->key);
+	return strcmp(entry->key, other_entry->key);
 }
 
-static void copy_kv(struct ws_result *r, const char *key, json_t *v, uint64_t stamp)
+static void copy_kv(struct ws_result *result, const char *key, json_t *value, uint64_t revision)
 {
-	r->kvs = realloc(r->kvs, (r->nkvs + 1) * sizeof(*r->kvs));
-	snprintf(r->kvs[r->nkvs].key, WS_KEY_MAX, "%s", key);
-	r->kvs[r->nkvs].value = v ? json_deep_copy(v) : NULL;
-	r->kvs[r->nkvs++].stamp = stamp;
+	result->entries =
+	    realloc(result->entries, (result->entry_count + 1) * sizeof(*result->entries));
+	snprintf(result->entries[result->entry_count].key, WS_KEY_MAX, "%s", key);
+	result->entries[result->entry_count].value = value ? json_deep_copy(value) : NULL;
+	result->entries[result->entry_count++].revision = revision;
 }
 
-void sim_state_do(struct sim *s, struct ws_call *c, struct ws_result *r)
+void sim_state_do(struct sim *sim, struct ws_call *call, struct ws_result *result)
 {
-	struct sim_kv *k, *t;
-	struct sim_hold *h;
+	struct sim_entry *entry, *next_entry;
+	struct sim_session *session;
 	size_t n;
 
-	r->status = 200;
-	s->asked += c->kind == WS_CALL_GET;
-	s->changes += c->kind == WS_CALL_TXN && c->paced ? c->nops : 0;
-	switch (c->kind) {
+	result->status = 200;
+	sim->asked += call->kind == WS_CALL_GET;
+	sim->changes +=
+	    call->kind == WS_CALL_TRANSACTION && call->self_paced ? call->operation_count : 0;
+	switch (call->kind) {
 	case WS_CALL_GET:
-		HASH_FIND_STR(s->kv, c->key, k);
-		if (!k)
-			r->status = 404;
+		HASH_FIND_STR(sim->entries, call->key, entry);
+		if (!entry)
+			result->status = 404;
 		else
-			copy_kv(r, k->key, k->value, k->stamp);
+			copy_kv(result, entry->key, entry->value, entry->revision);
 		break;
 	case WS_CALL_LIST:
-		HASH_SORT(s->kv, by_key);
-		r->rev = s->rev;
-		HASH_ITER (hh, s->kv, k, t) {
-			if (strncmp(k->key, c->key, strlen(c->key)) ||
-			    strcmp(k->key, c->after) <= 0)
+		HASH_SORT(sim->entries, by_key);
+		result->revision = sim->revision;
+		HASH_ITER (hh, sim->entries, entry, next_entry) {
+			if (strncmp(entry->key, call->key, strlen(call->key)) ||
+			    strcmp(entry->key, call->after) <= 0)
 				continue;
-			if (r->nkvs == 7) { /* small pages, so that paging is at work */
-				r->more = true;
+			if (result->entry_count == 7) { /* small pages, so that paging is at work */
+				result->has_more = true;
 				break;
 			}
-			copy_kv(r, k->key, k->value, k->stamp);
+			copy_kv(result, entry->key, entry->value, entry->revision);
 		}
 		break;
-	case WS_CALL_TXN:
-		n = strlen("") + c->nconds;
-		r->failed = calloc(n + 1, sizeof(*r->failed));
-		for (size_t i = 0; i <= c->nops; i++) {
-			size_t len = i < c->nops && c->ops[i].value
-					 ? json_dumpb(c->ops[i].value, NULL, 0, JSON_COMPACT)
-					 : 0;
+	case WS_CALL_TRANSACTION:
+		n = strlen("") + call->compare_count;
+		result->failed_keys = calloc(n + 1, sizeof(*result->failed_keys));
+		for (size_t i = 0; i <= call->operation_count; i++) {
+			size_t len =
+			    i < call->operation_count && call->operations[i].value
+				? json_dumpb(call->operations[i].value, NULL, 0, JSON_COMPACT)
+				: 0;
 
-			s->written_size += c->paced ? len : 0;
-			if (c->nops <= (size_t)s->txn_ops && (double)len <= s->value_kb * 1024)
+			sim->written_size += call->self_paced ? len : 0;
+			if (call->operation_count <= (size_t)sim->txn_ops &&
+			    (double)len <= sim->value_kb * 1024)
 				continue;
-			s->refused_writes++;
-			r->status = 400;
-			if (!s->lowered)
-				sim_fail(s, "a transaction of %zu changes, %zu bytes under %s",
-					 c->nops, len, c->ops[i < c->nops ? i : 0].key);
+			sim->refused_writes++;
+			result->status = 400;
+			if (!sim->lowered)
+				sim_fail(sim, "a transaction of %zu changes, %zu bytes under %s",
+					 call->operation_count, len,
+					 call->operations[i < call->operation_count ? i : 0].key);
 			return;
 		}
-		for (size_t i = 0; i < c->nconds; i++) {
-			HASH_FIND_STR(s->kv, c->conds[i].key, k);
-			if ((k ? k->stamp : 0) != c->conds[i].stamp)
-				strcpy(r->failed[r->nfailed++], c->conds[i].key);
+		for (size_t i = 0; i < call->compare_count; i++) {
+			HASH_FIND_STR(sim->entries, call->compares[i].key, entry);
+			if ((entry ? entry->revision : 0) != call->compares[i].revision)
+				strcpy(result->failed_keys[result->failed_count++],
+				       call->compares[i].key);
 		}
-		for (size_t i = 0; i < c->nops; i++)
-			if (c->ops[i].hold && !hold_find(s, c->ops[i].hold)) {
-				r->status = 400;
+		for (size_t i = 0; i < call->operation_count; i++)
+			if (call->operations[i].session &&
+			    !hold_find(sim, call->operations[i].session)) {
+				result->status = 400;
 				return;
 			}
-		if (r->nfailed) {
-			r->status = 409;
+		if (result->failed_count) {
+			result->status = 409;
 			break;
 		}
-		if (c->nops)
-			s->rev++;
-		for (size_t i = 0; i < c->nops; i++) {
-			sim_kv_put(s, c->ops[i].key, c->ops[i].value, c->ops[i].hold);
+		if (call->operation_count)
+			sim->revision++;
+		for (size_t i = 0; i < call->operation_count; i++) {
+			sim_kv_put(sim, call->operations[i].key, call->operations[i].value,
+				   call->operations[i].session);
 		}
-		r->rev = s->rev;
+		result->revision = sim->revision;
 		break;
-	case WS_CALL_HOLD_NEW:
-		if (s->nholds == (int)(sizeof(s->holds) / sizeof(s->holds[0]))) {
-			sim_fail(s, "too many holds");
+	case WS_CALL_SESSION_OPEN:
+		if (sim->session_count == (int)(sizeof(sim->sessions) / sizeof(sim->sessions[0]))) {
+			sim_fail(sim, "too many holds");
 			break;
 		}
-		h = &s->holds[s->nholds++];
-		*h = (struct sim_hold){(uint64_t)s->nholds, c->ms / 1000.0, s->now + c->ms / 1000.0,
-				       true};
-		r->hold = h->id;
+		session = &sim->sessions[sim->session_count++];
+		*session =
+		    (struct sim_session){(uint64_t)sim->session_count, call->timeout_ms / 1000.0,
+					 sim->now + call->timeout_ms / 1000.0, true};
+		result->session = session->id;
 		break;
-	case WS_CALL_HOLD_EXTEND:
-		if ((h = hold_find(s, c->hold)))
-			h->until = s->now + h->ttl;
+	case WS_CALL_SESSION_RENEW:
+		if ((session = hold_find(sim, call->session)))
+			session->until = sim->now + session->ttl;
 		else
-			r->status = 404;
+			result->status = 404;
 		break;
-	case WS_CALL_HOLD_DROP:
-		if ((h = hold_find(s, c->hold)))
-			sim_hold_end(s, h);
+	case WS_CALL_SESSION_CLOSE:
+		if ((session = hold_find(sim, call->session)))
+			sim_hold_end(sim, session);
 		else
-			r->status = 404;
+			result->status = 404;
 		break;
 	default: break;
 	}
 }
 
-bool sim_watch_ready(struct sim *s, struct ws_call *c, struct ws_result *r)
+bool sim_watch_ready(struct sim *sim, struct ws_call *call, struct ws_result *result)
 {
-	r->rev = s->rev;
-	for (size_t i = 0; i < s->nhist; i++)
-		if (s->hist[i].stamp > c->since && !strncmp(s->hist[i].key, c->key, strlen(c->key)))
-			copy_kv(r, s->hist[i].key, s->hist[i].value, s->hist[i].stamp);
-	r->status = 200;
-	return r->nkvs > 0;
+	result->revision = sim->revision;
+	for (size_t i = 0; i < sim->history_count; i++)
+		if (sim->history[i].revision > call->since_revision &&
+		    !strncmp(sim->history[i].key, call->key, strlen(call->key)))
+			copy_kv(result, sim->history[i].key, sim->history[i].value,
+				sim->history[i].revision);
+	result->status = 200;
+	return result->entry_count > 0;
 }
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -1,180 +1,189 @@
 /* Users: what they ask, and the rules for the answers. */
 #include "sim_parts.h"
 
-void sim_ask(struct sim *s, int node, struct sim_job *j, int kind, uint64_t token, bool relayed)
+void sim_ask(struct sim *sim, int node, struct sim_job *job, int kind, uint64_t request_id,
+	     bool forwarded)
 {
-	struct sim_node *nd = &s->nodes[node];
-	double t = s->now * (1 + nd->skew);
+	struct sim_node *other_node = &sim->nodes[node];
+	double t = sim->now * (1 + other_node->skew);
 
 	if (kind == ASK_SUBMIT)
-		nd->v->submit(nd->core, t, s->now + 1e9, token, &j->spec, relayed);
+		other_node->version->submit(other_node->core, t, sim->now + 1e9, request_id,
+					    &job->spec, forwarded);
 	else if (kind == ASK_POLL)
-		nd->v->poll(nd->core, t, token, j->spec.id, relayed);
+		other_node->version->poll(other_node->core, t, request_id, job->spec.id, forwarded);
 	else
-		nd->v->abort(nd->core, t, token, j->spec.id, relayed);
+		other_node->version->abort(other_node->core, t, request_id, job->spec.id,
+					   forwarded);
 }
 
 /* What a user still waits for under this token, if anything. */
-int sim_user_asked(struct sim *s, uint64_t token)
+int sim_user_asked(struct sim *sim, uint64_t request_id)
 {
-	struct sim_job *j = &s->jobs[token & (SIM_JOBS - 1)];
+	struct sim_job *job = &sim->jobs[request_id & (SIM_JOBS - 1)];
 
-	if (token == j->pending)
-		return j->pending_kind;
+	if (request_id == job->pending_request)
+		return job->pending_kind;
 	for (size_t i = 0; i < SIM_LOOKS; i++)
-		if (s->looks[i].token == token)
-			return s->looks[i].kind;
+		if (sim->checks[i].token == request_id)
+			return sim->checks[i].kind;
 	return 0;
 }
 
 /* A look at a job, of one node: the answer must not be older than what was told before it began. */
-static void look(struct sim *s, int node, struct sim_job *j, int kind)
+static void look(struct sim *sim, int node, struct sim_job *job, int kind)
 {
-	struct sim_look *l = &s->looks[s->nlooks++ % SIM_LOOKS];
+	struct sim_consistency_check *l = &sim->checks[sim->check_count++ % SIM_LOOKS];
 
-	l->token = (++s->next_token << SIM_TOKEN_SHIFT) | (uint64_t)(j - s->jobs) | 1ULL << 59;
+	l->token =
+	    (++sim->next_token << SIM_TOKEN_SHIFT) | (uint64_t)(job - sim->jobs) | 1ULL << 59;
 	l->kind = kind;
-	l->accepted = j->accepted;
-	l->done = j->done;
-	l->cancelled = j->cancelled;
-	s->polls += kind == ASK_POLL;
-	sim_ask(s, node, j, kind, l->token, false);
+	l->accepted = job->accepted;
+	l->done = job->done;
+	l->cancelled = job->cancelled;
+	sim->polls += kind == ASK_POLL;
+	sim_ask(sim, node, job, kind, l->token, false);
 }
 
 /* Users who were just told something ask all nodes, and send the job again. */
-void sim_look(struct sim *s, struct sim_job *j)
+void sim_look(struct sim *sim, struct sim_job *job)
 {
-	for (int i = 0; i < s->nnodes; i++)
-		if (s->nodes[i].up && s->now >= s->nodes[i].frozen) {
-			look(s, i, j, ASK_POLL);
-			look(s, i, j, ASK_SUBMIT);
+	for (int i = 0; i < sim->node_count; i++)
+		if (sim->nodes[i].is_up && sim->now >= sim->nodes[i].frozen) {
+			look(sim, i, job, ASK_POLL);
+			look(sim, i, job, ASK_SUBMIT);
 		}
 }
 
-static void user_send(struct sim *s, struct sim_job *j, int kind)
+static void user_send(struct sim *sim, struct sim_job *job, int kind)
 {
-	struct sim_node *nd;
+	struct sim_node *node;
 	int tries = 0;
 
 	do
-		j->node = (j->node + 1) % s->nnodes;
-	while ((!s->nodes[j->node].up || s->now < s->nodes[j->node].frozen) && ++tries < s->nnodes);
-	nd = &s->nodes[j->node];
-	if (!nd->up || s->now < nd->frozen)
+		job->node = (job->node + 1) % sim->node_count;
+	while ((!sim->nodes[job->node].is_up || sim->now < sim->nodes[job->node].frozen) &&
+	       ++tries < sim->node_count);
+	node = &sim->nodes[job->node];
+	if (!node->is_up || sim->now < node->frozen)
 		return;
-	j->pending = (++s->next_token << SIM_TOKEN_SHIFT) | (uint64_t)(j - s->jobs);
-	j->pending_kind = kind;
-	j->pending_at = s->now;
+	job->pending_request = (++sim->next_token << SIM_TOKEN_SHIFT) | (uint64_t)(job - sim->jobs);
+	job->pending_kind = kind;
+	job->pending_at = sim->now;
 	if (kind == ASK_SUBMIT)
-		j->submitted = true;
-	s->polls += kind == ASK_POLL;
-	sim_ask(s, j->node, j, kind, j->pending, false);
+		job->submitted = true;
+	sim->polls += kind == ASK_POLL;
+	sim_ask(sim, job->node, job, kind, job->pending_request, false);
 }
 
-void sim_user_answer(struct sim *s, const struct ws_action *a)
+void sim_user_answer(struct sim *sim, const struct ws_effect *effect)
 {
-	struct sim_job *j = &s->jobs[a->token & (SIM_JOBS - 1)];
-	struct sim_look known = {.token = a->token,
-				 j->pending_kind,
-				 j->accepted,
-				 j->done,
-				 j->cancelled},
-			*l = NULL;
+	struct sim_job *job = &sim->jobs[effect->request_id & (SIM_JOBS - 1)];
+	struct sim_consistency_check known = {.token = effect->request_id,
+					      job->pending_kind,
+					      job->accepted,
+					      job->done,
+					      job->cancelled},
+				     *l = NULL;
 	bool news = false;
 
-	if (a->token == j->pending) {
+	if (effect->request_id == job->pending_request) {
 		l = &known;
-		j->pending = 0;
+		job->pending_request = 0;
 	}
 	for (size_t i = 0; i < SIM_LOOKS && !l; i++)
-		if (s->looks[i].token == a->token) {
-			known = s->looks[i];
+		if (sim->checks[i].token == effect->request_id) {
+			known = sim->checks[i];
 			l = &known;
-			s->looks[i].token = 0;
+			sim->checks[i].token = 0;
 		}
 	if (!l)
 		return;
-	if (a->status == 503 && a->retry_after < 1)
-		sim_fail(s, "%s: a 503 without Retry-After", j->spec.id);
+	if (effect->status == 503 && effect->retry_after < 1)
+		sim_fail(sim, "%s: a 503 without Retry-After", job->spec.id);
 	if (l->kind == ASK_SUBMIT) {
-		if (j->refused && (a->status == 200 || a->status == 201))
-			sim_fail(s, "%s was refused, and is accepted", j->spec.id);
-		j->refused |= a->status == 400 || a->status == 422;
-		j->status = a->status;
+		if (job->refused && (effect->status == 200 || effect->status == 201))
+			sim_fail(sim, "%s was refused, and is accepted", job->spec.id);
+		job->refused |= effect->status == 400 || effect->status == 422;
+		job->status = effect->status;
 	}
-	if (l->kind == ASK_SUBMIT && (a->status == 200 || a->status == 201)) {
-		news = !j->accepted;
-		j->accepted = true;
+	if (l->kind == ASK_SUBMIT && (effect->status == 200 || effect->status == 201)) {
+		news = !job->accepted;
+		job->accepted = true;
 	}
-	if (a->status == 404 && l->accepted)
-		sim_fail(s, "forgotten: %s", j->spec.id);
-	if ((a->status == 422 || a->status == 400) && j->accepted)
-		sim_fail(s, "forgotten: %s submitted again gets %d", j->spec.id, a->status);
-	if (a->status == 200 && !j->submitted)
-		sim_fail(s, "invented: %s", j->spec.id);
-	if (a->status != 200 && a->status != 201)
+	if (effect->status == 404 && l->accepted)
+		sim_fail(sim, "forgotten: %s", job->spec.id);
+	if ((effect->status == 422 || effect->status == 400) && job->accepted)
+		sim_fail(sim, "forgotten: %s submitted again gets %d", job->spec.id,
+			 effect->status);
+	if (effect->status == 200 && !job->submitted)
+		sim_fail(sim, "invented: %s", job->spec.id);
+	if (effect->status != 200 && effect->status != 201)
 		return;
-	j->answered_at = s->now;
-	if (strcmp(a->name, j->spec.id))
-		sim_fail(s, "%s is answered for %s", a->name, j->spec.id);
-	if (a->phase == WS_DONE && j->completed < j->spec.tasks)
-		sim_fail(s, "not_done: %s is called done with %u of %u", j->spec.id, j->completed,
-			 j->spec.tasks);
-	if (l->done && a->phase != WS_DONE)
-		sim_fail(s, "went_back: %s was done", j->spec.id);
-	if (l->cancelled && a->phase != WS_CANCELLED)
-		sim_fail(s, "went_back: %s was cancelled, now %d", j->spec.id, a->phase);
-	if ((a->phase == WS_DONE && j->cancelled) || (a->phase == WS_CANCELLED && j->done))
-		sim_fail(s, "went_back: %s is called done and cancelled", j->spec.id);
-	if (a->phase == WS_CANCELLED && !j->abort_sent)
-		sim_fail(s, "went_back: nobody cancelled %s", j->spec.id);
-	if (a->phase == WS_DONE && !j->done) {
-		j->done = true;
-		j->told_done = s->now;
+	job->answered_at = sim->now;
+	if (strcmp(effect->name, job->spec.id))
+		sim_fail(sim, "%s is answered for %s", effect->name, job->spec.id);
+	if (effect->phase == WS_JOB_DONE && job->completed < job->spec.tasks)
+		sim_fail(sim, "not_done: %s is called done with %u of %u", job->spec.id,
+			 job->completed, job->spec.tasks);
+	if (l->done && effect->phase != WS_JOB_DONE)
+		sim_fail(sim, "went_back: %s was done", job->spec.id);
+	if (l->cancelled && effect->phase != WS_JOB_CANCELLED)
+		sim_fail(sim, "went_back: %s was cancelled, now %d", job->spec.id, effect->phase);
+	if ((effect->phase == WS_JOB_DONE && job->cancelled) ||
+	    (effect->phase == WS_JOB_CANCELLED && job->done))
+		sim_fail(sim, "went_back: %s is called done and cancelled", job->spec.id);
+	if (effect->phase == WS_JOB_CANCELLED && !job->abort_sent)
+		sim_fail(sim, "went_back: nobody cancelled %s", job->spec.id);
+	if (effect->phase == WS_JOB_DONE && !job->done) {
+		job->done = true;
+		job->told_done = sim->now;
 		news = true;
 	}
-	if (a->phase == WS_CANCELLED && !j->cancelled) {
-		j->cancelled = true;
-		j->told_cancelled = s->now;
+	if (effect->phase == WS_JOB_CANCELLED && !job->cancelled) {
+		job->cancelled = true;
+		job->told_cancelled = sim->now;
 		news = true;
 	}
-	if (news && s->now < s->looks_until) {
-		sim_look(s, j);
+	if (news && sim->now < sim->looks_until) {
+		sim_look(sim, job);
 		/* some call it off at once */
-		if (!j->done && !j->cancelled && !j->abort_at && sim_rnd(s) < s->abort_share)
-			j->abort_at = s->now;
+		if (!job->done && !job->cancelled && !job->abort_at &&
+		    sim_rnd(sim) < sim->abort_share)
+			job->abort_at = sim->now;
 	}
 }
 
 /* The last task of a job has just ended: a share of the users call it off in that moment. */
-void sim_user_end(struct sim *s, struct sim_job *j)
+void sim_user_end(struct sim *sim, struct sim_job *job)
 {
-	if (s->now < s->end_until && !j->abort_at && sim_rnd(s) < s->end_share) {
-		j->abort_at = s->now;
-		j->next_try = 0;
+	if (sim->now < sim->end_until && !job->abort_at && sim_rnd(sim) < sim->end_share) {
+		job->abort_at = sim->now;
+		job->next_try = 0;
 	}
 }
 
-void sim_users_step(struct sim *s)
+void sim_users_step(struct sim *sim)
 {
-	for (int i = 0; i < s->njobs; i++) {
-		struct sim_job *j = &s->jobs[i];
+	for (int i = 0; i < sim->job_count; i++) {
+		struct sim_job *job = &sim->jobs[i];
 
-		if (j->pending && s->now - j->pending_at > 5)
-			j->pending = 0;
-		if (j->pending || s->now < j->next_try)
+		if (job->pending_request && sim->now - job->pending_at > 5)
+			job->pending_request = 0;
+		if (job->pending_request || sim->now < job->next_try)
 			continue;
-		if (j->submit_at >= 0 && s->now >= j->submit_at && !j->accepted &&
-		    j->status != 422) {
-			user_send(s, j, ASK_SUBMIT);
-			j->next_try = s->now + 1;
-		} else if (j->abort_at > 0 && s->now >= j->abort_at && !j->cancelled && !j->done) {
-			j->abort_sent = true;
-			user_send(s, j, ASK_ABORT);
-			j->next_try = s->now + 1;
-		} else if ((j->accepted || j->submit_at < 0) && s->now >= j->next_poll) {
-			user_send(s, j, ASK_POLL);
-			j->next_poll = s->now + 2;
+		if (job->submit_at >= 0 && sim->now >= job->submit_at && !job->accepted &&
+		    job->status != 422) {
+			user_send(sim, job, ASK_SUBMIT);
+			job->next_try = sim->now + 1;
+		} else if (job->abort_at > 0 && sim->now >= job->abort_at && !job->cancelled &&
+			   !job->done) {
+			job->abort_sent = true;
+			user_send(sim, job, ASK_ABORT);
+			job->next_try = sim->now + 1;
+		} else if ((job->accepted || job->submit_at < 0) && sim->now >= job->next_poll) {
+			user_send(sim, job, ASK_POLL);
+			job->next_poll = sim->now + 2;
 		}
 	}
 }
