--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -1,77 +1,83 @@
 /* Workers: reports, commands, leases, gangs. */
 #include "sim_parts.h"
 
-void sim_worker_changed(struct sim_worker *w, double now)
+void sim_worker_changed(struct sim_worker *worker, double now)
 {
-	if (w->next_report > now + 0.5)
-		w->next_report = now + 0.5;
+	if (worker->next_heartbeat_at > now + 0.5)
+		worker->next_heartbeat_at = now + 0.5;
 }
 
-static void worker_orders(struct sim *s, struct sim_worker *w, const struct ws_order *o, size_t n)
+static void worker_orders(struct sim *sim, struct sim_worker *worker,
+			  const struct ws_command *command, size_t count)
 {
-	for (size_t i = 0; i < n; i++) {
-		struct sim_task *t = NULL, *same = NULL;
-		struct sim_job *j = sim_job_of(s, o[i].job);
+	for (size_t i = 0; i < count; i++) {
+		struct sim_task *task = NULL, *same = NULL;
+		struct sim_job *job = sim_job_of(sim, command[i].job);
 
-		for (int k = 0; k < w->ntasks; k++) {
-			if (strcmp(w->tasks[k].job, o[i].job) || w->tasks[k].task != o[i].task)
+		for (int k = 0; k < worker->task_count; k++) {
+			if (strcmp(worker->tasks[k].job, command[i].job) ||
+			    worker->tasks[k].task != command[i].task)
 				continue;
-			if (w->tasks[k].attempt == o[i].attempt)
-				t = &w->tasks[k];
-			else if (w->tasks[k].state != WS_TASK_EXITED)
-				same = &w->tasks[k];
+			if (worker->tasks[k].attempt == command[i].attempt)
+				task = &worker->tasks[k];
+			else if (worker->tasks[k].state != WS_TASK_EXITED)
+				same = &worker->tasks[k];
 		}
-		sim_coldstart_order(s, w, &o[i], t);
-		if (o[i].verb == WS_RUN && !t) {
+		sim_cold_start_order(sim, worker, &command[i], task);
+		if (command[i].kind == WS_COMMAND_RUN && !task) {
 			double cpus = 0, mem = 0;
 			bool cached = false;
 
-			if (w->ntasks == SIM_TASKS) {
-				sim_fail(s, "%s has too many tasks", w->name);
+			if (worker->task_count == SIM_TASKS) {
+				sim_fail(sim, "%s has too many tasks", worker->name);
 				return;
 			}
-			for (int k = 0; k < w->ntasks; k++) {
-				struct sim_job *x = sim_job_of(s, w->tasks[k].job);
+			for (int k = 0; k < worker->task_count; k++) {
+				struct sim_job *other_job = sim_job_of(sim, worker->tasks[k].job);
 
-				if (w->tasks[k].state != WS_TASK_EXITED && x) {
-					cpus += x->spec.cpus;
-					mem += x->spec.mem;
+				if (worker->tasks[k].state != WS_TASK_EXITED && other_job) {
+					cpus += other_job->spec.cpus;
+					mem += other_job->spec.mem_gb;
 				}
 			}
-			t = &w->tasks[w->ntasks++];
-			memset(t, 0, sizeof(*t));
-			strcpy(t->job, o[i].job);
-			t->task = o[i].task;
-			t->attempt = o[i].attempt;
-			t->state = WS_TASK_EXITED;
-			if (!j || !j->submitted)
-				t->why = WS_WHY_UNKNOWN;
+			task = &worker->tasks[worker->task_count++];
+			memset(task, 0, sizeof(*task));
+			strcpy(task->job, command[i].job);
+			task->task = command[i].task;
+			task->attempt = command[i].attempt;
+			task->state = WS_TASK_EXITED;
+			if (!job || !job->submitted)
+				task->exit_reason = WS_EXIT_UNKNOWN;
 			else if (same)
-				t->why = WS_WHY_BUSY;
-			else if (cpus + j->spec.cpus > s->types[w->type].t.cpus + 1e-9 ||
-				 mem + j->spec.mem > s->types[w->type].t.mem + 1e-9)
-				t->why = WS_WHY_FULL;
+				task->exit_reason = WS_EXIT_BUSY;
+			else if (cpus + job->spec.cpus >
+				     sim->types[worker->type].type.cpus + 1e-9 ||
+				 mem + job->spec.mem_gb >
+				     sim->types[worker->type].type.mem_gb + 1e-9)
+				task->exit_reason = WS_EXIT_FULL;
 			else {
-				for (int k = 0; k < w->nimages; k++)
-					cached |= !strcmp(w->images[k], j->spec.image);
-				t->state = WS_TASK_FETCHING;
-				t->left = cached ? 0 : j->spec.image_gb / 0.5;
+				for (int k = 0; k < worker->image_count; k++)
+					cached |= !strcmp(worker->images[k], job->spec.image);
+				task->state = WS_TASK_FETCHING;
+				task->seconds_left = cached ? 0 : job->spec.image_gb / 0.5;
 			}
-			sim_worker_changed(w, s->now);
-		} else if (o[i].verb == WS_STOP && t && j && j->spec.gang &&
-			   (t->state == WS_TASK_RUNNING || t->state == WS_TASK_SAVING) &&
-			   o[i].grace_s >= j->spec.save_s && j->spec.checkpoint_s > 0) {
-			if (t->state == WS_TASK_RUNNING)
-				t->told_at = s->now;
-			t->state = WS_TASK_SAVING;
-			sim_worker_changed(w, s->now);
-		} else if (o[i].verb == WS_STOP && t && t->state != WS_TASK_EXITED) {
-			t->state = WS_TASK_EXITED;
-			t->why = WS_WHY_STOPPED;
-			sim_worker_changed(w, s->now);
-		} else if (o[i].verb == WS_REAP && t && t->state == WS_TASK_EXITED) {
-			*t = w->tasks[--w->ntasks];
-			sim_worker_changed(w, s->now);
+			sim_worker_changed(worker, sim->now);
+		} else if (command[i].kind == WS_COMMAND_STOP && task && job && job->spec.gang &&
+			   (task->state == WS_TASK_RUNNING || task->state == WS_TASK_SAVING) &&
+			   command[i].grace_s >= job->spec.save_s && job->spec.checkpoint_s > 0) {
+			if (task->state == WS_TASK_RUNNING)
+				task->stopped_at = sim->now;
+			task->state = WS_TASK_SAVING;
+			sim_worker_changed(worker, sim->now);
+		} else if (command[i].kind == WS_COMMAND_STOP && task &&
+			   task->state != WS_TASK_EXITED) {
+			task->state = WS_TASK_EXITED;
+			task->exit_reason = WS_EXIT_STOPPED;
+			sim_worker_changed(worker, sim->now);
+		} else if (command[i].kind == WS_COMMAND_REAP && task &&
+			   task->state == WS_TASK_EXITED) {
+			*task = worker->tasks[--worker->task_count];
+			sim_worker_changed(worker, sim->now);
 		}
 	}
 }
@@ -85,343 +91,362 @@
 	return high * 250 + low - 1;
 }
 
-void sim_worker_report(struct sim_worker *w, struct ws_report *r, struct sim *s)
+void sim_worker_report(struct sim_worker *worker, struct ws_heartbeat *heartbeat, struct sim *sim)
 {
-	memset(r, 0, sizeof(*r));
-	strcpy(r->machine, w->name);
-	snprintf(r->host, sizeof(r->host), "10.1.%d.%d", (int)(w - s->w) / 250,
-		 (int)(w - s->w) % 250 + 1);
-	r->port = 9000;
-	strcpy(r->type, s->types[w->type].t.name);
-	strcpy(r->zone, w->zone);
-	r->spot = w->spot;
-	r->tenure = w->tenure;
-	r->counter = ++w->counter;
-	r->epoch = w->epoch;
-	r->notice_s = w->notice_at > 0 && s->now >= w->notice_at ? w->take_at - s->now : -1;
-	r->tasks = calloc(2 * (size_t)SIM_TASKS, sizeof(*r->tasks));
-	for (int k = 0; k < w->ntasks * (s->stutter ? 2 : 1); k++) {
-		int i = k % w->ntasks;
-		struct ws_task_report *t = &r->tasks[r->ntasks++];
+	memset(heartbeat, 0, sizeof(*heartbeat));
+	strcpy(heartbeat->machine, worker->name);
+	snprintf(heartbeat->address, sizeof(heartbeat->address), "10.1.%d.%d",
+		 (int)(worker - sim->workers) / 250, (int)(worker - sim->workers) % 250 + 1);
+	heartbeat->port = 9000;
+	strcpy(heartbeat->type, sim->types[worker->type].type.name);
+	strcpy(heartbeat->zone, worker->zone);
+	heartbeat->preemptible = worker->preemptible;
+	heartbeat->incarnation = worker->incarnation;
+	heartbeat->sequence = ++worker->sequence;
+	heartbeat->fencing_token = worker->fencing_token;
+	heartbeat->preemption_notice_s =
+	    worker->preemption_notice_at > 0 && sim->now >= worker->preemption_notice_at
+		? worker->preempted_at - sim->now
+		: -1;
+	heartbeat->tasks = calloc(2 * (size_t)SIM_TASKS, sizeof(*heartbeat->tasks));
+	for (int k = 0; k < worker->task_count * (sim->stutter ? 2 : 1); k++) {
+		int i = k % worker->task_count;
+		struct ws_task_status *status = &heartbeat->tasks[heartbeat->task_count++];
 
-		strcpy(t->job, w->tasks[i].job);
-		t->task = w->tasks[i].task;
-		t->attempt = w->tasks[i].attempt;
-		t->state = w->tasks[i].state;
-		t->why = w->tasks[i].why;
+		strcpy(status->job, worker->tasks[i].job);
+		status->task = worker->tasks[i].task;
+		status->attempt = worker->tasks[i].attempt;
+		status->state = worker->tasks[i].state;
+		status->exit_reason = worker->tasks[i].exit_reason;
 	}
 }
 
-bool sim_worker_live(const struct sim *s, const struct sim_worker *w)
+bool sim_worker_live(const struct sim *sim, const struct sim_worker *worker)
 {
-	return w->up && !w->dead && !w->deleted && s->now >= w->hang_until;
+	return worker->is_up && !worker->dead && !worker->deleted && sim->now >= worker->hang_until;
 }
 
-/* A direct command reaches the worker; the answer is its report. */
-int sim_worker_command(struct sim *s, struct sim_worker *w, uint64_t epoch, uint64_t tenure,
-		       const struct ws_order *o, size_t n, struct ws_report *r)
+/* A direct command reaches the worker; the answer is its heartbeat. */
+int sim_worker_command(struct sim *sim, struct sim_worker *worker, uint64_t epoch, uint64_t tenure,
+		       const struct ws_command *command, size_t count,
+		       struct ws_heartbeat *heartbeat)
 {
 	int status = 200;
 
-	if (epoch < w->epoch || tenure != w->tenure) {
+	if (epoch < worker->fencing_token || tenure != worker->incarnation) {
 		status = 409;
 	} else {
-		if (epoch > w->epoch) {
-			w->epoch = epoch;
-			sim_worker_changed(w, s->now);
+		if (epoch > worker->fencing_token) {
+			worker->fencing_token = epoch;
+			sim_worker_changed(worker, sim->now);
 		}
-		worker_orders(s, w, o, n);
+		worker_orders(sim, worker, command, count);
 	}
-	if (r)
-		sim_worker_report(w, r, s);
+	if (heartbeat)
+		sim_worker_report(worker, heartbeat, sim);
 	return status;
 }
 
 /* Whether node and machine can't reach each other now. */
-bool sim_apart(const struct sim *s, const struct sim_worker *w, const struct sim_node *nd)
+bool sim_apart(const struct sim *sim, const struct sim_worker *worker, const struct sim_node *node)
 {
-	return s->now < w->cut_until || s->now < nd->cut_workers || s->now < nd->frozen ||
-	       (s->now < s->zone_cut && strcmp(nd->set.zone, w->zone)) ||
-	       (s->now < w->pin_until && nd != &s->nodes[w->pin - 1]);
+	return sim->now < worker->cut_until || sim->now < node->cut_workers ||
+	       sim->now < node->frozen ||
+	       (sim->now < sim->zone_cut && strcmp(node->settings.zone, worker->zone)) ||
+	       (sim->now < worker->pin_until && node != &sim->nodes[worker->pin - 1]);
 }
 
-static void task_finished(struct sim *s, struct sim_job *j, const struct sim_task *t)
+static void task_finished(struct sim *sim, struct sim_job *job, const struct sim_task *task)
 {
-	j->finishes++;
-	if (!j->task_done[t->task]) {
-		j->task_done[t->task] = true;
-		if (++j->completed == j->spec.tasks)
-			sim_user_end(s, j);
+	job->finishes++;
+	if (!job->task_done[task->task]) {
+		job->task_done[task->task] = true;
+		if (++job->completed == job->spec.tasks)
+			sim_user_end(sim, job);
 	}
 }
 
-static void gang_exit(struct sim *s, struct sim_worker *w, struct sim_task *t, enum ws_why why)
+static void gang_exit(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
+		      enum ws_exit_reason why)
 {
-	t->state = WS_TASK_EXITED;
-	t->why = why;
-	s->alone += why == WS_WHY_ALONE;
-	s->mates += why == WS_WHY_MATES;
-	sim_worker_changed(w, s->now);
+	task->state = WS_TASK_EXITED;
+	task->exit_reason = why;
+	sim->alone += why == WS_EXIT_GANG_INCOMPLETE;
+	sim->mates += why == WS_EXIT_MEMBER_LOST;
+	sim_worker_changed(worker, sim->now);
 }
 
 /*
  * One attempt of a gang, after the operators' page: its tasks wait for each other, run together,
  * save together when all are told in time, and end when one is gone.
  */
-static void gang_step(struct sim *s, struct sim_job *j, struct sim_gang *g)
+static void gang_step(struct sim *sim, struct sim_job *job, struct sim_gang *gang)
 {
 	struct {
 		struct sim_worker *w;
 		struct sim_task *t;
 	} m[SIM_TASKS];
 	uint32_t n = 0, waiting = 0, on = 0, told = 0;
-	double first = 1e18, last = 0, ck = j->spec.checkpoint_s;
+	double first = 1e18, last = 0, ck = job->spec.checkpoint_s;
 	bool hung = false;
 
-	for (int i = 0; i < s->nw; i++) {
-		struct sim_worker *w = &s->w[i];
+	for (int i = 0; i < sim->worker_count; i++) {
+		struct sim_worker *worker = &sim->workers[i];
 
-		for (int k = 0; !w->dead && !w->deleted && w->up && k < w->ntasks; k++) {
-			struct sim_task *t = &w->tasks[k];
+		for (int k = 0;
+		     !worker->dead && !worker->deleted && worker->is_up && k < worker->task_count;
+		     k++) {
+			struct sim_task *task = &worker->tasks[k];
 
-			if (t->attempt != g->attempt || t->state == WS_TASK_EXITED ||
-			    strcmp(t->job, j->spec.id) || n == SIM_TASKS)
+			if (task->attempt != gang->attempt || task->state == WS_TASK_EXITED ||
+			    strcmp(task->job, job->spec.id) || n == SIM_TASKS)
 				continue;
-			m[n].w = w;
-			m[n++].t = t;
-			hung |= s->now < w->hang_until;
-			waiting += t->state == WS_TASK_WAITING;
-			on += t->state == WS_TASK_RUNNING || t->state == WS_TASK_SAVING;
-			if (t->state == WS_TASK_SAVING) {
+			m[n].w = worker;
+			m[n++].t = task;
+			hung |= sim->now < worker->hang_until;
+			waiting += task->state == WS_TASK_WAITING;
+			on += task->state == WS_TASK_RUNNING || task->state == WS_TASK_SAVING;
+			if (task->state == WS_TASK_SAVING) {
 				told++;
-				first = fmin(first, t->told_at);
-				last = fmax(last, t->told_at);
+				first = fmin(first, task->stopped_at);
+				last = fmax(last, task->stopped_at);
 			}
 		}
 	}
-	if (!g->running && waiting == j->spec.tasks && !hung) {
-		g->running = true;
-		g->progress = j->progress_saved;
-		s->gang_runs++;
+	if (!gang->running && waiting == job->spec.tasks && !hung) {
+		gang->running = true;
+		gang->progress = job->progress_saved;
+		sim->gang_runs++;
 		for (uint32_t i = 0; i < n; i++) {
 			m[i].t->state = WS_TASK_RUNNING;
-			sim_worker_changed(m[i].w, s->now);
+			sim_worker_changed(m[i].w, sim->now);
 		}
 		return;
 	}
 	for (uint32_t i = 0; i < n; i++)
-		if (m[i].t->state == WS_TASK_WAITING && s->now >= m[i].w->hang_until &&
-		    s->now - m[i].t->waiting_at > s->gang_wait)
-			gang_exit(s, m[i].w, m[i].t, WS_WHY_ALONE);
-	if (!g->running || !on)
+		if (m[i].t->state == WS_TASK_WAITING && sim->now >= m[i].w->hang_until &&
+		    sim->now - m[i].t->waiting_since > sim->gang_wait)
+			gang_exit(sim, m[i].w, m[i].t, WS_EXIT_GANG_INCOMPLETE);
+	if (!gang->running || !on)
 		return;
 	/* progress stops with the first stop, with a loss and with a hang */
-	if (on < j->spec.tasks || hung) {
-		if (!g->lost_at)
-			g->lost_at = s->now;
+	if (on < job->spec.tasks || hung) {
+		if (!gang->lost_at)
+			gang->lost_at = sim->now;
 	} else {
-		g->lost_at = 0;
+		gang->lost_at = 0;
 	}
-	if (!told && !g->lost_at)
-		g->progress += STEP;
-	enum ws_why all = WS_WHY_NONE;
+	if (!told && !gang->lost_at)
+		gang->progress += STEP;
+	enum ws_exit_reason all = WS_EXIT_NONE;
 
-	if (!told && !g->lost_at && g->progress >= j->run_s)
-		all = WS_WHY_DONE;
-	else if (told == j->spec.tasks && !hung && s->now >= last + j->spec.save_s)
-		all = WS_WHY_STOPPED;
-	else if ((g->lost_at && s->now > g->lost_at + s->gang_peer * 0.8) ||
-		 (told && told < on && s->now > first + s->gang_peer))
-		all = WS_WHY_MATES;
-	if (all == WS_WHY_NONE)
+	if (!told && !gang->lost_at && gang->progress >= job->run_s)
+		all = WS_EXIT_DONE;
+	else if (told == job->spec.tasks && !hung && sim->now >= last + job->spec.save_s)
+		all = WS_EXIT_STOPPED;
+	else if ((gang->lost_at && sim->now > gang->lost_at + sim->gang_peer * 0.8) ||
+		 (told && told < on && sim->now > first + sim->gang_peer))
+		all = WS_EXIT_MEMBER_LOST;
+	if (all == WS_EXIT_NONE)
 		return;
-	if (all == WS_WHY_STOPPED) { /* safe with the first that exits */
-		j->progress_saved = g->progress;
-		s->saved++;
+	if (all == WS_EXIT_STOPPED) { /* safe with the first that exits */
+		job->progress_saved = gang->progress;
+		sim->saved++;
 	} else if (ck > 0) {
-		j->progress_saved = fmax(j->progress_saved, floor(g->progress / ck) * ck);
+		job->progress_saved = fmax(job->progress_saved, floor(gang->progress / ck) * ck);
 	}
 	for (uint32_t i = 0; i < n; i++) {
-		if (s->now < m[i].w->hang_until || m[i].t->state == WS_TASK_WAITING ||
+		if (sim->now < m[i].w->hang_until || m[i].t->state == WS_TASK_WAITING ||
 		    m[i].t->state == WS_TASK_FETCHING)
 			continue;
-		if (all == WS_WHY_DONE)
-			task_finished(s, j, m[i].t);
-		gang_exit(s, m[i].w, m[i].t, all);
+		if (all == WS_EXIT_DONE)
+			task_finished(sim, job, m[i].t);
+		gang_exit(sim, m[i].w, m[i].t, all);
 	}
 }
 
-void sim_gangs_step(struct sim *s)
+void sim_gangs_step(struct sim *sim)
 {
-	for (int i = 0; i < s->njobs; i++)
-		for (int k = 0; k < s->jobs[i].ngangs; k++)
-			gang_step(s, &s->jobs[i], &s->jobs[i].gangs[k]);
+	for (int i = 0; i < sim->job_count; i++)
+		for (int k = 0; k < sim->jobs[i].gang_count; k++)
+			gang_step(sim, &sim->jobs[i], &sim->jobs[i].gangs[k]);
 }
 
 /* A run of a gang's task began: its attempt is followed from now on. */
-static void gang_known(struct sim *s, struct sim_job *j, uint64_t attempt)
+static void gang_known(struct sim *sim, struct sim_job *job, uint64_t attempt)
 {
-	for (int i = 0; i < j->ngangs; i++)
-		if (j->gangs[i].attempt == attempt)
+	for (int i = 0; i < job->gang_count; i++)
+		if (job->gangs[i].attempt == attempt)
 			return;
-	if (j->ngangs == SIM_GANGS)
-		sim_fail(s, "%s began too often", j->spec.id);
+	if (job->gang_count == SIM_GANGS)
+		sim_fail(sim, "%s began too often", job->spec.id);
 	else
-		j->gangs[j->ngangs++].attempt = attempt;
+		job->gangs[job->gang_count++].attempt = attempt;
 }
 
-void sim_worker_step(struct sim *s, struct sim_worker *w)
+void sim_worker_step(struct sim *sim, struct sim_worker *worker)
 {
-	if (w->deleted || w->dead)
+	if (worker->deleted || worker->dead)
 		return;
-	if (!w->up) {
-		if (!w->never && s->now >= w->boots) {
-			w->up = true;
-			w->tenure = 1;
-			w->answered_sent = s->now;
-			w->next_report = s->now;
-			w->node = (int)(sim_rnd(s) * s->nnodes);
+	if (!worker->is_up) {
+		if (!worker->never && sim->now >= worker->boots) {
+			worker->is_up = true;
+			worker->incarnation = 1;
+			worker->answered_sent = sim->now;
+			worker->next_heartbeat_at = sim->now;
+			worker->node = (int)(sim_rnd(sim) * sim->node_count);
 		}
 		return;
 	}
-	if (w->take_at > 0 && s->now >= w->take_at) {
-		w->deleted = true;
-		w->deleted_at = s->now;
+	if (worker->preempted_at > 0 && sim->now >= worker->preempted_at) {
+		worker->deleted = true;
+		worker->deleted_at = sim->now;
 		return;
 	}
 	/* a hanging machine can go on only within its lease; past it, its tasks are no more */
-	if (s->now - w->answered_sent > s->lease && s->now < w->hang_until) {
-		sim_coldstart_killed(s, w);
-		w->ntasks = 0;
+	if (sim->now - worker->answered_sent > sim->lease && sim->now < worker->hang_until) {
+		sim_cold_start_killed(sim, worker);
+		worker->task_count = 0;
 	}
-	if (s->now < w->hang_until)
+	if (sim->now < worker->hang_until)
 		return;
-	if (s->now - w->answered_sent > s->lease) {
-		sim_coldstart_killed(s, w);
-		w->ntasks = 0;
-		w->tenure++;
-		w->answered_sent = s->now;
-		w->next_report = s->now;
-		w->waiting = false;
+	if (sim->now - worker->answered_sent > sim->lease) {
+		sim_cold_start_killed(sim, worker);
+		worker->task_count = 0;
+		worker->incarnation++;
+		worker->answered_sent = sim->now;
+		worker->next_heartbeat_at = sim->now;
+		worker->waiting = false;
 	}
-	for (int i = 0; i < w->ntasks; i++) {
-		struct sim_task *t = &w->tasks[i];
-		struct sim_job *j = sim_job_of(s, t->job);
+	for (int i = 0; i < worker->task_count; i++) {
+		struct sim_task *task = &worker->tasks[i];
+		struct sim_job *job = sim_job_of(sim, task->job);
 
-		if (t->state == WS_TASK_FETCHING) {
-			t->left -= STEP;
-			if (t->left > 0)
+		if (task->state == WS_TASK_FETCHING) {
+			task->seconds_left -= STEP;
+			if (task->seconds_left > 0)
 				continue;
-			t->state = j->spec.gang ? WS_TASK_WAITING : WS_TASK_RUNNING;
-			t->waiting_at = s->now;
-			if (j->spec.gang)
-				gang_known(s, j, t->attempt);
-			t->left = j->run_s * (w->slow ? 10 : 1);
-			if (w->nimages < 32)
-				strcpy(w->images[w->nimages++], j->spec.image);
-			sim_check_start(s, w, t);
-			sim_worker_changed(w, s->now);
-		} else if (t->state == WS_TASK_RUNNING && (!j->spec.gang || w->failing || j->bad)) {
-			t->left -= STEP;
-			if (w->failing || j->bad) {
-				t->state = WS_TASK_EXITED;
-				t->why = WS_WHY_ERROR;
-				s->failures++;
-				sim_worker_changed(w, s->now);
-			} else if (!j->spec.service && t->left <= 0) {
-				t->state = WS_TASK_EXITED;
-				t->why = WS_WHY_DONE;
-				task_finished(s, j, t);
-				sim_worker_changed(w, s->now);
+			task->state = job->spec.gang ? WS_TASK_WAITING : WS_TASK_RUNNING;
+			task->waiting_since = sim->now;
+			if (job->spec.gang)
+				gang_known(sim, job, task->attempt);
+			task->seconds_left = job->run_s * (worker->slow ? 10 : 1);
+			if (worker->image_count < 32)
+				strcpy(worker->images[worker->image_count++], job->spec.image);
+			sim_check_start(sim, worker, task);
+			sim_worker_changed(worker, sim->now);
+		} else if (task->state == WS_TASK_RUNNING &&
+			   (!job->spec.gang || worker->failing || job->bad)) {
+			task->seconds_left -= STEP;
+			if (worker->failing || job->bad) {
+				task->state = WS_TASK_EXITED;
+				task->exit_reason = WS_EXIT_ERROR;
+				sim->failures++;
+				sim_worker_changed(worker, sim->now);
+			} else if (!job->spec.service && task->seconds_left <= 0) {
+				task->state = WS_TASK_EXITED;
+				task->exit_reason = WS_EXIT_DONE;
+				task_finished(sim, job, task);
+				sim_worker_changed(worker, sim->now);
 			}
 		}
 	}
-	if (w->waiting && s->now - w->sent_at > 4) {
-		w->waiting = false;
-		w->node = (w->node + 1) % s->nnodes;
-		w->next_report = s->now + 1;
+	if (worker->waiting && sim->now - worker->sent_at > 4) {
+		worker->waiting = false;
+		worker->node = (worker->node + 1) % sim->node_count;
+		worker->next_heartbeat_at = sim->now + 1;
 	}
-	if (!w->waiting && s->now >= w->next_report) {
-		struct sim_node *nd = &s->nodes[w->node];
-		struct ws_report r;
+	if (!worker->waiting && sim->now >= worker->next_heartbeat_at) {
+		struct sim_node *node = &sim->nodes[worker->node];
+		struct ws_heartbeat heartbeat;
 
-		w->sent_at = s->now;
-		s->reports++;
-		w->waiting = true;
-		sim_worker_report(w, &r, s);
-		w->next_report = s->now + s->report * (0.75 + 0.5 * sim_rnd(s));
-		w->report_id =
-		    (++s->next_token << SIM_TOKEN_SHIFT) | (uint64_t)(w - s->w) | 1ULL << 62;
-		if (sim_apart(s, w, nd)) {
-			double until = fmax(fmax(w->cut_until, w->pin_until),
-					    fmax(fmax(nd->cut_workers, nd->frozen), s->zone_cut));
-			struct sim_held *h = calloc(1, sizeof(*h)), **p = &s->held;
+		worker->sent_at = sim->now;
+		sim->reports++;
+		worker->waiting = true;
+		sim_worker_report(worker, &heartbeat, sim);
+		worker->next_heartbeat_at = sim->now + sim->report * (0.75 + 0.5 * sim_rnd(sim));
+		worker->heartbeat_id = (++sim->next_token << SIM_TOKEN_SHIFT) |
+				       (uint64_t)(worker - sim->workers) | 1ULL << 62;
+		if (sim_apart(sim, worker, node)) {
+			double until =
+			    fmax(fmax(worker->cut_until, worker->pin_until),
+				 fmax(fmax(node->cut_workers, node->frozen), sim->zone_cut));
+			struct sim_delayed_heartbeat *delayed = calloc(1, sizeof(*delayed)),
+						     **delayed_link = &sim->delayed_heartbeats;
 
-			h->at = until + STEP;
-			h->node = w->node;
-			h->r = r;
-			r.tasks = NULL;
-			while (*p) /* delivered in order */
-				p = &(*p)->next;
-			*p = h;
-		} else if (!nd->up || s->now < w->mute_until) {
-			w->waiting = false;
-			w->node = (w->node + 1) % s->nnodes;
-			w->next_report = s->now + 1;
+			delayed->due_at = until + STEP;
+			delayed->node = worker->node;
+			delayed->heartbeat = heartbeat;
+			heartbeat.tasks = NULL;
+			while (*delayed_link) /* delivered in order */
+				delayed_link = &(*delayed_link)->next;
+			*delayed_link = delayed;
+		} else if (!node->is_up || sim->now < worker->mute_until) {
+			worker->waiting = false;
+			worker->node = (worker->node + 1) % sim->node_count;
+			worker->next_heartbeat_at = sim->now + 1;
 		} else {
-			if (s->copies_by > 0 && s->now < s->copies_until &&
-			    sim_rnd(s) < s->copies_share) { /* and once more later */
-				struct sim_held *h = calloc(1, sizeof(*h)), **p = &s->held;
+			if (sim->copies_by > 0 && sim->now < sim->copies_until &&
+			    sim_rnd(sim) < sim->copies_share) { /* and once more later */
+				struct sim_delayed_heartbeat *other_delayed =
+								 calloc(1, sizeof(*other_delayed)),
+							     **p = &sim->delayed_heartbeats;
 
-				h->at = s->now + s->copies_by * (0.2 + 0.8 * sim_rnd(s));
-				h->node = (int)(sim_rnd(s) * s->nnodes);
-				if (s->copies_for_next) { /* to all nodes, when one begins to lead
-							   */
-					h->at = 1e18;
-					h->node = -1;
+				other_delayed->due_at =
+				    sim->now + sim->copies_by * (0.2 + 0.8 * sim_rnd(sim));
+				other_delayed->node = (int)(sim_rnd(sim) * sim->node_count);
+				if (sim->copies_for_next) { /* to all nodes, when one begins to lead
+							     */
+					other_delayed->due_at = 1e18;
+					other_delayed->node = -1;
 				}
-				h->r = r;
-				h->r.tasks = calloc(2 * (size_t)SIM_TASKS, sizeof(*r.tasks));
-				memcpy(h->r.tasks, r.tasks, r.ntasks * sizeof(*r.tasks));
-				while (*p && (*p)->at <= h->at)
+				other_delayed->heartbeat = heartbeat;
+				other_delayed->heartbeat.tasks =
+				    calloc(2 * (size_t)SIM_TASKS, sizeof(*heartbeat.tasks));
+				memcpy(other_delayed->heartbeat.tasks, heartbeat.tasks,
+				       heartbeat.task_count * sizeof(*heartbeat.tasks));
+				while (*p && (*p)->due_at <= other_delayed->due_at)
 					p = &(*p)->next;
-				h->next = *p;
-				*p = h;
+				other_delayed->next = *p;
+				*p = other_delayed;
 			}
-			nd->v->report(nd->core, s->now * (1 + nd->skew), w->report_id, &r, false);
+			node->version->report(node->core, sim->now * (1 + node->skew),
+					      worker->heartbeat_id, &heartbeat, false);
 		}
-		free(r.tasks);
+		free(heartbeat.tasks);
 	}
 }
 
-void sim_worker_answer(struct sim *s, const struct ws_action *a)
+void sim_worker_answer(struct sim *sim, const struct ws_effect *effect)
 {
-	struct sim_worker *w = &s->w[a->token & (SIM_WORKERS - 1)];
+	struct sim_worker *worker = &sim->workers[effect->request_id & (SIM_WORKERS - 1)];
 
-	if (a->token >> 60 == 1 || a->token != w->report_id || !w->waiting ||
-	    !sim_worker_live(s, w) || s->now < w->deaf_until || sim_apart(s, w, &s->nodes[w->node]))
+	if (effect->request_id >> 60 == 1 || effect->request_id != worker->heartbeat_id ||
+	    !worker->waiting || !sim_worker_live(sim, worker) || sim->now < worker->deaf_until ||
+	    sim_apart(sim, worker, &sim->nodes[worker->node]))
 		return;
-	w->waiting = false;
-	if (a->status == 200) {
-		if (a->epoch < w->epoch)
+	worker->waiting = false;
+	if (effect->status == 200) {
+		if (effect->fencing_token < worker->fencing_token)
 			return;
-		if (a->epoch > w->epoch) {
-			w->epoch = a->epoch;
-			sim_worker_changed(w, s->now);
+		if (effect->fencing_token > worker->fencing_token) {
+			worker->fencing_token = effect->fencing_token;
+			sim_worker_changed(worker, sim->now);
 		}
-		w->answered_sent = w->sent_at;
-		if (w->answered_since <= s->stop.at)
-			w->answered_since = s->now;
-		worker_orders(s, w, a->orders, a->norders);
+		worker->answered_sent = worker->sent_at;
+		if (worker->answered_since <= sim->stop.stopped_at)
+			worker->answered_since = sim->now;
+		worker_orders(sim, worker, effect->commands, effect->command_count);
 		return;
 	}
-	if (a->status == 421 && a->name[0])
-		for (int i = 0; i < s->nnodes; i++)
-			if (!strcmp(s->nodes[i].set.node, a->name) && i != w->node) {
-				w->node = i;
-				w->next_report = s->now + 0.2;
+	if (effect->status == 421 && effect->name[0])
+		for (int i = 0; i < sim->node_count; i++)
+			if (!strcmp(sim->nodes[i].settings.node, effect->name) &&
+			    i != worker->node) {
+				worker->node = i;
+				worker->next_heartbeat_at = sim->now + 0.2;
 				return;
 			}
-	w->node = (w->node + 1) % s->nnodes;
-	w->next_report = s->now + 1;
+	worker->node = (worker->node + 1) % sim->node_count;
+	worker->next_heartbeat_at = sim->now + 1;
 }
--- a/tests/smoke_test.c
+++ b/tests/smoke_test.c
@@ -1,5 +1,5 @@
 /*
- * The program itself on loopback sockets: stand-ins for state service and cloud speak HTTP, one
+ * The program itself on loopback sockets: stand-ins for store and cloud speak HTTP, one
  * waystep process is started, a user submits, a worker reports and is told to run; broken HTTP is
  * refused without harm.
  */
@@ -18,7 +18,7 @@
 #include <unistd.h>
 
 static struct ev_loop *loop;
-static struct ws_server *state, *cloud;
+static struct ws_http_server *state, *cloud;
 static json_t *gone, *kv;
 static json_int_t rev = 1;
 static struct {
@@ -35,35 +35,37 @@
 	ok ? good++ : bad++;
 }
 
-static void send_json(struct ws_server *s, uint64_t token, int status, json_t *o)
+static void send_json(struct ws_http_server *server, uint64_t request_id, int status,
+		      json_t *object)
 {
-	char *t = json_dumps(o, 0);
+	char *t = json_dumps(object, 0);
 
-	ws_server_answer(s, token, status, t, strlen(t), 0);
+	ws_server_answer(server, request_id, status, t, strlen(t), 0);
 	free(t);
-	json_decref(o);
+	json_decref(object);
 }
 
 static json_t *entries(const char *prefix, json_int_t since, bool events)
 {
-	json_t *a = json_array(), *v;
+	json_t *array = json_array(), *value;
 	const char *k;
 
-	json_object_foreach (kv, k, v) {
-		json_int_t st = json_integer_value(json_object_get(v, "stamp"));
+	json_object_foreach (kv, k, value) {
+		json_int_t st = json_integer_value(json_object_get(value, "stamp"));
 
 		if (strncmp(k, prefix, strlen(prefix)) || st <= since)
 			continue;
-		json_array_append_new(a,
+		json_array_append_new(array,
 				      json_pack("{s:s,s:O,s:I}", events ? "write" : "k", k, "value",
-						json_object_get(v, "value"), "stamp", st));
+						json_object_get(value, "value"), "stamp", st));
 	}
 	if (events)
-		json_object_foreach (gone, k, v)
-			if (!strncmp(k, prefix, strlen(prefix)) && json_integer_value(v) > since)
+		json_object_foreach (gone, k, value)
+			if (!strncmp(k, prefix, strlen(prefix)) &&
+			    json_integer_value(value) > since)
 				json_array_append_new(
-				    a, json_pack("{s:s,s:O}", "delete", k, "stamp", v));
-	return a;
+				    array, json_pack("{s:s,s:O}", "delete", k, "stamp", value));
+	return array;
 }
 
 static void forget(const char *k)
@@ -75,25 +77,25 @@
 static void wake(void)
 {
 	for (int i = 0; i < 16; i++) {
-		json_t *e;
+		json_t *element;
 
 		if (!watches[i].token)
 			continue;
-		e = entries(watches[i].prefix, watches[i].since, true);
-		if (!json_array_size(e) && ws_now() < watches[i].until) {
-			json_decref(e);
+		element = entries(watches[i].prefix, watches[i].since, true);
+		if (!json_array_size(element) && ws_now() < watches[i].until) {
+			json_decref(element);
 			continue;
 		}
 		send_json(state, watches[i].token, 200,
-			  json_pack("{s:I,s:o}", "ledgerRev", rev, "news", e));
+			  json_pack("{s:I,s:o}", "ledgerRev", rev, "news", element));
 		watches[i].token = 0;
 	}
 }
 
-static void on_state(void *ctx, uint64_t token, const char *method, const char *path,
+static void on_state(void *ctx, uint64_t request_id, const char *method, const char *path,
 		     const char *body, size_t len)
 {
-	json_t *o = len ? json_loadb(body, len, 0, NULL) : NULL, *v, *e;
+	json_t *object = len ? json_loadb(body, len, 0, NULL) : NULL, *value, *element;
 	char prefix[64] = "";
 	size_t i;
 
@@ -101,16 +103,16 @@
 	if (strstr(path, "starts="))
 		sscanf(strstr(path, "starts=") + 7, "%63[^&]", prefix);
 	if (!strncmp(path, "/kv/", 4)) {
-		v = json_object_get(kv, path + 4);
-		if (v)
-			send_json(state, token, 200,
+		value = json_object_get(kv, path + 4);
+		if (value)
+			send_json(state, request_id, 200,
 				  json_pack("{s:s,s:O,s:O}", "k", path + 4, "value",
-					    json_object_get(v, "value"), "stamp",
-					    json_object_get(v, "stamp")));
+					    json_object_get(value, "value"), "stamp",
+					    json_object_get(value, "stamp")));
 		else
-			send_json(state, token, 404, json_pack("{s:I}", "ledgerRev", rev));
+			send_json(state, request_id, 404, json_pack("{s:I}", "ledgerRev", rev));
 	} else if (!strncmp(path, "/kv?", 4)) {
-		send_json(state, token, 200,
+		send_json(state, request_id, 200,
 			  json_pack("{s:o,s:b,s:I}", "entries", entries(prefix, 0, false),
 				    "hasNext", 0, "ledgerRev", rev));
 	} else if (!strncmp(path, "/watch", 6)) {
@@ -118,10 +120,10 @@
 			;
 		if (i == 16) { /* more watches than nodes keep open */
 			check("a free place for a watch", false);
-			json_decref(o);
+			json_decref(object);
 			return;
 		}
-		watches[i].token = token;
+		watches[i].token = request_id;
 		watches[i].since = atoll(strstr(path, "since=") + 6);
 		watches[i].until = ws_now() + atof(strstr(path, "holdMs=") + 7) / 1000;
 		strcpy(watches[i].prefix, prefix);
@@ -129,62 +131,65 @@
 	} else if (!strcmp(path, "/multi")) {
 		json_t *failed = json_array();
 
-		json_array_foreach (json_object_get(o, "when"), i, e) {
-			const char *k = json_string_value(json_object_get(e, "k"));
+		json_array_foreach (json_object_get(object, "when"), i, element) {
+			const char *k = json_string_value(json_object_get(element, "k"));
 			json_int_t have =
 			    json_integer_value(json_object_get(json_object_get(kv, k), "stamp"));
 
-			if (have != json_integer_value(json_object_get(e, "stamp")))
+			if (have != json_integer_value(json_object_get(element, "stamp")))
 				json_array_append_new(failed, json_string(k));
 		}
 		if (json_array_size(failed)) {
-			send_json(state, token, 409,
+			send_json(state, request_id, 409,
 				  json_pack("{s:o,s:I}", "failed", failed, "ledgerRev", rev));
 		} else {
 			json_decref(failed);
 			rev++;
-			json_array_foreach (json_object_get(o, "then"), i, e) {
-				const char *w = json_string_value(json_object_get(e, "write"));
+			json_array_foreach (json_object_get(object, "then"), i, element) {
+				const char *w =
+				    json_string_value(json_object_get(element, "write"));
 
 				if (w)
-					json_object_set_new(kv, w,
-							    json_pack("{s:O,s:I}", "value",
-								      json_object_get(e, "value"),
-								      "stamp", rev));
+					json_object_set_new(
+					    kv, w,
+					    json_pack("{s:O,s:I}", "value",
+						      json_object_get(element, "value"), "stamp",
+						      rev));
 				else
-					forget(json_string_value(json_object_get(e, "delete")));
+					forget(
+					    json_string_value(json_object_get(element, "delete")));
 			}
-			send_json(state, token, 200, json_pack("{s:I}", "ledgerRev", rev));
+			send_json(state, request_id, 200, json_pack("{s:I}", "ledgerRev", rev));
 			wake();
 		}
 	} else if (!strcmp(path, "/holds") && !strcmp(method, "POST")) {
-		send_json(state, token, 200, json_pack("{s:i}", "permit", 7));
+		send_json(state, request_id, 200, json_pack("{s:i}", "permit", 7));
 	} else {
-		send_json(state, token, 200, json_pack("{s:i}", "permit", 7));
+		send_json(state, request_id, 200, json_pack("{s:i}", "permit", 7));
 	}
-	json_decref(o);
+	json_decref(object);
 }
 
-static void on_cloud(void *ctx, uint64_t token, const char *method, const char *path,
+static void on_cloud(void *ctx, uint64_t request_id, const char *method, const char *path,
 		     const char *body, size_t len)
 {
 	(void)ctx;
 	(void)body;
 	(void)len;
 	if (!strcmp(path, "/machine_types"))
-		send_json(cloud, token, 200,
+		send_json(cloud, request_id, 200,
 			  json_pack("{s:[{s:s,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:[s]}]}", "flavours",
 				    "name", "std", "vcpus", 16.0, "accelerators", 0.0, "memGb",
 				    64.0, "localGb", 20.0, "fetchGbPerS", 1.0, "rate", 1.0,
 				    "spotPrice", 0.4, "startupS", 30.0, "halls", "a"));
 	else if (!strcmp(method, "GET"))
-		send_json(cloud, token, 200,
+		send_json(cloud, request_id, 200,
 			  json_pack("{s:[{s:s,s:s,s:s,s:s,s:b,s:s,s:f}],s:b}", "hosts", "nameId",
 				    "n-000000", "address", "127.0.0.1:1", "flavour", "std", "hall",
 				    "a", "reclaimable", 0, "phase", "running", "ageS", 100.0,
 				    "hasNext", 0));
 	else
-		send_json(cloud, token, 503, json_pack("{s:s}", "error", "no capacity"));
+		send_json(cloud, request_id, 503, json_pack("{s:s}", "error", "no capacity"));
 }
 
 static int got_status;
@@ -198,69 +203,70 @@
 	ev_break(loop, EVBREAK_ONE);
 }
 
-static void on_tick(struct ev_loop *l, ev_timer *w, int e)
+static void on_tick(struct ev_loop *loop, ev_timer *watcher, int e)
 {
-	(void)l;
-	(void)w;
+	(void)loop;
+	(void)watcher;
 	(void)e;
 	wake();
 }
 
-static int ask(struct ws_client *c, const char *method, const char *path, const char *body)
+static int ask(struct ws_http_client *client, const char *method, const char *path,
+	       const char *body)
 {
 	got_status = -2;
-	if (!ws_client_send(c, method, path, body, strlen(body), 3, false, on_reply, NULL))
+	if (!ws_client_send(client, method, path, body, strlen(body), 3, false, on_reply, NULL))
 		return -3;
 	while (got_status == -2)
 		ev_run(loop, EVRUN_ONCE);
 	return got_status;
 }
 
-static void on_pause(struct ev_loop *l, ev_timer *w, int e)
+static void on_pause(struct ev_loop *loop, ev_timer *watcher, int e)
 {
-	(void)w;
+	(void)watcher;
 	(void)e;
-	ev_break(l, EVBREAK_ONE);
+	ev_break(loop, EVBREAK_ONE);
 }
 
 static void pause_s(double s)
 {
-	ev_timer t;
+	ev_timer watcher;
 
-	ev_timer_init(&t, on_pause, s, 0);
-	ev_timer_start(loop, &t);
+	ev_timer_init(&watcher, on_pause, s, 0);
+	ev_timer_start(loop, &watcher);
 	ev_run(loop, 0);
-	ev_timer_stop(loop, &t);
+	ev_timer_stop(loop, &watcher);
 }
 
 /* A connection of its own with these bytes sent on it; it is closed by the caller. */
-static int dial(int port, const char *bytes, size_t n)
+static int dial(int port, const char *bytes, size_t length)
 {
 	struct sockaddr_in a = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
 	inet_pton(AF_INET, "127.0.0.1", &a.sin_addr);
 	if (connect(fd, (struct sockaddr *)&a, sizeof(a)) == 0)
-		(void)!send(fd, bytes, n, MSG_NOSIGNAL);
+		(void)!send(fd, bytes, length, MSG_NOSIGNAL);
 	fcntl(fd, F_SETFL, O_NONBLOCK);
 	return fd;
 }
 
 /* The answer's status, 0 if none comes in so many tries; what was read of it is in buf. */
-static int status_of(int fd, int tries, double wait_s, char *buf, size_t n)
+static int status_of(int fd, int tries, double wait_s, char *buf, size_t size)
 {
 	int status = 0;
 
 	for (int i = 0; i < tries && !status; i++) {
 		pause_s(wait_s);
-		if (recv(fd, buf, n - 1, 0) > 0)
+		if (recv(fd, buf, size - 1, 0) > 0)
 			sscanf(buf, "HTTP/1.1 %d", &status);
 	}
 	return status;
 }
 
-/* A request with the report of a worker without tasks. */
-static size_t report_text(char *to, size_t n, int machine, int counter)
+/* A request with the heartbeat of a worker without tasks. */
+static size_t report_text(char *target, size_t size, int machine, int counter)
 {
 	char body[400];
 
@@ -271,15 +277,15 @@
 	    "\"shards\":[]}",
 	    machine, counter);
 	return (size_t)snprintf(
-	    to, n, "POST /checkin HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n%s",
+	    target, size, "POST /checkin HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n%s",
 	    strlen(body), body);
 }
 
 /* Bytes as they are, and the status line that comes back; 0: closed without one, or nothing. */
-static int raw(int port, const char *bytes, size_t n)
+static int raw(int port, const char *bytes, size_t length)
 {
 	char buf[256] = "";
-	int fd = dial(port, bytes, n), status = status_of(fd, 40, 0.025, buf, sizeof(buf));
+	int fd = dial(port, bytes, length), status = status_of(fd, 40, 0.025, buf, sizeof(buf));
 
 	close(fd);
 	return status;
@@ -323,9 +329,10 @@
 }
 
 /* Settings that are fine but for what the sockets may be. */
-static void write_settings(FILE *f, int bind, int peer, int cloud_port, int state_port, int sockets)
+static void write_settings(FILE *file, int bind, int peer, int cloud_port, int state_port,
+			   int sockets)
 {
-	fprintf(f,
+	fprintf(file,
 		"node='n'\nzone='a'\nbind='127.0.0.1:%d'\npeer_bind='127.0.0.1:%d'\nlater=1\n"
 		"[services]\ncloud='127.0.0.1:%d'\nstate='127.0.0.1:%d'\n"
 		"[settings]\nzones=['a']\n[[settings.teams]]\nname='t'\ncpus=8.0\ncpus_max=16.0\n"
@@ -334,7 +341,7 @@
 		"[settings.cloud]\nrps=5.0\nlist_lag_s=1.0\n"
 		"[settings.machine_limits]\ncore_share=1.0\nram_mb=64.0\nmax_sockets=%d\n",
 		bind, peer, cloud_port, state_port, sockets);
-	fclose(f);
+	fclose(file);
 }
 
 static int run_check(const char *bin, const char *flag, const char *file)
@@ -362,11 +369,12 @@
 	    "\"snapshotS\":0.0,\"dueS\":null}";
 	char file[] = "/tmp/waystep-smoke-XXXXXX", err[200], text[600], path[64] = "";
 	int port = free_port(), peer = free_port(), status = 0, fd, tries = 0, counter = 1;
-	struct ws_client_opts o = {.max_conns = 1, .max_queue = 4, .max_reply = 65536};
-	static const struct ws_server_opts stand_in = {
+	struct ws_http_client_options options = {
+	    .max_conns = 1, .max_queue = 4, .max_reply = 65536};
+	static const struct ws_http_server_options stand_in = {
 	    .max = 64, .backlog = 64, .keep = {64, 64, 64}, .idle = {60, 60, 60}, .slow = 60};
 	int kept;
-	struct ws_client *c;
+	struct ws_http_client *client;
 	ev_timer tick;
 	bool ran = false;
 	json_int_t attempt = 0, epoch = 0;
@@ -417,18 +425,18 @@
 		execl(argv[1], argv[1], "--config", file, (char *)NULL);
 		_exit(99);
 	}
-	c = ws_client_new(loop, "127.0.0.1", port, &o);
+	client = ws_client_new(loop, "127.0.0.1", port, &options);
 	ev_timer_init(&tick, on_tick, 0.05, 0.05);
 	ev_timer_start(loop, &tick);
-	while (ask(c, "GET", "/healthz", "") != 200 && ++tries < 100)
+	while (ask(client, "GET", "/healthz", "") != 200 && ++tries < 100)
 		pause_s(0.1);
 	check("healthy", got_status == 200);
-	check("a job is accepted", ask(c, "POST", "/v2/runs", job) == 201);
-	check("and known when it comes again", ask(c, "POST", "/v2/runs", job) == 200);
-	check("400", ask(c, "POST", "/v2/runs", "{}") == 400);
-	check("404 for an unknown job", ask(c, "GET", "/v2/runs/job-000002", "") == 404);
-	check("404 for an unknown path", ask(c, "GET", "/other", "") == 404);
-	check("405", ask(c, "DELETE", "/v2/runs", "") == 405);
+	check("a job is accepted", ask(client, "POST", "/v2/runs", job) == 201);
+	check("and known when it comes again", ask(client, "POST", "/v2/runs", job) == 200);
+	check("400", ask(client, "POST", "/v2/runs", "{}") == 400);
+	check("404 for an unknown job", ask(client, "GET", "/v2/runs/job-000002", "") == 404);
+	check("404 for an unknown path", ask(client, "GET", "/other", "") == 404);
+	check("405", ask(client, "DELETE", "/v2/runs", "") == 405);
 	check("broken HTTP", raw(port, "HELLO\r\n\r\n", 9) == 400);
 	check("a body too long",
 	      raw(port, "POST /v2/runs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 49) == 413);
@@ -451,9 +459,9 @@
 		}
 		raw(port, noise, len);
 	}
-	check("alive after noise", ask(c, "GET", "/healthz", "") == 200);
+	check("alive after noise", ask(client, "GET", "/healthz", "") == 200);
 	for (int i = 0; i < 60 && !ran; i++) {
-		json_t *e;
+		json_t *element;
 		size_t k;
 
 		snprintf(text, sizeof(text),
@@ -463,14 +471,16 @@
 			 "\"warningS\":null,"
 			 "\"shards\":[]}",
 			 counter++, (long long)epoch);
-		if (ask(c, "POST", "/checkin", text) == 200) {
+		if (ask(client, "POST", "/checkin", text) == 200) {
 			epoch = json_integer_value(json_object_get(got, "epoch"));
-			json_array_foreach (json_object_get(got, "orders"), k, e)
-				if (!strcmp(json_string_value(json_object_get(e, "verb")), "run") &&
-				    !strcmp(json_string_value(json_object_get(e, "shard")),
+			json_array_foreach (json_object_get(got, "orders"), k, element)
+				if (!strcmp(json_string_value(json_object_get(element, "verb")),
+					    "run") &&
+				    !strcmp(json_string_value(json_object_get(element, "shard")),
 					    "job-000001/0")) {
 					ran = true;
-					attempt = json_integer_value(json_object_get(e, "tryNo"));
+					attempt =
+					    json_integer_value(json_object_get(element, "tryNo"));
 				}
 		}
 		pause_s(0.1);
@@ -483,10 +493,10 @@
 	    "\"shards\":[{\"shard\":\"job-000001/"
 	    "0\",\"tryNo\":%lld,\"phase\":\"exited\",\"cause\":\"done\"}]}",
 	    counter++, (long long)epoch, (long long)attempt);
-	check("the report of its end is taken", ask(c, "POST", "/checkin", text) == 200);
+	check("the report of its end is taken", ask(client, "POST", "/checkin", text) == 200);
 	for (int i = 0; i < 40; i++) {
 		snprintf(path, sizeof(path), "/v2/runs/job-000001");
-		if (ask(c, "GET", path, "") == 200 &&
+		if (ask(client, "GET", path, "") == 200 &&
 		    !strcmp(json_string_value(json_object_get(got, "phase")), "done"))
 			break;
 		pause_s(0.1);
@@ -496,22 +506,22 @@
 		  !strcmp(json_string_value(json_object_get(got, "phase")), "done"));
 	check("more workers than sockets are all answered", crowd(port, &kept) == CROWD);
 	check("and as many connections are kept as are for workers", kept <= 40 && kept > 0);
-	check("and users are served meanwhile", ask(c, "GET", path, "") == 200);
-	/* it stands still past its hold, with a report waiting: that must not get a 200 */
+	check("and users are served meanwhile", ask(client, "GET", path, "") == 200);
+	/* it stands still past its session, with a heartbeat waiting: that must not get a 200 */
 	kill(pid, SIGSTOP);
 	check("a leader that stood still past its hold renews no lease",
 	      frozen(port, counter++, pid) == 503);
-	for (int i = 0; i < 100 && ask(c, "GET", path, "") != 200; i++)
+	for (int i = 0; i < 100 && ask(client, "GET", path, "") != 200; i++)
 		pause_s(0.1);
 	check("and serves users again", got_status == 200);
 	check("a done job stays done when aborted",
-	      ask(c, "POST", "/v2/runs/job-000001/abort", "") == 200 &&
+	      ask(client, "POST", "/v2/runs/job-000001/abort", "") == 200 &&
 		  !strcmp(json_string_value(json_object_get(got, "phase")), "done"));
 	check("still running", waitpid(pid, &status, WNOHANG) == 0);
 	kill(pid, SIGTERM);
 	waitpid(pid, &status, 0);
 	check("stops when told to", WIFEXITED(status) && WEXITSTATUS(status) == 0);
-	ws_client_free(c);
+	ws_client_free(client);
 	ev_timer_stop(loop, &tick);
 	ws_server_free(state);
 	ws_server_free(cloud);
