--- a/src/core/election.c
+++ b/src/core/election.c
@@ -221,7 +221,8 @@
 	snprintf(t->conds[0].key, WS_KEY_MAX, "leader");
 	t->conds[0].stamp = c->leader_stamp; /* 0, or the key of our own earlier life */
 	snprintf(t->ops[0].key, WS_KEY_MAX, "leader");
-	t->ops[0].value = ws_record_leader(c->set, c->nonce);
+	t->ops[0].value =
+	    ws_leader_record_encode(&(struct ws_leader_record){c->set->node, c->nonce >> 2});
 	t->ops[0].hold = c->hold;
 }
 
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -2,6 +2,7 @@
 #ifndef WS_INTERNAL_H
 #define WS_INTERNAL_H
 #include "core.h"
+#include "records/records.h"
 #include "sizing.h"
 #include "subsystems.h"
 #include <math.h>
@@ -14,11 +15,8 @@
 #define WS_PROOF_TTLS 1.25
 /* Bits of the epoch kept for the leader's own counter, below the leader key's stamp. */
 #define WS_EPOCH_SHIFT 20
-/* An attempt's number: the leader key's stamp, shifted by this, plus a counter. */
-#define WS_ATTEMPT_SHIFT 24
 #define WS_CACHE_MAX 24
 #define WS_MAX_CHUNKS 100000
-#define WS_CACHE_KEPT 12 /* of them in the fleet's record */
 /* Clocks of two machines drift apart by this share at most (the protocol's figure, doubled). */
 #define WS_DRIFT 0.001
 /* A leader whose watch of the jobs brought nothing for so many ttl no longer knows what was
@@ -87,7 +85,7 @@
 	double gang_broke;	    /* its attempt was seen to have lost a task; 0: no */
 	uint32_t gang_stops;	    /* how often it made room for others */
 	int gang_zone;		    /* of a gang that waits: the zone it gathers room in, from 1 */
-	uint32_t pieces;	    /* records beside its own that name attempts: see record.c */
+	uint32_t pieces; /* records beside its own that name attempts: see continuation_record.c */
 	struct ws_job_move moves[WS_SUBSYSTEMS_MAX]; /* as each subsystem asked for last */
 	uint32_t move_position; /* of these: the smallest; see struct ws_move */
 	uint32_t room_ahead;	/* the largest */
@@ -196,7 +194,6 @@
 	WS_RENTAL_GOT,
 	WS_RENTAL_DROP
 };
-#define WS_RENT_HOSTS 50
 /* Machines of one call to return them. */
 #define WS_RETURN_HOSTS 100
 
@@ -401,34 +398,29 @@
 void ws_state_seen(struct ws_core *c, int status);
 double ws_replica_age_max(const struct ws_core *c);
 
-/* record.c: records of the state service to JSON and back */
-json_t *ws_record_job(const struct ws_core *c, const struct ws_job *j, size_t limit);
-struct ws_job *ws_record_read_job(const char *id, json_t *v);
-void ws_record_split(json_t *v, size_t limit, json_t **pieces, size_t most, size_t *n);
-size_t ws_record_size(json_t *v);
-uint32_t ws_record_pieces(json_t *v);
-json_t *ws_record_final(const struct ws_job *j);
-bool ws_record_read_phase(json_t *v, enum ws_phase *phase, uint32_t *done, uint32_t *running);
-json_t *ws_record_spec(const struct ws_spec *s, enum ws_phase phase, double wall);
-bool ws_record_withdraw(json_t *v);
-struct ws_assigned { /* an attempt as a job's record names it */
-	char machine[WS_NAME_MAX], zone[WS_NAME_MAX];
-	uint64_t tenure, attempt;
-	uint32_t task;
-};
+/* stored_state.c: adapters to the records of jobs and scale-out requests (records/records.h) */
+/* Bytes that a job's record may have, with some to spare. */
 size_t ws_record_limit(const struct ws_core *c);
-bool ws_gang_recordable(const struct ws_core *c, const struct ws_spec *s, const struct ws_type *t);
-size_t ws_record_read_assigned(json_t *v, struct ws_assigned **list);
+/* As ws_job_record_encode(), for the zones that the core knows. */
+json_t *ws_record_job(const struct ws_core *c, const struct ws_job *job, size_t limit);
+/* As ws_attempt_list_growth(), for the names of the core's machines. */
 size_t ws_record_assign_size(const struct ws_core *c, const struct ws_attempt *before,
-			     const struct ws_attempt *s);
+			     const struct ws_attempt *attempt);
+/*
+ * Whether a record can name all of a gang on machines of a type: a gang is on record whole. Some 8
+ * bytes a machine, besides the description.
+ */
+bool ws_gang_recordable(const struct ws_core *c, const struct ws_spec *spec,
+			const struct ws_type *type);
+json_t *ws_record_rental(const struct ws_rental *rental);
+/* False: the record can't be decoded; the request may own instances all the same. */
+bool ws_record_read_rental(json_t *v, struct ws_rental *rental);
+
+/* machine_shards.c: adapter between the fleet and the records of its shards */
+/* The record of a shard, within the size of a value that we plan by. */
 json_t *ws_record_chunk(struct ws_core *c, int chunk);
+/* Takes over the machines of a shard's record that no other shard has named. */
 void ws_record_read_chunk(struct ws_core *c, json_t *v, int chunk);
-json_t *ws_record_rental(const struct ws_rental *r);
-bool ws_record_read_rental(json_t *v, struct ws_rental *r);
-json_t *ws_record_leader(const struct ws_settings *s, uint64_t nonce);
-const char *ws_record_leader_node(json_t *v);
-json_t *ws_record_types(const struct ws_type *t, size_t n);
-size_t ws_record_read_types(json_t *v, struct ws_type *t);
 
 /* jobs.c */
 struct ws_job *ws_job_find(struct ws_core *c, const char *id);
--- /dev/null
+++ b/src/core/records/attempt_list.c
@@ -0,0 +1,311 @@
+/*
+ * The packed list of the attempts of a job that may be alive:
+ *
+ *   [[term, zone, prefix, "231=0-5,7;232/2#9=8"], ...]
+ *
+ * An entry holds the attempts of one term in one zone, since it is names and zones that take the
+ * room. Its text names machines, divided by ";": the machine's name without the prefix that all of
+ * the entry share, "/" and its incarnation unless that is 1, "#" and the attempt's sequence number
+ * unless that is the one before, and "=" with the tasks as ranges. An attempt's number is the term,
+ * shifted by WS_ATTEMPT_SHIFT, plus the sequence number; attempts of one placement pass share it.
+ */
+#include "attempt_list.h"
+#include "../internal.h"
+#include "record_fields.h"
+
+#define WS_FIRST_INCARNATION 1
+#define WS_ZONE_UNKNOWN (-1) /* of a machine whose zone is not known yet */
+#define WS_ENTRY_BYTES 32    /* of an entry's punctuation and its term, at the most */
+
+uint64_t ws_attempt_term(uint64_t attempt)
+{
+	return attempt >> WS_ATTEMPT_SHIFT;
+}
+
+static uint64_t ws_attempt_sequence_number(uint64_t attempt)
+{
+	return attempt & ((1ULL << WS_ATTEMPT_SHIFT) - 1);
+}
+
+size_t ws_shared_name_prefix(const char *name, size_t length, const char *other)
+{
+	for (size_t i = 0; i < length; i++)
+		if (other[i] != name[i] || !other[i + 1])
+			return i;
+	return length;
+}
+
+/* ---- writing an entry ---- */
+
+void ws_attempt_entry_add(struct ws_attempt_entry_writer *writer,
+			  const struct ws_attempt_range *range)
+{
+	struct ws_text_builder *text = &writer->text;
+	bool first = !text->length;
+
+	if (!first)
+		ws_text_builder_add_char(text, ';');
+	ws_text_builder_add(text, range->machine + writer->shared_prefix);
+	if (range->incarnation != WS_FIRST_INCARNATION) {
+		ws_text_builder_add_char(text, '/');
+		ws_text_builder_add_number(text, range->incarnation);
+	}
+	if (first || writer->last.attempt != range->attempt) {
+		ws_text_builder_add_char(text, '#');
+		ws_text_builder_add_number(text, ws_attempt_sequence_number(range->attempt));
+	}
+	ws_text_builder_add_char(text, '=');
+	ws_text_builder_add_range(text, range->first_task, range->last_task);
+	writer->last = *range;
+}
+
+/* Appends more tasks of the machine, incarnation and attempt that were appended last. */
+static void ws_attempt_entry_add_tasks(struct ws_attempt_entry_writer *writer, uint32_t first,
+				       uint32_t last)
+{
+	ws_text_builder_add_char(&writer->text, ',');
+	ws_text_builder_add_range(&writer->text, first, last);
+}
+
+void ws_attempt_entry_close(struct ws_attempt_entry_writer *writer, json_t *list)
+{
+	const struct ws_attempt_range *last = &writer->last;
+
+	json_array_append_new(list,
+			      json_pack("[I,s,s#,s]", (json_int_t)ws_attempt_term(last->attempt),
+					last->zone, last->machine, (int)writer->shared_prefix,
+					ws_text_builder_text(&writer->text)));
+	ws_text_builder_truncate(&writer->text, 0);
+}
+
+void ws_attempt_entry_writer_free(struct ws_attempt_entry_writer *writer)
+{
+	ws_text_builder_free(&writer->text);
+}
+
+/* ---- the attempts of a job ---- */
+
+static bool ws_attempt_listed(const struct ws_attempt *attempt)
+{
+	return attempt->state != WS_ATTEMPT_GONE && !attempt->orphan;
+}
+
+/* Whether two tasks are written behind one name: one machine, incarnation and attempt. */
+static bool ws_same_machine_and_attempt(const struct ws_attempt *one,
+					const struct ws_attempt *other)
+{
+	return one && one->machine == other->machine && one->attempt == other->attempt &&
+	       one->tenure == other->tenure;
+}
+
+/* Length of what the names of all machines of an entry begin with, short of the whole name. */
+static size_t ws_entry_shared_prefix(const struct ws_job *job, int zone, uint64_t term)
+{
+	const struct ws_attempt *attempt;
+	const char *first = NULL;
+	size_t length = 0;
+
+	DL_FOREACH2 (job->attempts, attempt, jnext) {
+		if (!ws_attempt_listed(attempt) || attempt->machine->zi != zone ||
+		    ws_attempt_term(attempt->attempt) != term)
+			continue;
+		if (!first) {
+			first = attempt->machine->name;
+			length = strlen(first) - 1;
+		}
+		length = ws_shared_name_prefix(first, length, attempt->machine->name);
+	}
+	return length;
+}
+
+/* The last of the attempts that are written as one range with this one; marks them. */
+static struct ws_attempt *ws_mark_range(struct ws_attempt *attempt)
+{
+	struct ws_attempt *next = attempt->jnext;
+
+	attempt->writing = true;
+	while (next && ws_attempt_listed(next) && ws_same_machine_and_attempt(attempt, next) &&
+	       next->task == attempt->task + 1) {
+		attempt = next;
+		attempt->writing = true;
+		next = attempt->jnext;
+	}
+	return attempt;
+}
+
+static struct ws_attempt_range ws_range_of(const struct ws_attempt *first,
+					   const struct ws_attempt *last)
+{
+	return (struct ws_attempt_range){
+	    .machine = first->machine->name,
+	    .zone = first->machine->zone,
+	    .incarnation = first->tenure,
+	    .attempt = first->attempt,
+	    .first_task = first->task,
+	    .last_task = last->task,
+	};
+}
+
+static void ws_encode_zone(const struct ws_job *job, int zone,
+			   struct ws_attempt_entry_writer *writer, json_t *list)
+{
+	const struct ws_attempt *previous = NULL; /* of the entry that is open */
+
+	for (struct ws_attempt *attempt = job->attempts; attempt; attempt = attempt->jnext) {
+		const struct ws_attempt *first = attempt;
+		uint64_t term = ws_attempt_term(attempt->attempt);
+
+		if (!ws_attempt_listed(attempt) || attempt->machine->zi != zone)
+			continue;
+		if (previous && ws_attempt_term(previous->attempt) != term) {
+			ws_attempt_entry_close(writer, list);
+			previous = NULL;
+		}
+		if (!previous)
+			writer->shared_prefix = ws_entry_shared_prefix(job, zone, term);
+		attempt = ws_mark_range(attempt);
+		if (ws_same_machine_and_attempt(previous, first)) {
+			ws_attempt_entry_add_tasks(writer, first->task, attempt->task);
+		} else {
+			struct ws_attempt_range range = ws_range_of(first, attempt);
+
+			ws_attempt_entry_add(writer, &range);
+		}
+		previous = attempt;
+	}
+	if (previous)
+		ws_attempt_entry_close(writer, list);
+}
+
+json_t *ws_attempt_list_encode(const struct ws_job *job, int zone_count)
+{
+	json_t *list = json_array();
+	struct ws_attempt_entry_writer writer = {0};
+	struct ws_attempt *attempt;
+
+	DL_FOREACH2 (job->attempts, attempt, jnext)
+		attempt->writing = false;
+	for (int zone = WS_ZONE_UNKNOWN; zone < zone_count; zone++)
+		if (zone == WS_ZONE_UNKNOWN || job->zone_n[zone])
+			ws_encode_zone(job, zone, &writer, list);
+	ws_attempt_entry_writer_free(&writer);
+	return list;
+}
+
+size_t ws_attempt_list_growth(const struct ws_attempt *before, const struct ws_attempt *attempt,
+			      size_t shared_prefix)
+{
+	size_t bytes = ws_decimal_digits(attempt->task) + 1;
+	bool same_zone = before && before->machine->zi == attempt->machine->zi;
+
+	if (ws_same_machine_and_attempt(before, attempt))
+		return bytes;
+	/* a name that shares less with the others than all did makes each of them longer by one */
+	bytes += strlen(attempt->machine->name) - shared_prefix + 2;
+	if (attempt->tenure != WS_FIRST_INCARNATION)
+		bytes += 1 + ws_decimal_digits(attempt->tenure);
+	if (!same_zone || before->attempt != attempt->attempt)
+		bytes += 1 + ws_decimal_digits(ws_attempt_sequence_number(attempt->attempt));
+	if (!same_zone || ws_attempt_term(before->attempt) != ws_attempt_term(attempt->attempt))
+		bytes += strlen(attempt->machine->zone) + shared_prefix + WS_ENTRY_BYTES;
+	return bytes;
+}
+
+/* ---- decoding ---- */
+
+struct ws_assigned_list {
+	struct ws_assigned *attempts;
+	size_t count, capacity;
+};
+
+static void ws_assigned_append(struct ws_assigned_list *list, const struct ws_assigned *attempt)
+{
+	if (list->count == list->capacity) {
+		list->capacity = list->capacity ? 2 * list->capacity : 64;
+		list->attempts = realloc(list->attempts, list->capacity * sizeof(*list->attempts));
+		if (!list->attempts)
+			abort();
+	}
+	list->attempts[list->count++] = *attempt;
+}
+
+/* What an entry's text is decoded with. */
+struct ws_entry_reader {
+	uint64_t term;
+	const char *zone, *prefix;
+	uint64_t sequence_number; /* of the attempt before */
+};
+
+/* One machine, up to the "=" before its tasks, which is returned; NULL: it can't be decoded. */
+static char *ws_decode_machine(struct ws_entry_reader *reader, char *text,
+			       struct ws_assigned *attempt)
+{
+	size_t length = strcspn(text, "/#=;");
+	char *end = text + length;
+
+	memset(attempt, 0, sizeof(*attempt));
+	if (strlen(reader->prefix) + length >= sizeof(attempt->machine) || !length)
+		return NULL;
+	snprintf(attempt->machine, sizeof(attempt->machine), "%s%.*s", reader->prefix, (int)length,
+		 text);
+	ws_text_copy(attempt->zone, sizeof(attempt->zone), reader->zone);
+	attempt->tenure = WS_FIRST_INCARNATION;
+	if (*end == '/')
+		attempt->tenure = strtoull(end + 1, &end, 10);
+	if (*end == '#')
+		reader->sequence_number = strtoull(end + 1, &end, 10);
+	attempt->attempt = (reader->term << WS_ATTEMPT_SHIFT) + reader->sequence_number;
+	return *end == '=' ? end : NULL;
+}
+
+/* The tasks of a machine, from the "=" on; returns what follows them. */
+static char *ws_decode_tasks(char *end, struct ws_assigned *attempt, struct ws_assigned_list *list)
+{
+	do {
+		unsigned long long task = strtoull(end + 1, &end, 10);
+		unsigned long long last = task;
+
+		if (*end == '-')
+			last = strtoull(end + 1, &end, 10);
+		for (; task <= last && last < WS_MAX_SHARDS; task++) {
+			attempt->task = (uint32_t)task;
+			ws_assigned_append(list, attempt);
+		}
+	} while (*end == ',');
+	return end;
+}
+
+/* An entry; what follows something that can't be decoded is left out. */
+static void ws_decode_entry(json_t *entry, struct ws_assigned_list *list)
+{
+	struct ws_entry_reader reader = {0};
+	struct ws_assigned attempt;
+	json_int_t term;
+	const char *text;
+
+	if (json_unpack(entry, "[I,s,s,s]", &term, &reader.zone, &reader.prefix, &text))
+		return;
+	reader.term = (uint64_t)term;
+	while (*text) {
+		char *end = ws_decode_machine(&reader, (char *)text, &attempt);
+
+		if (!end)
+			return;
+		end = ws_decode_tasks(end, &attempt, list);
+		if (*end != ';')
+			return;
+		text = end + 1;
+	}
+}
+
+size_t ws_record_read_assigned(json_t *record, struct ws_assigned **list)
+{
+	struct ws_assigned_list decoded = {0};
+	json_t *entry;
+	size_t i;
+
+	json_array_foreach (json_object_get(record, WS_FIELD_ATTEMPTS), i, entry)
+		ws_decode_entry(entry, &decoded);
+	*list = decoded.attempts;
+	return decoded.count;
+}
--- /dev/null
+++ b/src/core/records/job_record.c
@@ -0,0 +1,233 @@
+/*
+ * A job's record: what its user asked for, its phase, the attempts that may be alive
+ * (attempt_list.c) and the completed tasks, which are written as ranges: tasks start in order, so
+ * that these stay few. An archived job's record has its phase and counts alone.
+ */
+#include "../internal.h"
+#include "attempt_list.h"
+#include "record_fields.h"
+
+/* Bytes kept free for the counts, and the names of the fields behind the attempts. */
+#define WS_JOB_RECORD_RESERVE 64
+
+static const char *const phases[] = {"queued", "running", "done", "withdrawn"};
+#define WS_PHASE_COUNT (sizeof(phases) / sizeof(phases[0]))
+
+static bool ws_phase_read(const char *name, enum ws_phase *phase)
+{
+	for (size_t i = 0; name && i < WS_PHASE_COUNT; i++)
+		if (!strcmp(name, phases[i])) {
+			*phase = (enum ws_phase)i;
+			return true;
+		}
+	return false;
+}
+
+/* ---- encoding ---- */
+
+static int ws_placement_flags(const struct ws_spec *spec)
+{
+	return (spec->one_zone ? WS_PLACEMENT_ONE_ZONE : 0) |
+	       (spec->spread ? WS_PLACEMENT_SPREAD : 0) |
+	       (spec->spot ? WS_PLACEMENT_PREEMPTIBLE : 0) | (spec->gang ? WS_PLACEMENT_GANG : 0);
+}
+
+json_t *ws_record_spec(const struct ws_spec *spec, enum ws_phase phase, double wall)
+{
+	json_t *record = json_pack(
+	    "{s:s,s:f,s:s,s:s,s:b,s:i,s:I,s:f,s:f,s:f,s:s,s:f}", WS_FIELD_PHASE, phases[phase],
+	    WS_FIELD_SUBMITTED_AT, wall, WS_FIELD_CLASS, spec->job_class, WS_FIELD_TEAM, spec->team,
+	    WS_FIELD_SERVICE, spec->service, WS_FIELD_PRIORITY_CLASS, (int)spec->tier,
+	    WS_FIELD_TASK_COUNT, (json_int_t)spec->tasks, WS_FIELD_CPUS, spec->cpus, WS_FIELD_GPUS,
+	    spec->gpus, WS_FIELD_MEMORY, spec->mem, WS_FIELD_IMAGE, spec->image,
+	    WS_FIELD_IMAGE_SIZE, spec->image_gb);
+	json_t *types = json_array();
+
+	for (size_t i = 0; i < spec->ntypes; i++)
+		json_array_append_new(types, json_string(spec->types[i]));
+	json_object_set_new(record, WS_FIELD_ALLOWED_TYPES, types);
+	json_object_set_new(record, WS_FIELD_ALLOWED_ZONE, json_string(spec->zone));
+	json_object_set_new(record, WS_FIELD_PLACEMENT_FLAGS,
+			    json_integer(ws_placement_flags(spec)));
+	json_object_set_new(record, WS_FIELD_ESTIMATE, json_real(spec->estimate_s));
+	json_object_set_new(record, WS_FIELD_CHECKPOINT_EVERY, json_real(spec->checkpoint_s));
+	json_object_set_new(record, WS_FIELD_SAVE_TIME, json_real(spec->save_s));
+	json_object_set_new(record, WS_FIELD_DEADLINE, json_real(spec->deadline_s));
+	return record;
+}
+
+/* The completed tasks as ranges, as far as they fit `limit` bytes; marks those that do as being
+ * written. */
+static json_t *ws_completed_encode(const struct ws_job *job, size_t limit)
+{
+	struct ws_text_builder text = {0};
+	json_t *ranges;
+
+	for (uint32_t first = 0; first < job->spec.tasks; first++) {
+		uint32_t last = first;
+		size_t before = text.length;
+		bool fits;
+
+		job->tasks[first].writing = false;
+		if (!job->tasks[first].done)
+			continue;
+		while (last + 1 < job->spec.tasks && job->tasks[last + 1].done)
+			last++;
+		ws_text_builder_add_range(&text, first, last);
+		ws_text_builder_add_char(&text, ',');
+		fits = text.length <= limit;
+		if (!fits)
+			ws_text_builder_truncate(&text, before);
+		for (uint32_t task = first; task <= last; task++)
+			job->tasks[task].writing = fits;
+		first = last;
+	}
+	ranges = json_string(ws_text_builder_text(&text));
+	ws_text_builder_free(&text);
+	return ranges;
+}
+
+json_t *ws_job_record_encode(const struct ws_job *job, int zone_count, size_t limit)
+{
+	json_t *record = ws_record_spec(&job->spec, job->phase, job->submitted_wall);
+	size_t size;
+
+	json_object_set_new(record, WS_FIELD_ATTEMPTS, ws_attempt_list_encode(job, zone_count));
+	size = ws_record_size(record);
+	if (!size || size + WS_JOB_RECORD_RESERVE > limit) {
+		json_decref(record);
+		return NULL;
+	}
+	if (job->tasks)
+		json_object_set_new(record, WS_FIELD_COMPLETED_TASKS,
+				    ws_completed_encode(job, limit - size - WS_JOB_RECORD_RESERVE));
+	json_object_set_new(record, WS_FIELD_COMPLETED_COUNT, json_integer(job->ndone));
+	json_object_set_new(record, WS_FIELD_ATTEMPT_COUNT, json_integer(job->attempt_count));
+	return record;
+}
+
+json_t *ws_record_final(const struct ws_job *job)
+{
+	return json_pack("{s:s,s:I,s:i}", WS_FIELD_PHASE, phases[job->phase],
+			 WS_FIELD_COMPLETED_COUNT, (json_int_t)job->ndone, WS_FIELD_ATTEMPT_COUNT,
+			 0);
+}
+
+bool ws_record_withdraw(json_t *record)
+{
+	return json_object_set_new(record, WS_FIELD_PHASE, json_string(phases[WS_CANCELLED])) == 0;
+}
+
+/* ---- decoding ---- */
+
+/* Fields of a job's record that are copied or checked before they are taken over. */
+struct ws_job_fields {
+	const char *phase, *job_class, *team, *image, *zone;
+	const char *completed; /* empty: none */
+	json_t *types;
+	int service, priority_class, placement_flags;
+	json_int_t tasks;
+};
+
+/* False: a field is missing or of another type. */
+static bool ws_job_unpack(json_t *record, struct ws_job *job, struct ws_job_fields *fields)
+{
+	struct ws_spec *spec = &job->spec;
+
+	fields->completed = "";
+	return !json_unpack(
+	    record,
+	    "{s:s,s:F,s:s,s:s,s:b,s:i,s:I,s:F,s:F,s:F,s:s,s:F,s:o,s:s,s:i,s:F,s:F,s:F,s:F,s?s}",
+	    WS_FIELD_PHASE, &fields->phase, WS_FIELD_SUBMITTED_AT, &job->submitted_wall,
+	    WS_FIELD_CLASS, &fields->job_class, WS_FIELD_TEAM, &fields->team, WS_FIELD_SERVICE,
+	    &fields->service, WS_FIELD_PRIORITY_CLASS, &fields->priority_class, WS_FIELD_TASK_COUNT,
+	    &fields->tasks, WS_FIELD_CPUS, &spec->cpus, WS_FIELD_GPUS, &spec->gpus, WS_FIELD_MEMORY,
+	    &spec->mem, WS_FIELD_IMAGE, &fields->image, WS_FIELD_IMAGE_SIZE, &spec->image_gb,
+	    WS_FIELD_ALLOWED_TYPES, &fields->types, WS_FIELD_ALLOWED_ZONE, &fields->zone,
+	    WS_FIELD_PLACEMENT_FLAGS, &fields->placement_flags, WS_FIELD_ESTIMATE,
+	    &spec->estimate_s, WS_FIELD_CHECKPOINT_EVERY, &spec->checkpoint_s, WS_FIELD_SAVE_TIME,
+	    &spec->save_s, WS_FIELD_DEADLINE, &spec->deadline_s, WS_FIELD_COMPLETED_TASKS,
+	    &fields->completed);
+}
+
+static bool ws_job_fields_in_range(const struct ws_job_fields *fields)
+{
+	return fields->tasks >= 1 && fields->tasks <= WS_MAX_SHARDS &&
+	       fields->priority_class >= WS_BEST_EFFORT &&
+	       fields->priority_class <= WS_PRODUCTION && json_is_array(fields->types) &&
+	       json_array_size(fields->types) <= WS_MAX_ALLOWED;
+}
+
+static void ws_spec_set(struct ws_spec *spec, const char *id, const struct ws_job_fields *fields)
+{
+	ws_text_copy(spec->id, sizeof(spec->id), id);
+	ws_text_copy(spec->job_class, sizeof(spec->job_class), fields->job_class);
+	ws_text_copy(spec->team, sizeof(spec->team), fields->team);
+	ws_text_copy(spec->image, sizeof(spec->image), fields->image);
+	ws_text_copy(spec->zone, sizeof(spec->zone), fields->zone);
+	spec->service = fields->service;
+	spec->tier = (enum ws_tier)fields->priority_class;
+	spec->tasks = (uint32_t)fields->tasks;
+	spec->one_zone = fields->placement_flags & WS_PLACEMENT_ONE_ZONE;
+	spec->spread = fields->placement_flags & WS_PLACEMENT_SPREAD;
+	spec->spot = fields->placement_flags & WS_PLACEMENT_PREEMPTIBLE;
+	spec->gang = fields->placement_flags & WS_PLACEMENT_GANG;
+	for (size_t i = 0; i < json_array_size(fields->types); i++)
+		ws_text_copy(spec->types[spec->ntypes++], WS_NAME_MAX,
+			     json_string_value(json_array_get(fields->types, i)));
+}
+
+/* Completed tasks, as far as they can be decoded. */
+static void ws_completed_decode(struct ws_job *job, const char *text)
+{
+	while (*text) {
+		char *end;
+		unsigned long first = strtoul(text, &end, 10), last = first;
+
+		if (end == text)
+			return;
+		if (*end == '-')
+			last = strtoul(end + 1, &end, 10);
+		for (unsigned long task = first; task <= last && task < job->spec.tasks; task++)
+			if (!job->tasks[task].done) {
+				job->tasks[task].done = job->tasks[task].saved = true;
+				job->ndone++;
+			}
+		if (*end != ',')
+			return;
+		text = end + 1;
+	}
+}
+
+struct ws_job *ws_record_read_job(const char *id, json_t *record)
+{
+	struct ws_job *job = calloc(1, sizeof(*job));
+	struct ws_job_fields fields;
+
+	if (!job)
+		return NULL;
+	if (!ws_job_unpack(record, job, &fields) || !ws_phase_read(fields.phase, &job->phase) ||
+	    !ws_job_fields_in_range(&fields) ||
+	    !(job->tasks = calloc((size_t)fields.tasks, sizeof(*job->tasks)))) {
+		free(job);
+		return NULL;
+	}
+	ws_spec_set(&job->spec, id, &fields);
+	ws_completed_decode(job, fields.completed);
+	job->started = job->phase == WS_RUNNING;
+	return job;
+}
+
+bool ws_record_read_phase(json_t *record, enum ws_phase *phase, uint32_t *done, uint32_t *running)
+{
+	json_int_t completed = 0, attempts = 0;
+	const char *name;
+
+	if (json_unpack(record, "{s:s,s?I,s?I}", WS_FIELD_PHASE, &name, WS_FIELD_COMPLETED_COUNT,
+			&completed, WS_FIELD_ATTEMPT_COUNT, &attempts) ||
+	    !ws_phase_read(name, phase))
+		return false;
+	*done = (uint32_t)completed;
+	*running = *phase == WS_RUNNING ? (uint32_t)attempts : 0;
+	return true;
+}
--- /dev/null
+++ b/src/core/records/machine_type_record.c
@@ -0,0 +1,60 @@
+/*
+ * The machine types of the cloud, as it last listed them:
+ *
+ *   [[name, cpus, gpus, memory, local disk, image fetch rate, price, preemptible price, boot time,
+ *     [zone, ...]], ...]
+ *
+ * Memory and disk in GB, the rate in GB a second, prices an hour, the boot time in seconds.
+ */
+#include "records.h"
+#include "text_builder.h"
+#include <string.h>
+
+json_t *ws_record_types(const struct ws_type *types, size_t count)
+{
+	json_t *record = json_array();
+
+	for (const struct ws_type *type = types; type < types + count; type++) {
+		json_t *zones = json_array();
+
+		for (size_t i = 0; i < type->nzones; i++)
+			json_array_append_new(zones, json_string(type->zones[i]));
+		json_array_append_new(
+		    record, json_pack("[s,f,f,f,f,f,f,f,f,o]", type->name, type->cpus, type->gpus,
+				      type->mem, type->local_gb, type->fetch_gb_s, type->price,
+				      type->spot_price, type->boot_s, zones));
+	}
+	return record;
+}
+
+/* Zones beyond WS_MAX_ALLOWED are left out. */
+static enum ws_record_outcome ws_type_decode(json_t *value, struct ws_type *type)
+{
+	const char *name;
+	json_t *zones;
+
+	memset(type, 0, sizeof(*type));
+	if (json_unpack(value, "[s,F,F,F,F,F,F,F,F,o]", &name, &type->cpus, &type->gpus, &type->mem,
+			&type->local_gb, &type->fetch_gb_s, &type->price, &type->spot_price,
+			&type->boot_s, &zones))
+		return WS_RECORD_MALFORMED;
+	ws_text_copy(type->name, sizeof(type->name), name);
+	for (size_t i = 0; i < json_array_size(zones) && type->nzones < WS_MAX_ALLOWED; i++)
+		ws_text_copy(type->zones[type->nzones++], WS_NAME_MAX,
+			     json_string_value(json_array_get(zones, i)));
+	return WS_RECORD_DECODED;
+}
+
+size_t ws_record_read_types(json_t *record, struct ws_type *types)
+{
+	size_t count = 0, i;
+	json_t *value;
+
+	json_array_foreach (record, i, value) {
+		if (count == WS_MAX_TYPES)
+			break;
+		if (ws_type_decode(value, &types[count]) == WS_RECORD_DECODED)
+			count++;
+	}
+	return count;
+}
