--- a/src/core/election.c
+++ b/src/core/election.c
@@ -229,7 +229,8 @@
 	other_call->compares[0].revision =
 	    core->leader_stamp; /* 0, or the key of our own earlier life */
 	snprintf(other_call->operations[0].key, WS_KEY_MAX, "leader");
-	other_call->operations[0].value = ws_record_leader(core->settings, core->nonce);
+	other_call->operations[0].value = ws_leader_record_encode(
+	    &(struct ws_leader_record){core->settings->node, core->nonce >> 2});
 	other_call->operations[0].session = core->hold;
 }
 
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -2,6 +2,7 @@
 #ifndef WS_INTERNAL_H
 #define WS_INTERNAL_H
 #include "core.h"
+#include "records/records.h"
 #include "sizing.h"
 #include "subsystems.h"
 #include <math.h>
@@ -14,11 +15,8 @@
 #define WS_PROOF_TTLS 1.25
 /* Bits of the fencing token kept for the leader's own counter, below the leader key's revision. */
 #define WS_FENCING_TOKEN_SHIFT 20
-/* An attempt's number: the leader key's revision, shifted by this, plus a counter. */
-#define WS_ATTEMPT_SHIFT 24
 #define WS_CACHE_MAX 24
 #define WS_MAX_MACHINE_SHARDS 100000
-#define WS_CACHE_KEPT 12 /* of them in the fleet's record */
 /* Clocks of two machines drift apart by this share at most (the protocol's figure, doubled). */
 #define WS_DRIFT 0.001
 /* A leader whose watch of the jobs brought nothing for so many ttl no longer knows what was
@@ -88,7 +86,8 @@
 	double gang_broken_at;	     /* its attempt was seen to have lost a task; 0: no */
 	uint32_t gang_preemptions;   /* how often it made room for others */
 	int gang_reservation_zone;   /* of a gang that waits: the zone it gathers room in, from 1 */
-	uint32_t continuation_count; /* records beside its own that name attempts: see record.c */
+	uint32_t continuation_count; /* records beside its own that name attempts: see
+					continuation_record.c */
 	struct ws_job_move moves[WS_SUBSYSTEMS_MAX]; /* as each subsystem asked for last */
 	uint32_t move_position;	       /* of these: the smallest; see struct ws_move */
 	uint32_t reserve_ahead;	       /* the largest */
@@ -201,7 +200,6 @@
 	WS_SCALE_OUT_GRANTED,
 	WS_SCALE_OUT_DISCARDED
 };
-#define WS_SCALE_OUT_MAX 50
 /* Machines of one call to return them. */
 #define WS_SCALE_IN_MAX 100
 
@@ -415,37 +413,29 @@
 void ws_store_answered(struct ws_core *core, int status);
 double ws_replica_age_max(const struct ws_core *core);
 
-/* record.c: records of the store to JSON and back */
-json_t *ws_record_job(const struct ws_core *core, const struct ws_job *job, size_t limit);
-struct ws_job *ws_record_read_job(const char *id, json_t *value);
-void ws_record_split_attempts(json_t *value, size_t limit, json_t **pieces, size_t most,
-			      size_t *count);
-size_t ws_record_size(json_t *value);
-uint32_t ws_record_continuation_count(json_t *value);
-json_t *ws_record_final(const struct ws_job *job);
-bool ws_record_read_phase(json_t *value, enum ws_job_phase *phase, uint32_t *done,
-			  uint32_t *running);
-json_t *ws_record_spec(const struct ws_job_spec *spec, enum ws_job_phase phase, double wall);
-bool ws_record_cancel(json_t *value);
-struct ws_recorded_attempt { /* an attempt as a job's record names it */
-	char machine[WS_NAME_MAX], zone[WS_NAME_MAX];
-	uint64_t incarnation, number;
-	uint32_t task;
-};
+/* stored_state.c: adapters to the records of jobs and scale-out requests (records/records.h) */
+/* Bytes that a job's record may have, with some to spare. */
 size_t ws_record_size_limit(const struct ws_core *core);
-bool ws_gang_recordable(const struct ws_core *core, const struct ws_job_spec *spec,
-			const struct ws_machine_type *type);
-size_t ws_record_read_attempts(json_t *value, struct ws_recorded_attempt **list);
+/* As ws_job_record_encode(), for the zones that the core knows. */
+json_t *ws_record_job(const struct ws_core *core, const struct ws_job *job, size_t limit);
+/* As ws_attempt_list_growth(), for the names of the core's machines. */
 size_t ws_record_attempt_size(const struct ws_core *core, const struct ws_attempt *before,
 			      const struct ws_attempt *attempt);
+/*
+ * Whether a record can name all of a gang on machines of a type: a gang is on record whole. Some 8
+ * bytes a machine, besides the description.
+ */
+bool ws_gang_recordable(const struct ws_core *core, const struct ws_job_spec *spec,
+			const struct ws_machine_type *type);
+json_t *ws_record_scale_out(const struct ws_scale_out *rental);
+/* False: the record can't be decoded; the request may own instances all the same. */
+bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *rental);
+
+/* machine_shards.c: adapter between the fleet and the records of its shards */
+/* The record of a shard, within the size of a value that we plan by. */
 json_t *ws_record_machine_shard(struct ws_core *core, int chunk);
+/* Takes over the machines of a shard's record that no other shard has named. */
 void ws_record_read_machine_shard(struct ws_core *core, json_t *value, int chunk);
-json_t *ws_record_scale_out(const struct ws_scale_out *request);
-bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *request);
-json_t *ws_record_leader(const struct ws_settings *settings, uint64_t nonce);
-const char *ws_record_leader_node(json_t *value);
-json_t *ws_record_types(const struct ws_machine_type *type, size_t count);
-size_t ws_record_read_types(json_t *value, struct ws_machine_type *type);
 
 /* jobs.c */
 struct ws_job *ws_job_find(struct ws_core *core, const char *id);
