--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -4,22 +4,21 @@
  * written, or knows struct ws_core; the adapters between the core's state and these records are
  * src/core/machine_shards.c and src/core/stored_state.c.
  *
- *   key               value                                       written by
- *   ----------------- ------------------------------------------- ---------------------------------
- *   leader            node that leads, its process incarnation    the candidate, bound to its store
- *                                                                 session (election.c)
- *   owned             name of the last machine that is owned      the leader, once (writing.c)
- *   types             machine types of the cloud                  the leader, once (writing.c)
- *   job/<id>          a live job: description, phase, attempts    any node at submission and
- *                     that may be alive, completed tasks          cancellation (requests.c), then
- *                                                                 the leader (writing.c)
- *   more/<id>/<n>     attempts of a cancelled job that its        the node that cancels it
- *                     own record has no room for                  (requests.c); deleted by the
- * leader old/<id>          an archived job: phase, completed tasks     the leader (writing.c)
- *   fleet/<n>         a shard of the machines: address, type,     the leader (writing.c)
- *                     zone, incarnation, cached images
- *   rented machine/<key>      a scale-out request, by its idempotency     the leader (writing.c)
- *                     key, and the instances that it brought
+ *   key              value                                     written by
+ *   ---------------- ----------------------------------------- ----------------------------------
+ *   leader           node that leads, its process incarnation  the candidate, bound to its store
+ *                                                              session
+ *   owned            name of the last machine that is owned    the leader, once
+ *   types            machine types of the cloud                the leader, once
+ *   job/<id>         a live job: description, phase, attempts  any node at submission and
+ *                    that may be alive, completed tasks        cancellation, then the leader
+ *   more/<id>/<n>    attempts of a cancelled job for which     the node that cancels it; deleted
+ *                    its own record has no room                by the leader
+ *   old/<id>         an archived job: phase, completed tasks   the leader
+ *   fleet/<n>        a shard of the machines: address, type,   the leader
+ *                    zone, incarnation, cached images
+ *   rental/<key>     a scale-out request, by its idempotency   the leader
+ *                    key, and the instances that it brought
  *
  * The short names of the JSON fields stand in record_fields.h, each with what it means. Values are
  * limited in size, which is why they are short and why attempts and tasks are packed into text.
@@ -154,7 +153,7 @@
 /* Frees what decoding allocated. */
 void ws_machine_shard_record_free(struct ws_machine_shard_record *record);
 
-/* ---- scale_out_record.c: rented machine/<idempotency key> ---- */
+/* ---- scale_out_record.c: rental/<idempotency key> ---- */
 
 /* A scale-out request. Strings are borrowed. */
 struct ws_scale_out_record {
