--- /dev/null
+++ b/src/core/continuation_records.c
@@ -0,0 +1,41 @@
+/*
+ * Continuation records, more/<job>/<number>: attempts that a job's own record has no room for. They
+ * are written by whoever places them there and deleted with their job; those that are left over
+ * when their job is gone are deleted here.
+ */
+#include "internal.h"
+#include "record_sources.h"
+
+/* An orphaned record is remembered until it is deleted. */
+#define NEVER 1e18
+
+static void ws_continuation_load(struct ws_core *core, const struct ws_kv *record)
+{
+	const char *name = record->key + strlen(WS_CONTINUATION_PREFIX);
+	char job_id[WS_ID_MAX];
+
+	snprintf(job_id, sizeof(job_id), "%.*s", (int)strcspn(name, "/"), name);
+	if (ws_job_find(core, job_id))
+		ws_load_attempts(core, job_id, record->value);
+	else if (strlen(record->key) < WS_NAME_MAX) /* its job is over */
+		ws_tombstone_set(&core->orphaned_parts, record->key, NEVER);
+}
+
+/* Records whose jobs are over are deleted; the next sweep forgets them here. */
+static void ws_continuation_collect(struct ws_core *core, struct ws_write_batch *batch)
+{
+	struct ws_tombstone *orphan = core->orphaned_parts;
+
+	for (; orphan && ws_write_batch_room(batch); orphan = orphan->hh.next) {
+		if (orphan->until <= core->now)
+			continue;
+		ws_write_batch_set(batch, orphan->name, NULL);
+		orphan->until = core->now;
+	}
+}
+
+const struct ws_record_source ws_continuation_records = {
+    .key_prefix = WS_CONTINUATION_PREFIX,
+    .load = ws_continuation_load,
+    .collect = ws_continuation_collect,
+};
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -147,8 +147,7 @@
 	c->log = log;
 	c->now = now;
 	c->nonce = nonce;
-	c->value_most = s->value_kb * 1024;
-	c->ops_most = s->txn_ops;
+	ws_writer_reset(c);
 	c->state_ok_at = c->state_bad_at = -1e9;
 	c->ttl = s->lease_s * p->leader_ttl_ratio;
 	if (c->ttl < 0.2)
@@ -219,7 +218,7 @@
 bool ws_core_entitled(const struct ws_core *c, double now)
 {
 	return c->role == WS_LEADER && now < c->entitled_until &&
-	       now < c->view_at + ws_replica_age_max(c);
+	       now < c->job_watch.replica_current_at + ws_replica_age_max(c);
 }
 
 /* Everything that is due; called after each event and by the shell's timer. */
@@ -241,6 +240,6 @@
 		if (c->place_wanted && c->now >= c->place_next && ws_entitled(c) && !c->in_outage)
 			ws_place(c);
 		ws_rentals_tick(c);
-		ws_flush(c);
+		ws_writer_tick(c);
 	}
 }
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -95,18 +95,16 @@
 /* What was under way, and when what is next due. */
 static void ws_forget_progress(struct ws_core *c)
 {
-	c->value_most = c->set->value_kb * 1024;
-	c->ops_most = c->set->txn_ops;
+	ws_writer_reset(c);
+	ws_job_watch_reset(c);
 	c->owned_upto[0] = 0;
 	c->owned_seen = c->owned_known = c->owned_writing = c->types_saved = false;
-	c->flushing = c->job_watch = c->hosts_inflight = c->rent_inflight = false;
+	c->hosts_inflight = c->rent_inflight = false;
 	c->extends = 0;
 	c->in_outage = c->paused = false;
 	c->ask_out = 0;
 	c->hosts_after[0] = 0;
-	c->flush_wanted = false;
-	c->flush_look = 0;
-	c->hosts_next = c->cloud_next = c->flush_next = c->sweep_next = c->rent_next = 0;
+	c->hosts_next = c->cloud_next = c->sweep_next = c->rent_next = 0;
 	memset(c->refusals, 0, sizeof(c->refusals));
 	c->returns_wait = 0;
 	c->place_next = c->pass_at = 0;
@@ -247,7 +245,8 @@
 	snprintf(c->leader, sizeof(c->leader), "%s", c->set->node);
 	c->relay_since = 0;
 	ws_log(c, WS_LOG_INFO, "elected, epoch %llu", (unsigned long long)c->epoch);
-	ws_load(c);
+	ws_subsystems_elected(c);
+	ws_loader_start(c);
 }
 
 static void ws_campaign(struct ws_core *c)
@@ -397,7 +396,7 @@
 	if (c->now >= c->entitled_until && !c->in_outage)
 		return "the hold could not be renewed in time";
 	if (c->role == WS_LEADER && !c->in_outage &&
-	    c->now >= fmax(c->view_at, c->served_at) + ws_replica_age_max(c))
+	    c->now >= fmax(c->job_watch.replica_current_at, c->served_at) + ws_replica_age_max(c))
 		return "the watch of the jobs brings nothing";
 	return NULL;
 }
@@ -441,5 +440,5 @@
 		ws_step_down(c, "no worker reaches this node, but others do");
 		return;
 	}
-	ws_watch_jobs(c);
+	ws_job_watch_tick(c);
 }
--- a/src/core/internal.h
+++ b/src/core/internal.h
@@ -3,7 +3,11 @@
 #define WS_INTERNAL_H
 #include "core.h"
 #include "sizing.h"
+#include "store/job_watch.h"
+#include "store/loader.h"
+#include "store/writer.h"
 #include "subsystems.h"
+#include "write_counts.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -24,8 +28,6 @@
 /* A leader whose watch of the jobs brought nothing for so many ttl no longer knows what was
  * withdrawn: twice the time a watch is left open, with its time-out and a second try. */
 #define WS_VIEW_TTLS 6
-/* Of the 64 KiB that a transaction may have, so much is filled before another record is added. */
-#define WS_TRANSACTION_BYTES 32768
 /* Withdrawals a frame of testimony carries. */
 #define WS_TESTIMONY_MAX 64
 
@@ -259,9 +261,6 @@
 	UT_hash_handle hh;
 };
 
-enum ws_wrote { WS_WROTE_STARTS, WS_WROTE_ENDS, WS_WROTE_LATER, WS_WROTE_FLEET, WS_WROTE_RENTALS };
-#define WS_WROTE_KINDS 5
-
 struct ws_core {
 	struct ws_tombstone *tombstones;
 	struct ws_tombstone *ended; /* jobs just archived: word of the watch may be older */
@@ -315,18 +314,19 @@
 	uint64_t ask_round;
 	int ask_yes, ask_out;
 	double ask_sent, ask_heard, ask_next; /* ask_heard: the last word of the round */
-	double view_at;	  /* the jobs as the leader knows them are no older than this */
-	double view_s;	  /* and must not be older than this, or a lease could outlast cancel_s */
+	/* the leader's replica of the jobs must not be older than this, or a lease could outlast
+	 * cancel_s */
+	double view_s;
 	double served_at; /* the state service last came back to us */
 	uint64_t epoch;
 	uint64_t attempt_seq;
 	uint64_t rental_seq;
-	size_t loading;	   /* which of the core's own records are read */
-	size_t loads_open; /* listings under way: the core's own, and one of each subsystem */
-	uint64_t load_rev;
-	bool job_watch;
-	uint64_t watch_rev;
-	double watch_next;
+	struct ws_loader loader;
+	struct ws_job_watch job_watch;
+	struct ws_writer writer;
+	struct ws_write_counts write_counts;
+	double value_most; /* bytes of a value that we plan by; lowered by the writer */
+	double chunk_next; /* the next fleet shard is written then */
 	bool owned_seen, owned_known, owned_writing;
 	char owned_upto[WS_NAME_MAX]; /* names rise with creation: owned ones end here */
 	double relay_since; /* reports have come by other nodes alone since then; 0: not so */
@@ -345,25 +345,14 @@
 	struct ws_job *dirty_jobs;
 	struct ws_rental *dirty_rentals;
 	double sweep_next, rent_next;
-	bool rentals_stale; /* a machine went: records of rentals may be out of date */
-	uint64_t steps;	    /* of work in placement */
-	/* counted for tests: looks for records to write that found none, machines in sweeps */
-	uint64_t flush_idle, sweep_steps;
+	bool rentals_stale;	 /* a machine went: records of rentals may be out of date */
+	uint64_t steps;		 /* of work in placement */
+	uint64_t sweep_steps;	 /* machines in sweeps, counted for tests */
 	struct ws_order *orders; /* scratch of the message under way */
 	size_t norders, orders_cap;
 	void *pass_memory; /* of placement passes, kept from one to the next */
 	size_t pass_cap;
 	uint64_t steps_most; /* of any one pass, for tests */
-	bool flushing;
-	double flush_next, chunk_next;
-	bool flush_wanted; /* something is due that was not when we last looked */
-	double flush_look; /* else what became due by the clock is looked for then */
-	int flush_fails;
-	double value_most; /* bytes of a value, and changes of a transaction, that we plan by: */
-	int ops_most;	   /* less than the settings' once a write was called too large */
-	double flush_rate, flush_tokens, flush_at; /* changes a second that are ours */
-	double wrote_log;
-	uint32_t wrote[WS_WROTE_KINDS]; /* records by kind, for the log */
 	bool place_wanted;
 	double place_next, move_next;
 	double pass_at; /* when a pass began that the shell has not told the length of */
@@ -552,14 +541,6 @@
 /* outage.c */
 void ws_outage_tick(struct ws_core *c);
 
-/* writing.c */
-void ws_flush(struct ws_core *c);
-
-/* loading.c */
-void ws_load(struct ws_core *c);
-void ws_watch_jobs(struct ws_core *c);
-void ws_jobs_news(struct ws_core *c, const struct ws_call *call, const struct ws_result *r);
-
 /* requests.c */
 bool ws_withdrawn_since(struct ws_core *c, uint64_t since, const char *after,
 			struct ws_withdrawal **list, size_t *n, size_t most, bool *more);
--- /dev/null
+++ b/src/core/job_records.c
@@ -0,0 +1,296 @@
+/*
+ * Records of jobs: job/<id> while a job is live, old/<id> once it is over. Which of them are due,
+ * which go first, and what follows once they are written.
+ */
+#include "internal.h"
+#include "record_sources.h"
+
+/* Progress alone, with changes to spare, waits for this time: users may wait for it so long. */
+#define PROGRESS_DELAY_S 2
+/* Estimates of the bytes of a record: of a finished job; of a live one, and of each attempt. */
+#define FINISHED_JOB_BYTES 256
+#define JOB_BYTES 1024
+#define ATTEMPT_BYTES 24
+/* A finished job takes an operation on job/ and one on old/. */
+#define JOB_OPERATIONS 2
+
+/* Which records go first when changes are short. */
+enum ws_job_rank { WS_JOB_RANK_PROGRESS, WS_JOB_RANK_PORTION, WS_JOB_RANK_WHOLE };
+
+static struct ws_job *ws_job_of_key(struct ws_core *core, const char *key)
+{
+	return ws_job_find(core, key + strlen(WS_JOB_PREFIX));
+}
+
+/* ---- reading ---- */
+
+static struct ws_attempt *ws_attempt_named(const struct ws_machine *machine, const char *job_id,
+					   const struct ws_assigned *assigned)
+{
+	struct ws_attempt *attempt;
+
+	for (attempt = machine->attempts; attempt; attempt = attempt->next)
+		if (attempt->attempt == assigned->attempt && attempt->task == assigned->task &&
+		    !strcmp(attempt->job_id, job_id))
+			return attempt;
+	return NULL;
+}
+
+static void ws_load_attempt(struct ws_core *core, const char *job_id,
+			    const struct ws_assigned *assigned)
+{
+	struct ws_machine *machine = ws_machine_get(core, assigned->machine);
+	struct ws_attempt *attempt;
+	const struct ws_job *job;
+
+	machine->on_record = true;
+	if (!machine->zone[0])
+		ws_machine_place(core, machine, "", assigned->zone, false);
+	if (assigned->tenure > machine->tenure)
+		machine->tenure = assigned->tenure;
+	if (ws_attempt_named(machine, job_id, assigned))
+		return; /* named by two records: cancelled while we read */
+	attempt = ws_attempt_add(core, machine, job_id, assigned->task, assigned->attempt);
+	attempt->tenure = assigned->tenure;
+	attempt->state = WS_ATTEMPT_RECORDED;
+	attempt->sent = true; /* for all we know */
+	attempt->loaded = true;
+	job = attempt->job;
+	if (!job || (attempt->task < job->spec.tasks && job->tasks[attempt->task].done))
+		ws_attempt_ends(attempt);
+}
+
+void ws_load_attempts(struct ws_core *core, const char *job_id, json_t *value)
+{
+	struct ws_assigned *list;
+	size_t count = ws_record_read_assigned(value, &list);
+
+	for (size_t i = 0; i < count; i++)
+		ws_load_attempt(core, job_id, &list[i]);
+	free(list);
+}
+
+static void ws_job_load(struct ws_core *core, const struct ws_kv *record)
+{
+	const char *job_id = record->key + strlen(WS_JOB_PREFIX);
+
+	ws_job_event(core, job_id, record->value, record->stamp);
+	ws_load_attempts(core, job_id, record->value);
+}
+
+/* Whether an attempt is of a cancelled job, or an older one of a task that was placed anew. */
+static bool ws_attempt_is_superseded(const struct ws_attempt *attempt)
+{
+	const struct ws_job *job = attempt->job;
+
+	if (!job)
+		return false;
+	return job->phase == WS_CANCELLED ||
+	       (attempt->task < job->spec.tasks && job->tasks[attempt->task].newest != attempt);
+}
+
+static void ws_job_loaded(struct ws_core *core)
+{
+	struct ws_machine *machine, *next_machine;
+	struct ws_job *job, *next_job;
+
+	HASH_ITER (hh, core->machines, machine, next_machine)
+		for (struct ws_attempt *attempt = machine->attempts; attempt;
+		     attempt = attempt->next)
+			if (ws_attempt_is_superseded(attempt))
+				ws_attempt_ends(attempt);
+	HASH_ITER (hh, core->jobs, job, next_job)
+		ws_job_check_end(core, job);
+}
+
+/* ---- writing ---- */
+
+/*
+ * Whether a job's record is to be written now: starts and ends at once; which tasks are over
+ * meanwhile, within the 2 s that users may wait for it while there are changes to spare, else with
+ * the next start or end, or when half a lease has passed.
+ */
+static bool ws_job_is_due(const struct ws_core *core, const struct ws_job *job)
+{
+	double age = core->now - job->dirty_at;
+
+	return !job->writing && !job->stale &&
+	       (job->urgent || age > core->set->lease_s / 2 ||
+		(age > PROGRESS_DELAY_S && ws_writer_has_spare_budget(core)));
+}
+
+/*
+ * Of jobs that users see begin or end whole, and what has waited for long; then further portions of
+ * arrays, of which more come together meanwhile.
+ */
+static enum ws_job_rank ws_job_rank(const struct ws_core *core, const struct ws_job *job)
+{
+	if (!job->urgent)
+		return WS_JOB_RANK_PROGRESS;
+	if (job->spec.service || job->spec.gang || !job->started || ws_job_over(job) ||
+	    core->now - job->dirty_at > core->set->lease_s / 4)
+		return WS_JOB_RANK_WHOLE;
+	return WS_JOB_RANK_PORTION;
+}
+
+/* A finished job moves to old/, and its continuation records are deleted. */
+static void ws_job_add_finished(struct ws_write_batch *batch, struct ws_job *job)
+{
+	char key[WS_KEY_MAX];
+
+	snprintf(key, sizeof(key), "%s%s", WS_FINISHED_JOB_PREFIX, job->spec.id);
+	ws_write_batch_set_if(batch, key, 0, ws_record_final(job));
+	snprintf(key, sizeof(key), "%s%s", WS_JOB_PREFIX, job->spec.id);
+	ws_write_batch_set_if(batch, key, job->stamp, NULL);
+	/* those for which there is no room now are found as orphans by the next leader */
+	for (uint32_t i = 0; i < job->pieces && ws_write_batch_room(batch); i++) {
+		snprintf(key, sizeof(key), "%s%s/%u", WS_CONTINUATION_PREFIX, job->spec.id, i);
+		ws_write_batch_set(batch, key, NULL);
+	}
+	batch->bytes += FINISHED_JOB_BYTES;
+}
+
+/* More is planned than the record holds: what was not sent is taken back. */
+static void ws_job_release_planned(struct ws_core *core, struct ws_job *job)
+{
+	struct ws_attempt *attempt, *next;
+
+	DL_FOREACH_SAFE2 (job->attempts, attempt, next, jnext)
+		if (attempt->state == WS_ATTEMPT_PLANNED)
+			ws_attempt_release(core, attempt);
+	ws_log(core, WS_LOG_INFO, "job %s: its record is full", job->spec.id);
+}
+
+static void ws_job_add_live(struct ws_core *core, struct ws_write_batch *batch, struct ws_job *job)
+{
+	json_t *value = ws_record_job(core, job, ws_record_limit(core));
+	char key[WS_KEY_MAX];
+
+	if (!value) {
+		ws_job_release_planned(core, job);
+		value = ws_record_job(core, job, ws_record_limit(core));
+	}
+	if (!value) {
+		job->writing = false;
+		return;
+	}
+	snprintf(key, sizeof(key), "%s%s", WS_JOB_PREFIX, job->spec.id);
+	ws_write_batch_set_if(batch, key, job->stamp, value);
+	/* a record is mostly its attempts */
+	batch->bytes += JOB_BYTES + ATTEMPT_BYTES * (size_t)job->attempt_count;
+}
+
+static void ws_job_add(struct ws_core *core, struct ws_write_batch *batch, struct ws_job *job)
+{
+	/* archived once nothing of it can be alive, so that what is counts for its team */
+	bool over = ws_job_over(job) && !job->attempt_count;
+
+	DL_DELETE2(core->dirty_jobs, job, dprev, dnext);
+	ws_write_counts_add(core, over		? WS_WROTE_ENDS
+				  : job->urgent ? WS_WROTE_STARTS
+						: WS_WROTE_LATER);
+	job->dirty = job->urgent = false;
+	if (job->phase == WS_CANCELLED && !over)
+		return; /* the record says so already; due again when the last task is gone */
+	job->writing = true;
+	if (over)
+		ws_job_add_finished(batch, job);
+	else
+		ws_job_add_live(core, batch, job);
+}
+
+static void ws_job_collect(struct ws_core *core, struct ws_write_batch *batch)
+{
+	struct ws_job *job, *next;
+
+	for (int rank = WS_JOB_RANK_WHOLE; rank >= WS_JOB_RANK_PROGRESS; rank--)
+		DL_FOREACH_SAFE2 (core->dirty_jobs, job, next, dnext) {
+			if (ws_write_batch_room(batch) < JOB_OPERATIONS ||
+			    ws_write_batch_is_full(batch))
+				break;
+			if ((int)ws_job_rank(core, job) == rank && ws_job_is_due(core, job))
+				ws_job_add(core, batch, job);
+		}
+}
+
+/* ---- outcome of a write ---- */
+
+/* What a job's record held is on record now: its starts may go out. */
+static void ws_job_mark_written(struct ws_job *job)
+{
+	struct ws_attempt *attempt, *next;
+
+	DL_FOREACH_SAFE2 (job->attempts, attempt, next, jnext) {
+		if (attempt->state == WS_ATTEMPT_GONE && !attempt->writing) {
+			ws_attempt_free(attempt); /* what was just written no longer names it */
+			continue;
+		}
+		if (attempt->writing && attempt->state == WS_ATTEMPT_PLANNED) {
+			attempt->state = WS_ATTEMPT_RECORDED;
+			attempt->machine->push = true;
+		}
+		attempt->writing = false;
+	}
+	for (uint32_t task = 0; task < job->spec.tasks; task++)
+		if (job->tasks[task].writing) {
+			job->tasks[task].saved = true;
+			job->tasks[task].writing = false;
+		}
+}
+
+static void ws_job_written(struct ws_core *core, const struct ws_op *operation, uint64_t revision)
+{
+	struct ws_job *job = ws_job_of_key(core, operation->key);
+
+	if (!job)
+		return;
+	job->writing = false;
+	if (!operation->value) {
+		ws_tombstone_set(&core->ended, job->spec.id, core->now + core->set->lease_s);
+		ws_job_free(core, job);
+		return;
+	}
+	if (revision > job->stamp)
+		job->stamp = revision;
+	ws_job_mark_written(job);
+}
+
+/* Starts that are on record now go out. */
+static void ws_job_committed(struct ws_core *core, const struct ws_op *operation)
+{
+	struct ws_job *job = ws_job_of_key(core, operation->key);
+
+	if (job)
+		ws_job_push(core, job);
+}
+
+/* A job's key moves when its user cancels: the watch brings it, so it is never read again. */
+static bool ws_job_not_written(struct ws_core *core, const struct ws_op *operation,
+			       const struct ws_cond *failed_compare)
+{
+	struct ws_job *job = ws_job_of_key(core, operation->key);
+	struct ws_attempt *attempt;
+
+	if (!job)
+		return false;
+	if (failed_compare && failed_compare->stamp == job->stamp)
+		job->stale = true;
+	job->writing = false;
+	for (uint32_t task = 0; task < job->spec.tasks; task++)
+		job->tasks[task].writing = false;
+	DL_FOREACH2 (job->attempts, attempt, jnext)
+		attempt->writing = false;
+	ws_job_dirty(core, job, true);
+	return false;
+}
+
+const struct ws_record_source ws_job_records = {
+    .key_prefix = WS_JOB_PREFIX,
+    .load = ws_job_load,
+    .listed = ws_job_watch_start,
+    .loaded = ws_job_loaded,
+    .collect = ws_job_collect,
+    .written = ws_job_written,
+    .committed = ws_job_committed,
+    .not_written = ws_job_not_written,
+};
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -27,7 +27,7 @@
 {
 	if (urgent && !j->urgent) {
 		j->urgent = true;
-		c->flush_wanted = true;
+		ws_writer_wake(c);
 	}
 	if (j->dirty)
 		return;
@@ -220,7 +220,7 @@
 
 		j->stamp = stamp;
 		j->stale = false;
-		c->flush_wanted = true;
+		ws_writer_wake(c);
 		j->pieces = ws_record_pieces(value);
 		if (!ws_record_read_phase(value, &phase, &done, &running))
 			return;
--- /dev/null
+++ b/src/core/machine_shard_records.c
@@ -0,0 +1,129 @@
+/*
+ * Records of the machines, some of them in each shard: fleet/<number>. They serve the next leader
+ * for greeting the machines, so they are written late, one at a time.
+ */
+#include "internal.h"
+#include "record_sources.h"
+
+/* A shard waits for this share of a lease, the longer time if changes are short. */
+#define SHARDS_PER_LEASE 32
+#define SHARDS_PER_LEASE_SHORT 4
+/* Newer images alone are written so often in a lease. */
+#define IMAGES_PER_LEASE 2
+/* Between two shards passes the time of so many changes. */
+#define CHANGES_PER_SHARD 8
+
+static int ws_machine_shard_number(const char *key)
+{
+	return (int)strtol(key + strlen(WS_MACHINE_SHARD_PREFIX), NULL, 10);
+}
+
+static void ws_machine_shard_load(struct ws_core *core, const struct ws_kv *record)
+{
+	int number = ws_machine_shard_number(record->key);
+
+	if (number < 0 || number >= WS_MAX_CHUNKS)
+		return;
+	ws_chunk_at(core, number)->stamp = record->stamp;
+	if (json_is_array(json_object_get(record->value, "m"))) {
+		ws_record_read_chunk(core, record->value, number);
+	} else { /* counted as full, so that it is not written over */
+		ws_log(core, WS_LOG_ERROR, "%s can't be read, left alone", record->key);
+		ws_chunk_at(core, number)->n = ws_chunk_size(core);
+	}
+}
+
+/* Machines that other records name alone get a shard. */
+static void ws_machine_shard_loaded(struct ws_core *core)
+{
+	struct ws_machine *machine, *next;
+
+	HASH_ITER (hh, core->machines, machine, next)
+		if (machine->chunk < 0 && machine->port)
+			ws_machine_dirty(core, machine);
+}
+
+/* Whether a shard is to be written: late, and later still if changes are short. */
+static bool ws_machine_shard_is_due(const struct ws_core *core, const struct ws_chunk *shard)
+{
+	bool spare = ws_writer_has_spare_budget(core);
+	double lease_s = core->set->lease_s;
+	double delay_s = lease_s / (spare ? SHARDS_PER_LEASE : SHARDS_PER_LEASE_SHORT);
+
+	if (shard->writing)
+		return false;
+	if (shard->dirty && core->now - shard->dirty_at > delay_s)
+		return true;
+	return shard->images && core->now - shard->written_at > lease_s / IMAGES_PER_LEASE && spare;
+}
+
+static void ws_machine_shard_add(struct ws_core *core, struct ws_write_batch *batch, int number)
+{
+	struct ws_chunk *shard = &core->chunks[number];
+	char key[WS_KEY_MAX];
+
+	shard->dirty = shard->images = false;
+	shard->writing = true;
+	ws_write_counts_add(core, WS_WROTE_FLEET);
+	core->chunk_next = core->now + CHANGES_PER_SHARD / core->set->state_write_rps;
+	batch->bytes += (size_t)core->value_most;
+	snprintf(key, sizeof(key), "%s%d", WS_MACHINE_SHARD_PREFIX, number);
+	ws_write_batch_set_if(batch, key, shard->stamp, ws_record_chunk(core, number));
+}
+
+/* One shard at a time: what users wait for goes before. */
+static void ws_machine_shard_collect(struct ws_core *core, struct ws_write_batch *batch)
+{
+	if (!ws_write_batch_room(batch) || batch->bytes >= WS_TRANSACTION_BYTES ||
+	    core->now < core->chunk_next)
+		return;
+	for (int i = 0; i < core->nchunks; i++)
+		if (ws_machine_shard_is_due(core, &core->chunks[i])) {
+			ws_machine_shard_add(core, batch, i);
+			return;
+		}
+}
+
+static void ws_machine_shard_written(struct ws_core *core, const struct ws_op *operation,
+				     uint64_t revision)
+{
+	struct ws_chunk *shard = ws_chunk_at(core, ws_machine_shard_number(operation->key));
+
+	shard->writing = false;
+	shard->stamp = revision;
+	shard->written_at = core->now;
+}
+
+static bool ws_machine_shard_not_written(struct ws_core *core, const struct ws_op *operation,
+					 const struct ws_cond *failed_compare)
+{
+	int number = ws_machine_shard_number(operation->key);
+
+	if (failed_compare)
+		return true;
+	ws_chunk_at(core, number)->writing = false;
+	ws_chunk_dirty(core, number);
+	return false;
+}
+
+static void ws_machine_shard_read_again(struct ws_core *core, const char *key, bool found,
+					uint64_t revision)
+{
+	int number = ws_machine_shard_number(key);
+	struct ws_chunk *shard = ws_chunk_at(core, number);
+
+	(void)found;
+	shard->stamp = revision;
+	shard->writing = false;
+	ws_chunk_dirty(core, number);
+}
+
+const struct ws_record_source ws_machine_shard_records = {
+    .key_prefix = WS_MACHINE_SHARD_PREFIX,
+    .load = ws_machine_shard_load,
+    .loaded = ws_machine_shard_loaded,
+    .collect = ws_machine_shard_collect,
+    .written = ws_machine_shard_written,
+    .not_written = ws_machine_shard_not_written,
+    .read_again = ws_machine_shard_read_again,
+};
--- a/src/core/outage.c
+++ b/src/core/outage.c
@@ -46,13 +46,14 @@
 	double until = c->ask_sent + fmin(c->ttl * (1 - WS_DRIFT), c->view_s);
 	struct ws_withdrawal *own;
 	size_t n;
-	bool more, whole = ws_withdrawn_since(c, c->watch_rev, "", &own, &n, SIZE_MAX, &more);
+	bool more,
+	    whole = ws_withdrawn_since(c, c->job_watch.revision, "", &own, &n, SIZE_MAX, &more);
 
 	ws_withdrawals(c, own, n, c->set->node);
 	free(own);
 	if (!whole)
 		return;
-	c->view_at = fmax(c->view_at, c->ask_sent);
+	ws_job_watch_confirm(c, c->ask_sent);
 	if (until <= c->entitled_until || until <= c->now)
 		return;
 	c->entitled_until = until;
@@ -97,5 +98,5 @@
 	c->ask_yes = c->ask_out = 0;
 	c->ask_sent = c->ask_heard = c->now;
 	for (size_t i = 0; i < c->set->npeers; i++)
-		ws_ask_peer(c, c->set->peers[i].node, c->watch_rev, "");
+		ws_ask_peer(c, c->set->peers[i].node, c->job_watch.revision, "");
 }
--- a/src/core/polls.c
+++ b/src/core/polls.c
@@ -207,7 +207,7 @@
 	if (r->status != 429)
 		ws_state_seen(c, r->status);
 	if (r->status == 200) {
-		ws_jobs_news(c, call, r);
+		ws_job_watch_apply(c, call, r);
 		ws_polls_answer(c, 200);
 	} else if (r->status == 410) { /* the copy is too old to be brought up to date */
 		ws_seen_clear(c);
--- a/src/core/rentals.c
+++ b/src/core/rentals.c
@@ -475,7 +475,7 @@
 	if (r->dirty)
 		return;
 	r->dirty = true;
-	c->flush_wanted = true;
+	ws_writer_wake(c);
 	DL_APPEND2(c->dirty_rentals, r, dprev, dnext);
 }
 
@@ -815,7 +815,7 @@
  * changes are short. */
 static bool ws_rentals_tidy_due(struct ws_core *c)
 {
-	bool spare = c->flush_tokens > c->flush_rate / 4;
+	bool spare = ws_writer_has_spare_budget(c);
 
 	if (!c->rentals_stale || c->now < c->tidy_next)
 		return false;
--- /dev/null
+++ b/src/core/store/job_watch.c
@@ -0,0 +1,95 @@
+/* The watch of the job records that keeps the leader's replica current. */
+#include "../internal.h"
+#include "../record_sources.h"
+
+/* A watch is left open for so many ttl. */
+#define WATCH_TTLS 2
+/* After a watch that failed, the next one waits for this share of a ttl. */
+#define RETRIES_PER_TTL 16
+/* What comes within a moment comes together: so many requests' worth of time passes between two
+ * watches, an eighth of the requests allowed at most. */
+#define REQUESTS_PER_WATCH 8
+
+void ws_job_watch_reset(struct ws_core *core)
+{
+	core->job_watch.open = false;
+}
+
+void ws_job_watch_start(struct ws_core *core, uint64_t revision, double asked_at)
+{
+	core->job_watch.revision = revision;
+	core->job_watch.next_at = core->now;
+	core->job_watch.replica_current_at = asked_at;
+}
+
+void ws_job_watch_confirm(struct ws_core *core, double current_at)
+{
+	struct ws_job_watch *watch = &core->job_watch;
+
+	watch->replica_current_at = fmax(watch->replica_current_at, current_at);
+}
+
+/*
+ * What a watch of the jobs brought, to the leader's replica of them. Of two watches one may be
+ * answered after the other, with less: a change that it brings and that the replica held already
+ * may since have been undone, so only what is newer than the replica counts.
+ */
+static void ws_job_watch_update_replica(struct ws_core *core, const struct ws_call *call,
+					const struct ws_result *result)
+{
+	struct ws_job_watch *watch = &core->job_watch;
+	uint64_t held = watch->revision;
+
+	if (core->role != WS_LEADER || call->since > held)
+		return;
+	for (size_t i = 0; i < result->nkvs; i++) {
+		const struct ws_kv *change = &result->kvs[i];
+
+		if (change->stamp > held && ws_key_has_prefix(change->key, WS_JOB_PREFIX))
+			ws_job_event(core, change->key + strlen(WS_JOB_PREFIX), change->value,
+				     change->stamp);
+	}
+	watch->revision = result->rev > held ? result->rev : held;
+	ws_job_watch_confirm(core, call->made);
+}
+
+void ws_job_watch_apply(struct ws_core *core, const struct ws_call *call,
+			const struct ws_result *result)
+{
+	ws_job_watch_update_replica(core, call, result);
+	ws_cache_apply(core, call, result);
+}
+
+static void ws_job_watch_answered(struct ws_core *core, struct ws_call *call,
+				  const struct ws_result *result)
+{
+	struct ws_job_watch *watch = &core->job_watch;
+
+	if (call->generation != core->generation)
+		return;
+	watch->open = false;
+	if (result->status == 410) {
+		ws_step_down(core, "the watch fell too far behind");
+		return;
+	}
+	if (result->status != 200) {
+		watch->next_at = core->now + core->ttl / RETRIES_PER_TTL;
+		return;
+	}
+	watch->next_at = core->now + REQUESTS_PER_WATCH / core->set->state_rps;
+	ws_job_watch_apply(core, call, result);
+}
+
+void ws_job_watch_tick(struct ws_core *core)
+{
+	struct ws_job_watch *watch = &core->job_watch;
+	struct ws_call *call;
+
+	if (core->role != WS_LEADER || watch->open || core->now < watch->next_at)
+		return;
+	call = ws_call(core, WS_CALL_WATCH, ws_job_watch_answered);
+	snprintf(call->key, sizeof(call->key), "%s", WS_JOB_PREFIX);
+	call->since = watch->revision;
+	call->ms = (uint32_t)(core->ttl * WATCH_TTLS * 1000);
+	watch->open = true;
+}
--- /dev/null
+++ b/src/core/store/loader.c
@@ -0,0 +1,91 @@
+/* What a new leader reads back: listings by prefix, page by page. */
+#include "../internal.h"
+#include "record_source.h"
+
+static void ws_loader_page(struct ws_core *core, struct ws_call *call,
+			   const struct ws_result *result);
+
+/* Asks for the records of a prefix whose keys come after one; empty: from the first. */
+static void ws_loader_list(struct ws_core *core, const char *prefix, const char *after)
+{
+	struct ws_call *call = ws_call(core, WS_CALL_LIST, ws_loader_page);
+
+	snprintf(call->key, sizeof(call->key), "%s", prefix);
+	snprintf(call->after, sizeof(call->after), "%s", after);
+	call->urgent = true;
+}
+
+void ws_loader_start(struct ws_core *core)
+{
+	struct ws_loader *loader = &core->loader;
+	const char *prefix;
+
+	loader->position = 0;
+	loader->open_listings = 1;
+	ws_loader_list(core, ws_load_sequence_prefix(0), "");
+	for (size_t i = 0; (prefix = ws_load_parallel_prefix(core, i)); i++) {
+		loader->open_listings++;
+		ws_loader_list(core, prefix, "");
+	}
+}
+
+/* All is read: the node leads. */
+static void ws_loader_finish(struct ws_core *core)
+{
+	core->role = WS_LEADER;
+	core->place_wanted = true;
+	ws_record_sources_loaded(core);
+}
+
+/* All records of a prefix are read: the next of the sequence, or one listing less is open. */
+static void ws_loader_next(struct ws_core *core, const char *prefix)
+{
+	struct ws_loader *loader = &core->loader;
+	const char *current = ws_load_sequence_prefix(loader->position), *next = NULL;
+
+	if (current && !strcmp(prefix, current))
+		next = ws_load_sequence_prefix(++loader->position);
+	if (next)
+		ws_loader_list(core, next, "");
+	else if (!--loader->open_listings)
+		ws_loader_finish(core);
+}
+
+/* A page could not be read: it is asked for again for as long as the session lasts. */
+static void ws_loader_retry(struct ws_core *core, const struct ws_call *call)
+{
+	if (core->now > core->entitled_until)
+		ws_step_down(core, "the records could not be read in time");
+	else
+		ws_loader_list(core, call->key, call->after);
+}
+
+static void ws_loader_record(struct ws_core *core, const struct ws_kv *record)
+{
+	const struct ws_record_source *source = ws_record_source_of(core, record->key);
+
+	if (source && source->load)
+		source->load(core, record);
+}
+
+static void ws_loader_page(struct ws_core *core, struct ws_call *call,
+			   const struct ws_result *result)
+{
+	const struct ws_record_source *source;
+
+	if (call->generation != core->generation || core->role != WS_LOADING)
+		return;
+	if (result->status != 200) {
+		ws_loader_retry(core, call);
+		return;
+	}
+	source = ws_record_source_of(core, call->key);
+	if (source && source->listed && !call->after[0])
+		source->listed(core, result->rev, call->made);
+	for (size_t i = 0; i < result->nkvs; i++)
+		ws_loader_record(core, &result->kvs[i]);
+	if (result->more && result->nkvs)
+		ws_loader_list(core, call->key, result->kvs[result->nkvs - 1].key);
+	else
+		ws_loader_next(core, call->key);
+}
--- /dev/null
+++ b/src/core/subsystem_records.c
@@ -0,0 +1,205 @@
+/*
+ * Records of the attached subsystems.
+ *
+ * They are written in the leader's own transactions: under the leader key's revision and under the
+ * revision at which each record was last read or written. A record that somebody else changed is
+ * read again and then written over, since only the leader owns it.
+ */
+#include "internal.h"
+#include "record_sources.h"
+
+const struct ws_subsystem *ws_subsystem_of(const struct ws_core *core, const char *key)
+{
+	for (size_t i = 0; i < core->subsystems.count; i++)
+		if (ws_key_has_prefix(key, core->subsystems.list[i].ops->prefix))
+			return &core->subsystems.list[i];
+	return NULL;
+}
+
+/* ---- the records as this leader knows them ---- */
+
+static struct ws_subsystem_record *ws_subsystem_record_find(struct ws_core *core, const char *key)
+{
+	struct ws_subsystem_record *record;
+
+	HASH_FIND_STR(core->subsystems.records, key, record);
+	return record;
+}
+
+static struct ws_subsystem_record *ws_subsystem_record_get(struct ws_core *core, const char *key)
+{
+	struct ws_subsystem_record *record = ws_subsystem_record_find(core, key);
+
+	if (record)
+		return record;
+	record = calloc(1, sizeof(*record));
+	if (!record)
+		abort();
+	snprintf(record->key, sizeof(record->key), "%s", key);
+	HASH_ADD_STR(core->subsystems.records, key, record);
+	return record;
+}
+
+static void ws_subsystem_record_free(struct ws_core *core, struct ws_subsystem_record *record)
+{
+	core->subsystems.dirty_records -= record->dirty;
+	HASH_DEL(core->subsystems.records, record);
+	json_decref(record->value);
+	free(record);
+}
+
+static void ws_subsystem_record_dirty(struct ws_core *core, struct ws_subsystem_record *record)
+{
+	core->subsystems.dirty_records += !record->dirty;
+	record->dirty = true;
+	ws_writer_wake(core);
+}
+
+static void ws_subsystem_record_clean(struct ws_core *core, struct ws_subsystem_record *record)
+{
+	record->dirty = false;
+	core->subsystems.dirty_records--;
+}
+
+void ws_subsystem_record_set(struct ws_core *core, const char *key, json_t *value, bool urgent)
+{
+	struct ws_subsystem_record *record = ws_subsystem_record_get(core, key);
+
+	json_decref(record->value);
+	record->value = value;
+	record->urgent = urgent;
+	ws_subsystem_record_dirty(core, record);
+}
+
+void ws_subsystem_records_clear(struct ws_core *core)
+{
+	struct ws_subsystem_record *record = core->subsystems.records, *next;
+
+	HASH_CLEAR(hh, core->subsystems.records);
+	for (; record; record = next) {
+		next = record->hh.next;
+		json_decref(record->value);
+		free(record);
+	}
+	core->subsystems.dirty_records = 0;
+}
+
+/* ---- as a source of the writer and the loader ---- */
+
+static bool ws_subsystem_records_own(const struct ws_core *core, const char *key)
+{
+	return ws_subsystem_of(core, key) != NULL;
+}
+
+void ws_subsystem_record_load(struct ws_core *core, const struct ws_kv *record)
+{
+	const struct ws_subsystem *subsystem = ws_subsystem_of(core, record->key);
+
+	if (!subsystem)
+		return;
+	ws_subsystem_record_get(core, record->key)->revision = record->stamp;
+	if (subsystem->ops->record_loaded)
+		subsystem->ops->record_loaded(
+		    subsystem->self, record->key + strlen(subsystem->ops->prefix), record->value);
+}
+
+/* Adds a record that is due, under the revision that we know of it; or drops what need not or can't
+ * be written. */
+static void ws_subsystem_record_add(struct ws_core *core, struct ws_write_batch *batch,
+				    struct ws_subsystem_record *record)
+{
+	size_t size = record->value ? ws_record_size(record->value) : 0;
+
+	if (!record->value && !record->revision) { /* never written */
+		ws_subsystem_record_free(core, record);
+		return;
+	}
+	ws_subsystem_record_clean(core, record);
+	if ((double)size >= core->value_most) {
+		ws_log(core, WS_LOG_ERROR, "%s has %zu bytes, too many for a value: left out",
+		       record->key, size);
+		return;
+	}
+	batch->bytes += size + WS_KEY_MAX;
+	ws_write_batch_set_if(batch, record->key, record->revision, json_incref(record->value));
+	record->writing = true;
+}
+
+static void ws_subsystem_records_collect_some(struct ws_core *core, struct ws_write_batch *batch,
+					      bool urgent)
+{
+	struct ws_subsystem_record *record, *next;
+
+	if (!core->subsystems.dirty_records)
+		return;
+	HASH_ITER (hh, core->subsystems.records, record, next) {
+		if (!ws_write_batch_room(batch) || ws_write_batch_is_full(batch))
+			return;
+		if (record->dirty && !record->writing && record->urgent == urgent)
+			ws_subsystem_record_add(core, batch, record);
+	}
+}
+
+static void ws_subsystem_records_collect(struct ws_core *core, struct ws_write_batch *batch)
+{
+	ws_subsystem_records_collect_some(core, batch, false);
+}
+
+static void ws_subsystem_records_collect_urgent(struct ws_core *core, struct ws_write_batch *batch)
+{
+	ws_subsystem_records_collect_some(core, batch, true);
+}
+
+static void ws_subsystem_record_written(struct ws_core *core, const struct ws_op *operation,
+					uint64_t revision)
+{
+	struct ws_subsystem_record *record = ws_subsystem_record_find(core, operation->key);
+
+	if (!record)
+		return;
+	record->writing = false;
+	record->revision = operation->value ? revision : 0;
+	if (!operation->value && !record->dirty)
+		ws_subsystem_record_free(core, record);
+}
+
+static bool ws_subsystem_record_not_written(struct ws_core *core, const struct ws_op *operation,
+					    const struct ws_cond *failed_compare)
+{
+	struct ws_subsystem_record *record = ws_subsystem_record_find(core, operation->key);
+
+	if (!record)
+		return false;
+	if (failed_compare)
+		return true;
+	record->writing = false;
+	ws_subsystem_record_dirty(core, record);
+	return false;
+}
+
+static void ws_subsystem_record_read_again(struct ws_core *core, const char *key, bool found,
+					   uint64_t revision)
+{
+	struct ws_subsystem_record *record = ws_subsystem_record_find(core, key);
+
+	(void)found;
+	if (!record)
+		return;
+	record->revision = revision;
+	record->writing = false;
+	ws_subsystem_record_dirty(core, record);
+}
+
+const struct ws_record_source ws_subsystem_records = {
+    .owns = ws_subsystem_records_own,
+    .load = ws_subsystem_record_load,
+    .collect = ws_subsystem_records_collect,
+    .written = ws_subsystem_record_written,
+    .not_written = ws_subsystem_record_not_written,
+    .read_again = ws_subsystem_record_read_again,
+};
+
+/* No key belongs to it: what follows a write is the other source's. */
+const struct ws_record_source ws_urgent_subsystem_records = {
+    .collect = ws_subsystem_records_collect_urgent,
+};
--- a/src/core/subsystems.c
+++ b/src/core/subsystems.c
@@ -1,10 +1,4 @@
-/*
- * Dispatch of hooks to the attached subsystems, their requests, and their records.
- *
- * A subsystem's records are written in the leader's own transactions: under the leader key's
- * revision and under the revision at which each record was last read or written. A record that
- * somebody else changed is read again and then written over, since only the leader owns it.
- */
+/* Dispatch of hooks to the attached subsystems, and their requests. */
 #include "internal.h"
 
 enum ws_request_kind {
@@ -109,166 +103,6 @@
 	return i < c->subsystems.count ? c->subsystems.list[i].ops->prefix : NULL;
 }
 
-/* The subsystem whose record a key names; NULL: none. */
-static struct ws_subsystem *ws_subsystem_of(struct ws_core *c, const char *key)
-{
-	for (size_t i = 0; i < c->subsystems.count; i++) {
-		const char *prefix = c->subsystems.list[i].ops->prefix;
-
-		if (!strncmp(key, prefix, strlen(prefix)))
-			return &c->subsystems.list[i];
-	}
-	return NULL;
-}
-
-/* ---- records ---- */
-
-static struct ws_subsystem_record *ws_subsystem_record_find(struct ws_core *c, const char *key)
-{
-	struct ws_subsystem_record *record;
-
-	HASH_FIND_STR(c->subsystems.records, key, record);
-	return record;
-}
-
-static struct ws_subsystem_record *ws_subsystem_record_get(struct ws_core *c, const char *key)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_find(c, key);
-
-	if (record)
-		return record;
-	record = calloc(1, sizeof(*record));
-	if (!record)
-		abort();
-	snprintf(record->key, sizeof(record->key), "%s", key);
-	HASH_ADD_STR(c->subsystems.records, key, record);
-	return record;
-}
-
-static void ws_subsystem_record_free(struct ws_core *c, struct ws_subsystem_record *record)
-{
-	c->subsystems.dirty_records -= record->dirty;
-	HASH_DEL(c->subsystems.records, record);
-	json_decref(record->value);
-	free(record);
-}
-
-static void ws_subsystem_record_dirty(struct ws_core *c, struct ws_subsystem_record *record)
-{
-	c->subsystems.dirty_records += !record->dirty;
-	record->dirty = true;
-	c->flush_wanted = true;
-}
-
-/* What is to be on record under a key from now on; NULL: nothing. */
-static void ws_subsystem_record_set(struct ws_core *c, const char *key, json_t *value, bool urgent)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_get(c, key);
-
-	json_decref(record->value);
-	record->value = value;
-	record->urgent = urgent;
-	ws_subsystem_record_dirty(c, record);
-}
-
-bool ws_subsystems_record(struct ws_core *c, const struct ws_kv *kv)
-{
-	struct ws_subsystem *subsystem = ws_subsystem_of(c, kv->key);
-
-	if (!subsystem)
-		return false;
-	ws_subsystem_record_get(c, kv->key)->revision = kv->stamp;
-	if (subsystem->ops->record_loaded)
-		subsystem->ops->record_loaded(subsystem->self,
-					      kv->key + strlen(subsystem->ops->prefix), kv->value);
-	return true;
-}
-
-/* One record as a change of a transaction, under the revision that we know of it. */
-static void ws_subsystem_record_put(struct ws_core *c, struct ws_call *transaction,
-				    struct ws_subsystem_record *record)
-{
-	struct ws_cond *condition = &transaction->conds[transaction->nconds++];
-	struct ws_op *change = &transaction->ops[transaction->nops++];
-
-	snprintf(condition->key, sizeof(condition->key), "%s", record->key);
-	condition->stamp = record->revision;
-	snprintf(change->key, sizeof(change->key), "%s", record->key);
-	change->value = json_incref(record->value);
-	record->dirty = false;
-	record->writing = true;
-	c->subsystems.dirty_records--;
-}
-
-void ws_subsystems_flush(struct ws_core *c, struct ws_call *transaction, size_t most, size_t *bytes,
-			 bool urgent)
-{
-	struct ws_subsystem_record *record, *next;
-
-	if (!c->subsystems.dirty_records)
-		return;
-	HASH_ITER (hh, c->subsystems.records, record, next) {
-		size_t size;
-
-		if (transaction->nops >= most || *bytes > WS_TRANSACTION_BYTES)
-			return;
-		if (!record->dirty || record->writing || record->urgent != urgent)
-			continue;
-		if (!record->value && !record->revision) { /* never written */
-			ws_subsystem_record_free(c, record);
-			continue;
-		}
-		size = record->value ? ws_record_size(record->value) : 0;
-		if ((double)size >= c->value_most) {
-			ws_log(c, WS_LOG_ERROR, "%s has %zu bytes, too many for a value: left out",
-			       record->key, size);
-			record->dirty = false;
-			c->subsystems.dirty_records--;
-			continue;
-		}
-		*bytes += size + WS_KEY_MAX;
-		ws_subsystem_record_put(c, transaction, record);
-	}
-}
-
-bool ws_subsystems_written(struct ws_core *c, const struct ws_op *op, uint64_t revision)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_find(c, op->key);
-
-	if (!record)
-		return false;
-	record->writing = false;
-	record->revision = op->value ? revision : 0;
-	if (!op->value && !record->dirty)
-		ws_subsystem_record_free(c, record);
-	return true;
-}
-
-bool ws_subsystems_undone(struct ws_core *c, const struct ws_op *op, bool reread)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_find(c, op->key);
-
-	if (!record)
-		return false;
-	if (!reread) {
-		record->writing = false;
-		ws_subsystem_record_dirty(c, record);
-	}
-	return true;
-}
-
-bool ws_subsystems_reread(struct ws_core *c, const char *key, uint64_t revision)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_find(c, key);
-
-	if (!record)
-		return false;
-	record->revision = revision;
-	record->writing = false;
-	ws_subsystem_record_dirty(c, record);
-	return true;
-}
-
 /* ---- leadership ---- */
 
 /* Calls one hook of every subsystem that has it. */
@@ -330,7 +164,6 @@
 
 void ws_subsystems_step_down(struct ws_core *c)
 {
-	struct ws_subsystem_record *record, *next;
 	struct ws_machine *m, *next_machine;
 
 	if (!ws_subsystems_active(c))
@@ -338,14 +171,7 @@
 	HASH_ITER (hh, c->machines, m, next_machine)
 		ws_subsystems_machine_removed(c, m);
 	WS_EACH_HOOK(c, stepped_down);
-	record = c->subsystems.records;
-	HASH_CLEAR(hh, c->subsystems.records);
-	for (; record; record = next) {
-		next = record->hh.next;
-		json_decref(record->value);
-		free(record);
-	}
-	c->subsystems.dirty_records = 0;
+	ws_subsystem_records_clear(c);
 	c->subsystems.tick_next = 0;
 	c->subsystems.zones_avoided = c->subsystems.zones_closed = 0;
 	memset(c->subsystems.held, 0, sizeof(c->subsystems.held));
@@ -518,13 +344,13 @@
 /* One page of the records that a subsystem asked for. */
 static void ws_subsystem_page(struct ws_core *c, struct ws_call *call, const struct ws_result *r)
 {
-	struct ws_subsystem *subsystem = ws_subsystem_of(c, call->key);
+	const struct ws_subsystem *subsystem = ws_subsystem_of(c, call->key);
 
 	if (call->generation != c->generation || c->role != WS_LEADER || !subsystem ||
 	    r->status != 200)
 		return;
 	for (size_t i = 0; i < r->nkvs; i++)
-		ws_subsystems_record(c, &r->kvs[i]);
+		ws_subsystem_record_load(c, &r->kvs[i]);
 	if (r->more && r->nkvs)
 		ws_subsystem_read(c, call->key, r->kvs[r->nkvs - 1].key);
 	else if (subsystem->ops->records_read)
--- a/src/core/subsystems.h
+++ b/src/core/subsystems.h
@@ -1,4 +1,5 @@
-/* The core's side of the border to subsystems (hooks.h): dispatch, requests, records. */
+/* The core's side of the border to subsystems (hooks.h): dispatch, requests, records. The records
+ * are a source of the writer and the loader, see record_sources.h. */
 #ifndef WS_SUBSYSTEMS_H
 #define WS_SUBSYSTEMS_H
 #include "core.h"
@@ -44,8 +45,15 @@
 
 /* Prefix of the i-th subsystem's records; NULL behind the last. */
 const char *ws_subsystems_prefix(const struct ws_core *c, size_t i);
-/* A record read at the election; false if no subsystem owns the key. */
-bool ws_subsystems_record(struct ws_core *c, const struct ws_kv *kv);
+/* The subsystem whose record a key names; NULL: none. */
+const struct ws_subsystem *ws_subsystem_of(const struct ws_core *core, const char *key);
+
+/* A record that was read, at the election or by request: goes to its subsystem, if there is one. */
+void ws_subsystem_record_load(struct ws_core *core, const struct ws_kv *record);
+/* What is to be on record under a key from now on; takes over the value; NULL: nothing. */
+void ws_subsystem_record_set(struct ws_core *core, const char *key, json_t *value, bool urgent);
+/* Forgets all records, at step-down. */
+void ws_subsystem_records_clear(struct ws_core *core);
 
 void ws_subsystems_machine(struct ws_core *c, struct ws_machine *m);
 void ws_subsystems_machine_removed(struct ws_core *c, struct ws_machine *m);
@@ -62,12 +70,4 @@
 /* Asks the filters what this placement pass must avoid. */
 void ws_subsystems_pass(struct ws_core *c);
 bool ws_subsystems_avoided(struct ws_core *c, const struct ws_machine *m);
-
-/* Adds records that are due to a transaction of the leader with room for so many changes. */
-void ws_subsystems_flush(struct ws_core *c, struct ws_call *transaction, size_t most, size_t *bytes,
-			 bool urgent);
-bool ws_subsystems_written(struct ws_core *c, const struct ws_op *op, uint64_t revision);
-/* A write that did not happen; true if the key is a subsystem's. */
-bool ws_subsystems_undone(struct ws_core *c, const struct ws_op *op, bool reread);
-bool ws_subsystems_reread(struct ws_core *c, const char *key, uint64_t revision);
 #endif
--- /dev/null
+++ b/src/core/write_counts.c
@@ -0,0 +1,28 @@
+/* Counts of the records written, so that operators see what the changes are spent on. */
+#include "internal.h"
+#include "write_counts.h"
+
+void ws_write_counts_add(struct ws_core *core, enum ws_wrote kind)
+{
+	core->write_counts.by_kind[kind]++;
+}
+
+void ws_write_counts_log(struct ws_core *core)
+{
+	struct ws_write_counts *counts = &core->write_counts;
+	const uint32_t *by_kind = counts->by_kind;
+	uint32_t sum = 0;
+
+	if (core->now < counts->next_log_at)
+		return;
+	for (size_t kind = 0; kind < WS_WROTE_KINDS; kind++)
+		sum += by_kind[kind];
+	if (sum)
+		ws_log(core, WS_LOG_INFO,
+		       "written since: %u starts, %u ends, %u jobs later, %u fleet, %u rentals; "
+		       "%.0f changes a second are ours",
+		       by_kind[WS_WROTE_STARTS], by_kind[WS_WROTE_ENDS], by_kind[WS_WROTE_LATER],
+		       by_kind[WS_WROTE_FLEET], by_kind[WS_WROTE_RENTALS], core->writer.rate);
+	memset(counts->by_kind, 0, sizeof(counts->by_kind));
+	counts->next_log_at = core->now + core->set->lease_s;
+}
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -196,7 +196,7 @@
 		else if (sim_leader(s) < 0)
 			sim_fail(s, "nobody leads");
 		else if (!strcmp(a, "idle-looks"))
-			v = (double)s->nodes[sim_leader(s)].core->flush_idle;
+			v = (double)s->nodes[sim_leader(s)].core->writer.empty_passes;
 		else if (!strcmp(a, "machines"))
 			v = (double)s->nodes[sim_leader(s)].core->sweep_steps;
 		else
