--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -83,9 +83,8 @@
 
 void ws_job_free(struct ws_core *c, struct ws_job *j)
 {
-	struct ws_attempt *s, *n;
-
-	DL_FOREACH_SAFE2 (j->attempts, s, n, jnext) {
+	while (j->attempts) {
+		struct ws_attempt *s = j->attempts;
 		bool alive = s->state == WS_ATTEMPT_RECORDED;
 
 		if (s->state != WS_ATTEMPT_GONE)
