--- a/src/core/continuation_records.c
+++ b/src/core/continuation_records.c
@@ -1,7 +1,7 @@
 /*
- * Continuation records, more/<job>/<number>: attempts that a job's own record has no room for. They
- * are written by whoever places them there and deleted with their job; those that are left over
- * when their job is gone are deleted here.
+ * Continuation records, more/<job>/<number>: attempts that a job's own record has no room for. The
+ * node that takes in a user's cancel writes them (requests.c), and they are deleted with their job.
+ * Those that are left over when their job is gone are deleted here.
  */
 #include "internal.h"
 #include "record_sources.h"
--- a/src/core/machine_shard_records.c
+++ b/src/core/machine_shard_records.c
@@ -71,7 +71,8 @@
 	ws_write_batch_set_if(batch, key, shard->stamp, ws_record_chunk(core, number));
 }
 
-/* One shard at a time: what users wait for goes before. */
+/* One shard at a time: what users wait for goes before, and a transaction that is filled to the
+ * limit takes no shard. */
 static void ws_machine_shard_collect(struct ws_core *core, struct ws_write_batch *batch)
 {
 	if (!ws_write_batch_room(batch) || batch->bytes >= WS_TRANSACTION_BYTES ||
--- a/src/core/subsystems.c
+++ b/src/core/subsystems.c
@@ -1,5 +1,6 @@
 /* Dispatch of hooks to the attached subsystems, and their requests. */
 #include "internal.h"
+#include "record_sources.h"
 
 enum ws_request_kind {
 	WS_REQUEST_WRITE,
@@ -415,14 +416,14 @@
 static void ws_subsystem_looked_up(struct ws_core *c, struct ws_call *call,
 				   const struct ws_result *r)
 {
-	bool live = !strncmp(call->key, "job/", 4);
+	bool live = ws_key_has_prefix(call->key, WS_JOB_PREFIX);
 	enum ws_job_standing standing = WS_JOB_UNREADABLE;
 	const struct ws_subsystem *subsystem = &c->subsystems.list[call->ctx_n];
 
 	if (call->generation != c->generation || c->role != WS_LEADER)
 		return;
 	if (r->status == 404 && live) { /* a job moves to old/ in one transaction, never back */
-		ws_subsystem_look_up(c, call->ctx_n, "old/", call->ctx_name);
+		ws_subsystem_look_up(c, call->ctx_n, WS_FINISHED_JOB_PREFIX, call->ctx_name);
 		return;
 	}
 	if (r->status == 404)
@@ -457,7 +458,7 @@
 	case WS_REQUEST_READ: ws_subsystem_read(c, key, ""); break;
 	case WS_REQUEST_SURVEY: ws_survey(c, i); break;
 	case WS_REQUEST_MOVE: ws_subsystem_move(c, i, request); break;
-	case WS_REQUEST_LOOK_UP: ws_subsystem_look_up(c, i, "job/", request->name); break;
+	case WS_REQUEST_LOOK_UP: ws_subsystem_look_up(c, i, WS_JOB_PREFIX, request->name); break;
 	case WS_REQUEST_END_KEPT: ws_kept_end(c, request->name, request->grace_s); break;
 	}
 }
