--- a/src/core/core.c
+++ b/src/core/core.c
@@ -150,8 +150,7 @@
 	core->log = log;
 	core->now = now;
 	core->nonce = nonce;
-	core->value_most = settings->value_kb * 1024;
-	core->ops_most = settings->txn_ops;
+	ws_writer_reset(core);
 	core->state_ok_at = core->state_bad_at = -1e9;
 	core->ttl = settings->lease_s * policy->leader_ttl_ratio;
 	if (core->ttl < 0.2)
@@ -223,7 +222,7 @@
 bool ws_core_is_entitled(const struct ws_core *core, double now)
 {
 	return core->role == WS_LEADER && now < core->entitled_until &&
-	       now < core->view_at + ws_replica_age_max(core);
+	       now < core->job_watch.replica_current_at + ws_replica_age_max(core);
 }
 
 /* Everything that is due; called after each event and by the I/O layer's timer. */
--- a/src/core/election.c
+++ b/src/core/election.c
@@ -98,19 +98,16 @@
 /* What was under way, and when what is next due. */
 static void ws_forget_progress(struct ws_core *core)
 {
-	core->value_most = core->settings->value_kb * 1024;
-	core->ops_most = core->settings->txn_ops;
+	ws_writer_reset(core);
+	ws_job_watch_reset(core);
 	core->owned_upto[0] = 0;
 	core->owned_seen = core->owned_known = core->owned_writing = core->types_saved = false;
-	core->flushing = core->job_watch = core->hosts_inflight = core->rent_inflight = false;
+	core->hosts_inflight = core->rent_inflight = false;
 	core->extends = 0;
 	core->in_outage = core->paused = false;
 	core->ask_out = 0;
 	core->hosts_after[0] = 0;
-	core->flush_wanted = false;
-	core->flush_look = 0;
-	core->hosts_next = core->cloud_next = core->flush_next = core->sweep_next =
-	    core->rent_next = 0;
+	core->hosts_next = core->cloud_next = core->sweep_next = core->rent_next = 0;
 	memset(core->refusals, 0, sizeof(core->refusals));
 	core->returns_wait = 0;
 	core->place_next = core->pass_at = 0;
@@ -257,6 +254,7 @@
 	snprintf(core->leader, sizeof(core->leader), "%s", core->settings->node);
 	core->relay_since = 0;
 	ws_log(core, WS_LOG_INFO, "elected, epoch %llu", (unsigned long long)core->epoch);
+	ws_subsystems_elected(core);
 	ws_loader_start(core);
 }
 
@@ -414,7 +412,8 @@
 	if (core->now >= core->entitled_until && !core->in_outage)
 		return "the hold could not be renewed in time";
 	if (core->role == WS_LEADER && !core->in_outage &&
-	    core->now >= fmax(core->view_at, core->served_at) + ws_replica_age_max(core))
+	    core->now >= fmax(core->job_watch.replica_current_at, core->served_at) +
+			     ws_replica_age_max(core))
 		return "the watch of the jobs brings nothing";
 	return NULL;
 }
--- /dev/null
+++ b/src/core/write_counts.h
@@ -0,0 +1,28 @@
+/* What the leader's changes are spent on: records written by kind, logged now and then. */
+#ifndef WS_WRITE_COUNTS_H
+#define WS_WRITE_COUNTS_H
+#include <stdint.h>
+
+struct ws_core;
+
+enum ws_write_kind {
+	WS_WRITE_STARTS,
+	WS_WRITE_ENDS,
+	WS_WRITE_LATER,
+	WS_WRITE_FLEET,
+	WS_WRITE_SCALE_OUTS
+};
+#define WS_WRITE_KINDS 5
+
+/* Written by write_counts.c alone. */
+struct ws_write_counts {
+	uint32_t by_kind[WS_WRITE_KINDS]; /* since the last log line */
+	double next_log_at;		  /* on the core's clock, in seconds */
+};
+
+/* Counts one record of a kind. */
+void ws_write_counts_add(struct ws_core *core, enum ws_write_kind kind);
+
+/* Logs the counts and begins anew, if that is due. */
+void ws_write_counts_log(struct ws_core *core);
+#endif
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -226,7 +226,7 @@
 		else if (!(core = leading_core(sim)))
 			return; /* said there */
 		else if (!strcmp(first, "idle-looks"))
-			v = (double)core->flush_idle;
+			v = (double)core->writer.empty_passes;
 		else if (!strcmp(first, "machines"))
 			v = (double)core->sweep_steps;
 		else
