--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -28,7 +28,7 @@
 {
 	if (urgent && !job->write_urgent) {
 		job->write_urgent = true;
-		core->flush_wanted = true;
+		ws_writer_wake(core);
 	}
 	if (job->dirty)
 		return;
@@ -84,9 +84,8 @@
 
 void ws_job_free(struct ws_core *core, struct ws_job *job)
 {
-	struct ws_attempt *attempt, *next_attempt;
-
-	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next) {
+	while (job->attempts) {
+		struct ws_attempt *attempt = job->attempts;
 		bool alive = attempt->state == WS_ATTEMPT_RECORDED;
 
 		if (attempt->state != WS_ATTEMPT_GONE)
@@ -221,7 +220,7 @@
 
 		job->revision = revision;
 		job->compare_failed = false;
-		core->flush_wanted = true;
+		ws_writer_wake(core);
 		job->continuation_count = ws_record_continuation_count(value);
 		if (!ws_record_read_phase(value, &phase, &done, &running))
 			return;
--- a/src/core/outage.c
+++ b/src/core/outage.c
@@ -48,14 +48,14 @@
 	double until = core->ask_sent + fmin(core->ttl * (1 - WS_DRIFT), core->view_s);
 	struct ws_cancellation *own;
 	size_t n;
-	bool more,
-	    whole = ws_cancellations_since(core, core->watch_rev, "", &own, &n, SIZE_MAX, &more);
+	bool more, whole = ws_cancellations_since(core, core->job_watch.revision, "", &own, &n,
+						  SIZE_MAX, &more);
 
 	ws_cancellations_apply(core, own, n, core->settings->node);
 	free(own);
 	if (!whole)
 		return;
-	core->view_at = fmax(core->view_at, core->ask_sent);
+	ws_job_watch_confirm(core, core->ask_sent);
 	if (until <= core->entitled_until || until <= core->now)
 		return;
 	core->entitled_until = until;
@@ -103,5 +103,6 @@
 	core->ask_yes = core->ask_out = 0;
 	core->ask_sent = core->ask_heard = core->now;
 	for (size_t i = 0; i < core->settings->peer_count; i++)
-		ws_outage_vote_request(core, core->settings->peers[i].node, core->watch_rev, "");
+		ws_outage_vote_request(core, core->settings->peers[i].node,
+				       core->job_watch.revision, "");
 }
--- a/src/core/rentals.c
+++ b/src/core/rentals.c
@@ -520,7 +520,7 @@
 	if (request->dirty)
 		return;
 	request->dirty = true;
-	core->flush_wanted = true;
+	ws_writer_wake(core);
 	DL_APPEND2(core->dirty_rentals, request, dirty_prev, dirty_next);
 }
 
@@ -884,7 +884,7 @@
  * are, if changes are short. */
 static bool ws_scale_out_update_due(struct ws_core *core)
 {
-	bool spare = core->flush_tokens > core->flush_rate / 4;
+	bool spare = ws_writer_has_spare_budget(core);
 
 	if (!core->rentals_stale || core->now < core->tidy_next)
 		return false;
--- /dev/null
+++ b/src/core/scale_out_records.c
@@ -0,0 +1,123 @@
+/* Records of scale-out requests: rental/<idempotency key>. */
+#include "internal.h"
+#include "record_sources.h"
+
+/* Estimate of a record's bytes: its fields, and each instance that it names. */
+#define RECORD_BYTES 512
+#define INSTANCE_BYTES 64
+
+static struct ws_scale_out *ws_scale_out_of(struct ws_core *core, const char *key)
+{
+	const char *name = key + strlen(WS_SCALE_OUT_PREFIX);
+	struct ws_scale_out *request;
+
+	HASH_FIND_STR(core->rentals, name, request);
+	return request;
+}
+
+static void ws_scale_out_load(struct ws_core *core, const struct ws_kv *record)
+{
+	struct ws_scale_out *request = calloc(1, sizeof(*request));
+
+	if (!request)
+		abort();
+	snprintf(request->idempotency_key, sizeof(request->idempotency_key), "%s",
+		 record->key + strlen(WS_SCALE_OUT_PREFIX));
+	request->revision = record->revision;
+	request->created_at = request->next_attempt_at = core->now;
+	if (!ws_record_read_scale_out(record->value, request)) {
+		ws_log(core, WS_LOG_ERROR, "%s can't be read, left alone", record->key);
+		free(request->instances);
+		free(request);
+		return;
+	}
+	HASH_ADD_STR(core->rentals, idempotency_key, request);
+	for (uint32_t i = 0; i < request->instance_count; i++) {
+		struct ws_machine *machine = ws_machine_find_or_add(core, request->instances[i]);
+
+		machine->recorded = true;
+		ws_machine_set_kind(core, machine, request->type, request->zone,
+				    request->preemptible);
+	}
+}
+
+/* Adds one record that is due; its value stays out if it is too long. */
+static void ws_scale_out_add(struct ws_core *core, struct ws_write_batch *batch,
+			     struct ws_scale_out *request)
+{
+	json_t *value =
+	    request->state == WS_SCALE_OUT_DISCARDED ? NULL : ws_record_scale_out(request);
+	char key[WS_KEY_MAX];
+
+	DL_DELETE2(core->dirty_rentals, request, dirty_prev, dirty_next);
+	request->dirty = false;
+	if (value && (double)ws_record_size(value) >= core->value_most) {
+		json_decref(value); /* of a higher limit: when it is shorter */
+		return;
+	}
+	request->write_in_flight = true;
+	ws_write_counts_add(core, WS_WRITE_SCALE_OUTS);
+	batch->bytes += RECORD_BYTES + request->instance_count * INSTANCE_BYTES;
+	snprintf(key, sizeof(key), "%s%s", WS_SCALE_OUT_PREFIX, request->idempotency_key);
+	ws_write_batch_set_if(batch, key, request->revision, value);
+}
+
+static void ws_scale_out_collect(struct ws_core *core, struct ws_write_batch *batch)
+{
+	struct ws_scale_out *request, *next;
+
+	DL_FOREACH_SAFE2 (core->dirty_rentals, request, next, dirty_next) {
+		if (!ws_write_batch_room(batch) || ws_write_batch_is_full(batch))
+			break;
+		if (!request->write_in_flight)
+			ws_scale_out_add(core, batch, request);
+	}
+}
+
+static void ws_scale_out_record_written(struct ws_core *core, const struct ws_operation *operation,
+					uint64_t revision)
+{
+	struct ws_scale_out *request = ws_scale_out_of(core, operation->key);
+
+	if (!request)
+		return;
+	request->write_in_flight = false;
+	request->revision = operation->value ? revision : 0;
+	ws_scale_out_written(core, request, !operation->value);
+}
+
+static bool ws_scale_out_not_written(struct ws_core *core, const struct ws_operation *operation,
+				     const struct ws_compare *failed_compare)
+{
+	struct ws_scale_out *request = ws_scale_out_of(core, operation->key);
+
+	if (!request)
+		return false;
+	if (failed_compare)
+		return true;
+	request->write_in_flight = false;
+	ws_scale_out_mark_dirty(core, request);
+	return false;
+}
+
+static void ws_scale_out_read_again(struct ws_core *core, const char *key, bool found,
+				    uint64_t revision)
+{
+	struct ws_scale_out *request = ws_scale_out_of(core, key);
+
+	(void)found;
+	if (!request)
+		return;
+	request->revision = revision;
+	request->write_in_flight = false;
+	ws_scale_out_mark_dirty(core, request);
+}
+
+const struct ws_record_source ws_scale_out_records = {
+    .key_prefix = WS_SCALE_OUT_PREFIX,
+    .load = ws_scale_out_load,
+    .collect = ws_scale_out_collect,
+    .written = ws_scale_out_record_written,
+    .not_written = ws_scale_out_not_written,
+    .read_again = ws_scale_out_read_again,
+};
--- a/src/core/subsystems.c
+++ b/src/core/subsystems.c
@@ -1,11 +1,6 @@
-/*
- * Dispatch of hooks to the attached subsystems, their requests, and their records.
- *
- * A subsystem's records are written in the leader's own transactions: under the leader key's
- * revision and under the revision at which each record was last read or written. A record that
- * somebody else changed is read again and then written over, since only the leader owns it.
- */
+/* Dispatch of hooks to the attached subsystems, and their requests. */
 #include "internal.h"
+#include "record_sources.h"
 
 enum ws_request_kind {
 	WS_REQUEST_WRITE,
@@ -109,169 +104,6 @@
 	return index < core->subsystems.count ? core->subsystems.list[index].ops->prefix : NULL;
 }
 
-/* The subsystem whose record a key names; NULL: none. */
-static struct ws_subsystem *ws_subsystem_of(struct ws_core *core, const char *key)
-{
-	for (size_t i = 0; i < core->subsystems.count; i++) {
-		const char *prefix = core->subsystems.list[i].ops->prefix;
-
-		if (!strncmp(key, prefix, strlen(prefix)))
-			return &core->subsystems.list[i];
-	}
-	return NULL;
-}
-
-/* ---- records ---- */
-
-static struct ws_subsystem_record *ws_subsystem_record_find(struct ws_core *core, const char *key)
-{
-	struct ws_subsystem_record *record;
-
-	HASH_FIND_STR(core->subsystems.records, key, record);
-	return record;
-}
-
-static struct ws_subsystem_record *ws_subsystem_record_get(struct ws_core *core, const char *key)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_find(core, key);
-
-	if (record)
-		return record;
-	record = calloc(1, sizeof(*record));
-	if (!record)
-		abort();
-	snprintf(record->key, sizeof(record->key), "%s", key);
-	HASH_ADD_STR(core->subsystems.records, key, record);
-	return record;
-}
-
-static void ws_subsystem_record_free(struct ws_core *core, struct ws_subsystem_record *record)
-{
-	core->subsystems.dirty_records -= record->dirty;
-	HASH_DEL(core->subsystems.records, record);
-	json_decref(record->value);
-	free(record);
-}
-
-static void ws_subsystem_record_dirty(struct ws_core *core, struct ws_subsystem_record *record)
-{
-	core->subsystems.dirty_records += !record->dirty;
-	record->dirty = true;
-	core->flush_wanted = true;
-}
-
-/* What is to be on record under a key from now on; NULL: nothing. */
-static void ws_subsystem_record_set(struct ws_core *core, const char *key, json_t *value,
-				    bool urgent)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_get(core, key);
-
-	json_decref(record->value);
-	record->value = value;
-	record->urgent = urgent;
-	ws_subsystem_record_dirty(core, record);
-}
-
-bool ws_subsystems_record(struct ws_core *core, const struct ws_kv *entry)
-{
-	struct ws_subsystem *subsystem = ws_subsystem_of(core, entry->key);
-
-	if (!subsystem)
-		return false;
-	ws_subsystem_record_get(core, entry->key)->revision = entry->revision;
-	if (subsystem->ops->record_loaded)
-		subsystem->ops->record_loaded(
-		    subsystem->self, entry->key + strlen(subsystem->ops->prefix), entry->value);
-	return true;
-}
-
-/* One record as a change of a transaction, under the revision that we know of it. */
-static void ws_subsystem_record_put(struct ws_core *core, struct ws_call *transaction,
-				    struct ws_subsystem_record *record)
-{
-	struct ws_compare *condition = &transaction->compares[transaction->compare_count++];
-	struct ws_operation *change = &transaction->operations[transaction->operation_count++];
-
-	snprintf(condition->key, sizeof(condition->key), "%s", record->key);
-	condition->revision = record->revision;
-	snprintf(change->key, sizeof(change->key), "%s", record->key);
-	change->value = json_incref(record->value);
-	record->dirty = false;
-	record->write_in_flight = true;
-	core->subsystems.dirty_records--;
-}
-
-void ws_subsystems_collect_writes(struct ws_core *core, struct ws_call *transaction, size_t most,
-				  size_t *bytes, bool urgent)
-{
-	struct ws_subsystem_record *record, *next;
-
-	if (!core->subsystems.dirty_records)
-		return;
-	HASH_ITER (hh, core->subsystems.records, record, next) {
-		size_t size;
-
-		if (transaction->operation_count >= most || *bytes > WS_TRANSACTION_BYTES)
-			return;
-		if (!record->dirty || record->write_in_flight || record->urgent != urgent)
-			continue;
-		if (!record->value && !record->revision) { /* never written */
-			ws_subsystem_record_free(core, record);
-			continue;
-		}
-		size = record->value ? ws_record_size(record->value) : 0;
-		if ((double)size >= core->value_most) {
-			ws_log(core, WS_LOG_ERROR,
-			       "%s has %zu bytes, too many for a value: left out", record->key,
-			       size);
-			record->dirty = false;
-			core->subsystems.dirty_records--;
-			continue;
-		}
-		*bytes += size + WS_KEY_MAX;
-		ws_subsystem_record_put(core, transaction, record);
-	}
-}
-
-bool ws_subsystems_written(struct ws_core *core, const struct ws_operation *operation,
-			   uint64_t revision)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_find(core, operation->key);
-
-	if (!record)
-		return false;
-	record->write_in_flight = false;
-	record->revision = operation->value ? revision : 0;
-	if (!operation->value && !record->dirty)
-		ws_subsystem_record_free(core, record);
-	return true;
-}
-
-bool ws_subsystems_undone(struct ws_core *core, const struct ws_operation *operation, bool reread)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_find(core, operation->key);
-
-	if (!record)
-		return false;
-	if (!reread) {
-		record->write_in_flight = false;
-		ws_subsystem_record_dirty(core, record);
-	}
-	return true;
-}
-
-bool ws_subsystems_reread(struct ws_core *core, const char *key, uint64_t revision)
-{
-	struct ws_subsystem_record *record = ws_subsystem_record_find(core, key);
-
-	if (!record)
-		return false;
-	record->revision = revision;
-	record->write_in_flight = false;
-	ws_subsystem_record_dirty(core, record);
-	return true;
-}
-
 /* ---- leadership ---- */
 
 /* Calls one hook of every subsystem that has it. */
@@ -333,7 +165,6 @@
 
 void ws_subsystems_step_down(struct ws_core *core)
 {
-	struct ws_subsystem_record *record, *next;
 	struct ws_machine *machine, *next_machine;
 
 	if (!ws_subsystems_active(core))
@@ -341,14 +172,7 @@
 	HASH_ITER (hh, core->machines, machine, next_machine)
 		ws_subsystems_machine_removed(core, machine);
 	WS_EACH_HOOK(core, stepped_down);
-	record = core->subsystems.records;
-	HASH_CLEAR(hh, core->subsystems.records);
-	for (; record; record = next) {
-		next = record->hh.next;
-		json_decref(record->value);
-		free(record);
-	}
-	core->subsystems.dirty_records = 0;
+	ws_subsystem_records_clear(core);
 	core->subsystems.tick_next = 0;
 	core->subsystems.zones_avoided = core->subsystems.zones_closed = 0;
 	memset(core->subsystems.deferred, 0, sizeof(core->subsystems.deferred));
@@ -529,13 +353,13 @@
 static void ws_subsystem_page(struct ws_core *core, struct ws_call *call,
 			      const struct ws_result *result)
 {
-	struct ws_subsystem *subsystem = ws_subsystem_of(core, call->key);
+	const struct ws_subsystem *subsystem = ws_subsystem_of(core, call->key);
 
 	if (call->generation != core->generation || core->role != WS_LEADER || !subsystem ||
 	    result->status != 200)
 		return;
 	for (size_t i = 0; i < result->entry_count; i++)
-		ws_subsystems_record(core, &result->entries[i]);
+		ws_subsystem_record_load(core, &result->entries[i]);
 	if (result->has_more && result->entry_count)
 		ws_subsystem_read(core, call->key, result->entries[result->entry_count - 1].key);
 	else if (subsystem->ops->records_read)
@@ -601,7 +425,7 @@
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result)
 {
-	bool live = !strncmp(call->key, "job/", 4);
+	bool live = ws_key_has_prefix(call->key, WS_JOB_PREFIX);
 	enum ws_job_standing standing = WS_STANDING_UNREADABLE;
 	const struct ws_subsystem *subsystem = &core->subsystems.list[call->context_number];
 
@@ -609,7 +433,8 @@
 		return;
 	if (result->status == 404 &&
 	    live) { /* a job moves to old/ in one transaction, never back */
-		ws_subsystem_look_up(core, call->context_number, "old/", call->context_name);
+		ws_subsystem_look_up(core, call->context_number, WS_FINISHED_JOB_PREFIX,
+				     call->context_name);
 		return;
 	}
 	if (result->status == 404)
@@ -645,7 +470,9 @@
 	case WS_REQUEST_READ: ws_subsystem_read(core, key, ""); break;
 	case WS_REQUEST_SURVEY: ws_survey(core, index); break;
 	case WS_REQUEST_MOVE: ws_subsystem_move(core, index, request); break;
-	case WS_REQUEST_LOOK_UP: ws_subsystem_look_up(core, index, "job/", request->name); break;
+	case WS_REQUEST_LOOK_UP:
+		ws_subsystem_look_up(core, index, WS_JOB_PREFIX, request->name);
+		break;
 	case WS_REQUEST_END_QUARANTINED:
 		ws_quarantine_end_job(core, request->name, request->grace_s);
 		break;
