--- a/src/cold_start/cold_start.h
+++ b/src/cold_start/cold_start.h
@@ -5,7 +5,7 @@
  */
 #ifndef WS_COLD_START_H
 #define WS_COLD_START_H
-#include "../core/hooks.h"
+#include "../core/extension/hooks.h"
 
 /* A time below 0 is derived from the platform's settings. */
 struct ws_cold_start_settings {
--- /dev/null
+++ b/src/core/api/api.h
@@ -0,0 +1,102 @@
+/*
+ * The API: what users, workers and peers ask of any node, leader or not. Answers that bind the
+ * service are read from or written to the store first; a node that can't tell says so at once.
+ */
+#ifndef WS_API_H
+#define WS_API_H
+#include "../core.h"
+
+struct ws_job_status { /* what a live job's record says */
+	char id[WS_ID_MAX];
+	enum ws_job_phase phase;
+	uint32_t done, running;
+	uint64_t revision;
+	UT_hash_handle hh;
+};
+
+/* The job status cache: what the records of all live jobs say, as of a revision. */
+struct ws_status_cache {
+	struct ws_job_status *jobs;
+	bool complete; /* up to the revision */
+	bool request_in_flight;
+	uint64_t revision;
+	double next_request_at, fresh_at;
+	struct ws_final_status *final_statuses; /* of jobs that are over */
+	struct ws_status_query *queries;	/* wait for the cache to be found current */
+};
+
+/* Of a node that does not lead: workers that were sent to the leader. */
+struct ws_follower {
+	struct ws_redirect *redirects;
+	double next_sweep_at;
+};
+
+/* Whether the store and the peers answer this node. */
+struct ws_store_health {
+	double served_at;			     /* last answer other than a refusal */
+	double refused_at;			     /* last refusal or silence */
+	double refused_since;			     /* the first of those in a row */
+	double peer_answered_at, next_peer_probe_at; /* while the store refuses us */
+};
+
+struct ws_user_request { /* a user's request under way */
+	bool forwarded;
+	bool record_split;   /* the record is too large to be written whole */
+	bool never_runnable; /* a submission that can never run, unless it was accepted before */
+	int attempts;
+};
+
+/* ---- user_requests.c ---- */
+
+/* All that any node does by the clock, and its end. */
+void ws_requests_tick(struct ws_core *core);
+/* Neither the store nor any peer answers. */
+bool ws_node_is_isolated(const struct ws_core *core);
+void ws_requests_free(struct ws_core *core);
+/* Takes in whether the store served a call, by its status. */
+void ws_store_answered(struct ws_core *core, int status);
+
+void ws_user_answer(struct ws_core *core, uint64_t request_id, int status, const char *id,
+		    enum ws_job_phase phase);
+/* The store does not serve us: a peer may do better, unless the request came from one. */
+void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
+				bool forwarded, int status);
+/* Reads a job's record under "job" or "old"; takes over the request. */
+struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
+				  uint64_t request_id, struct ws_user_request *request,
+				  ws_result_fn done);
+bool ws_store_refuses(const struct ws_core *core);
+void ws_user_answer_status(struct ws_core *core, uint64_t request_id, const char *id,
+			   enum ws_job_phase phase, uint32_t done, uint32_t running, bool poll);
+/* Answers with what a record says. */
+void ws_user_answer_record(struct ws_core *core, struct ws_call *call,
+			   const struct ws_result *result, bool poll);
+void ws_peer_probe_tick(struct ws_core *core);
+
+/* ---- status_queries.c ---- */
+
+void ws_status_cache_apply(struct ws_core *core, const struct ws_call *call,
+			   const struct ws_result *result);
+
+/* The entry of a job of which we know more than the copy tells; NULL: the copy is as new. */
+struct ws_job_status *ws_status_cache_note(struct ws_core *core, const char *id, uint64_t revision);
+/* Answers with a record under "old". */
+void ws_query_archived_read(struct ws_core *core, struct ws_call *call,
+			    const struct ws_result *result);
+void ws_status_cache_tick(struct ws_core *core);
+void ws_queries_free(struct ws_core *core);
+
+/* ---- outage_votes.c ---- */
+
+bool ws_cancellations_since(struct ws_core *core, uint64_t since, const char *after,
+			    struct ws_cancellation **list, size_t *count, size_t most, bool *more);
+
+/* ---- heartbeat_requests.c ---- */
+
+void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, int status, const char *leader);
+void ws_follower_heartbeat(struct ws_core *core, uint64_t request_id,
+			   const struct ws_heartbeat *heartbeat, bool forwarded);
+
+void ws_redirects_tick(struct ws_core *core);
+void ws_redirects_free(struct ws_core *core);
+#endif
--- a/src/core/followers.c
+++ b/src/core/api/heartbeat_requests.c
@@ -1,5 +1,5 @@
-/* Heartbeats that reach a node that does not lead: forwarded, or sent to the leader. */
-#include "requests.h"
+/* Heartbeats taken in: to the fleet where this node leads, else forwarded or sent to the leader. */
+#include "../core_state.h"
 
 struct ws_redirect { /* a worker sent to the leader a short while ago */
 	char machine[WS_NAME_MAX];
@@ -30,32 +30,33 @@
 	struct ws_redirect *redirect;
 	struct ws_effect *effect;
 
-	if (forwarded || !core->leader[0] || !strcmp(core->leader, core->settings->node) ||
+	if (forwarded || !core->leadership.leader_node[0] ||
+	    !strcmp(core->leadership.leader_node, core->settings->node) ||
 	    ws_node_is_isolated(core)) {
 		ws_heartbeat_answer(core, request_id, 503, NULL);
 		return;
 	}
-	HASH_FIND_STR(core->redirects, heartbeat->machine, redirect);
+	HASH_FIND_STR(core->follower.redirects, heartbeat->machine, redirect);
 	if (!redirect) {
 		redirect = calloc(1, sizeof(*redirect));
 		if (!redirect)
 			abort();
 		snprintf(redirect->machine, sizeof(redirect->machine), "%s", heartbeat->machine);
-		HASH_ADD_STR(core->redirects, machine, redirect);
+		HASH_ADD_STR(core->follower.redirects, machine, redirect);
 	}
-	if (redirect->leader_revision != core->leader_stamp) {
-		redirect->leader_revision = core->leader_stamp;
+	if (redirect->leader_revision != core->leadership.leader_revision) {
+		redirect->leader_revision = core->leadership.leader_revision;
 		redirect->heartbeat_count = 0;
 	}
 	redirect->last_heartbeat_at = core->now;
 	if (redirect->heartbeat_count++ == 1) {
-		ws_heartbeat_answer(core, request_id, 421, core->leader);
+		ws_heartbeat_answer(core, request_id, 421, core->leadership.leader_node);
 		return;
 	}
 	effect = ws_effect_new(core, WS_EFFECT_FORWARD);
 	effect->request_id = request_id;
 	effect->worker_pinned = redirect->heartbeat_count > 2;
-	snprintf(effect->name, sizeof(effect->name), "%s", core->leader);
+	snprintf(effect->name, sizeof(effect->name), "%s", core->leadership.leader_node);
 }
 
 /* Takes redirects that are a lease old off the table, as a list linked by `next_expired`. */
@@ -63,10 +64,10 @@
 {
 	struct ws_redirect *redirect, *next, *expired = NULL;
 
-	HASH_ITER (hh, core->redirects, redirect, next) {
+	HASH_ITER (hh, core->follower.redirects, redirect, next) {
 		if (core->now - redirect->last_heartbeat_at <= core->settings->lease_s)
 			continue;
-		HASH_DEL(core->redirects, redirect);
+		HASH_DEL(core->follower.redirects, redirect);
 		redirect->next_expired = expired;
 		expired = redirect;
 	}
@@ -77,9 +78,9 @@
 {
 	struct ws_redirect *redirect, *next;
 
-	if (core->now < core->redirects_next)
+	if (core->now < core->follower.next_sweep_at)
 		return;
-	core->redirects_next = core->now + core->settings->lease_s / 4;
+	core->follower.next_sweep_at = core->now + core->settings->lease_s / 4;
 	for (redirect = ws_redirects_expired(core); redirect; redirect = next) {
 		next = redirect->next_expired;
 		free(redirect);
@@ -88,11 +89,43 @@
 
 void ws_redirects_free(struct ws_core *core)
 {
-	struct ws_redirect *redirect = core->redirects, *next;
+	struct ws_redirect *redirect = core->follower.redirects, *next;
 
-	HASH_CLEAR(hh, core->redirects);
+	HASH_CLEAR(hh, core->follower.redirects);
 	for (; redirect; redirect = next) {
 		next = redirect->hh.next;
 		free(redirect);
 	}
 }
+
+/* Whether this node may answer as the leader, as far as the sender knows of leaders. */
+static bool ws_leads_sender(const struct ws_core *core, const struct ws_heartbeat *heartbeat)
+{
+	return core->leadership.role == WS_LEADER && ws_is_entitled(core) &&
+	       heartbeat->fencing_token >> WS_FENCING_TOKEN_SHIFT <=
+		   core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT;
+}
+
+void ws_core_heartbeat(struct ws_core *core, double now, uint64_t request_id,
+		       const struct ws_heartbeat *heartbeat, bool forwarded)
+{
+	if (now > core->now)
+		core->now = now;
+	if (core->leadership.role == WS_FOLLOWER || core->leadership.role == WS_CANDIDATE) {
+		ws_follower_heartbeat(core, request_id, heartbeat, forwarded);
+		return;
+	}
+	if (!ws_leads_sender(core, heartbeat) || ws_machine_is_returned(core, heartbeat->machine)) {
+		ws_heartbeat_answer(core, request_id, 503, NULL);
+		return;
+	}
+	if (!forwarded)
+		core->leadership.forwarded_only_since = 0;
+	else if (!core->leadership.forwarded_only_since)
+		core->leadership.forwarded_only_since = core->now;
+	if (!ws_fleet_heartbeat(core, heartbeat, request_id)) {
+		ws_heartbeat_answer(core, request_id, 503, NULL);
+		return;
+	}
+	ws_core_tick(core, now);
+}
--- a/src/core/votes.c
+++ b/src/core/api/outage_votes.c
@@ -5,7 +5,7 @@
  * and holds what we confirmed after it: so it names every cancellation that we, in this life or an
  * earlier one, told a user of. Without such a copy we can't vouch for anything.
  */
-#include "requests.h"
+#include "../core_state.h"
 
 struct ws_outage_question { /* what the asker wants to know, while our own question is under way */
 	uint64_t leader_revision, since_revision;
@@ -35,10 +35,10 @@
 	*list = NULL;
 	*count = 0;
 	*more = false;
-	if (!core->seen_ready)
+	if (!core->status_cache.complete)
 		return false;
 	snprintf(from.job, sizeof(from.job), "%s", after);
-	HASH_ITER (hh, core->seen, job_status, next_job_status) {
+	HASH_ITER (hh, core->status_cache.jobs, job_status, next_job_status) {
 		struct ws_cancellation cancellation = {.revision = job_status->revision};
 
 		if (job_status->phase != WS_JOB_CANCELLED || job_status->revision < since ||
@@ -72,8 +72,10 @@
 	effect->status = 200;
 	/* silence is no vote, and neither is the word of one that leads itself or knows of a
 	 * later leader */
-	if (result->status != 503 || core->role == WS_LEADER || core->role == WS_LOADING ||
-	    (question->accepts_list && core->leader_stamp > question->leader_revision))
+	if (result->status != 503 || core->leadership.role == WS_LEADER ||
+	    core->leadership.role == WS_LOADING ||
+	    (question->accepts_list &&
+	     core->leadership.leader_revision > question->leader_revision))
 		return;
 	effect->vote_granted = ws_cancellations_since(
 	    core, question->since_revision, question->after, &effect->cancellations,
@@ -110,8 +112,8 @@
 	if (now > core->now)
 		core->now = now;
 	/* while the store refuses us no watch tells that we were followed */
-	if ((core->role == WS_LEADER || core->role == WS_LOADING) &&
-	    leader > core->epoch >> WS_FENCING_TOKEN_SHIFT)
+	if ((core->leadership.role == WS_LEADER || core->leadership.role == WS_LOADING) &&
+	    leader > core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT)
 		ws_step_down(core, "one that leads since asks us");
 	snprintf(question.after, sizeof(question.after), "%s", after);
 	ws_outage_vote_check(core, now, request_id, &question);
--- a/src/core/polls.c
+++ b/src/core/api/status_queries.c
@@ -1,5 +1,5 @@
 /* Status queries of users, and the job status cache' records that every node answers them from. */
-#include "requests.h"
+#include "../core_state.h"
 
 /* The protocol: a user waits 2 s for the answer to a poll; a peer may have to be asked as well. */
 #define WS_QUERY_WAIT_S 0.8
@@ -28,13 +28,15 @@
 	enum ws_job_phase phase;
 	uint32_t done, running;
 
-	HASH_FIND_STR(core->finals, id, final_status);
+	HASH_FIND_STR(core->status_cache.final_statuses, id, final_status);
 	if (final_status || !ws_record_read_phase(value, &phase, &done, &running) ||
 	    (phase != WS_JOB_DONE && phase != WS_JOB_CANCELLED))
 		return;
-	if (HASH_COUNT(core->finals) >= WS_FINAL_STATUSES_MAX) {
-		final_status = core->finals; /* the oldest: the table keeps the order of adding */
-		HASH_DEL(core->finals, final_status);
+	if (HASH_COUNT(core->status_cache.final_statuses) >= WS_FINAL_STATUSES_MAX) {
+		final_status =
+		    core->status_cache
+			.final_statuses; /* the oldest: the table keeps the order of adding */
+		HASH_DEL(core->status_cache.final_statuses, final_status);
 	} else {
 		final_status = malloc(sizeof(*final_status));
 	}
@@ -44,7 +46,7 @@
 	snprintf(final_status->id, sizeof(final_status->id), "%s", id);
 	final_status->phase = phase;
 	final_status->done = done;
-	HASH_ADD_STR(core->finals, id, final_status);
+	HASH_ADD_STR(core->status_cache.final_statuses, id, final_status);
 }
 
 void ws_query_archived_read(struct ws_core *core, struct ws_call *call,
@@ -106,13 +108,13 @@
 {
 	struct ws_job_status *job_status;
 
-	HASH_FIND_STR(core->seen, id, job_status);
+	HASH_FIND_STR(core->status_cache.jobs, id, job_status);
 	if (!job_status) {
 		job_status = calloc(1, sizeof(*job_status));
 		if (!job_status)
 			abort();
 		snprintf(job_status->id, sizeof(job_status->id), "%s", id);
-		HASH_ADD_STR(core->seen, id, job_status);
+		HASH_ADD_STR(core->status_cache.jobs, id, job_status);
 	}
 	job_status->revision = revision;
 	return job_status;
@@ -123,15 +125,16 @@
 {
 	struct ws_job_status *job_status;
 
-	HASH_FIND_STR(core->seen, id, job_status);
-	return revision <= core->seen_rev || (job_status && revision <= job_status->revision)
+	HASH_FIND_STR(core->status_cache.jobs, id, job_status);
+	return revision <= core->status_cache.revision ||
+		       (job_status && revision <= job_status->revision)
 		   ? NULL
 		   : ws_status_cache_put(core, id, revision);
 }
 
 static void ws_status_cache_drop(struct ws_core *core, struct ws_job_status *job_status)
 {
-	HASH_DEL(core->seen, job_status);
+	HASH_DEL(core->status_cache.jobs, job_status);
 	free(job_status);
 }
 
@@ -144,7 +147,7 @@
 
 	if (strncmp(entry->key, "job/", 4) || strlen(id) >= WS_ID_MAX)
 		return;
-	HASH_FIND_STR(core->seen, id, job_status);
+	HASH_FIND_STR(core->status_cache.jobs, id, job_status);
 	if (job_status && entry->revision <= job_status->revision)
 		return;
 	if (!entry->value) {
@@ -164,28 +167,28 @@
 
 static void ws_status_cache_clear(struct ws_core *core)
 {
-	struct ws_job_status *job_status = core->seen, *next;
+	struct ws_job_status *job_status = core->status_cache.jobs, *next;
 
-	HASH_CLEAR(hh, core->seen);
+	HASH_CLEAR(hh, core->status_cache.jobs);
 	for (; job_status; job_status = next) {
 		next = job_status->hh.next;
 		free(job_status);
 	}
-	core->seen_ready = false;
-	core->seen_rev = 0;
+	core->status_cache.complete = false;
+	core->status_cache.revision = 0;
 }
 
 static void ws_queries_answer(struct ws_core *core, int status)
 {
 	struct ws_status_query *query, *next_query;
 
-	DL_FOREACH_SAFE (core->polls, query, next_query) {
+	DL_FOREACH_SAFE (core->status_cache.queries, query, next_query) {
 		struct ws_job_status *job_status;
 
 		if (!query->check_sent)
 			continue;
-		DL_DELETE(core->polls, query);
-		HASH_FIND_STR(core->seen, query->id, job_status);
+		DL_DELETE(core->status_cache.queries, query);
+		HASH_FIND_STR(core->status_cache.jobs, query->id, job_status);
 		if (status != 200)
 			ws_user_answer_unavailable(core, query->request_id, query->id,
 						   query->forwarded, status);
@@ -202,21 +205,21 @@
 void ws_status_cache_apply(struct ws_core *core, const struct ws_call *call,
 			   const struct ws_result *result)
 {
-	uint64_t held = core->seen_rev;
+	uint64_t held = core->status_cache.revision;
 
-	if (!core->seen_ready || call->since_revision > held)
+	if (!core->status_cache.complete || call->since_revision > held)
 		return;
 	for (size_t i = 0; i < result->entry_count; i++)
 		if (result->entries[i].revision > held)
 			ws_status_cache_apply_change(core, &result->entries[i]);
-	core->seen_rev = result->revision > held ? result->revision : held;
-	core->seen_at = core->now;
+	core->status_cache.revision = result->revision > held ? result->revision : held;
+	core->status_cache.fresh_at = core->now;
 }
 
 static void ws_status_cache_watch_answered(struct ws_core *core, struct ws_call *call,
 					   const struct ws_result *result)
 {
-	core->seen_inflight = false;
+	core->status_cache.request_in_flight = false;
 	if (result->status != 429)
 		ws_store_answered(core, result->status);
 	if (result->status == 200) {
@@ -227,7 +230,7 @@
 	} else if (result->status == 429) {
 		struct ws_status_query *query;
 
-		DL_FOREACH (core->polls, query)
+		DL_FOREACH (core->status_cache.queries, query)
 			query->check_sent = false; /* asked for again in a moment */
 	} else {
 		ws_queries_answer(core, result->status);
@@ -240,15 +243,15 @@
 				      const struct ws_result *result)
 {
 	if (result->status != 200) {
-		core->seen_inflight = false;
-		core->seen_next = core->now + core->ttl / 4;
+		core->status_cache.request_in_flight = false;
+		core->status_cache.next_request_at = core->now + core->leadership.session_ttl_s / 4;
 		return;
 	}
 	if (!call->after[0]) {
 		struct ws_job_status *job_status, *next_job_status;
 
-		core->seen_rev = result->revision;
-		HASH_ITER (hh, core->seen, job_status,
+		core->status_cache.revision = result->revision;
+		HASH_ITER (hh, core->status_cache.jobs, job_status,
 			   next_job_status) /* noted meanwhile: the pages tell */
 			if (job_status->revision <= result->revision)
 				ws_status_cache_drop(core, job_status);
@@ -259,9 +262,9 @@
 		ws_status_cache_load(core, result->entries[result->entry_count - 1].key);
 		return;
 	}
-	core->seen_inflight = false;
-	core->seen_ready = true;
-	core->seen_at = core->now;
+	core->status_cache.request_in_flight = false;
+	core->status_cache.complete = true;
+	core->status_cache.fresh_at = core->now;
 }
 
 static void ws_status_cache_load(struct ws_core *core, const char *after)
@@ -270,7 +273,7 @@
 
 	snprintf(call->key, sizeof(call->key), "job/");
 	snprintf(call->after, sizeof(call->after), "%s", after);
-	core->seen_inflight = true;
+	core->status_cache.request_in_flight = true;
 }
 
 void ws_status_cache_tick(struct ws_core *core)
@@ -279,33 +282,34 @@
 	struct ws_call *call;
 
 	/* a peer is asked, or the user told, well before the user gives up */
-	DL_FOREACH_SAFE (core->polls, query, next_query)
+	DL_FOREACH_SAFE (core->status_cache.queries, query, next_query)
 		if (core->now - query->received_at > WS_QUERY_WAIT_S) {
-			DL_DELETE(core->polls, query);
+			DL_DELETE(core->status_cache.queries, query);
 			ws_user_answer_unavailable(core, query->request_id, query->id,
 						   query->forwarded, 0);
 			free(query);
 		} else {
 			break;
 		}
-	if (core->seen_inflight || core->now < core->seen_next)
+	if (core->status_cache.request_in_flight || core->now < core->status_cache.next_request_at)
 		return;
-	if (!core->seen_ready) {
+	if (!core->status_cache.complete) {
 		ws_status_cache_clear(core);
 		ws_status_cache_load(core, "");
 		return;
 	}
-	if (!core->polls && core->now - core->seen_at < core->settings->lease_s / 4)
+	if (!core->status_cache.queries &&
+	    core->now - core->status_cache.fresh_at < core->settings->lease_s / 4)
 		return;
 	/* all nodes together spend a quarter of the requests allowed on this */
-	core->seen_next =
+	core->status_cache.next_request_at =
 	    core->now + 4.0 * (double)(core->settings->peer_count + 1) / core->settings->state_rps;
-	core->seen_inflight = true;
-	DL_FOREACH (core->polls, query)
+	core->status_cache.request_in_flight = true;
+	DL_FOREACH (core->status_cache.queries, query)
 		query->check_sent = true;
 	call = ws_call_new(core, WS_CALL_WATCH, ws_status_cache_watch_answered);
 	snprintf(call->key, sizeof(call->key), "job/");
-	call->since_revision = core->seen_rev;
+	call->since_revision = core->status_cache.revision;
 }
 
 void ws_core_query_status(struct ws_core *core, double now, uint64_t request_id, const char *id,
@@ -316,7 +320,7 @@
 
 	if (now > core->now)
 		core->now = now;
-	HASH_FIND_STR(core->finals, id, final_status);
+	HASH_FIND_STR(core->status_cache.final_statuses, id, final_status);
 	if (final_status) {
 		ws_user_answer_status(core, request_id, id, final_status->phase, final_status->done,
 				      0, true);
@@ -326,7 +330,7 @@
 		ws_user_answer_unavailable(core, request_id, id, forwarded, 503);
 		return;
 	}
-	if (!core->seen_ready) {
+	if (!core->status_cache.complete) {
 		ws_query_store(core, request_id, id, forwarded, "job");
 		ws_core_tick(core, now);
 		return;
@@ -340,21 +344,21 @@
 	query->request_id = request_id;
 	query->forwarded = forwarded;
 	query->received_at = core->now;
-	DL_APPEND(core->polls, query);
+	DL_APPEND(core->status_cache.queries, query);
 	ws_core_tick(core, now);
 }
 
 void ws_queries_free(struct ws_core *core)
 {
 	struct ws_status_query *query, *next_poll;
-	struct ws_final_status *final_status = core->finals, *next_final;
+	struct ws_final_status *final_status = core->status_cache.final_statuses, *next_final;
 
 	ws_status_cache_clear(core);
-	DL_FOREACH_SAFE (core->polls, query, next_poll) {
-		DL_DELETE(core->polls, query);
+	DL_FOREACH_SAFE (core->status_cache.queries, query, next_poll) {
+		DL_DELETE(core->status_cache.queries, query);
 		free(query);
 	}
-	HASH_CLEAR(hh, core->finals);
+	HASH_CLEAR(hh, core->status_cache.final_statuses);
 	for (; final_status; final_status = next_final) {
 		next_final = final_status->hh.next;
 		free(final_status);
--- a/src/core/requests.c
+++ b/src/core/api/user_requests.c
@@ -2,7 +2,7 @@
  * What users ask of any node. Every answer that binds the service (accepted, done, cancelled) is
  * read from or written to the store first; a node that can't tell says 503 at once.
  */
-#include "requests.h"
+#include "../core_state.h"
 
 void ws_user_answer(struct ws_core *core, uint64_t request_id, int status, const char *id,
 		    enum ws_job_phase phase)
@@ -17,41 +17,6 @@
 		effect->retry_after = 1;
 }
 
-/*
- * Neither the store nor any peer answers: this node can do nothing for anybody. It says so
- * at once, to its health check as well, and goes on asking.
- */
-bool ws_node_is_isolated(const struct ws_core *core)
-{
-	double patience = core->settings->lease_s / 8;
-
-	return core->settings->peer_count && core->state_ok_at > 0 &&
-	       core->state_bad_at > core->state_ok_at &&
-	       core->now - core->state_bad_since > patience &&
-	       core->now - core->peers_ok_at > patience;
-}
-
-static void ws_peer_answered(struct ws_core *core, struct ws_call *call,
-			     const struct ws_result *result)
-{
-	(void)call;
-	if (result->status > 0)
-		core->peers_ok_at = core->now;
-}
-
-void ws_peer_probe_tick(struct ws_core *core)
-{
-	if (core->state_bad_at <= core->state_ok_at || core->now < core->peers_next)
-		return;
-	core->peers_next = core->now + core->settings->lease_s / 32;
-	for (size_t i = 0; i < core->settings->peer_count; i++) {
-		struct ws_call *call = ws_call_new(core, WS_CALL_OUTAGE_VOTE, ws_peer_answered);
-
-		snprintf(call->key, sizeof(call->key), "%s", core->settings->peers[i].node);
-		call->since_revision = UINT64_MAX; /* only whether it answers */
-	}
-}
-
 /* The store does not serve us: a peer may do better, unless the request came from one. */
 void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
 				bool forwarded, int status)
@@ -79,17 +44,6 @@
 	return call;
 }
 
-/*
- * Recently refused by the store, or without an answer: ask a peer straight away, since a
- * user waits 2 s and a time-out of our own would use that up. Reading who is the leader goes on
- * meanwhile and tells when the service is back.
- */
-bool ws_store_refuses(const struct ws_core *core)
-{
-	return core->state_bad_at > core->state_ok_at &&
-	       core->now - core->state_bad_at < core->settings->lease_s / 4;
-}
-
 /* At most half of its tasks in a zone, and all of them at once: that takes two zones. */
 static bool ws_gang_spreads(struct ws_core *core, const struct ws_job_spec *spec)
 {
@@ -97,13 +51,14 @@
 
 	if (!spec->gang || !spec->spread || spec->tasks == 1)
 		return true;
-	for (size_t i = 0; i < core->ntypes; i++)
-		for (size_t z = 0;
-		     ws_machine_type_fits(&core->types[i], spec) && z < core->types[i].zone_count;
+	for (size_t i = 0; i < core->catalog.type_count; i++)
+		for (size_t z = 0; ws_machine_type_fits(&core->catalog.types[i], spec) &&
+				   z < core->catalog.types[i].zone_count;
 		     z++) {
-			int zi = ws_zone_index(core, core->types[i].zones[z]);
+			int zi = ws_zone_index(core, core->catalog.types[i].zones[z]);
 
-			if (zi >= 0 && (!spec->zone[0] || !strcmp(spec->zone, core->zones[zi])))
+			if (zi >= 0 &&
+			    (!spec->zone[0] || !strcmp(spec->zone, core->catalog.zones[zi])))
 				zones |= 1u << zi;
 		}
 	return !spec->one_zone && (zones & (zones - 1));
@@ -115,9 +70,9 @@
 	double n = spec->service || spec->gang ? spec->tasks : 1;
 	bool fits = false;
 
-	for (size_t i = 0; i < core->ntypes; i++)
-		fits |= ws_machine_type_fits(&core->types[i], spec) &&
-			ws_gang_recordable(core, spec, &core->types[i]);
+	for (size_t i = 0; i < core->catalog.type_count; i++)
+		fits |= ws_machine_type_fits(&core->catalog.types[i], spec) &&
+			ws_gang_recordable(core, spec, &core->catalog.types[i]);
 	return team && fits && ws_gang_spreads(core, spec) &&
 	       n * spec->cpus <= team->settings->cpus_max + 1e-9 &&
 	       n * spec->gpus <= team->settings->gpus_max + 1e-9;
@@ -148,7 +103,7 @@
 	effect->done = done;
 	effect->running = running;
 	snprintf(effect->name, sizeof(effect->name), "%s", id);
-	if (poll && core->role == WS_LEADER && phase == WS_JOB_RUNNING) {
+	if (poll && core->leadership.role == WS_LEADER && phase == WS_JOB_RUNNING) {
 		struct ws_job *job = ws_job_find(core, id);
 
 		if (job) {
@@ -241,7 +196,7 @@
 
 	if (now > core->now)
 		core->now = now;
-	if (!core->ntypes) {
+	if (!core->catalog.type_count) {
 		ws_user_answer_unavailable(core, request_id, spec->id, forwarded, 503);
 		return;
 	}
--- a/src/core/rentals.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -4,7 +4,7 @@
  * a wait. A scale-out request's name is on record before the cloud is asked, so that a lost answer
  * is asked for again under the same name, and no name serves twice.
  */
-#include "internal.h"
+#include "../core_state.h"
 
 struct ws_bin { /* machines alike that are booting, or that ought to be rented, equally full */
 	const struct ws_machine_type *type;
@@ -42,7 +42,7 @@
 	int zi = ws_zone_index(core, zone);
 
 	if (zi >= 0)
-		all->machines_of_kind[type - core->types][zi] += count;
+		all->machines_of_kind[type - core->catalog.types][zi] += count;
 	for (int i = 0; i < all->count; i++)
 		if (all->bins[i].type == type && all->bins[i].zone_index == zi &&
 		    all->bins[i].preemptible == spot) {
@@ -79,7 +79,7 @@
 	double loads = 0;
 
 	*held = *booting = 0;
-	HASH_ITER (hh, core->machines, machine, next_machine) {
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine) {
 		if (machine->owned || machine->gone || machine->failed ||
 		    machine->scale_in_requested || ws_boot_is_late(core, machine))
 			continue;
@@ -87,7 +87,7 @@
 		*held += 1;
 		*booting += !machine->reported;
 	}
-	HASH_ITER (hh, core->rentals, request, next_request)
+	HASH_ITER (hh, core->autoscaler.requests, request, next_request)
 		if (request->state == WS_SCALE_OUT_NEW || request->state == WS_SCALE_OUT_RECORDED ||
 		    request->state == WS_SCALE_OUT_SENT) {
 			loads +=
@@ -106,7 +106,9 @@
 	const struct ws_machine_type *other_type = ws_machine_type_find(core, type);
 	int zi = ws_zone_index(core, zone);
 
-	return other_type && zi >= 0 ? &core->refusals[other_type - core->types][zi][spot] : NULL;
+	return other_type && zi >= 0
+		   ? &core->autoscaler.capacity_errors[other_type - core->catalog.types][zi][spot]
+		   : NULL;
 }
 
 static void ws_capacity_error_record(struct ws_core *core, const struct ws_scale_out *request,
@@ -141,7 +143,7 @@
 	    core->now - machine->last_heard_at > 3 * core->settings->report_s)
 		return;
 	if (++capacity_error->returned_since >
-	    (int)HASH_COUNT(core->machines) / (2 * WS_SCALE_OUT_MAX))
+	    (int)HASH_COUNT(core->fleet.machines) / (2 * WS_SCALE_OUT_MAX))
 		memset(capacity_error, 0, sizeof(*capacity_error));
 }
 
@@ -152,13 +154,17 @@
 		job->unmet_since = core->now;
 	if (zones && !(zones &= ~core->subsystems.zones_closed))
 		return; /* it waits for zones in which nothing is rented now */
-	if (core->unmet_count == core->unmet_cap) {
-		core->unmet_cap = core->unmet_cap ? core->unmet_cap * 2 : 64;
-		core->unmet = realloc(core->unmet, core->unmet_cap * sizeof(*core->unmet));
-		if (!core->unmet)
+	if (core->autoscaler.unmet_count == core->autoscaler.unmet_capacity) {
+		core->autoscaler.unmet_capacity =
+		    core->autoscaler.unmet_capacity ? core->autoscaler.unmet_capacity * 2 : 64;
+		core->autoscaler.unmet_demand = realloc(core->autoscaler.unmet_demand,
+							core->autoscaler.unmet_capacity *
+							    sizeof(*core->autoscaler.unmet_demand));
+		if (!core->autoscaler.unmet_demand)
 			abort();
 	}
-	core->unmet[core->unmet_count++] = (struct ws_unmet_demand){job, tasks, zones};
+	core->autoscaler.unmet_demand[core->autoscaler.unmet_count++] =
+	    (struct ws_unmet_demand){job, tasks, zones};
 }
 
 /* How many such tasks one of these machines still takes. */
@@ -168,7 +174,7 @@
 	if (!bin->machine_count || bin->cpus + 1e-9 < demand->job->spec.cpus ||
 	    (bin->preemptible && !demand->job->spec.allows_preemptible) || bin->zone_index < 0 ||
 	    !(demand->zones >> bin->zone_index & 1) ||
-	    !(demand->job->eligible_types >> (bin->type - core->types) & 1))
+	    !(demand->job->eligible_types >> (bin->type - core->catalog.types) & 1))
 		return 0;
 	return ws_tasks_fit(&demand->job->spec, bin->cpus, bin->gpus, bin->mem_gb, demand->tasks);
 }
@@ -234,8 +240,8 @@
 	bool patient = spec->allows_preemptible &&
 		       core->now - demand->job->unmet_since < ws_latency_bound(core);
 
-	for (size_t i = 0; i < core->ntypes; i++) {
-		const struct ws_machine_type *type = &core->types[i];
+	for (size_t i = 0; i < core->catalog.type_count; i++) {
+		const struct ws_machine_type *type = &core->catalog.types[i];
 		double fit;
 
 		if (!(demand->job->eligible_types >> i & 1))
@@ -248,7 +254,7 @@
 				int zi = ws_zone_index(core, type->zones[z]);
 
 				if (zi < 0 || !(demand->zones >> zi & 1) ||
-				    core->refusals[i][zi][spot].until > core->now)
+				    core->autoscaler.capacity_errors[i][zi][spot].until > core->now)
 					continue;
 				cost *= 1 + bins->machines_of_kind[i][zi] *
 						1e-4; /* even zones, among equals */
@@ -268,13 +274,14 @@
 {
 	if (core->subsystems.zones_closed >> zone_index & 1)
 		return false;
-	for (size_t i = 0; i < core->ntypes; i++) {
-		const struct ws_machine_type *type = &core->types[i];
+	for (size_t i = 0; i < core->catalog.type_count; i++) {
+		const struct ws_machine_type *type = &core->catalog.types[i];
 
 		for (size_t z = 0; job->eligible_types >> i & 1 && z < type->zone_count; z++)
 			for (int spot = 0; spot < (job->spec.allows_preemptible ? 2 : 1); spot++)
 				if (ws_zone_index(core, type->zones[z]) == zone_index &&
-				    core->refusals[i][zone_index][spot].until <= core->now)
+				    core->autoscaler.capacity_errors[i][zone_index][spot].until <=
+					core->now)
 					return true;
 	}
 	return false;
@@ -312,15 +319,17 @@
  */
 static bool ws_scale_in_goes_first(const struct ws_core *core)
 {
-	return core->returns_wait >= WS_SCALE_OUT_MAX ||
-	       (core->returns_wait && core->now - core->returns_since > core->settings->report_s);
+	return core->autoscaler.scale_ins_waiting >= WS_SCALE_OUT_MAX ||
+	       (core->autoscaler.scale_ins_waiting &&
+		core->now - core->autoscaler.scale_ins_waiting_since > core->settings->report_s);
 }
 
 /* Machines of one scale-out request: no more than its record can name. */
 static uint32_t ws_scale_out_count_limit(const struct ws_core *core)
 {
-	size_t name = core->norder ? strlen(core->order[0]->name) + 4 : 16;
-	double n = (core->value_most - 256) / (double)(name + 3);
+	size_t name =
+	    core->fleet.first_fit_count ? strlen(core->fleet.first_fit_order[0]->name) + 4 : 16;
+	double n = (core->writer.value_bytes_max - 256) / (double)(name + 3);
 
 	return n > WS_SCALE_OUT_MAX ? WS_SCALE_OUT_MAX : n < 1 ? 1 : (uint32_t)n;
 }
@@ -341,15 +350,15 @@
 	struct ws_machine *machine, *next_machine;
 	struct ws_scale_out *request, *next_rental;
 
-	if (!core->unmet_count)
+	if (!core->autoscaler.unmet_count)
 		return;
-	HASH_ITER (hh, core->machines, machine, next_machine)
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine)
 		if (!machine->owned && !machine->gone && !machine->failed &&
 		    !machine->scale_in_requested && machine->type &&
 		    ws_machine_is_coming_up(core, machine))
 			ws_bin_add_whole(core, &plan->bins, machine->type, machine->zone,
 					 machine->preemptible, 1);
-	HASH_ITER (hh, core->rentals, request, next_rental) {
+	HASH_ITER (hh, core->autoscaler.requests, request, next_rental) {
 		const struct ws_machine_type *type = ws_machine_type_find(core, request->type);
 
 		if (request->state < WS_SCALE_OUT_GRANTED && type)
@@ -364,8 +373,8 @@
 {
 	double waited = 0, tasks = 0;
 
-	for (size_t i = 0; i < core->unmet_count; i++) {
-		const struct ws_unmet_demand *demand = &core->unmet[i];
+	for (size_t i = 0; i < core->autoscaler.unmet_count; i++) {
+		const struct ws_unmet_demand *demand = &core->autoscaler.unmet_demand[i];
 		double loads = ws_demand_units_of(core, &demand->job->spec) * demand->tasks;
 
 		waited += (core->now - demand->job->unmet_since) *
@@ -374,7 +383,8 @@
 		if (!i || demand->job->spec.cpus < plan->bins.smallest_task_cpus)
 			plan->bins.smallest_task_cpus = demand->job->spec.cpus;
 	}
-	plan->unit_limit = core->k < 0 ? core->policy.rental_ceiling : core->k;
+	plan->unit_limit = core->autoscaler.unit_limit < 0 ? core->policy.rental_ceiling
+							   : core->autoscaler.unit_limit;
 	if (tasks > 0 && waited / tasks > ws_latency_bound(core))
 		plan->unit_limit = core->policy.rental_ceiling;
 	plan->units_allowed =
@@ -400,11 +410,11 @@
 			kind.machine_count = 8;
 		if (!kind.machine_count)
 			kind.machine_count = 1;
-		plan->wanted[kind.type - core->types][kind.zone_index][kind.preemptible] +=
+		plan->wanted[kind.type - core->catalog.types][kind.zone_index][kind.preemptible] +=
 		    kind.machine_count;
-		bins->machines_of_kind[kind.type - core->types][kind.zone_index] +=
+		bins->machines_of_kind[kind.type - core->catalog.types][kind.zone_index] +=
 		    kind.machine_count;
-		core->loads += (int)kind.machine_count;
+		core->autoscaler.units_waiting += (int)kind.machine_count;
 		ws_bin_add(bins, kind);
 		left -= ws_bin_take(core, bins, bins->count - 1, demand, left);
 	}
@@ -419,22 +429,23 @@
 	int enough =
 	    2 * WS_SCALE_OUT_MAX + (plan->units_allowed > 0 ? (int)plan->units_allowed : 0);
 
-	for (size_t i = 0; i < core->unmet_count; i++) {
-		const struct ws_unmet_demand *demand = &core->unmet[i];
+	for (size_t i = 0; i < core->autoscaler.unmet_count; i++) {
+		const struct ws_unmet_demand *demand = &core->autoscaler.unmet_demand[i];
 		uint32_t left = demand->tasks;
-		int before = core->loads;
+		int before = core->autoscaler.units_waiting;
 
-		if (core->loads >= enough && !demand->job->spec.gang)
+		if (core->autoscaler.units_waiting >= enough && !demand->job->spec.gang)
 			continue;
 		ws_bins_compact(&plan->bins);
-		core->steps += (uint64_t)plan->bins.count;
+		core->scheduler.steps += (uint64_t)plan->bins.count;
 		for (int b = 0; b < plan->bins.count && left; b++)
 			left -= ws_bin_take(core, &plan->bins, b, demand, left);
 		ws_plan_new_machines(core, plan, demand, left);
-		if (demand->job->spec.gang && core->loads - before > plan->largest_gang_units)
-			plan->largest_gang_units = core->loads - before;
+		if (demand->job->spec.gang &&
+		    core->autoscaler.units_waiting - before > plan->largest_gang_units)
+			plan->largest_gang_units = core->autoscaler.units_waiting - before;
 	}
-	core->unmet_count = 0;
+	core->autoscaler.unmet_count = 0;
 	if (plan->largest_gang_units >
 	    plan->unit_limit) { /* k is at least what the largest waiting gang lacks */
 		int most = core->policy.rental_ceiling;
@@ -450,11 +461,11 @@
 			 struct ws_bin *kind)
 {
 	kind->machine_count = 0;
-	for (size_t i = 0; i < core->ntypes; i++)
-		for (int z = 0; z < core->nzones; z++)
+	for (size_t i = 0; i < core->catalog.type_count; i++)
+		for (int z = 0; z < core->catalog.zone_count; z++)
 			for (int spot = 0; spot < 2; spot++)
 				if (plan->wanted[i][z][spot] > kind->machine_count)
-					*kind = (struct ws_bin){.type = &core->types[i],
+					*kind = (struct ws_bin){.type = &core->catalog.types[i],
 								.zone_index = z,
 								.preemptible = spot,
 								.machine_count =
@@ -478,22 +489,22 @@
 	if (!request)
 		abort();
 	snprintf(request->idempotency_key, sizeof(request->idempotency_key), "r-%llu-%llu",
-		 (unsigned long long)(core->epoch >> WS_FENCING_TOKEN_SHIFT),
-		 (unsigned long long)++core->rental_seq);
+		 (unsigned long long)(core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT),
+		 (unsigned long long)++core->autoscaler.request_sequence);
 	snprintf(request->type, sizeof(request->type), "%s", kind->type->name);
-	snprintf(request->zone, sizeof(request->zone), "%s", core->zones[kind->zone_index]);
+	snprintf(request->zone, sizeof(request->zone), "%s", core->catalog.zones[kind->zone_index]);
 	request->preemptible = kind->preemptible;
 	request->count = count;
 	request->created_at = core->now;
-	HASH_ADD_STR(core->rentals, idempotency_key, request);
+	HASH_ADD_STR(core->autoscaler.requests, idempotency_key, request);
 	ws_scale_out_mark_dirty(core, request);
-	core->rent_inflight = core->rented_last = true;
-	core->cloud_next = core->now + 1;
+	core->autoscaler.scale_out_in_flight = core->autoscaler.scaled_out_last = true;
+	core->autoscaler.next_cloud_call_at = core->now + 1;
 	ws_log(core, WS_LOG_INFO,
 	       "rent %u x %s in %s%s (%s): %d loads wait, %d rentals held, %d booting, k %d", count,
 	       request->type, request->zone, request->preemptible ? ", spot" : "",
-	       request->idempotency_key, core->loads, plan->rented_count, plan->booting_count,
-	       core->k);
+	       request->idempotency_key, core->autoscaler.units_waiting, plan->rented_count,
+	       plan->booting_count, core->autoscaler.unit_limit);
 }
 
 /* Called at the end of a placement pass with all that found no room. */
@@ -502,15 +513,17 @@
 	struct ws_scale_out_plan plan = {0};
 	struct ws_bin kind = {0};
 
-	core->loads = 0;
+	core->autoscaler.units_waiting = 0;
 	ws_plan_booting(core, &plan);
 	ws_plan_limit(core, &plan);
 	ws_plan_pack(core, &plan);
 	/* one request a second; machines that are well get a heartbeat interval to make themselves
 	 * known to a new leader */
-	if (ws_plan_kind(core, &plan, &kind) && plan.units_allowed > 0 && !core->rent_inflight &&
-	    core->now >= core->cloud_next && !(core->rented_last && ws_scale_in_goes_first(core)) &&
-	    core->now - core->elected_at > core->settings->report_s)
+	if (ws_plan_kind(core, &plan, &kind) && plan.units_allowed > 0 &&
+	    !core->autoscaler.scale_out_in_flight &&
+	    core->now >= core->autoscaler.next_cloud_call_at &&
+	    !(core->autoscaler.scaled_out_last && ws_scale_in_goes_first(core)) &&
+	    core->now - core->leadership.elected_at > core->settings->report_s)
 		ws_plan_request(core, &plan, &kind);
 	free(plan.bins.bins);
 }
@@ -521,14 +534,14 @@
 		return;
 	request->dirty = true;
 	ws_writer_wake(core);
-	DL_APPEND2(core->dirty_rentals, request, dirty_prev, dirty_next);
+	DL_APPEND2(core->autoscaler.dirty_requests, request, dirty_prev, dirty_next);
 }
 
 void ws_scale_out_free(struct ws_core *core, struct ws_scale_out *request)
 {
 	if (request->dirty)
-		DL_DELETE2(core->dirty_rentals, request, dirty_prev, dirty_next);
-	HASH_DEL(core->rentals, request);
+		DL_DELETE2(core->autoscaler.dirty_requests, request, dirty_prev, dirty_next);
+	HASH_DEL(core->autoscaler.requests, request);
 	free(request->instances);
 	free(request);
 }
@@ -540,8 +553,8 @@
 
 	if (call->generation != core->generation)
 		return;
-	core->rent_inflight = false;
-	HASH_FIND_STR(core->rentals, call->key, request);
+	core->autoscaler.scale_out_in_flight = false;
+	HASH_FIND_STR(core->autoscaler.requests, call->key, request);
 	if (!request)
 		return;
 	if (res->status == 200) {
@@ -585,7 +598,7 @@
 		request->state = WS_SCALE_OUT_RECORDED;
 		request->next_attempt_at = core->now + 1 + core->settings->list_lag_s / 4;
 	}
-	core->place_wanted = true;
+	core->scheduler.pass_wanted = true;
 }
 
 void ws_scale_out_written(struct ws_core *core, struct ws_scale_out *request, bool deleted)
@@ -622,7 +635,8 @@
 /* On record before this leader's election, so that lists as old as twice the lag should name it. */
 static bool ws_should_be_listed(const struct ws_core *core, const struct ws_machine *machine)
 {
-	return machine->recorded && core->now - core->elected_at > 2 * core->settings->list_lag_s;
+	return machine->recorded &&
+	       core->now - core->leadership.elected_at > 2 * core->settings->list_lag_s;
 }
 
 static void ws_instances_answered(struct ws_core *core, struct ws_call *call,
@@ -632,10 +646,10 @@
 
 	if (call->generation != core->generation)
 		return;
-	core->hosts_inflight = false;
-	core->hosts_next = core->now + core->settings->list_lag_s;
+	core->autoscaler.list_in_flight = false;
+	core->autoscaler.next_list_at = core->now + core->settings->list_lag_s;
 	if (result->status != 200) {
-		core->hosts_after[0] = 0;
+		core->autoscaler.list_continues_after[0] = 0;
 		return;
 	}
 	/*
@@ -643,39 +657,41 @@
 	 * rented machine. A list that names none is believed only when the cloud's lag can't be
 	 * why.
 	 */
-	if (!core->owned_known && !core->owned_seen) {
+	if (!core->fleet.owned_recorded && !core->fleet.owned_determined) {
 		if (result->instance_count)
-			snprintf(core->owned_upto, sizeof(core->owned_upto), "%s",
-				 result->instances[result->instance_count - 1].name);
+			snprintf(core->fleet.last_owned_name, sizeof(core->fleet.last_owned_name),
+				 "%s", result->instances[result->instance_count - 1].name);
 		if (!result->has_more &&
-		    (core->owned_upto[0] ||
-		     core->now - core->elected_at > 2 * core->settings->list_lag_s)) {
-			core->owned_seen = true;
-			core->order_stale = true;
-			HASH_ITER (hh, core->machines, machine, next_machine)
-				machine->owned = strcmp(machine->name, core->owned_upto) <= 0;
+		    (core->fleet.last_owned_name[0] ||
+		     core->now - core->leadership.elected_at > 2 * core->settings->list_lag_s)) {
+			core->fleet.owned_determined = true;
+			core->fleet.first_fit_stale = true;
+			HASH_ITER (hh, core->fleet.machines, machine, next_machine)
+				machine->owned =
+				    strcmp(machine->name, core->fleet.last_owned_name) <= 0;
 		}
 	}
 	for (size_t i = 0; i < result->instance_count; i++) {
 		ws_machine_apply_instance(core, &result->instances[i]);
 		if ((machine = ws_machine_find(core, result->instances[i].name)))
-			machine->instance_list_mark = core->list_pass;
+			machine->instance_list_mark = core->autoscaler.list_mark;
 	}
 	if (result->has_more && result->instance_count) {
-		snprintf(core->hosts_after, sizeof(core->hosts_after), "%s",
+		snprintf(core->autoscaler.list_continues_after,
+			 sizeof(core->autoscaler.list_continues_after), "%s",
 			 result->instances[result->instance_count - 1].name);
-		core->hosts_next = core->now;
+		core->autoscaler.next_list_at = core->now;
 		return;
 	}
-	core->hosts_after[0] = 0;
-	HASH_ITER (hh, core->machines, machine, next_machine)
+	core->autoscaler.list_continues_after[0] = 0;
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine)
 		if (!machine->owned &&
 		    (machine->in_instance_list || ws_should_be_listed(core, machine)) &&
-		    machine->instance_list_mark != core->list_pass &&
+		    machine->instance_list_mark != core->autoscaler.list_mark &&
 		    !machine->scale_in_requested &&
 		    core->now - machine->last_heard_at > 2 * core->settings->report_s &&
-		    core->now - core->elected_at > 2 * core->settings->report_s &&
-		    core->owned_known) {
+		    core->now - core->leadership.elected_at > 2 * core->settings->report_s &&
+		    core->fleet.owned_recorded) {
 			/* listed once, listed no more, and silent: have the cloud confirm that it
 			 * is gone */
 			ws_log(core, WS_LOG_INFO, "machine %s is no longer listed", machine->name);
@@ -688,7 +704,7 @@
 {
 	ws_log(core, WS_LOG_INFO, "return machine %s: %s", machine->name, reason);
 	machine->scale_in_requested = true;
-	core->place_wanted = true;
+	core->scheduler.pass_wanted = true;
 }
 
 static bool ws_scale_in_is_due(const struct ws_core *core, const struct ws_machine *machine)
@@ -714,7 +730,7 @@
 	size_t heard = 0;
 
 	*up_count = 0;
-	HASH_ITER (hh, core->machines, machine, next) {
+	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		if (!machine->reported || machine->gone || machine->failed)
 			continue;
 		(*up_count)++;
@@ -734,14 +750,15 @@
 	       core->now >= machine->reserved_until && core->now - machine->empty_since > wait &&
 	       core->now - machine->up_at > wait &&
 	       /* what waits had its time to be placed on it */
-	       (!core->loads || core->now - machine->empty_since > 2 * wait);
+	       (!core->autoscaler.units_waiting || core->now - machine->empty_since > 2 * wait);
 }
 
 /* Why a rented machine is silent for good; NULL: it is not, or most others are as well. */
 static const char *ws_silent_reason(const struct ws_core *core, const struct ws_machine *machine,
 				    size_t up_count)
 {
-	const double base = fmax(machine->last_heard_at, fmax(core->elected_at, core->woke_at));
+	const double base =
+	    fmax(machine->last_heard_at, fmax(core->leadership.elected_at, core->resumed_at));
 	const double silent_s = core->settings->lease_s * core->policy.silent_ratio;
 
 	if (machine->preemption_noticed && core->now > machine->preempted_at &&
@@ -753,7 +770,8 @@
 	    up_count)
 		return "silent";
 	if (machine->reported && !ws_machine_echoes_token(machine) && up_count &&
-	    core->now - fmax(fmax(machine->fencing_token_since, machine->up_at), core->elected_at) >
+	    core->now - fmax(fmax(machine->fencing_token_since, machine->up_at),
+			     core->leadership.elected_at) >
 		silent_s + core->settings->report_s)
 		return "no answer reaches it";
 	return NULL;
@@ -770,7 +788,7 @@
 	if (machine->failed)
 		return "failed";
 	if (ws_boot_is_late(core, machine) &&
-	    core->now - core->elected_at > core->settings->lease_s)
+	    core->now - core->leadership.elected_at > core->settings->lease_s)
 		return "did not come up";
 	if (silent)
 		return silent;
@@ -788,7 +806,7 @@
 	struct ws_machine *machine, *next;
 	struct ws_call *call = NULL;
 
-	HASH_ITER (hh, core->machines, machine, next) {
+	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		if (!ws_scale_in_is_due(core, machine))
 			continue;
 		if (!call) {
@@ -796,14 +814,14 @@
 			call->machine_names = calloc(WS_SCALE_IN_MAX, sizeof(*call->machine_names));
 			if (!call->machine_names)
 				abort();
-			core->cloud_next = core->now + 1;
-			core->rented_last = false;
-			core->returns_since = core->now;
+			core->autoscaler.next_cloud_call_at = core->now + 1;
+			core->autoscaler.scaled_out_last = false;
+			core->autoscaler.scale_ins_waiting_since = core->now;
 		}
 		snprintf(call->machine_names[call->machine_count++], WS_NAME_MAX, "%s",
 			 machine->name);
 		machine->scale_in_in_flight = true;
-		core->returns_wait--;
+		core->autoscaler.scale_ins_waiting--;
 		if (call->machine_count == WS_SCALE_IN_MAX)
 			break;
 	}
@@ -815,7 +833,7 @@
 	size_t up;
 	bool most_heard = ws_most_heard(core, &up);
 
-	HASH_ITER (hh, core->machines, machine, next) {
+	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		const char *reason;
 
 		if (machine->owned || machine->gone || machine->scale_in_requested)
@@ -824,12 +842,12 @@
 		if (reason)
 			ws_machine_request_scale_in(core, machine, reason);
 	}
-	core->returns_wait = 0;
-	HASH_ITER (hh, core->machines, machine, next)
-		core->returns_wait += ws_scale_in_is_due(core, machine);
-	if (!core->returns_wait)
-		core->returns_since = core->now;
-	if (core->now >= core->cloud_next)
+	core->autoscaler.scale_ins_waiting = 0;
+	HASH_ITER (hh, core->fleet.machines, machine, next)
+		core->autoscaler.scale_ins_waiting += ws_scale_in_is_due(core, machine);
+	if (!core->autoscaler.scale_ins_waiting)
+		core->autoscaler.scale_ins_waiting_since = core->now;
+	if (core->now >= core->autoscaler.next_cloud_call_at)
 		ws_scale_in_send(core);
 }
 
@@ -857,8 +875,8 @@
 	call->preemptible = request->preemptible;
 	call->count = request->count;
 	request->state = WS_SCALE_OUT_SENT;
-	core->rent_inflight = true;
-	core->cloud_next = core->now + 1;
+	core->autoscaler.scale_out_in_flight = true;
+	core->autoscaler.next_cloud_call_at = core->now + 1;
 }
 
 /* Takes machines that are gone off a scale-out request's record. */
@@ -886,10 +904,10 @@
 {
 	bool spare = ws_writer_has_spare_budget(core);
 
-	if (!core->rentals_stale || core->now < core->tidy_next)
+	if (!core->autoscaler.instances_stale || core->now < core->autoscaler.next_record_update_at)
 		return false;
-	core->rentals_stale = false;
-	core->tidy_next =
+	core->autoscaler.instances_stale = false;
+	core->autoscaler.next_record_update_at =
 	    core->now + (spare ? fmin(core->settings->lease_s / 32, core->settings->list_lag_s)
 			       : core->settings->list_lag_s);
 	return true;
@@ -899,10 +917,10 @@
 {
 	struct ws_scale_out *request, *next;
 
-	HASH_ITER (hh, core->rentals, request, next) {
+	HASH_ITER (hh, core->autoscaler.requests, request, next) {
 		if (request->state == WS_SCALE_OUT_RECORDED && !request->dirty &&
 		    !request->write_in_flight && core->now >= request->next_attempt_at &&
-		    core->now >= core->cloud_next - 1) {
+		    core->now >= core->autoscaler.next_cloud_call_at - 1) {
 			ws_scale_out_send(core, request);
 			break;
 		}
@@ -917,30 +935,34 @@
 {
 	struct ws_call *call;
 
-	if (core->hosts_inflight || core->now < core->hosts_next || core->now < core->cloud_next ||
-	    (core->loads && core->now < core->hosts_next + core->settings->list_lag_s &&
-	     core->owned_known))
+	if (core->autoscaler.list_in_flight || core->now < core->autoscaler.next_list_at ||
+	    core->now < core->autoscaler.next_cloud_call_at ||
+	    (core->autoscaler.units_waiting &&
+	     core->now < core->autoscaler.next_list_at + core->settings->list_lag_s &&
+	     core->fleet.owned_recorded))
 		return;
 	call = ws_call_new(core, WS_CALL_INSTANCES, ws_instances_answered);
-	snprintf(call->after, sizeof(call->after), "%s", core->hosts_after);
-	if (!core->hosts_after[0])
-		core->list_pass++;
-	core->hosts_inflight = true;
-	core->cloud_next = core->now + 1;
+	snprintf(call->after, sizeof(call->after), "%s", core->autoscaler.list_continues_after);
+	if (!core->autoscaler.list_continues_after[0])
+		core->autoscaler.list_mark++;
+	core->autoscaler.list_in_flight = true;
+	core->autoscaler.next_cloud_call_at = core->now + 1;
 }
 
 void ws_autoscaler_tick(struct ws_core *core)
 {
 	bool tidy;
 
-	if (core->policy.rental_ceiling < 0 && core->ntypes)
+	if (core->policy.rental_ceiling < 0 && core->catalog.type_count)
 		core->policy.rental_ceiling = ws_derived_ceiling(core);
-	if (!ws_is_entitled(core) || core->in_outage || core->now < core->rent_next)
+	if (!ws_is_entitled(core) || core->leadership.in_outage ||
+	    core->now < core->autoscaler.next_check_at)
 		return;
-	core->rent_next = core->now + ws_sweep_interval(core);
+	core->autoscaler.next_check_at = core->now + ws_sweep_interval(core);
 	tidy = ws_scale_out_update_due(core);
-	if (core->owned_known) { /* else rented machines could not be told from what was here before
-				  */
+	if (core->fleet.owned_recorded) { /* else rented machines could not be told from what was
+					   * here before
+					   */
 		ws_scale_out_requests_check(core, tidy);
 		ws_scale_in_check(core);
 	}
@@ -956,18 +978,18 @@
 	double span, services = 0, size = ws_mean_machine_cpus(core), boot = 0;
 	double owned = 0;
 
-	if (core->role != WS_LEADER || core->policy.rental_ceiling < 0 || now < core->size_next ||
-	    !core->ntypes)
+	if (core->leadership.role != WS_LEADER || core->policy.rental_ceiling < 0 ||
+	    now < core->autoscaler.next_measurement_at || !core->catalog.type_count)
 		return false;
-	if (!core->measured_at) {
-		core->measured_at = now;
-		core->size_next = now + core->policy.sizing_period_s;
+	if (!core->autoscaler.measured_at) {
+		core->autoscaler.measured_at = now;
+		core->autoscaler.next_measurement_at = now + core->policy.sizing_period_s;
 		return false;
 	}
-	span = now - core->measured_at;
-	for (size_t i = 0; i < core->ntypes; i++)
-		boot += core->types[i].boot_s / (double)core->ntypes;
-	HASH_ITER (hh, core->machines, machine, next_machine) {
+	span = now - core->autoscaler.measured_at;
+	for (size_t i = 0; i < core->catalog.type_count; i++)
+		boot += core->catalog.types[i].boot_s / (double)core->catalog.type_count;
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine) {
 		if (machine->owned && ws_machine_echoes_token(machine) &&
 		    core->now - machine->last_heard_at < 3 * core->settings->report_s)
 			owned += ws_demand_units_of_machine(core, machine->type);
@@ -977,13 +999,18 @@
 				services += attempt->job->spec.cpus / size;
 	}
 	memset(measurement, 0, sizeof(*measurement));
-	core->busy_time += core->busy * (core->now - core->busy_at);
-	core->busy_at = core->now;
-	measurement->arrival_rate = core->work_arrived / span;
-	measurement->service_rate = core->busy_time > 0 ? core->work_done / core->busy_time : 0;
-	measurement->boot_rate = core->boot_n > 0 ? core->boot_n / core->boot_sum
-				 : boot > 0	  ? 1 / boot
-						  : 0;
+	core->autoscaler.busy_unit_seconds +=
+	    core->autoscaler.busy_units * (core->now - core->autoscaler.busy_counted_at);
+	core->autoscaler.busy_counted_at = core->now;
+	measurement->arrival_rate = core->autoscaler.units_arrived / span;
+	measurement->service_rate =
+	    core->autoscaler.busy_unit_seconds > 0
+		? core->autoscaler.units_completed / core->autoscaler.busy_unit_seconds
+		: 0;
+	measurement->boot_rate = core->autoscaler.boots > 0
+				     ? core->autoscaler.boots / core->autoscaler.boot_seconds
+				 : boot > 0 ? 1 / boot
+					    : 0;
 	measurement->owned = owned > services ? (int)(owned - services) : 0;
 	measurement->ceiling = core->policy.rental_ceiling;
 	measurement->waiting_units = core->policy.waiting_loads >= 0 ? core->policy.waiting_loads
@@ -994,9 +1021,10 @@
 	measurement->bound_s = ws_latency_bound(core);
 	measurement->wait_max_s =
 	    core->policy.wait_max_s > 0 ? core->policy.wait_max_s : 2 * measurement->bound_s;
-	core->work_arrived = core->work_done = core->busy_time = 0;
-	core->measured_at = now;
-	core->size_next = now + core->policy.sizing_period_s;
+	core->autoscaler.units_arrived = core->autoscaler.units_completed =
+	    core->autoscaler.busy_unit_seconds = 0;
+	core->autoscaler.measured_at = now;
+	core->autoscaler.next_measurement_at = now + core->policy.sizing_period_s;
 	return measurement->arrival_rate > 0 && measurement->service_rate > 0 &&
 	       measurement->boot_rate > 0;
 }
@@ -1007,9 +1035,34 @@
 	(void)now;
 	if (limit < 0 || mean_wait_s <= 0)
 		return; /* lacking a wait, k stays */
-	if (limit != core->k)
-		ws_log(core, WS_LOG_INFO, "k %d -> %d (S %.2f, Wq %.2f s)", core->k, limit,
-		       mean_scaled_out, mean_wait_s);
-	core->k = limit;
-	core->place_wanted = true;
+	if (limit != core->autoscaler.unit_limit)
+		ws_log(core, WS_LOG_INFO, "k %d -> %d (S %.2f, Wq %.2f s)",
+		       core->autoscaler.unit_limit, limit, mean_scaled_out, mean_wait_s);
+	core->autoscaler.unit_limit = limit;
+	core->scheduler.pass_wanted = true;
+}
+
+void ws_autoscaler_reset(struct ws_core *core)
+{
+	struct ws_autoscaler *autoscaler = &core->autoscaler;
+	struct ws_scale_out *request = autoscaler->requests, *next;
+
+	HASH_CLEAR(hh, autoscaler->requests);
+	for (; request; request = next) {
+		next = request->hh.next;
+		free(request->instances);
+		free(request);
+	}
+	autoscaler->dirty_requests = NULL;
+	free(autoscaler->unmet_demand);
+	autoscaler->unmet_demand = NULL;
+	autoscaler->unmet_count = autoscaler->unmet_capacity = 0;
+	autoscaler->list_in_flight = autoscaler->scale_out_in_flight = false;
+	autoscaler->list_continues_after[0] = 0;
+	autoscaler->next_list_at = autoscaler->next_cloud_call_at = autoscaler->next_check_at = 0;
+	memset(autoscaler->capacity_errors, 0, sizeof(autoscaler->capacity_errors));
+	autoscaler->scale_ins_waiting = 0;
+	autoscaler->measured_at = 0;
+	autoscaler->units_arrived = autoscaler->units_completed = 0;
+	autoscaler->busy_unit_seconds = autoscaler->busy_units = 0;
 }
--- a/src/core/sizing.c
+++ b/src/core/autoscaler/queue_model.c
@@ -11,7 +11,7 @@
  * Two misprints of the paper are put right here: (10) must read min(j - n0, N - n0), as its
  * sibling (23) does, and in (4) the case j = n0 belongs to (5).
  */
-#include "sizing.h"
+#include "queue_model.h"
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
--- a/src/core/sizing.h
+++ b/src/core/autoscaler/queue_model.h
@@ -1,7 +1,7 @@
 /* The paper's M/M/N/K/Setup queue and Algorithm 1. Pure functions. */
-#ifndef WS_SIZING_H
-#define WS_SIZING_H
-#include "core.h"
+#ifndef WS_QUEUE_MODEL_H
+#define WS_QUEUE_MODEL_H
+#include "../core.h"
 
 /* More states than this are counted in units. */
 #define WS_SIZING_STATES 400
--- a/src/core/scale_out_records.c
+++ b/src/core/autoscaler/scale_out_records.c
@@ -1,6 +1,42 @@
 /* Records of scale-out requests: rental/<idempotency key>. */
-#include "internal.h"
-#include "record_sources.h"
+#include "../core_state.h"
+#include "../record_sources.h"
+
+json_t *ws_record_scale_out(const struct ws_scale_out *rental)
+{
+	struct ws_scale_out_record record = {
+	    .type = rental->type,
+	    .zone = rental->zone,
+	    .preemptible = rental->preemptible,
+	    .count = rental->count,
+	    .acquired = rental->state == WS_SCALE_OUT_GRANTED,
+	    .instance_count = rental->instance_count,
+	};
+
+	for (uint32_t i = 0; i < rental->instance_count; i++)
+		record.instances[i] = rental->instances[i];
+	return ws_scale_out_record_encode(&record);
+}
+
+bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *rental)
+{
+	struct ws_scale_out_record record;
+
+	if (ws_scale_out_record_decode(value, &record) != WS_RECORD_DECODED)
+		return false;
+	snprintf(rental->type, sizeof(rental->type), "%s", record.type);
+	snprintf(rental->zone, sizeof(rental->zone), "%s", record.zone);
+	rental->preemptible = record.preemptible;
+	rental->count = record.count;
+	rental->state = record.acquired ? WS_SCALE_OUT_GRANTED : WS_SCALE_OUT_RECORDED;
+	rental->instances = calloc(record.instance_count + 1, sizeof(*rental->instances));
+	if (!rental->instances)
+		return false;
+	for (uint32_t i = 0; i < record.instance_count; i++)
+		snprintf(rental->instances[rental->instance_count++], WS_NAME_MAX, "%s",
+			 record.instances[i]);
+	return true;
+}
 
 /* Estimate of a record's bytes: its fields, and each instance that it names. */
 #define RECORD_BYTES 512
@@ -8,10 +44,10 @@
 
 static struct ws_scale_out *ws_scale_out_of(struct ws_core *core, const char *key)
 {
-	const char *name = key + strlen(WS_SCALE_OUT_PREFIX);
+	const char *name = key + strlen(WS_KEY_PREFIX_SCALE_OUT);
 	struct ws_scale_out *request;
 
-	HASH_FIND_STR(core->rentals, name, request);
+	HASH_FIND_STR(core->autoscaler.requests, name, request);
 	return request;
 }
 
@@ -22,7 +58,7 @@
 	if (!request)
 		abort();
 	snprintf(request->idempotency_key, sizeof(request->idempotency_key), "%s",
-		 record->key + strlen(WS_SCALE_OUT_PREFIX));
+		 record->key + strlen(WS_KEY_PREFIX_SCALE_OUT));
 	request->revision = record->revision;
 	request->created_at = request->next_attempt_at = core->now;
 	if (!ws_record_read_scale_out(record->value, request)) {
@@ -31,7 +67,7 @@
 		free(request);
 		return;
 	}
-	HASH_ADD_STR(core->rentals, idempotency_key, request);
+	HASH_ADD_STR(core->autoscaler.requests, idempotency_key, request);
 	for (uint32_t i = 0; i < request->instance_count; i++) {
 		struct ws_machine *machine = ws_machine_find_or_add(core, request->instances[i]);
 
@@ -49,16 +85,16 @@
 	    request->state == WS_SCALE_OUT_DISCARDED ? NULL : ws_record_scale_out(request);
 	char key[WS_KEY_MAX];
 
-	DL_DELETE2(core->dirty_rentals, request, dirty_prev, dirty_next);
+	DL_DELETE2(core->autoscaler.dirty_requests, request, dirty_prev, dirty_next);
 	request->dirty = false;
-	if (value && (double)ws_record_size(value) >= core->value_most) {
+	if (value && (double)ws_record_size(value) >= core->writer.value_bytes_max) {
 		json_decref(value); /* of a higher limit: when it is shorter */
 		return;
 	}
 	request->write_in_flight = true;
 	ws_write_counts_add(core, WS_WRITE_SCALE_OUTS);
 	batch->bytes += RECORD_BYTES + request->instance_count * INSTANCE_BYTES;
-	snprintf(key, sizeof(key), "%s%s", WS_SCALE_OUT_PREFIX, request->idempotency_key);
+	snprintf(key, sizeof(key), "%s%s", WS_KEY_PREFIX_SCALE_OUT, request->idempotency_key);
 	ws_write_batch_set_if(batch, key, request->revision, value);
 }
 
@@ -66,7 +102,7 @@
 {
 	struct ws_scale_out *request, *next;
 
-	DL_FOREACH_SAFE2 (core->dirty_rentals, request, next, dirty_next) {
+	DL_FOREACH_SAFE2 (core->autoscaler.dirty_requests, request, next, dirty_next) {
 		if (!ws_write_batch_room(batch) || ws_write_batch_is_full(batch))
 			break;
 		if (!request->write_in_flight)
@@ -114,7 +150,7 @@
 }
 
 const struct ws_record_source ws_scale_out_records = {
-    .key_prefix = WS_SCALE_OUT_PREFIX,
+    .key_prefix = WS_KEY_PREFIX_SCALE_OUT,
     .load = ws_scale_out_load,
     .collect = ws_scale_out_collect,
     .written = ws_scale_out_record_written,
--- a/src/core/fixed_records.c
+++ b/src/core/catalog/fixed_records.c
@@ -1,6 +1,6 @@
 /* Records that are written once: which machines are owned, and the machine types. */
-#include "internal.h"
-#include "record_sources.h"
+#include "../core_state.h"
+#include "../record_sources.h"
 
 /* ---- owned machines ---- */
 
@@ -15,17 +15,20 @@
 		if (name && (!last || strcmp(name, last) > 0))
 			last = name;
 	}
-	core->owned_seen = true;
-	snprintf(core->owned_upto, sizeof(core->owned_upto), "%s", last ? last : "");
-	core->owned_known = true;
+	core->fleet.owned_determined = true;
+	snprintf(core->fleet.last_owned_name, sizeof(core->fleet.last_owned_name), "%s",
+		 last ? last : "");
+	core->fleet.owned_recorded = true;
 }
 
 static void ws_owned_collect(struct ws_core *core, struct ws_write_batch *batch)
 {
-	if (!core->owned_seen || core->owned_known || core->owned_writing)
+	if (!core->fleet.owned_determined || core->fleet.owned_recorded ||
+	    core->fleet.owned_write_in_flight)
 		return;
-	ws_write_batch_set_if(batch, WS_OWNED_KEY, 0, json_pack("{s:s}", "upto", core->owned_upto));
-	core->owned_writing = true;
+	ws_write_batch_set_if(batch, WS_KEY_OWNED_MACHINES, 0,
+			      json_pack("{s:s}", "upto", core->fleet.last_owned_name));
+	core->fleet.owned_write_in_flight = true;
 }
 
 static void ws_owned_written(struct ws_core *core, const struct ws_operation *operation,
@@ -33,10 +36,10 @@
 {
 	(void)operation;
 	(void)revision;
-	core->owned_known = true;
-	core->owned_writing = false;
+	core->fleet.owned_recorded = true;
+	core->fleet.owned_write_in_flight = false;
 	ws_log(core, WS_LOG_INFO, "owned machines recorded: up to %s",
-	       core->owned_upto[0] ? core->owned_upto : "none");
+	       core->fleet.last_owned_name[0] ? core->fleet.last_owned_name : "none");
 }
 
 static bool ws_owned_not_written(struct ws_core *core, const struct ws_operation *operation,
@@ -45,7 +48,7 @@
 	(void)operation;
 	if (failed_compare)
 		return true;
-	core->owned_writing = false;
+	core->fleet.owned_write_in_flight = false;
 	return false;
 }
 
@@ -54,12 +57,12 @@
 {
 	(void)key;
 	(void)revision;
-	core->owned_known = found;
-	core->owned_writing = false;
+	core->fleet.owned_recorded = found;
+	core->fleet.owned_write_in_flight = false;
 }
 
 const struct ws_record_source ws_owned_records = {
-    .key_prefix = WS_OWNED_KEY,
+    .key_prefix = WS_KEY_OWNED_MACHINES,
     .exact_key = true,
     .load = ws_owned_load,
     .collect = ws_owned_collect,
@@ -74,17 +77,17 @@
 {
 	json_t *value;
 
-	if (core->types_saved || !core->ntypes)
+	if (core->catalog.types_recorded || !core->catalog.type_count)
 		return;
-	value = ws_record_types(core->types, core->ntypes);
-	if ((double)ws_record_size(value) < core->value_most) {
-		ws_write_batch_set(batch, WS_MACHINE_TYPES_KEY, value);
+	value = ws_record_types(core->catalog.types, core->catalog.type_count);
+	if ((double)ws_record_size(value) < core->writer.value_bytes_max) {
+		ws_write_batch_set(batch, WS_KEY_MACHINE_TYPES, value);
 		return;
 	}
 	/* one written under a higher limit stays readable */
 	ws_log(core, WS_LOG_ERROR, "the record of machine types does not fit a value");
 	json_decref(value);
-	core->types_saved = true;
+	core->catalog.types_recorded = true;
 }
 
 static void ws_machine_types_written(struct ws_core *core, const struct ws_operation *operation,
@@ -92,11 +95,11 @@
 {
 	(void)operation;
 	(void)revision;
-	core->types_saved = true;
+	core->catalog.types_recorded = true;
 }
 
 const struct ws_record_source ws_machine_type_records = {
-    .key_prefix = WS_MACHINE_TYPES_KEY,
+    .key_prefix = WS_KEY_MACHINE_TYPES,
     .exact_key = true,
     .collect = ws_machine_types_collect,
     .written = ws_machine_types_written,
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,5 +1,5 @@
 /* The core's frame: actions out, calls and their completions, the clock. */
-#include "internal.h"
+#include "core_state.h"
 #include <stdarg.h>
 
 void ws_policy_defaults(struct ws_policy *policy)
@@ -38,11 +38,11 @@
 	if (!effect) /* nothing can be done without memory for an answer; start afresh */
 		abort();
 	effect->kind = kind;
-	if (core->tail)
-		core->tail->next = effect;
+	if (core->effects_tail)
+		core->effects_tail->next = effect;
 	else
-		core->head = effect;
-	core->tail = effect;
+		core->effects_head = effect;
+	core->effects_tail = effect;
 	return effect;
 }
 
@@ -76,12 +76,12 @@
 
 struct ws_effect *ws_core_next_effect(struct ws_core *core)
 {
-	struct ws_effect *effect = core->head;
+	struct ws_effect *effect = core->effects_head;
 
 	if (effect) {
-		core->head = effect->next;
-		if (!core->head)
-			core->tail = NULL;
+		core->effects_head = effect->next;
+		if (!core->effects_head)
+			core->effects_tail = NULL;
 		effect->next = NULL;
 	}
 	return effect;
@@ -96,18 +96,6 @@
 	free(effect);
 }
 
-/* Whether the store serves us, as the last answers tell. */
-void ws_store_answered(struct ws_core *core, int status)
-{
-	if (status == 503 || status == 0) {
-		if (core->state_bad_at <= core->state_ok_at)
-			core->state_bad_since = core->now;
-		core->state_bad_at = core->now;
-	} else {
-		core->state_ok_at = core->now;
-	}
-}
-
 void ws_core_complete(struct ws_core *core, double now, struct ws_call *call,
 		      const struct ws_result *result)
 {
@@ -120,22 +108,17 @@
 	ws_core_tick(core, now);
 }
 
-/*
- * How old a leader's view of what users cancelled may be when it answers a heartbeat: the answer
- * renews the lease of a cancelled task for the last time, and that lease must be out within
- * cancel_s.
- */
-double ws_core_replica_age_limit(const struct ws_settings *settings)
+void ws_core_forget_cluster(struct ws_core *core)
 {
-	return settings->cancel_s - ws_lease_length(settings);
-}
-
-/* Whether that is shorter than what a leader is served by its watch at the latest. */
-bool ws_core_replica_age_limit_is_short(const struct ws_settings *settings,
-					const struct ws_policy *policy)
-{
-	return ws_core_replica_age_limit(settings) <
-	       WS_REPLICA_AGE_TTLS * settings->lease_s * policy->leader_ttl_ratio;
+	ws_subsystems_step_down(core);
+	ws_fleet_clear(core);
+	ws_jobs_clear(core);
+	ws_autoscaler_reset(core);
+	ws_images_clear(core);
+	ws_scheduler_reset(core);
+	ws_writer_reset(core);
+	ws_job_watch_reset(core);
+	core->catalog.types_recorded = false;
 }
 
 struct ws_core *ws_core_new(const struct ws_settings *settings, const struct ws_policy *policy,
@@ -151,23 +134,15 @@
 	core->now = now;
 	core->nonce = nonce;
 	ws_writer_reset(core);
-	core->state_ok_at = core->state_bad_at = -1e9;
-	core->ttl = settings->lease_s * policy->leader_ttl_ratio;
-	if (core->ttl < 0.2)
-		core->ttl = 0.2;
-	core->view_s = ws_core_replica_age_limit(settings);
-	if (ws_core_replica_age_limit_is_short(settings, policy))
-		ws_log(core, WS_LOG_ERROR,
-		       "cancel_s %.3g is short for lease_s %.3g: in outages of the state service "
-		       "reports are answered for %.3g s at most",
-		       settings->cancel_s, settings->lease_s, fmax(0, core->view_s));
+	core->store_health.served_at = core->store_health.refused_at = -1e9;
+	ws_leadership_init(core);
 	if (core->policy.rental_ceiling < 0)
 		core->policy.rental_ceiling = -1; /* derived once the machine types are known */
 	for (size_t i = 0; i < settings->zone_count; i++)
 		ws_zone_index(core, settings->zones[i]);
-	core->k = -1;
+	core->autoscaler.unit_limit = -1;
 	for (size_t i = 0; i < settings->team_count; i++)
-		core->teams[i].settings = &settings->teams[i];
+		core->jobs.teams[i].settings = &settings->teams[i];
 	return core;
 }
 
@@ -184,45 +159,15 @@
 	}
 	ws_requests_free(core);
 	ws_subsystems_free(core);
-	free(core->orders);
-	free(core->pass_memory);
+	free(core->fleet.commands);
+	free(core->scheduler.scratch);
 	free(core);
 }
 
 bool ws_core_is_ready(const struct ws_core *core)
 {
-	return core->ntypes > 0 && core->state_ok_at > 0 && !ws_node_is_isolated(core);
-}
-
-bool ws_core_is_leader(const struct ws_core *core)
-{
-	return core->role == WS_LEADER;
-}
-
-void ws_core_pass_ended(struct ws_core *core, double (*clock)(void))
-{
-	double now;
-
-	if (core->pass_at <= 0)
-		return;
-	now = clock();
-	/* placement takes a third of the time at the most, however long what waits; if the process
-	 * stood still meanwhile, that was no pass */
-	core->place_next =
-	    fmax(core->place_next, now + fmin(2 * (now - core->pass_at), core->ttl / 2));
-	core->pass_at = 0;
-}
-
-/* How old the leader's replica of the jobs may be while the store serves it. */
-double ws_replica_age_max(const struct ws_core *core)
-{
-	return fmax(core->view_s, WS_REPLICA_AGE_TTLS * core->ttl);
-}
-
-bool ws_core_is_entitled(const struct ws_core *core, double now)
-{
-	return core->role == WS_LEADER && now < core->entitled_until &&
-	       now < core->job_watch.replica_current_at + ws_replica_age_max(core);
+	return core->catalog.type_count > 0 && core->store_health.served_at > 0 &&
+	       !ws_node_is_isolated(core);
 }
 
 /* Everything that is due; called after each event and by the I/O layer's timer. */
@@ -231,18 +176,18 @@
 	if (now > core->now)
 		core->now = now;
 	/* who was silent meanwhile may have been talking to us all the time */
-	if (core->now - core->ticked_at > core->settings->report_s / 4)
-		core->woke_at = core->now;
-	core->ticked_at = core->now;
+	if (core->now - core->last_tick_at > core->settings->report_s / 4)
+		core->resumed_at = core->now;
+	core->last_tick_at = core->now;
 	ws_requests_tick(core);
 	ws_leadership_tick(core);
-	if (core->role == WS_LEADER) {
+	if (core->leadership.role == WS_LEADER) {
 		ws_fleet_tick(core);
 		ws_subsystems_tick(core);
-		if (core->now > core->place_next + core->settings->report_s / 4)
-			core->place_wanted = true; /* back-offs end without an event */
-		if (core->place_wanted && core->now >= core->place_next && ws_is_entitled(core) &&
-		    !core->in_outage)
+		if (core->now > core->scheduler.next_pass_at + core->settings->report_s / 4)
+			core->scheduler.pass_wanted = true; /* back-offs end without an event */
+		if (core->scheduler.pass_wanted && core->now >= core->scheduler.next_pass_at &&
+		    ws_is_entitled(core) && !core->leadership.in_outage)
 			ws_scheduler_run_pass(core);
 		ws_autoscaler_tick(core);
 		ws_writer_tick(core);
--- /dev/null
+++ b/src/core/core_state.h
@@ -0,0 +1,75 @@
+/*
+ * The core's state: composed of the state of its parts, each of which stands in its part's header
+ * and is written by that part. A part may call those below it in this list of folders:
+ *
+ *   api, autoscaler, scheduler, fleet, jobs, store, leadership, catalog, records, extension
+ *
+ * tools/layers checks that, and names the calls that still go upwards.
+ */
+#ifndef WS_CORE_STATE_H
+#define WS_CORE_STATE_H
+#include "api/api.h"
+#include "autoscaler/autoscaler.h"
+#include "autoscaler/queue_model.h"
+#include "catalog/catalog.h"
+#include "core.h"
+#include "extension/subsystems.h"
+#include "fleet/fleet.h"
+#include "jobs/jobs.h"
+#include "leadership/leadership.h"
+#include "lease.h"
+#include "records/records.h"
+#include "scheduler/scheduler.h"
+#include "store/job_watch.h"
+#include "store/loader.h"
+#include "store/write_counts.h"
+#include "store/writer.h"
+#include "tombstones.h"
+#include <math.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <utlist.h>
+
+struct ws_core {
+	const struct ws_settings *settings;
+	struct ws_policy policy;
+	ws_log_fn log;
+	double now;	     /* the time of the event being taken in */
+	double last_tick_at; /* by the same clock */
+	double resumed_at;   /* when the process last went on after standing still */
+	uint64_t nonce;
+	uint64_t generation; /* rises whenever leadership ends: late results are told apart */
+	struct ws_effect *effects_head, *effects_tail;
+
+	/* of every node */
+	struct ws_catalog catalog;
+	struct ws_leadership leadership;
+	struct ws_store_health store_health;
+	struct ws_status_cache status_cache;
+	struct ws_follower follower;
+
+	/* of the leader */
+	struct ws_loader loader;
+	struct ws_job_watch job_watch;
+	struct ws_writer writer;
+	struct ws_write_counts write_counts;
+	struct ws_jobs jobs;
+	struct ws_fleet fleet;
+	struct ws_scheduler scheduler;
+	struct ws_autoscaler autoscaler;
+	struct ws_subsystems subsystems;
+};
+
+/* ---- core.c ---- */
+
+void ws_log(struct ws_core *core, enum ws_log_level level, const char *format, ...)
+    __attribute__((format(printf, 3, 4)));
+/* Adds an effect to those that leave the core, and returns it to be filled in. */
+struct ws_effect *ws_effect_new(struct ws_core *core, enum ws_effect_kind kind);
+/* The same for a call, whose result goes to a function. */
+struct ws_call *ws_call_new(struct ws_core *core, enum ws_call_kind kind, ws_result_fn on_result);
+void ws_call_free(struct ws_call *call);
+/* Forgets all that is the leader's; called when leadership ends. */
+void ws_core_forget_cluster(struct ws_core *core);
+#endif
--- a/src/core/subsystem_records.c
+++ b/src/core/extension/subsystem_records.c
@@ -5,8 +5,8 @@
  * revision at which each record was last read or written. A record that somebody else changed is
  * read again and then written over, since only the leader owns it.
  */
-#include "internal.h"
-#include "record_sources.h"
+#include "../core_state.h"
+#include "../record_sources.h"
 
 const struct ws_subsystem *ws_subsystem_of(const struct ws_core *core, const char *key)
 {
@@ -115,7 +115,7 @@
 		return;
 	}
 	ws_subsystem_record_clean(core, record);
-	if ((double)size >= core->value_most) {
+	if ((double)size >= core->writer.value_bytes_max) {
 		ws_log(core, WS_LOG_ERROR, "%s has %zu bytes, too many for a value: left out",
 		       record->key, size);
 		return;
--- a/src/core/subsystems.c
+++ b/src/core/extension/subsystems.c
@@ -1,6 +1,6 @@
 /* Dispatch of hooks to the attached subsystems, and their requests. */
-#include "internal.h"
-#include "record_sources.h"
+#include "../core_state.h"
+#include "../record_sources.h"
 
 enum ws_request_kind {
 	WS_REQUEST_WRITE,
@@ -116,10 +116,12 @@
 {
 	const struct ws_election_facts facts = {
 	    .now = core->now,
-	    .term = core->epoch >> WS_FENCING_TOKEN_SHIFT,
-	    .unproven_s = core->proof.exists ? core->now - core->proof.alive_at : INFINITY,
-	    .proven_term = core->proof.term,
-	    .leases_out = ws_lease_expiry(core, core->elected_at),
+	    .term = core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT,
+	    .unproven_s = core->leadership.proof.exists
+			      ? core->now - core->leadership.proof.alive_at
+			      : INFINITY,
+	    .proven_term = core->leadership.proof.term,
+	    .leases_out = ws_lease_expiry(core, core->leadership.elected_at),
 	};
 
 	WS_EACH_HOOK(core, elected, &facts);
@@ -137,10 +139,10 @@
 		if (!subsystem->ops->action_deferred)
 			continue;
 		for (int kind = 0; kind < WS_DEFERRABLE_ACTIONS; kind++)
-			for (int z = -1; z < core->nzones; z++)
-				if (subsystem->ops->action_deferred(subsystem->self, core->now,
-								    (enum ws_deferrable_action)kind,
-								    z < 0 ? "" : core->zones[z]))
+			for (int z = -1; z < core->catalog.zone_count; z++)
+				if (subsystem->ops->action_deferred(
+					subsystem->self, core->now, (enum ws_deferrable_action)kind,
+					z < 0 ? "" : core->catalog.zones[z]))
 					all->deferred[kind] |= 1ULL << (z + 1);
 	}
 }
@@ -156,7 +158,7 @@
 
 	if (!ws_subsystems_active(core))
 		return;
-	HASH_ITER (hh, core->machines, machine, next)
+	HASH_ITER (hh, core->fleet.machines, machine, next)
 		if (machine->incarnation)
 			ws_subsystems_machine(core, machine);
 	WS_EACH_HOOK(core, records_loaded, core->now);
@@ -169,7 +171,7 @@
 
 	if (!ws_subsystems_active(core))
 		return;
-	HASH_ITER (hh, core->machines, machine, next_machine)
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine)
 		ws_subsystems_machine_removed(core, machine);
 	WS_EACH_HOOK(core, stepped_down);
 	ws_subsystem_records_clear(core);
@@ -288,8 +290,8 @@
 	struct ws_subsystems *all = &core->subsystems;
 
 	all->zones_avoided = all->zones_closed = 0;
-	for (int z = 0; z < core->nzones; z++) {
-		const char *zone = core->zones[z];
+	for (int z = 0; z < core->catalog.zone_count; z++) {
+		const char *zone = core->catalog.zones[z];
 
 		for (size_t i = 0; i < all->count; i++) {
 			const struct ws_subsystem_ops *ops = all->list[i].ops;
@@ -341,7 +343,7 @@
 	const struct ws_subsystem *subsystem = &core->subsystems.list[index];
 	struct ws_job *job, *next;
 
-	HASH_ITER (hh, core->jobs, job, next)
+	HASH_ITER (hh, core->jobs.by_id, job, next)
 		if (!ws_job_is_over(job))
 			ws_survey_job(subsystem, index, job);
 	subsystem->ops->survey_done(subsystem->self, core->now);
@@ -355,8 +357,8 @@
 {
 	const struct ws_subsystem *subsystem = ws_subsystem_of(core, call->key);
 
-	if (call->generation != core->generation || core->role != WS_LEADER || !subsystem ||
-	    result->status != 200)
+	if (call->generation != core->generation || core->leadership.role != WS_LEADER ||
+	    !subsystem || result->status != 200)
 		return;
 	for (size_t i = 0; i < result->entry_count; i++)
 		ws_subsystem_record_load(core, &result->entries[i]);
@@ -405,7 +407,7 @@
 	ws_job_moves_merge(job);
 	job->lost_recorded_attempts = false;
 	core->subsystems.moves = true;
-	core->place_wanted = true;
+	core->scheduler.pass_wanted = true;
 }
 
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
@@ -425,15 +427,15 @@
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result)
 {
-	bool live = ws_key_has_prefix(call->key, WS_JOB_PREFIX);
+	bool live = ws_key_has_prefix(call->key, WS_KEY_PREFIX_JOB);
 	enum ws_job_standing standing = WS_STANDING_UNREADABLE;
 	const struct ws_subsystem *subsystem = &core->subsystems.list[call->context_number];
 
-	if (call->generation != core->generation || core->role != WS_LEADER)
+	if (call->generation != core->generation || core->leadership.role != WS_LEADER)
 		return;
 	if (result->status == 404 &&
 	    live) { /* a job moves to old/ in one transaction, never back */
-		ws_subsystem_look_up(core, call->context_number, WS_FINISHED_JOB_PREFIX,
+		ws_subsystem_look_up(core, call->context_number, WS_KEY_PREFIX_ARCHIVED_JOB,
 				     call->context_name);
 		return;
 	}
@@ -471,7 +473,7 @@
 	case WS_REQUEST_SURVEY: ws_survey(core, index); break;
 	case WS_REQUEST_MOVE: ws_subsystem_move(core, index, request); break;
 	case WS_REQUEST_LOOK_UP:
-		ws_subsystem_look_up(core, index, WS_JOB_PREFIX, request->name);
+		ws_subsystem_look_up(core, index, WS_KEY_PREFIX_JOB, request->name);
 		break;
 	case WS_REQUEST_END_QUARANTINED:
 		ws_quarantine_end_job(core, request->name, request->grace_s);
@@ -483,7 +485,7 @@
 {
 	const struct ws_tick_facts facts = {
 	    .now = core->now,
-	    .serving = ws_is_entitled(core) && !core->in_outage,
+	    .serving = ws_is_entitled(core) && !core->leadership.in_outage,
 	};
 
 	if (!ws_subsystems_active(core) || core->now < core->subsystems.tick_next)
--- a/src/core/subsystems.h
+++ b/src/core/extension/subsystems.h
@@ -2,7 +2,7 @@
  * are a source of the writer and the loader, see record_sources.h. */
 #ifndef WS_SUBSYSTEMS_H
 #define WS_SUBSYSTEMS_H
-#include "core.h"
+#include "../core.h"
 #include "hooks.h"
 
 struct ws_machine;
--- a/src/core/commands.c
+++ b/src/core/fleet/commands.c
@@ -1,5 +1,5 @@
 /* Commands to workers: in the answers to their heartbeats, and straight to their addresses. */
-#include "internal.h"
+#include "../core_state.h"
 
 static bool ws_may_reap(struct ws_core *core, struct ws_machine *machine,
 			const struct ws_task_status *status)
@@ -28,13 +28,16 @@
 {
 	struct ws_command *command;
 
-	if (core->norders == core->orders_cap) {
-		core->orders_cap = core->orders_cap ? 2 * core->orders_cap : 64;
-		core->orders = realloc(core->orders, core->orders_cap * sizeof(*core->orders));
-		if (!core->orders)
+	if (core->fleet.command_count == core->fleet.command_capacity) {
+		core->fleet.command_capacity =
+		    core->fleet.command_capacity ? 2 * core->fleet.command_capacity : 64;
+		core->fleet.commands =
+		    realloc(core->fleet.commands,
+			    core->fleet.command_capacity * sizeof(*core->fleet.commands));
+		if (!core->fleet.commands)
 			abort();
 	}
-	command = &core->orders[core->norders++];
+	command = &core->fleet.commands[core->fleet.command_count++];
 	command->kind = verb;
 	snprintf(command->job, sizeof(command->job), "%s", job);
 	command->task = task;
@@ -47,9 +50,9 @@
 static void ws_commands_collect(struct ws_core *core, struct ws_machine *machine,
 				const struct ws_heartbeat *heartbeat, size_t max, bool direct)
 {
-	core->norders = 0;
-	for (struct ws_attempt *attempt = machine->attempts; attempt && core->norders < max;
-	     attempt = attempt->machine_next) {
+	core->fleet.command_count = 0;
+	for (struct ws_attempt *attempt = machine->attempts;
+	     attempt && core->fleet.command_count < max; attempt = attempt->machine_next) {
 		bool stop = attempt->stopping && attempt->state != WS_ATTEMPT_GONE &&
 			    attempt->incarnation == machine->incarnation &&
 			    (attempt->maybe_sent || attempt->reported);
@@ -65,7 +68,8 @@
 		else
 			attempt->maybe_sent = true;
 	}
-	for (size_t i = 0; heartbeat && i < heartbeat->task_count && core->norders < max; i++) {
+	for (size_t i = 0;
+	     heartbeat && i < heartbeat->task_count && core->fleet.command_count < max; i++) {
 		const struct ws_task_status *status = &heartbeat->tasks[i];
 
 		if (status->state == WS_TASK_EXITED && ws_may_reap(core, machine, status))
@@ -82,13 +86,13 @@
 	struct ws_command *list;
 
 	ws_commands_collect(core, machine, heartbeat, max, direct);
-	*count = core->norders;
-	if (!core->norders)
+	*count = core->fleet.command_count;
+	if (!core->fleet.command_count)
 		return NULL;
-	list = malloc(core->norders * sizeof(*list));
+	list = malloc(core->fleet.command_count * sizeof(*list));
 	if (!list)
 		abort();
-	memcpy(list, core->orders, core->norders * sizeof(*list));
+	memcpy(list, core->fleet.commands, core->fleet.command_count * sizeof(*list));
 	return list;
 }
 
@@ -151,7 +155,7 @@
 		return; /* never left us: the next reply carries it */
 	ws_subsystems_answered(core, machine, result->heartbeat != NULL);
 	if (result->heartbeat && !strcmp(result->heartbeat->machine, machine->name)) {
-		core->relay_since = 0; /* it can be reached from here */
+		core->leadership.forwarded_only_since = 0; /* it can be reached from here */
 		machine->unreachable = false;
 		if (result->heartbeat->incarnation > machine->incarnation ||
 		    (result->heartbeat->incarnation == machine->incarnation &&
@@ -161,7 +165,7 @@
 			ws_machine_apply_heartbeat(core, machine, result->heartbeat);
 		}
 	} else if (!call->command_count) {
-		if (ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->woke_at)))
+		if (ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->resumed_at)))
 			machine->unreachable = true;
 		return; /* a greeting: nothing of it can do harm; its token may be met again */
 	} else {
@@ -196,10 +200,10 @@
 		return;
 	/* while the store is out nothing is started, but what is cancelled ends */
 	for (attempt = machine->attempts;
-	     core->in_outage && attempt && !ws_attempt_stop_unsent(attempt);
+	     core->leadership.in_outage && attempt && !ws_attempt_stop_unsent(attempt);
 	     attempt = attempt->machine_next)
 		;
-	if (core->in_outage && !attempt)
+	if (core->leadership.in_outage && !attempt)
 		return;
 	call = ws_commands_call_new(core, machine);
 	call->commands =
@@ -210,10 +214,10 @@
 void ws_fleet_send_probes(struct ws_core *core)
 {
 	struct ws_machine *machine, *next_machine;
-	int most = 32 + (int)HASH_COUNT(core->machines) / 8;
+	int most = 32 + (int)HASH_COUNT(core->fleet.machines) / 8;
 
-	HASH_ITER (hh, core->machines, machine, next_machine) {
-		core->sweep_steps++;
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine) {
+		core->fleet.sweep_steps++;
 		if (ws_machine_send_probe(core, machine) && --most <= 0)
 			break;
 	}
--- a/src/core/fleet.c
+++ b/src/core/fleet/fleet.c
@@ -5,13 +5,13 @@
  * runs. All that is on it is surely gone when the cloud confirms its return, or its lease ran out
  * by the longest reckoning.
  */
-#include "internal.h"
+#include "../core_state.h"
 
 struct ws_machine *ws_machine_find(struct ws_core *core, const char *name)
 {
 	struct ws_machine *machine;
 
-	HASH_FIND_STR(core->machines, name, machine);
+	HASH_FIND_STR(core->fleet.machines, name, machine);
 	return machine;
 }
 
@@ -29,15 +29,17 @@
 	machine->empty_since = core->now;
 	machine->last_heard_at = -1e9;
 	/* an earlier leader may have answered it, and sent it commands, until we were elected */
-	machine->lease_expires_at = ws_lease_expiry(core, core->elected_at);
-	machine->late_command_token = core->epoch ? core->epoch - 1 : 0;
-	machine->fencing_token = core->epoch;
+	machine->lease_expires_at = ws_lease_expiry(core, core->leadership.elected_at);
+	machine->late_command_token =
+	    core->leadership.fencing_token ? core->leadership.fencing_token - 1 : 0;
+	machine->fencing_token = core->leadership.fencing_token;
 	machine->fencing_token_since = core->now;
-	machine->owned = core->owned_seen && strcmp(name, core->owned_upto) <= 0;
+	machine->owned =
+	    core->fleet.owned_determined && strcmp(name, core->fleet.last_owned_name) <= 0;
 	machine->zone_index = machine->shard = -1;
 	machine->invalid_name = strpbrk(name, "/#=;,") != NULL;
-	HASH_ADD_STR(core->machines, name, machine);
-	core->order_stale = true;
+	HASH_ADD_STR(core->fleet.machines, name, machine);
+	core->fleet.first_fit_stale = true;
 	return machine;
 }
 
@@ -50,7 +52,8 @@
 	if (strcmp(machine->type_name, type) || !machine->type) {
 		snprintf(machine->type_name, sizeof(machine->type_name), "%s", type);
 		machine->type = ws_machine_type_find(core, type);
-		machine->type_index = machine->type ? (int)(machine->type - core->types) : 0;
+		machine->type_index =
+		    machine->type ? (int)(machine->type - core->catalog.types) : 0;
 	}
 	if (zi != machine->zone_index || strcmp(machine->zone, zone)) {
 		for (struct ws_attempt *attempt = machine->attempts; attempt;
@@ -66,21 +69,10 @@
 		snprintf(machine->zone, sizeof(machine->zone), "%s", zone);
 	}
 	if (machine->preemptible != spot)
-		core->order_stale = true;
+		core->fleet.first_fit_stale = true;
 	machine->preemptible = spot;
 }
 
-double ws_lease_length(const struct ws_settings *settings)
-{
-	return settings->lease_s * (1 + WS_DRIFT) + settings->lease_s / 32;
-}
-
-/* The time by which a lease renewed at 'from' has run out on any clock. */
-double ws_lease_expiry(const struct ws_core *core, double from)
-{
-	return from + ws_lease_length(core->settings);
-}
-
 /*
  * Machines a record holds: an entry takes less than this many bytes, its images what is left. Not
  * more than the version before gangs had at 16 KiB, which would cut a longer one short.
@@ -94,15 +86,16 @@
 
 struct ws_machine_shard *ws_shard_at(struct ws_core *core, int index)
 {
-	if (index >= core->nchunks) {
-		core->chunks = realloc(core->chunks, (size_t)(index + 1) * sizeof(*core->chunks));
-		if (!core->chunks)
+	if (index >= core->fleet.shard_count) {
+		core->fleet.shards =
+		    realloc(core->fleet.shards, (size_t)(index + 1) * sizeof(*core->fleet.shards));
+		if (!core->fleet.shards)
 			abort();
-		memset(core->chunks + core->nchunks, 0,
-		       (size_t)(index + 1 - core->nchunks) * sizeof(*core->chunks));
-		core->nchunks = index + 1;
+		memset(core->fleet.shards + core->fleet.shard_count, 0,
+		       (size_t)(index + 1 - core->fleet.shard_count) * sizeof(*core->fleet.shards));
+		core->fleet.shard_count = index + 1;
 	}
-	return &core->chunks[index];
+	return &core->fleet.shards[index];
 }
 
 void ws_shard_mark_dirty(struct ws_core *core, int index)
@@ -120,8 +113,8 @@
 	int i;
 
 	if (machine->shard < 0) {
-		for (i = 0;
-		     i < core->nchunks && core->chunks[i].machine_count >= ws_shard_capacity(core);
+		for (i = 0; i < core->fleet.shard_count &&
+			    core->fleet.shards[i].machine_count >= ws_shard_capacity(core);
 		     i++)
 			;
 		machine->shard = i;
@@ -164,8 +157,8 @@
 static bool ws_machine_heartbeats_arrive(const struct ws_core *core,
 					 const struct ws_machine *machine)
 {
-	return core->now -
-		   fmax(machine->last_heartbeat_at, fmax(machine->up_at, core->elected_at)) <
+	return core->now - fmax(machine->last_heartbeat_at,
+				fmax(machine->up_at, core->leadership.elected_at)) <
 	       3 * core->settings->report_s;
 }
 
@@ -200,58 +193,26 @@
 	ws_log(core, WS_LOG_INFO, "machine %s is gone: %s", machine->name, reason);
 	machine->gone = true;
 	ws_subsystems_lost(core, machine, WS_LOSS_RETURNED);
-	ws_tombstone_set(&core->tombstones, machine->name,
+	ws_tombstone_set(&core->fleet.returned_machines, machine->name,
 			 core->now + core->settings->lease_s + 4 * core->settings->list_lag_s);
 	ws_machine_release_attempts(core, machine, WS_RECONCILED_MACHINE_GONE);
-	core->rentals_stale = true;
+	core->autoscaler.instances_stale = true;
 	if (machine->shard >= 0)
 		ws_shard_mark_dirty(core, machine->shard);
 }
 
-void ws_tombstone_set(struct ws_tombstone **tombstones, const char *name, double until)
-{
-	struct ws_tombstone *tombstone;
-
-	HASH_FIND_STR(*tombstones, name, tombstone);
-	if (!tombstone) {
-		tombstone = calloc(1, sizeof(*tombstone));
-		if (!tombstone)
-			abort();
-		snprintf(tombstone->name, sizeof(tombstone->name), "%s", name);
-		HASH_ADD_STR(*tombstones, name, tombstone);
-	}
-	tombstone->until = until;
-}
-
-bool ws_tombstone_is_set(struct ws_core *core, struct ws_tombstone *const *tombstones,
-			 const char *name)
-{
-	struct ws_tombstone *tombstone;
-
-	HASH_FIND_STR(*tombstones, name, tombstone);
-	return tombstone && core->now < tombstone->until;
-}
-
-void ws_tombstones_clear(struct ws_core *core, bool all)
+bool ws_machine_is_returned(const struct ws_core *core, const char *name)
 {
-	struct ws_tombstone **lists[] = {&core->tombstones, &core->ended, &core->orphaned_parts},
-			    *next_tombstone, *following_tombstone;
-
-	for (size_t i = 0; i < 3; i++)
-		HASH_ITER (hh, *lists[i], next_tombstone, following_tombstone)
-			if (all || core->now >= next_tombstone->until) {
-				HASH_DEL(*lists[i], next_tombstone);
-				free(next_tombstone);
-			}
+	return ws_tombstone_is_set(core, &core->fleet.returned_machines, name);
 }
 
 void ws_machine_remove(struct ws_core *core, struct ws_machine *machine)
 {
 	if (machine->shard >= 0)
-		core->chunks[machine->shard].machine_count--;
+		core->fleet.shards[machine->shard].machine_count--;
 	ws_subsystems_machine_removed(core, machine);
-	HASH_DEL(core->machines, machine);
-	core->order_stale = true;
+	HASH_DEL(core->fleet.machines, machine);
+	core->fleet.first_fit_stale = true;
 	free(machine);
 }
 
@@ -261,7 +222,7 @@
 	struct ws_machine *machine = ws_machine_find(core, instance->name);
 
 	/* a list as old as its lag still names what was returned: not a machine that boots */
-	if (ws_tombstone_is_set(core, &core->tombstones, instance->name))
+	if (ws_tombstone_is_set(core, &core->fleet.returned_machines, instance->name))
 		return;
 	if (!machine) {
 		machine = ws_machine_find_or_add(core, instance->name);
@@ -320,14 +281,16 @@
 {
 	struct ws_machine *machine, *next_machine;
 
-	if (core->now < core->sweep_next)
+	if (core->now < core->fleet.next_sweep_at)
 		return;
-	core->sweep_next = core->now + ws_sweep_interval(core);
-	if (ws_is_entitled(core) && !core->in_outage)
+	core->fleet.next_sweep_at = core->now + ws_sweep_interval(core);
+	if (ws_is_entitled(core) && !core->leadership.in_outage)
 		ws_fleet_send_probes(core);
-	ws_tombstones_clear(core, false);
-	HASH_ITER (hh, core->machines, machine, next_machine) {
-		core->sweep_steps++;
+	ws_tombstones_clear(core, &core->fleet.returned_machines, false);
+	ws_tombstones_clear(core, &core->jobs.archived, false);
+	ws_tombstones_clear(core, &core->jobs.orphaned_continuations, false);
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine) {
+		core->fleet.sweep_steps++;
 		if (machine->gone) {
 			if (!machine->attempts)
 				ws_machine_remove(core, machine);
@@ -361,3 +324,34 @@
 		}
 	}
 }
+
+void ws_fleet_clear(struct ws_core *core)
+{
+	struct ws_fleet *fleet = &core->fleet;
+	struct ws_machine *machine = fleet->machines, *next;
+
+	HASH_CLEAR(hh, fleet->machines);
+	for (; machine; machine = next) {
+		next = machine->hh.next;
+		for (struct ws_attempt *attempt = machine->attempts, *following; attempt;
+		     attempt = following) {
+			following = attempt->machine_next;
+			free(attempt);
+		}
+		free(machine);
+	}
+	free(fleet->first_fit_order);
+	fleet->first_fit_order = NULL;
+	fleet->first_fit_count = 0;
+	fleet->first_fit_stale = true;
+	free(fleet->shards);
+	fleet->shards = NULL;
+	fleet->shard_count = 0;
+	fleet->last_owned_name[0] = 0;
+	fleet->owned_determined = false;
+	fleet->owned_recorded = false;
+	fleet->owned_write_in_flight = false;
+	fleet->next_sweep_at = 0;
+	ws_tombstones_clear(core, &fleet->returned_machines, true);
+	ws_quarantine_clear(core);
+}
--- a/src/core/reports.c
+++ b/src/core/fleet/heartbeats.c
@@ -1,5 +1,5 @@
 /* Heartbeats taken in: what a machine's newest heartbeat says of itself and of its tasks. */
-#include "internal.h"
+#include "../core_state.h"
 
 static void ws_image_cache_touch(struct ws_core *core, struct ws_machine *machine, int image)
 {
@@ -77,7 +77,8 @@
 		machine->last_failed_job[0] = 0;
 		if (job) {
 			if (attempt->running_at > 0)
-				core->work_done += ws_demand_units_of(core, &job->spec);
+				core->autoscaler.units_completed +=
+				    ws_demand_units_of(core, &job->spec);
 			ws_job_task_done(core, job, attempt->task);
 		}
 		break;
@@ -113,13 +114,13 @@
 	machine->reported = true;
 	machine->up_at = core->now;
 	if (!machine->owned && core->now - machine->first_seen > core->settings->report_s) {
-		core->boot_sum += core->now - machine->first_seen;
-		core->boot_n += 1;
+		core->autoscaler.boot_seconds += core->now - machine->first_seen;
+		core->autoscaler.boots += 1;
 	}
 	ws_log(core, WS_LOG_INFO, "machine %s is up: %s in %s%s%s", machine->name,
 	       machine->type_name, machine->zone, machine->preemptible ? ", spot" : "",
 	       machine->owned ? ", owned" : "");
-	core->place_wanted = true;
+	core->scheduler.pass_wanted = true;
 }
 
 /* What a machine is, and where it is reached. */
@@ -176,7 +177,7 @@
 	machine->preemption_noticed = true;
 	machine->preempted_at = core->now + notice_s;
 	ws_log(core, WS_LOG_INFO, "machine %s will be taken in %.0f s", machine->name, notice_s);
-	core->place_wanted = true;
+	core->scheduler.pass_wanted = true;
 }
 
 static struct ws_attempt *ws_attempt_find(const struct ws_machine *machine,
@@ -219,7 +220,7 @@
 		attempt = ws_attempt_add_unrecorded(core, machine, status);
 	if (!attempt)
 		return;
-	attempt->mark = core->pass;
+	attempt->mark = core->fleet.mark;
 	attempt->reported = attempt->maybe_sent = true;
 	ws_attempt_reconcile_status(core, attempt, status);
 	if (attempt->quarantined && !attempt->job && status->state == WS_TASK_EXITED &&
@@ -251,7 +252,7 @@
 	for (struct ws_attempt *attempt = machine->attempts, *next_attempt; attempt;
 	     attempt = next_attempt) {
 		next_attempt = attempt->machine_next;
-		if (attempt->state == WS_ATTEMPT_GONE || attempt->mark == core->pass ||
+		if (attempt->state == WS_ATTEMPT_GONE || attempt->mark == core->fleet.mark ||
 		    attempt->incarnation != machine->incarnation)
 			continue;
 		if (ws_machine_echoes_token(machine))
@@ -288,63 +289,53 @@
 		machine->late_command_token = 0;
 	if (heartbeat->preemption_notice_s >= 0 && !machine->preemption_noticed)
 		ws_machine_preemption_notice(core, machine, heartbeat->preemption_notice_s);
-	core->pass++;
+	core->fleet.mark++;
 	for (size_t i = 0; i < heartbeat->task_count; i++)
 		ws_machine_apply_task_status(core, machine, &heartbeat->tasks[i]);
 	ws_machine_release_missing(core, machine);
 }
 
-void ws_core_heartbeat(struct ws_core *core, double now, uint64_t request_id,
-		       const struct ws_heartbeat *heartbeat, bool forwarded)
+/*
+ * Whether a heartbeat is a copy, or was held back since before: nobody waits for the answer, and a
+ * grant would count as one, its tasks as alive. An answer to a command may have overtaken a
+ * heartbeat that is new.
+ */
+static bool ws_heartbeat_is_stale(const struct ws_machine *machine,
+				  const struct ws_heartbeat *heartbeat)
 {
-	struct ws_machine *machine;
-	struct ws_effect *effect;
-	bool newer;
+	return heartbeat->incarnation < machine->least_incarnation ||
+	       heartbeat->incarnation < machine->incarnation ||
+	       (heartbeat->incarnation == machine->heartbeat_incarnation &&
+		heartbeat->sequence <= machine->heartbeat_sequence);
+}
+
+/* Takes in a heartbeat that is not stale; whether it is the machine's newest word. */
+static bool ws_machine_take_heartbeat(struct ws_core *core, struct ws_machine *machine,
+				      const struct ws_heartbeat *heartbeat)
+{
+	bool newest = heartbeat->incarnation > machine->incarnation ||
+		      heartbeat->sequence > machine->sequence || !machine->reported;
 
-	if (now > core->now)
-		core->now = now;
-	if (core->role == WS_FOLLOWER || core->role == WS_CANDIDATE) {
-		ws_follower_heartbeat(core, request_id, heartbeat, forwarded);
-		return;
-	}
-	if (core->role != WS_LEADER || !ws_is_entitled(core) ||
-	    ws_tombstone_is_set(
-		core, &core->tombstones,
-		heartbeat->machine) || /* a heartbeat held back since before its return */
-	    heartbeat->fencing_token >> WS_FENCING_TOKEN_SHIFT > core->epoch >>
-		WS_FENCING_TOKEN_SHIFT) {
-		ws_heartbeat_answer(core, request_id, 503, NULL);
-		return;
-	}
-	if (!forwarded)
-		core->relay_since = 0;
-	else if (!core->relay_since)
-		core->relay_since = core->now;
-	machine = ws_machine_find_or_add(core, heartbeat->machine);
-	/*
-	 * A copy, or held back since before: nobody waits for the answer, and a 200 would count as
-	 * one, its tasks as alive. An answer to a command may have overtaken a report that is new.
-	 */
-	if (heartbeat->incarnation < machine->least_incarnation ||
-	    heartbeat->incarnation < machine->incarnation ||
-	    (heartbeat->incarnation == machine->heartbeat_incarnation &&
-	     heartbeat->sequence <= machine->heartbeat_sequence)) {
-		ws_heartbeat_answer(core, request_id, 503, NULL);
-		return;
-	}
 	machine->last_heartbeat_at = core->now;
 	machine->heartbeat_incarnation = heartbeat->incarnation;
 	machine->heartbeat_sequence = heartbeat->sequence;
 	if (heartbeat->fencing_token > machine->fencing_token)
 		machine->fencing_token = heartbeat->fencing_token;
-	newer = heartbeat->incarnation > machine->incarnation ||
-		heartbeat->sequence > machine->sequence || !machine->reported;
 	machine->unreachable = false;
-	if (newer) {
+	if (newest) {
 		machine->last_heard_at = core->now;
 		ws_machine_apply_heartbeat(core, machine, heartbeat);
 	}
-	effect = ws_effect_new(core, WS_EFFECT_ANSWER_HEARTBEAT);
+	return newest;
+}
+
+/* The answer that renews the machine's lease, with commands. */
+static void ws_heartbeat_grant(struct ws_core *core, struct ws_machine *machine,
+			       const struct ws_heartbeat *heartbeat, bool newest,
+			       uint64_t request_id)
+{
+	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_HEARTBEAT);
+
 	effect->request_id = request_id;
 	effect->status = 200;
 	effect->fencing_token = machine->fencing_token;
@@ -353,9 +344,23 @@
 	machine->lease_expires_at = ws_lease_expiry(core, core->now);
 	if (heartbeat->incarnation == machine->incarnation)
 		effect->commands =
-		    ws_commands_for_machine(core, machine, newer ? heartbeat : NULL,
+		    ws_commands_for_machine(core, machine, newest ? heartbeat : NULL,
 					    WS_ANSWER_COMMANDS_MAX, false, &effect->command_count);
-	if (!ws_machine_echoes_token(machine) && ws_is_entitled(core) && !core->in_outage)
+}
+
+bool ws_fleet_heartbeat(struct ws_core *core, const struct ws_heartbeat *heartbeat,
+			uint64_t request_id)
+{
+	struct ws_machine *machine;
+	bool newest;
+
+	machine = ws_machine_find_or_add(core, heartbeat->machine);
+	if (ws_heartbeat_is_stale(machine, heartbeat))
+		return false;
+	newest = ws_machine_take_heartbeat(core, machine, heartbeat);
+	ws_heartbeat_grant(core, machine, heartbeat, newest, request_id);
+	if (!ws_machine_echoes_token(machine) && ws_is_entitled(core) &&
+	    !core->leadership.in_outage)
 		ws_machine_send_probe(core, machine); /* now, not with the next sweep's turn */
-	ws_core_tick(core, now);
+	return true;
 }
--- a/src/core/machine_shard_records.c
+++ b/src/core/fleet/machine_shard_records.c
@@ -2,8 +2,8 @@
  * Records of the machines, some of them in each shard: fleet/<number>. They serve the next leader
  * for greeting the machines, so they are written late, one at a time.
  */
-#include "internal.h"
-#include "record_sources.h"
+#include "../core_state.h"
+#include "../record_sources.h"
 
 /* A shard waits for this share of a lease, the longer time if changes are short. */
 #define SHARDS_PER_LEASE 32
@@ -15,7 +15,7 @@
 
 static int ws_machine_shard_number(const char *key)
 {
-	return (int)strtol(key + strlen(WS_MACHINE_SHARD_PREFIX), NULL, 10);
+	return (int)strtol(key + strlen(WS_KEY_PREFIX_MACHINE_SHARD), NULL, 10);
 }
 
 static void ws_machine_shard_load(struct ws_core *core, const struct ws_kv *record)
@@ -38,7 +38,7 @@
 {
 	struct ws_machine *machine, *next;
 
-	HASH_ITER (hh, core->machines, machine, next)
+	HASH_ITER (hh, core->fleet.machines, machine, next)
 		if (machine->shard < 0 && machine->port)
 			ws_machine_mark_dirty(core, machine);
 }
@@ -61,15 +61,16 @@
 
 static void ws_machine_shard_add(struct ws_core *core, struct ws_write_batch *batch, int number)
 {
-	struct ws_machine_shard *shard = &core->chunks[number];
+	struct ws_machine_shard *shard = &core->fleet.shards[number];
 	char key[WS_KEY_MAX];
 
 	shard->dirty = shard->images_outdated = false;
 	shard->write_in_flight = true;
 	ws_write_counts_add(core, WS_WRITE_FLEET);
-	core->chunk_next = core->now + CHANGES_PER_SHARD / core->settings->state_write_rps;
-	batch->bytes += (size_t)core->value_most;
-	snprintf(key, sizeof(key), "%s%d", WS_MACHINE_SHARD_PREFIX, number);
+	core->fleet.next_shard_write_at =
+	    core->now + CHANGES_PER_SHARD / core->settings->state_write_rps;
+	batch->bytes += (size_t)core->writer.value_bytes_max;
+	snprintf(key, sizeof(key), "%s%d", WS_KEY_PREFIX_MACHINE_SHARD, number);
 	ws_write_batch_set_if(batch, key, shard->revision, ws_record_machine_shard(core, number));
 }
 
@@ -78,10 +79,10 @@
 static void ws_machine_shard_collect(struct ws_core *core, struct ws_write_batch *batch)
 {
 	if (!ws_write_batch_room(batch) || batch->bytes >= WS_TRANSACTION_BYTES ||
-	    core->now < core->chunk_next)
+	    core->now < core->fleet.next_shard_write_at)
 		return;
-	for (int i = 0; i < core->nchunks; i++)
-		if (ws_machine_shard_is_due(core, &core->chunks[i])) {
+	for (int i = 0; i < core->fleet.shard_count; i++)
+		if (ws_machine_shard_is_due(core, &core->fleet.shards[i])) {
 			ws_machine_shard_add(core, batch, i);
 			return;
 		}
@@ -122,7 +123,7 @@
 }
 
 const struct ws_record_source ws_machine_shard_records = {
-    .key_prefix = WS_MACHINE_SHARD_PREFIX,
+    .key_prefix = WS_KEY_PREFIX_MACHINE_SHARD,
     .load = ws_machine_shard_load,
     .loaded = ws_machine_shard_loaded,
     .collect = ws_machine_shard_collect,
--- a/src/core/machine_shards.c
+++ b/src/core/fleet/machine_shards.c
@@ -2,7 +2,7 @@
  * Adapter between the fleet and the records of its shards: which machines a shard's record names,
  * and what a new leader takes over from one.
  */
-#include "internal.h"
+#include "../core_state.h"
 
 /* A machine as its shard's record has it; the strings are the machine's. */
 static struct ws_machine_record ws_machine_record_of(const struct ws_machine *machine)
@@ -27,19 +27,20 @@
 json_t *ws_record_machine_shard(struct ws_core *core, int chunk)
 {
 	size_t most = (size_t)ws_shard_capacity(core) + 1;
-	struct ws_machine_shard_record record = {.image_names = core->image_names,
-						 .image_name_count = (size_t)core->nimages};
+	struct ws_machine_shard_record record = {.image_names = core->catalog.image_names,
+						 .image_name_count =
+						     (size_t)core->catalog.image_count};
 	struct ws_machine *machine, *next;
 	json_t *value;
 
 	record.machines = calloc(most, sizeof(*record.machines));
 	if (!record.machines)
 		abort();
-	HASH_ITER (hh, core->machines, machine, next)
+	HASH_ITER (hh, core->fleet.machines, machine, next)
 		if (machine->shard == chunk && !machine->gone && machine->port &&
 		    record.machine_count < most)
 			record.machines[record.machine_count++] = ws_machine_record_of(machine);
-	value = ws_machine_shard_record_encode(&record, (size_t)core->value_most);
+	value = ws_machine_shard_record_encode(&record, (size_t)core->writer.value_bytes_max);
 	free(record.machines);
 	return value;
 }
--- a/src/core/reconcile.c
+++ b/src/core/fleet/reconciliation.c
@@ -7,7 +7,7 @@
  * as the rest of its machine against the limit of every team. Once its job is known it is adopted:
  * the job's record names it.
  */
-#include "internal.h"
+#include "../core_state.h"
 
 /* ---- reconciliation results ---- */
 
@@ -93,13 +93,13 @@
 {
 	struct ws_quarantined_job *kept;
 
-	HASH_FIND_STR(core->kept_jobs, attempt->job_id, kept);
+	HASH_FIND_STR(core->fleet.quarantined_jobs, attempt->job_id, kept);
 	if (!kept) {
 		kept = calloc(1, sizeof(*kept));
 		if (!kept)
 			abort();
 		snprintf(kept->id, sizeof(kept->id), "%s", attempt->job_id);
-		HASH_ADD_STR(core->kept_jobs, id, kept);
+		HASH_ADD_STR(core->fleet.quarantined_jobs, id, kept);
 	}
 	kept->count++;
 	attempt->quarantined = true;
@@ -117,10 +117,10 @@
 	attempt->quarantined = false;
 	attempt->machine->quarantined_count--;
 	attempt->machine->quarantined_running -= attempt->task_state != WS_TASK_EXITED;
-	HASH_FIND_STR(core->kept_jobs, attempt->job_id, kept);
+	HASH_FIND_STR(core->fleet.quarantined_jobs, attempt->job_id, kept);
 	if (!kept || --kept->count)
 		return;
-	HASH_DEL(core->kept_jobs, kept);
+	HASH_DEL(core->fleet.quarantined_jobs, kept);
 	free(kept);
 }
 
@@ -131,14 +131,14 @@
 	attempt->machine->quarantined_running--;
 	attempt->task_state = WS_TASK_EXITED;
 	attempt->exit_reason = WS_EXIT_DONE;
-	core->place_wanted = true; /* its machine may be used again */
+	core->scheduler.pass_wanted = true; /* its machine may be used again */
 }
 
 void ws_quarantine_clear(struct ws_core *core)
 {
-	struct ws_quarantined_job *kept = core->kept_jobs, *next;
+	struct ws_quarantined_job *kept = core->fleet.quarantined_jobs, *next;
 
-	HASH_CLEAR(hh, core->kept_jobs);
+	HASH_CLEAR(hh, core->fleet.quarantined_jobs);
 	for (; kept; kept = next) {
 		next = kept->hh.next;
 		free(kept);
@@ -174,7 +174,7 @@
 		ws_job_task_done(core, job, status->task);
 		return false;
 	}
-	if (ws_tombstone_is_set(core, &core->ended, status->job))
+	if (ws_tombstone_is_set(core, &core->jobs.archived, status->job))
 		return false; /* we archived it ourselves */
 	snprintf(attempt.job_id, sizeof(attempt.job_id), "%s", status->job);
 	return ws_subsystems_reconciled(core, &attempt, WS_RECONCILED_UNKNOWN_JOB);
@@ -290,10 +290,10 @@
 	struct ws_quarantined_job *kept;
 	struct ws_machine *machine, *next;
 
-	HASH_FIND_STR(core->kept_jobs, job->spec.id, kept);
+	HASH_FIND_STR(core->fleet.quarantined_jobs, job->spec.id, kept);
 	if (!kept)
 		return;
-	HASH_ITER (hh, core->machines, machine, next)
+	HASH_ITER (hh, core->fleet.machines, machine, next)
 		for (struct ws_attempt *attempt = machine->quarantined_count ? machine->attempts
 									     : NULL;
 		     attempt; attempt = attempt->machine_next)
@@ -308,10 +308,10 @@
 	struct ws_quarantined_job *kept;
 	struct ws_machine *machine, *next_machine;
 
-	HASH_FIND_STR(core->kept_jobs, job, kept);
+	HASH_FIND_STR(core->fleet.quarantined_jobs, job, kept);
 	if (!kept)
 		return;
-	HASH_ITER (hh, core->machines, machine, next_machine)
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine)
 		for (struct ws_attempt *attempt = machine->attempts, *next;
 		     attempt && machine->quarantined_count; attempt = next) {
 			next = attempt->machine_next;
@@ -325,9 +325,9 @@
 	struct ws_machine *machine, *next;
 
 	*cpus = *gpus = 0;
-	if (!core->kept_jobs)
+	if (!core->fleet.quarantined_jobs)
 		return;
-	HASH_ITER (hh, core->machines, machine, next) {
+	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		bool unknown = false;
 
 		for (struct ws_attempt *attempt = machine->quarantined_running ? machine->attempts
--- a/src/core/attempts.c
+++ b/src/core/jobs/attempts.c
@@ -7,7 +7,7 @@
  * without it when no command for it can still arrive; or a heartbeat of a later incarnation; or the
  * cloud confirmed the machine's return; or its lease ran out by the longest reckoning.
  */
-#include "internal.h"
+#include "../core_state.h"
 
 /*
  * Array work takes or leaves room: load-seconds held, over which completions give mu. A server of
@@ -17,9 +17,11 @@
 {
 	if (spec->service)
 		return;
-	core->busy_time += core->busy * (core->now - core->busy_at);
-	core->busy_at = core->now;
-	core->busy = fmax(0, core->busy + sign * ws_demand_units_of(core, spec));
+	core->autoscaler.busy_unit_seconds +=
+	    core->autoscaler.busy_units * (core->now - core->autoscaler.busy_counted_at);
+	core->autoscaler.busy_counted_at = core->now;
+	core->autoscaler.busy_units =
+	    fmax(0, core->autoscaler.busy_units + sign * ws_demand_units_of(core, spec));
 }
 
 /* An attempt begins or ceases to count against machine, team, job and task. */
@@ -119,7 +121,7 @@
 	ws_attempt_count(core, attempt, -1);
 	if (!machine->attempt_count)
 		machine->empty_since = core->now;
-	core->place_wanted = true;
+	core->scheduler.pass_wanted = true;
 	if (attempt->unrecorded || !job) {
 		ws_attempt_free(attempt);
 	} else {
@@ -135,7 +137,7 @@
 {
 	return attempt->state == WS_ATTEMPT_RECORDED && !attempt->stopping && !attempt->reported &&
 	       !attempt->unrecorded && attempt->incarnation == attempt->machine->incarnation &&
-	       !core->in_outage && attempt->job && !ws_job_is_over(attempt->job) &&
+	       !core->leadership.in_outage && attempt->job && !ws_job_is_over(attempt->job) &&
 	       !attempt->machine->scale_in_requested;
 }
 
--- a/src/core/continuation_records.c
+++ b/src/core/jobs/continuation_records.c
@@ -3,28 +3,28 @@
  * node that takes in a user's cancel writes them (requests.c), and they are deleted with their job.
  * Those that are left over when their job is gone are deleted here.
  */
-#include "internal.h"
-#include "record_sources.h"
+#include "../core_state.h"
+#include "../record_sources.h"
 
 /* An orphaned record is remembered until it is deleted. */
 #define NEVER 1e18
 
 static void ws_continuation_load(struct ws_core *core, const struct ws_kv *record)
 {
-	const char *name = record->key + strlen(WS_CONTINUATION_PREFIX);
+	const char *name = record->key + strlen(WS_KEY_PREFIX_JOB_CONTINUATION);
 	char job_id[WS_ID_MAX];
 
 	snprintf(job_id, sizeof(job_id), "%.*s", (int)strcspn(name, "/"), name);
 	if (ws_job_find(core, job_id))
 		ws_load_attempts(core, job_id, record->value);
 	else if (strlen(record->key) < WS_NAME_MAX) /* its job is over */
-		ws_tombstone_set(&core->orphaned_parts, record->key, NEVER);
+		ws_tombstone_set(&core->jobs.orphaned_continuations, record->key, NEVER);
 }
 
 /* Records whose jobs are over are deleted; the next sweep forgets them here. */
 static void ws_continuation_collect(struct ws_core *core, struct ws_write_batch *batch)
 {
-	struct ws_tombstone *orphan = core->orphaned_parts;
+	struct ws_tombstone *orphan = core->jobs.orphaned_continuations;
 
 	for (; orphan && ws_write_batch_room(batch); orphan = orphan->hh.next) {
 		if (orphan->until <= core->now)
@@ -35,7 +35,7 @@
 }
 
 const struct ws_record_source ws_continuation_records = {
-    .key_prefix = WS_CONTINUATION_PREFIX,
+    .key_prefix = WS_KEY_PREFIX_JOB_CONTINUATION,
     .load = ws_continuation_load,
     .collect = ws_continuation_collect,
 };
--- a/src/core/job_records.c
+++ b/src/core/jobs/job_records.c
@@ -2,8 +2,12 @@
  * Records of jobs: job/<id> while a job is live, old/<id> once it is over. Which of them are due,
  * which go first, and what follows once they are written.
  */
-#include "internal.h"
-#include "record_sources.h"
+#include "../core_state.h"
+#include "../record_sources.h"
+
+#define WS_VALUE_RESERVE 64	 /* bytes of a value that records leave free */
+#define WS_GANG_MACHINE_BYTES 8	 /* of a job's record, for each machine of a gang */
+#define WS_GANG_RECORD_BYTES 704 /* of a gang's record, besides its machines */
 
 /* Progress alone, with changes to spare, waits for this time: users may wait for it so long. */
 #define PROGRESS_DELAY_S 2
@@ -19,7 +23,7 @@
 
 static struct ws_job *ws_job_of_key(struct ws_core *core, const char *key)
 {
-	return ws_job_find(core, key + strlen(WS_JOB_PREFIX));
+	return ws_job_find(core, key + strlen(WS_KEY_PREFIX_JOB));
 }
 
 /* ---- reading ---- */
@@ -72,7 +76,7 @@
 
 static void ws_job_load(struct ws_core *core, const struct ws_kv *record)
 {
-	const char *job_id = record->key + strlen(WS_JOB_PREFIX);
+	const char *job_id = record->key + strlen(WS_KEY_PREFIX_JOB);
 
 	ws_job_record_changed(core, job_id, record->value, record->revision);
 	ws_load_attempts(core, job_id, record->value);
@@ -95,12 +99,12 @@
 	struct ws_machine *machine, *next_machine;
 	struct ws_job *job, *next_job;
 
-	HASH_ITER (hh, core->machines, machine, next_machine)
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine)
 		for (struct ws_attempt *attempt = machine->attempts; attempt;
 		     attempt = attempt->machine_next)
 			if (ws_attempt_is_superseded(attempt))
 				ws_attempt_mark_stopping(attempt);
-	HASH_ITER (hh, core->jobs, job, next_job)
+	HASH_ITER (hh, core->jobs.by_id, job, next_job)
 		ws_job_check_end(core, job);
 }
 
@@ -139,13 +143,14 @@
 {
 	char key[WS_KEY_MAX];
 
-	snprintf(key, sizeof(key), "%s%s", WS_FINISHED_JOB_PREFIX, job->spec.id);
+	snprintf(key, sizeof(key), "%s%s", WS_KEY_PREFIX_ARCHIVED_JOB, job->spec.id);
 	ws_write_batch_set_if(batch, key, 0, ws_record_final(job));
-	snprintf(key, sizeof(key), "%s%s", WS_JOB_PREFIX, job->spec.id);
+	snprintf(key, sizeof(key), "%s%s", WS_KEY_PREFIX_JOB, job->spec.id);
 	ws_write_batch_set_if(batch, key, job->revision, NULL);
 	/* those for which there is no room now are found as orphans by the next leader */
 	for (uint32_t i = 0; i < job->continuation_count && ws_write_batch_room(batch); i++) {
-		snprintf(key, sizeof(key), "%s%s/%u", WS_CONTINUATION_PREFIX, job->spec.id, i);
+		snprintf(key, sizeof(key), "%s%s/%u", WS_KEY_PREFIX_JOB_CONTINUATION, job->spec.id,
+			 i);
 		ws_write_batch_set(batch, key, NULL);
 	}
 	batch->bytes += FINISHED_JOB_BYTES;
@@ -175,7 +180,7 @@
 		job->write_in_flight = false;
 		return;
 	}
-	snprintf(key, sizeof(key), "%s%s", WS_JOB_PREFIX, job->spec.id);
+	snprintf(key, sizeof(key), "%s%s", WS_KEY_PREFIX_JOB, job->spec.id);
 	ws_write_batch_set_if(batch, key, job->revision, value);
 	/* a record is mostly its attempts */
 	batch->bytes += JOB_BYTES + ATTEMPT_BYTES * (size_t)job->attempt_count;
@@ -186,7 +191,7 @@
 	/* archived once nothing of it can be alive, so that what is counts for its team */
 	bool over = ws_job_is_over(job) && !job->attempt_count;
 
-	DL_DELETE2(core->dirty_jobs, job, dirty_prev, dirty_next);
+	DL_DELETE2(core->jobs.dirty, job, dirty_prev, dirty_next);
 	ws_write_counts_add(core, over		      ? WS_WRITE_ENDS
 				  : job->write_urgent ? WS_WRITE_STARTS
 						      : WS_WRITE_LATER);
@@ -205,7 +210,7 @@
 	struct ws_job *job, *next;
 
 	for (int rank = WS_JOB_RANK_WHOLE; rank >= WS_JOB_RANK_PROGRESS; rank--)
-		DL_FOREACH_SAFE2 (core->dirty_jobs, job, next, dirty_next) {
+		DL_FOREACH_SAFE2 (core->jobs.dirty, job, next, dirty_next) {
 			if (ws_write_batch_room(batch) < JOB_OPERATIONS ||
 			    ws_write_batch_is_full(batch))
 				break;
@@ -248,7 +253,8 @@
 		return;
 	job->write_in_flight = false;
 	if (!operation->value) {
-		ws_tombstone_set(&core->ended, job->spec.id, core->now + core->settings->lease_s);
+		ws_tombstone_set(&core->jobs.archived, job->spec.id,
+				 core->now + core->settings->lease_s);
 		ws_job_free(core, job);
 		return;
 	}
@@ -287,7 +293,7 @@
 }
 
 const struct ws_record_source ws_job_records = {
-    .key_prefix = WS_JOB_PREFIX,
+    .key_prefix = WS_KEY_PREFIX_JOB,
     .load = ws_job_load,
     .listed = ws_job_watch_start,
     .loaded = ws_job_loaded,
@@ -296,3 +302,37 @@
     .committed = ws_job_committed,
     .not_written = ws_job_not_written,
 };
+
+size_t ws_record_size_limit(const struct ws_core *core)
+{
+	return core->writer.value_bytes_max > 2 * WS_VALUE_RESERVE
+		   ? (size_t)core->writer.value_bytes_max - WS_VALUE_RESERVE
+		   : WS_VALUE_RESERVE;
+}
+
+size_t ws_record_attempt_size(const struct ws_core *core, const struct ws_attempt *before,
+			      const struct ws_attempt *attempt)
+{
+	return ws_attempt_list_growth(before, attempt, core->fleet.shared_name_length);
+}
+
+json_t *ws_record_job(const struct ws_core *core, const struct ws_job *job, size_t limit)
+{
+	return ws_job_record_encode(job, core->catalog.zone_count, limit);
+}
+
+bool ws_gang_recordable(const struct ws_core *core, const struct ws_job_spec *spec,
+			const struct ws_machine_type *type)
+{
+	uint32_t per_machine;
+	double machines;
+
+	if (!spec->gang)
+		return true;
+	per_machine = ws_tasks_fit(spec, type->cpus, type->gpus, type->mem_gb, spec->tasks);
+	if (!per_machine)
+		return false;
+	machines = ceil((double)spec->tasks / per_machine);
+	return WS_GANG_MACHINE_BYTES * machines <=
+	       core->settings->value_kb * 1024 - WS_GANG_RECORD_BYTES;
+}
--- a/src/core/jobs.c
+++ b/src/core/jobs/jobs.c
@@ -1,12 +1,12 @@
 /* Jobs as the leader knows them: a mirror of the job records, changed by watch and by heartbeats.
  */
-#include "internal.h"
+#include "../core_state.h"
 
 struct ws_team *ws_team_find(struct ws_core *core, const char *name)
 {
 	for (size_t i = 0; i < core->settings->team_count; i++)
-		if (!strcmp(core->teams[i].settings->name, name))
-			return &core->teams[i];
+		if (!strcmp(core->jobs.teams[i].settings->name, name))
+			return &core->jobs.teams[i];
 	return NULL;
 }
 
@@ -14,7 +14,7 @@
 {
 	struct ws_job *job;
 
-	HASH_FIND_STR(core->jobs, id, job);
+	HASH_FIND_STR(core->jobs.by_id, id, job);
 	return job;
 }
 
@@ -34,54 +34,22 @@
 		return;
 	job->dirty = true;
 	job->dirty_since = core->now;
-	DL_APPEND2(core->dirty_jobs, job, dirty_prev, dirty_next);
+	DL_APPEND2(core->jobs.dirty, job, dirty_prev, dirty_next);
 }
 
 /* The types of machine that its tasks may run on. */
 void ws_job_update_eligible_types(const struct ws_core *core, struct ws_job *job)
 {
-	if (job->eligible_types_edition == core->types_edition)
+	if (job->eligible_types_edition == core->catalog.types_edition)
 		return;
-	job->eligible_types_edition = core->types_edition;
+	job->eligible_types_edition = core->catalog.types_edition;
 	job->eligible_types = 0;
-	for (size_t i = 0; i < core->ntypes; i++)
-		if (ws_machine_type_fits(&core->types[i], &job->spec) &&
-		    ws_gang_recordable(core, &job->spec, &core->types[i]))
+	for (size_t i = 0; i < core->catalog.type_count; i++)
+		if (ws_machine_type_fits(&core->catalog.types[i], &job->spec) &&
+		    ws_gang_recordable(core, &job->spec, &core->catalog.types[i]))
 			job->eligible_types |= 1u << i;
 }
 
-int ws_image_index(struct ws_core *core, const char *name)
-{
-	struct ws_image *image;
-
-	HASH_FIND_STR(core->images, name, image);
-	if (image)
-		return image->id;
-	image = calloc(1, sizeof(*image));
-	core->image_names =
-	    realloc(core->image_names, (size_t)(core->nimages + 1) * sizeof(*core->image_names));
-	if (!image || !core->image_names)
-		abort();
-	snprintf(image->name, sizeof(image->name), "%s", name);
-	core->image_names[core->nimages] = image->name;
-	image->id = core->nimages++;
-	HASH_ADD_STR(core->images, name, image);
-	return image->id;
-}
-
-int ws_zone_index(struct ws_core *core, const char *name)
-{
-	if (!name[0])
-		return -1;
-	for (int i = 0; i < core->nzones; i++)
-		if (!strcmp(core->zones[i], name))
-			return i;
-	if (core->nzones == WS_MAX_ZONES)
-		return -1;
-	snprintf(core->zones[core->nzones], WS_NAME_MAX, "%s", name);
-	return core->nzones++;
-}
-
 void ws_job_free(struct ws_core *core, struct ws_job *job)
 {
 	while (job->attempts) {
@@ -101,8 +69,8 @@
 		}
 	}
 	if (job->dirty)
-		DL_DELETE2(core->dirty_jobs, job, dirty_prev, dirty_next);
-	HASH_DEL(core->jobs, job);
+		DL_DELETE2(core->jobs.dirty, job, dirty_prev, dirty_next);
+	HASH_DEL(core->jobs.by_id, job);
 	free(job->tasks);
 	free(job);
 }
@@ -172,24 +140,6 @@
 		ws_job_cancel(core, job);
 }
 
-/* CPUs of a machine of middling size; 0 while no type is known. */
-double ws_mean_machine_cpus(const struct ws_core *core)
-{
-	double size = 0;
-
-	for (size_t i = 0; i < core->ntypes; i++)
-		size += core->types[i].cpus / (double)core->ntypes;
-	return size;
-}
-
-/* A task as a share of one machine of middling size. */
-double ws_demand_units_of(const struct ws_core *core, const struct ws_job_spec *spec)
-{
-	double size = ws_mean_machine_cpus(core);
-
-	return size > 0 ? spec->cpus / size : 0;
-}
-
 /* One command to each machine marked for it, with all that is to start or end there. */
 void ws_job_send_commands(struct ws_core *core, struct ws_job *job)
 {
@@ -234,7 +184,7 @@
 		}
 		return;
 	}
-	if (ws_tombstone_is_set(core, &core->ended, id))
+	if (ws_tombstone_is_set(core, &core->jobs.archived, id))
 		return; /* written before we archived it */
 	next_job = ws_record_read_job(id, value);
 	if (!next_job) {
@@ -249,16 +199,33 @@
 	next_job->eligible_types_edition = -1;
 	next_job->waiting = next_job->spec.tasks - next_job->done_count;
 	next_job->known_at = core->now;
-	HASH_ADD_STR(core->jobs, spec.id, next_job);
+	HASH_ADD_STR(core->jobs.by_id, spec.id, next_job);
 	ws_quarantine_link_job(core, next_job);
-	if (core->role == WS_LEADER) {
+	if (core->leadership.role == WS_LEADER) {
 		ws_log(core, WS_LOG_DEBUG, "job %s known: %u tasks of %s %s", id,
 		       next_job->spec.tasks, next_job->spec.team, next_job->spec.job_class);
 		if (next_job->phase == WS_JOB_CANCELLED)
 			ws_job_check_end(core, next_job);
 		else if (!next_job->spec.service)
-			core->work_arrived +=
+			core->autoscaler.units_arrived +=
 			    next_job->spec.tasks * ws_demand_units_of(core, &next_job->spec);
 	}
-	core->place_wanted = true;
+	core->scheduler.pass_wanted = true;
+}
+
+void ws_jobs_clear(struct ws_core *core)
+{
+	struct ws_job *job = core->jobs.by_id, *next;
+
+	HASH_CLEAR(hh, core->jobs.by_id);
+	for (; job; job = next) {
+		next = job->hh.next;
+		free(job->tasks);
+		free(job);
+	}
+	core->jobs.dirty = NULL;
+	for (size_t i = 0; i < core->settings->team_count; i++)
+		core->jobs.teams[i].used_cpus = core->jobs.teams[i].used_gpus = 0;
+	ws_tombstones_clear(core, &core->jobs.archived, true);
+	ws_tombstones_clear(core, &core->jobs.orphaned_continuations, true);
 }
--- /dev/null
+++ b/src/core/leadership/election.c
@@ -0,0 +1,451 @@
+/*
+ * Who is the leader, and how leadership is kept.
+ *
+ * The leader is whoever attached the key `leader` to a session of its own. Its fencing token is the
+ * key's revision, shifted, so every leader's fencing token is above those before it. It acts only
+ * until the end of its session as reckoned from when the last granted renewal was sent, and every
+ * write of a leader is conditioned on the revision of the leader key, so one that comes late has no
+ * effect.
+ */
+#include "../core_state.h"
+
+/* Renewals under way at once. */
+#define RENEWALS_MAX 4
+
+/*
+ * How old a leader's view of what users cancelled may be when it answers a heartbeat: the answer
+ * renews the lease of a cancelled task for the last time, and that lease must be out within
+ * cancel_s.
+ */
+double ws_core_replica_age_limit(const struct ws_settings *settings)
+{
+	return settings->cancel_s - ws_lease_length(settings);
+}
+
+/* Whether that is shorter than what a leader is served by its watch at the latest. */
+bool ws_core_replica_age_limit_is_short(const struct ws_settings *settings,
+					const struct ws_policy *policy)
+{
+	return ws_core_replica_age_limit(settings) <
+	       WS_REPLICA_AGE_TTLS * settings->lease_s * policy->leader_ttl_ratio;
+}
+
+/* How old the leader's replica of the jobs may be while the store serves it. */
+double ws_replica_age_max(const struct ws_core *core)
+{
+	return fmax(core->leadership.replica_age_limit_s,
+		    WS_REPLICA_AGE_TTLS * core->leadership.session_ttl_s);
+}
+
+bool ws_core_is_entitled(const struct ws_core *core, double now)
+{
+	return core->leadership.role == WS_LEADER && now < core->leadership.entitled_until &&
+	       now < core->job_watch.replica_current_at + ws_replica_age_max(core);
+}
+
+bool ws_core_is_leader(const struct ws_core *core)
+{
+	return core->leadership.role == WS_LEADER;
+}
+
+void ws_leadership_init(struct ws_core *core)
+{
+	struct ws_leadership *leadership = &core->leadership;
+
+	leadership->session_ttl_s = core->settings->lease_s * core->policy.leader_ttl_ratio;
+	if (leadership->session_ttl_s < 0.2)
+		leadership->session_ttl_s = 0.2;
+	leadership->replica_age_limit_s = ws_core_replica_age_limit(core->settings);
+	if (ws_core_replica_age_limit_is_short(core->settings, &core->policy))
+		ws_log(core, WS_LOG_ERROR,
+		       "cancel_s %.3g is short for lease_s %.3g: in outages of the state service "
+		       "reports are answered for %.3g s at most",
+		       core->settings->cancel_s, core->settings->lease_s,
+		       fmax(0, leadership->replica_age_limit_s));
+}
+
+bool ws_is_entitled(const struct ws_core *core)
+{
+	return ws_core_is_entitled(core, core->now);
+}
+
+static void ws_become_follower(struct ws_core *core, double after)
+{
+	core->leadership.role = WS_FOLLOWER;
+	core->leadership.next_attempt_at = core->now + after;
+}
+
+static void ws_ignore_result(struct ws_core *core, struct ws_call *call,
+			     const struct ws_result *result)
+{
+	(void)core;
+	(void)call;
+	(void)result;
+}
+
+/*
+ * Proof that a leader lived. The store removes a key `ttl` after its last renewal, unless
+ * it was out meanwhile: then all sessions have their full time again. So a key that was read for
+ * longer than that, without a refusal in between, was renewed within that time. A key that was just
+ * written proves that somebody was elected, and not yet that he served anybody. Times are those at
+ * which the question was asked: whoever stood still meanwhile has no newer proof.
+ */
+static void ws_leader_proven(struct ws_core *core, double alive_at, uint64_t term)
+{
+	if (core->leadership.proof.exists && alive_at <= core->leadership.proof.alive_at)
+		return;
+	core->leadership.proof.exists = true;
+	core->leadership.proof.alive_at = alive_at;
+	core->leadership.proof.term = term;
+}
+
+static void ws_leader_key_read(struct ws_core *core, double asked)
+{
+	struct ws_leader_proof *proof = &core->leadership.proof;
+	const double hold_s = WS_PROOF_TTLS * core->leadership.session_ttl_s;
+
+	if (core->leadership.leader_revision != proof->leader_revision) {
+		proof->leader_revision = core->leadership.leader_revision;
+		proof->key_since = asked;
+	} else if (proof->leader_revision && asked - proof->key_since > hold_s) {
+		ws_leader_proven(core, asked - hold_s, proof->leader_revision);
+	}
+}
+
+void ws_step_down(struct ws_core *core, const char *reason)
+{
+	struct ws_leadership *leadership = &core->leadership;
+
+	if (reason && leadership->role != WS_FOLLOWER)
+		ws_log(core, WS_LOG_INFO, "no longer leading: %s", reason);
+	core->generation++;
+	if (leadership->role == WS_LEADER &&
+	    core->now - leadership->elected_at > WS_PROOF_TTLS * leadership->session_ttl_s)
+		ws_leader_proven(core, fmin(core->now, leadership->entitled_until),
+				 leadership->fencing_token >> WS_FENCING_TOKEN_SHIFT);
+	ws_core_forget_cluster(core);
+	leadership->renewals_in_flight = 0;
+	leadership->in_outage = leadership->paused = false;
+	leadership->votes.outstanding = 0;
+	if (leadership->session && reason) {
+		struct ws_call *call = ws_call_new(core, WS_CALL_SESSION_CLOSE, ws_ignore_result);
+
+		call->session = leadership->session;
+		call->urgent = true;
+	}
+	leadership->session = 0;
+	leadership->fencing_token = 0;
+	leadership->entitled_until = 0;
+	ws_become_follower(core, 0);
+}
+
+/* The node is about to stop: whoever comes next need not wait for the session to end. */
+void ws_core_resign(struct ws_core *core, double now)
+{
+	if (now > core->now)
+		core->now = now;
+	core->leadership.campaign_after = 1e18;
+	if (core->leadership.role != WS_FOLLOWER)
+		ws_step_down(core, "stopping");
+}
+
+/* ---- who is the leader ---- */
+
+static void ws_leader_changed(struct ws_core *core, json_t *value, uint64_t revision)
+{
+	const char *node = value ? ws_record_leader_node(value) : NULL;
+
+	if (strcmp(core->leadership.leader_node, node ? node : ""))
+		ws_log(core, WS_LOG_INFO, "leader: %s", node ? node : "none");
+	snprintf(core->leadership.leader_node, sizeof(core->leadership.leader_node), "%s",
+		 node ? node : "");
+	core->leadership.leader_revision = node ? revision : 0;
+	if ((core->leadership.role == WS_LEADER || core->leadership.role == WS_LOADING) && node &&
+	    revision > core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT)
+		ws_step_down(core, "another node leads");
+}
+
+static void ws_election_answered(struct ws_core *core, struct ws_call *call,
+				 const struct ws_result *result);
+
+static void ws_session_opened(struct ws_core *core, struct ws_call *call,
+			      const struct ws_result *result)
+{
+	struct ws_call *other_call;
+
+	if (call->generation != core->generation || core->leadership.role != WS_CANDIDATE)
+		return;
+	if (result->status != 200) {
+		ws_become_follower(core, core->leadership.session_ttl_s / 4);
+		return;
+	}
+	core->leadership.session = result->session;
+	if (core->leadership.leader_node[0] &&
+	    strcmp(core->leadership.leader_node, core->settings->node)) {
+		/* another was elected meanwhile: our write must not be conditioned on its key */
+		ws_step_down(core, "another node was elected");
+		return;
+	}
+	core->leadership.entitled_until =
+	    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT);
+	core->leadership.next_renewal_at = call->created_at + core->leadership.session_ttl_s / 4;
+	other_call = ws_call_new(core, WS_CALL_TRANSACTION, ws_election_answered);
+	other_call->urgent = true;
+	other_call->compares = calloc(1, sizeof(*other_call->compares));
+	other_call->operations = calloc(1, sizeof(*other_call->operations));
+	if (!other_call->compares || !other_call->operations)
+		abort();
+	other_call->compare_count = other_call->operation_count = 1;
+	snprintf(other_call->compares[0].key, WS_KEY_MAX, "leader");
+	other_call->compares[0].revision =
+	    core->leadership.leader_revision; /* 0, or the key of our own earlier life */
+	snprintf(other_call->operations[0].key, WS_KEY_MAX, "leader");
+	other_call->operations[0].value = ws_leader_record_encode(
+	    &(struct ws_leader_record){core->settings->node, core->nonce >> 2});
+	other_call->operations[0].session = core->leadership.session;
+}
+
+static void ws_election_answered(struct ws_core *core, struct ws_call *call,
+				 const struct ws_result *result)
+{
+	if (call->generation != core->generation || core->leadership.role != WS_CANDIDATE)
+		return;
+	if (result->status != 200) {
+		/* lost, or unknown: the session is given up, so that a late write of ours ends with
+		 * it
+		 */
+		ws_step_down(core, "the election was lost");
+		ws_become_follower(core,
+				   result->status == 409 ? 0 : core->leadership.session_ttl_s / 4);
+		return;
+	}
+	core->leadership.role = WS_LOADING;
+	/* a key left over from our own last life tells nothing of when another's hold ended, and a
+	 * paused leader may have answered for as long as a session lasts */
+	core->leadership.elected_at =
+	    core->now + (call->compares[0].revision ? core->leadership.session_ttl_s : 0);
+	core->leadership.fencing_token = result->revision << WS_FENCING_TOKEN_SHIFT;
+	core->jobs.attempt_sequence = 0;
+	core->autoscaler.request_sequence = 0;
+	core->leadership.leader_revision = result->revision;
+	snprintf(core->leadership.leader_node, sizeof(core->leadership.leader_node), "%s",
+		 core->settings->node);
+	core->leadership.forwarded_only_since = 0;
+	ws_log(core, WS_LOG_INFO, "elected, epoch %llu",
+	       (unsigned long long)core->leadership.fencing_token);
+	ws_subsystems_elected(core);
+	ws_loader_start(core);
+}
+
+static void ws_campaign(struct ws_core *core)
+{
+	struct ws_call *call;
+
+	core->leadership.role = WS_CANDIDATE;
+	core->generation++;
+	call = ws_call_new(core, WS_CALL_SESSION_OPEN, ws_session_opened);
+	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
+	call->urgent = true;
+}
+
+static void ws_leader_watch_answered(struct ws_core *core, struct ws_call *call,
+				     const struct ws_result *result)
+{
+	core->leadership.watch_in_flight = false;
+	if (result->status != 200) {
+		core->leadership.leader_known = false;
+		core->leadership.proof.leader_revision = 0;
+		core->leadership.next_attempt_at = core->now + core->leadership.session_ttl_s / 4;
+		if (result->status == 410)
+			core->leadership.next_attempt_at = core->now;
+		return;
+	}
+	core->leadership.watch_revision = result->revision;
+	for (size_t i = 0; i < result->entry_count; i++)
+		if (!strcmp(result->entries[i].key, "leader"))
+			ws_leader_changed(core, result->entries[i].value,
+					  result->entries[i].revision);
+	ws_leader_key_read(core, call->created_at);
+}
+
+static void ws_leader_read_answered(struct ws_core *core, struct ws_call *call,
+				    const struct ws_result *result)
+{
+	core->leadership.watch_in_flight = false;
+	if (result->status != 200) {
+		core->leadership.proof.leader_revision = 0;
+		core->leadership.next_attempt_at = core->now + core->leadership.session_ttl_s / 4;
+		return;
+	}
+	bool any = false;
+	core->leadership.leader_known = true; /* the revision of a new store may be 0 */
+	core->leadership.watch_revision = result->revision;
+	for (size_t i = 0; i < result->entry_count; i++)
+		if (!strcmp(result->entries[i].key, "leader")) {
+			any = true;
+			ws_leader_changed(core, result->entries[i].value,
+					  result->entries[i].revision);
+		}
+	if (!any)
+		ws_leader_changed(core, NULL, 0);
+	ws_leader_key_read(core, call->created_at);
+}
+
+static void ws_watch_leader(struct ws_core *core)
+{
+	struct ws_call *call;
+
+	if (core->leadership.watch_in_flight || core->now < core->leadership.next_attempt_at)
+		return;
+	core->leadership.watch_in_flight = true;
+	if (!core->leadership.leader_known) {
+		call = ws_call_new(core, WS_CALL_LIST, ws_leader_read_answered);
+		snprintf(call->key, sizeof(call->key), "leader");
+		return;
+	}
+	call = ws_call_new(core, WS_CALL_WATCH, ws_leader_watch_answered);
+	snprintf(call->key, sizeof(call->key), "leader");
+	call->since_revision = core->leadership.watch_revision;
+	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
+}
+
+/* ---- keeping leadership ---- */
+
+static void ws_session_renewed(struct ws_core *core, struct ws_call *call,
+			       const struct ws_result *result)
+{
+	if (call->generation != core->generation)
+		return;
+	core->leadership.renewals_in_flight--;
+	if (result->status == 200) {
+		double until = call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT);
+
+		if (until > core->leadership.entitled_until)
+			core->leadership.entitled_until = until;
+		if (core->leadership.in_outage) {
+			ws_log(core, WS_LOG_INFO, "the state service is back");
+			core->leadership.store_served_at = core->now;
+		}
+		core->leadership.in_outage = core->leadership.paused = false;
+		core->scheduler.pass_wanted = true;
+		core->leadership.next_renewal_at =
+		    fmax(core->leadership.next_renewal_at,
+			 call->created_at + core->leadership.session_ttl_s / 4);
+	} else if (result->status == 404) {
+		ws_step_down(core, "the hold ended");
+	} else {
+		if (!core->leadership.renewals_in_flight)
+			core->leadership.next_renewal_at =
+			    core->now + core->leadership.session_ttl_s / 16;
+		/* an old word, if a later renewal was granted */
+		if (result->status == 503 && !core->leadership.in_outage &&
+		    core->leadership.role == WS_LEADER &&
+		    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT) >=
+			core->leadership.entitled_until) {
+			core->leadership.in_outage = true;
+			core->leadership.votes.next_round_at = core->now;
+			ws_log(core, WS_LOG_INFO, "the state service refuses us");
+		}
+	}
+}
+
+/* A follower campaigns when nobody leads, or the key is left over from our own last life. */
+static void ws_follower_tick(struct ws_core *core)
+{
+	bool own = core->leadership.leader_node[0] &&
+		   !strcmp(core->leadership.leader_node, core->settings->node);
+
+	if (core->leadership.leader_known && (!core->leadership.leader_node[0] || own) &&
+	    core->now >= core->leadership.campaign_after &&
+	    core->now >= core->leadership.next_attempt_at && core->catalog.type_count)
+		ws_campaign(core);
+}
+
+/*
+ * Renews the session. A renewal that is slow is not waited for: each counts from when it was sent,
+ * and at a store that takes half of ttl for an answer one after the other came too late.
+ */
+static void ws_session_renew(struct ws_core *core)
+{
+	struct ws_call *call;
+
+	if (!core->leadership.session || core->leadership.renewals_in_flight >= RENEWALS_MAX ||
+	    core->now < core->leadership.next_renewal_at)
+		return;
+	call = ws_call_new(core, WS_CALL_SESSION_RENEW, ws_session_renewed);
+	call->session = core->leadership.session;
+	call->urgent = true;
+	core->leadership.renewals_in_flight++;
+	core->leadership.next_renewal_at = core->now + core->leadership.session_ttl_s / 4;
+}
+
+/* In an outage without the word of all peers: pauses, and gives up after a while. */
+static void ws_pause_or_step_down(struct ws_core *core)
+{
+	if (core->leadership.role == WS_LEADER && !core->leadership.paused) {
+		core->leadership.paused = true;
+		core->leadership.pause_until = core->leadership.entitled_until +
+					       core->settings->lease_s * (1 - WS_DRIFT) -
+					       core->leadership.session_ttl_s;
+		ws_log(core, WS_LOG_INFO,
+		       "paused: the state service refuses us and not surely all");
+	}
+	if (core->leadership.role != WS_LEADER || core->now >= core->leadership.pause_until)
+		ws_step_down(core, "the state service refuses us and not surely all");
+}
+
+/* Why leadership can't be kept; NULL: it can. */
+static const char *ws_leadership_lost_reason(const struct ws_core *core)
+{
+	if (core->now >= core->leadership.entitled_until && !core->leadership.in_outage)
+		return "the hold could not be renewed in time";
+	if (core->leadership.role == WS_LEADER && !core->leadership.in_outage &&
+	    core->now >=
+		fmax(core->job_watch.replica_current_at, core->leadership.store_served_at) +
+		    ws_replica_age_max(core))
+		return "the watch of the jobs brings nothing";
+	return NULL;
+}
+
+/*
+ * Workers reach the others but not us: one of them should lead. Counted from the first heartbeat
+ * forwarded, since before it there may have been no worker at all.
+ */
+static bool ws_workers_elsewhere(const struct ws_core *core)
+{
+	return core->leadership.role == WS_LEADER && core->leadership.forwarded_only_since > 0 &&
+	       core->now - core->leadership.forwarded_only_since > 2.5 * core->settings->report_s &&
+	       !core->leadership.in_outage;
+}
+
+void ws_leadership_tick(struct ws_core *core)
+{
+	const char *lost;
+
+	ws_watch_leader(core);
+	if (core->leadership.role == WS_FOLLOWER) {
+		ws_follower_tick(core);
+		return;
+	}
+	ws_session_renew(core);
+	if (core->leadership.role != WS_LEADER && core->leadership.role != WS_LOADING)
+		return;
+	ws_outage_tick(core);
+	lost = ws_leadership_lost_reason(core);
+	if (lost) {
+		ws_step_down(core, lost);
+		return;
+	}
+	if (core->leadership.in_outage && core->now >= core->leadership.entitled_until) {
+		ws_pause_or_step_down(core);
+		return;
+	}
+	if (!core->leadership.paused)
+		core->leadership.pause_until = core->leadership.entitled_until;
+	if (ws_workers_elsewhere(core)) {
+		core->leadership.campaign_after = core->now + core->settings->lease_s;
+		ws_step_down(core, "no worker reaches this node, but others do");
+		return;
+	}
+	ws_job_watch_tick(core);
+}
--- a/src/core/outage.c
+++ b/src/core/leadership/outage.c
@@ -1,5 +1,5 @@
 /* The lead in an outage of the store: peers are asked whether they are refused as well. */
-#include "internal.h"
+#include "../core_state.h"
 
 /*
  * While the store is down for everybody no hold runs out, so a leader may go on answering
@@ -28,9 +28,9 @@
 	snprintf(call->key, sizeof(call->key), "%s", node);
 	snprintf(call->after, sizeof(call->after), "%s", after);
 	call->since_revision = since;
-	call->fencing_token = core->epoch >> WS_FENCING_TOKEN_SHIFT;
-	call->context_number = core->ask_round;
-	core->ask_out++;
+	call->fencing_token = core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT;
+	call->context_number = core->leadership.votes.round;
+	core->leadership.votes.outstanding++;
 }
 
 static void ws_cancellations_apply(struct ws_core *core, const struct ws_cancellation *list,
@@ -45,7 +45,9 @@
 /* All peers are refused as well, and what they told users is known here: leadership goes on. */
 static void ws_extend_entitlement(struct ws_core *core)
 {
-	double until = core->ask_sent + fmin(core->ttl * (1 - WS_DRIFT), core->view_s);
+	double until =
+	    core->leadership.votes.asked_at + fmin(core->leadership.session_ttl_s * (1 - WS_DRIFT),
+						   core->leadership.replica_age_limit_s);
 	struct ws_cancellation *own;
 	size_t n;
 	bool more, whole = ws_cancellations_since(core, core->job_watch.revision, "", &own, &n,
@@ -55,17 +57,17 @@
 	free(own);
 	if (!whole)
 		return;
-	ws_job_watch_confirm(core, core->ask_sent);
-	if (until <= core->entitled_until || until <= core->now)
+	ws_job_watch_confirm(core, core->leadership.votes.asked_at);
+	if (until <= core->leadership.entitled_until || until <= core->now)
 		return;
-	core->entitled_until = until;
-	if (!core->paused)
+	core->leadership.entitled_until = until;
+	if (!core->leadership.paused)
 		return;
-	core->paused = false;
+	core->leadership.paused = false;
 	ws_log(core, WS_LOG_INFO, "all peers are refused too: answering reports again");
 	struct ws_machine *machine, *next_machine;
 
-	HASH_ITER (hh, core->machines, machine, next_machine)
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine)
 		ws_machine_send_commands(core,
 					 machine); /* what we learned while we could not say so */
 }
@@ -73,10 +75,11 @@
 static void ws_outage_vote_answered(struct ws_core *core, struct ws_call *call,
 				    const struct ws_result *result)
 {
-	if (call->generation != core->generation || call->context_number != core->ask_round)
+	if (call->generation != core->generation ||
+	    call->context_number != core->leadership.votes.round)
 		return;
-	core->ask_out--;
-	core->ask_heard = core->now;
+	core->leadership.votes.outstanding--;
+	core->leadership.votes.last_answer_at = core->now;
 	if (result->status != 503 || !result->vote_granted)
 		return;
 	ws_cancellations_apply(core, result->cancellations, result->cancellation_count, call->key);
@@ -87,21 +90,24 @@
 		ws_outage_vote_request(core, call->key, last->revision, last->job);
 		return;
 	}
-	core->ask_yes++;
-	if (core->ask_yes == (int)core->settings->peer_count && core->now < core->pause_until)
+	core->leadership.votes.granted++;
+	if (core->leadership.votes.granted == (int)core->settings->peer_count &&
+	    core->now < core->leadership.pause_until)
 		ws_extend_entitlement(core);
 }
 
 void ws_outage_tick(struct ws_core *core)
 {
 	/* a round whose answers are slow is waited for, or none would ever be complete */
-	if (!core->in_outage || core->now < core->ask_next ||
-	    (core->ask_out > 0 && core->now < core->ask_heard + core->ttl / 2))
+	if (!core->leadership.in_outage || core->now < core->leadership.votes.next_round_at ||
+	    (core->leadership.votes.outstanding > 0 &&
+	     core->now <
+		 core->leadership.votes.last_answer_at + core->leadership.session_ttl_s / 2))
 		return;
-	core->ask_next = core->now + core->ttl / 8;
-	core->ask_round++;
-	core->ask_yes = core->ask_out = 0;
-	core->ask_sent = core->ask_heard = core->now;
+	core->leadership.votes.next_round_at = core->now + core->leadership.session_ttl_s / 8;
+	core->leadership.votes.round++;
+	core->leadership.votes.granted = core->leadership.votes.outstanding = 0;
+	core->leadership.votes.asked_at = core->leadership.votes.last_answer_at = core->now;
 	for (size_t i = 0; i < core->settings->peer_count; i++)
 		ws_outage_vote_request(core, core->settings->peers[i].node,
 				       core->job_watch.revision, "");
--- a/src/core/record_sources.c
+++ b/src/core/record_sources.c
@@ -1,5 +1,5 @@
 /* The table of record sources: which there are, and in which order they are read and written. */
-#include "internal.h"
+#include "core_state.h"
 #include "record_sources.h"
 
 /*
@@ -70,7 +70,8 @@
 			load_order[i]->loaded(core);
 	ws_subsystems_loaded(core);
 	ws_log(core, WS_LOG_INFO, "leading: %u jobs, %u machines, %u rentals on record",
-	       HASH_COUNT(core->jobs), HASH_COUNT(core->machines), HASH_COUNT(core->rentals));
+	       HASH_COUNT(core->jobs.by_id), HASH_COUNT(core->fleet.machines),
+	       HASH_COUNT(core->autoscaler.requests));
 }
 
 const char *ws_load_sequence_prefix(size_t position)
--- a/src/core/record_sources.h
+++ b/src/core/record_sources.h
@@ -1,16 +1,8 @@
-/* The owners of stored records, and the prefixes of their keys. */
+/* The owners of stored records. The prefixes of their keys stand in records/records.h. */
 #ifndef WS_RECORD_SOURCES_H
 #define WS_RECORD_SOURCES_H
 #include "store/record_source.h"
 
-#define WS_JOB_PREFIX "job/"
-#define WS_FINISHED_JOB_PREFIX "old/"
-#define WS_CONTINUATION_PREFIX "more/"
-#define WS_MACHINE_SHARD_PREFIX "fleet/"
-#define WS_SCALE_OUT_PREFIX "rental/"
-#define WS_OWNED_KEY "owned"
-#define WS_MACHINE_TYPES_KEY "types"
-
 extern const struct ws_record_source ws_job_records;
 extern const struct ws_record_source ws_continuation_records;
 extern const struct ws_record_source ws_machine_shard_records;
--- a/src/core/records/attempt_list.c
+++ b/src/core/records/attempt_list.c
@@ -10,7 +10,7 @@
  * shifted by WS_ATTEMPT_SHIFT, plus the sequence number; attempts of one placement pass share it.
  */
 #include "attempt_list.h"
-#include "../internal.h"
+#include "../core_state.h"
 #include "record_fields.h"
 
 #define WS_FIRST_INCARNATION 1
--- a/src/core/records/job_record.c
+++ b/src/core/records/job_record.c
@@ -3,7 +3,7 @@
  * (attempt_list.c) and the completed tasks, which are written as ranges: tasks start in order, so
  * that these stay few. An archived job's record has its phase and counts alone.
  */
-#include "../internal.h"
+#include "../core_state.h"
 #include "attempt_list.h"
 #include "record_fields.h"
 
--- a/src/core/gang.c
+++ b/src/core/scheduler/gang.c
@@ -13,7 +13,7 @@
  * Nothing of this is on record but the attempts themselves: a new leader learns from reports what
  * its gangs do, and replaces nothing before it has heard of every other task.
  */
-#include "internal.h"
+#include "../core_state.h"
 
 /* May be alive, and is of the job's own attempts. */
 static bool ws_gang_has_member(const struct ws_attempt *attempt)
@@ -119,7 +119,7 @@
 			since = fmin(since, other_attempt->waiting_since);
 		else if (other_attempt->maybe_sent &&
 			 ws_heartbeat_overdue(
-			     core, fmax(other_attempt->machine->last_heard_at, core->woke_at)) &&
+			     core, fmax(other_attempt->machine->last_heard_at, core->resumed_at)) &&
 			 !ws_subsystems_defer(core, WS_DEFER_GANG_STOP,
 					      other_attempt->machine->zone_index))
 			silent_until = fmax(silent_until, other_attempt->machine->lease_expires_at);
--- a/src/core/placement.c
+++ b/src/core/scheduler/scheduler.c
@@ -3,7 +3,7 @@
  * Production goes first, then work within its team's guarantee, then by priority class, deadline
  * and age.
  */
-#include "internal.h"
+#include "../core_state.h"
 
 /*
  * The order in which work is served. What may stop other work must also be served before it, or
@@ -31,10 +31,10 @@
 {
 	double fetch = 0;
 
-	for (size_t i = 0; i < core->ntypes; i++)
-		if (core->types[i].fetch_gb_s > 0)
-			fetch +=
-			    job->spec.image_gb / core->types[i].fetch_gb_s / (double)core->ntypes;
+	for (size_t i = 0; i < core->catalog.type_count; i++)
+		if (core->catalog.types[i].fetch_gb_s > 0)
+			fetch += job->spec.image_gb / core->catalog.types[i].fetch_gb_s /
+				 (double)core->catalog.type_count;
 	return fetch;
 }
 
@@ -117,7 +117,7 @@
 		job->guaranteed = false;
 		if (!team)
 			continue;
-		size_t k = (size_t)(team - core->teams);
+		size_t k = (size_t)(team - core->jobs.teams);
 		cpus[k] += job->spec.cpus * job->spec.tasks;
 		gpus[k] += job->spec.gpus * job->spec.tasks;
 		job->guaranteed = cpus[k] <= team->settings->cpus + 1e-9 &&
@@ -131,7 +131,7 @@
 	if (zone < 0 || (job->pinned_zone >= 0 && job->pinned_zone != zone))
 		return false;
 	if (job->spec.one_zone)
-		for (int i = 0; i < core->nzones; i++)
+		for (int i = 0; i < core->catalog.zone_count; i++)
 			if (i != zone && job->attempts_by_zone[i])
 				return false;
 	return !job->spec.spread || job->attempts_by_zone[zone] < (job->spec.tasks + 1) / 2;
@@ -141,7 +141,7 @@
 {
 	uint32_t zones = 0;
 
-	for (int i = 0; i < core->nzones; i++)
+	for (int i = 0; i < core->catalog.zone_count; i++)
 		if (ws_zone_is_eligible(core, job, i))
 			zones |= 1u << i;
 	return zones;
@@ -320,7 +320,7 @@
 
 	if (ws_subsystems_defer(core, WS_DEFER_PREEMPTION, machine->zone_index))
 		return -1;
-	core->pass++;
+	core->fleet.mark++;
 	while (cpus + 1e-9 < job->spec.cpus || gpus + 1e-9 < job->spec.gpus ||
 	       mem + 1e-9 < job->spec.mem_gb) {
 		struct ws_attempt *attempt = NULL;
@@ -328,8 +328,8 @@
 
 		for (struct ws_attempt *other_attempt = machine->attempts; other_attempt;
 		     other_attempt = other_attempt->machine_next) {
-			core->steps++;
-			if (other_attempt->mark == core->pass ||
+			core->scheduler.steps++;
+			if (other_attempt->mark == core->fleet.mark ||
 			    !ws_may_preempt(core, job, other_attempt))
 				continue;
 			double lost = ws_stop_costs(core, other_attempt);
@@ -349,7 +349,7 @@
 			     found_attempt->stopping || found_attempt->unrecorded ||
 			     found_attempt->state == WS_ATTEMPT_GONE))
 				continue;
-			found_attempt->mark = core->pass;
+			found_attempt->mark = core->fleet.mark;
 			cpus += found_attempt->job->spec.cpus;
 			gpus += found_attempt->job->spec.gpus;
 			mem += found_attempt->job->spec.mem_gb;
@@ -385,7 +385,7 @@
 	uint32_t got = 0;
 	size_t n = 0;
 
-	if (core->steps > pass->step_limit ||
+	if (core->scheduler.steps > pass->step_limit ||
 	    ws_scheduling_rank(job) <= pass->lowest_running_rank ||
 	    !(job->guaranteed || job->latency_sensitive ||
 	      job->spec.priority == WS_PRIORITY_PRODUCTION))
@@ -398,14 +398,14 @@
 	    !(job->eligible_types & ~pass->infeasible_types) && !(zones & ~pass->infeasible_zones))
 		return 0;
 	/* the cheapest of some, looked for from another machine on each time */
-	for (size_t k = 0, from = pass->machine_count > WS_VICTIM_CANDIDATES ? core->pass : 0;
+	for (size_t k = 0, from = pass->machine_count > WS_VICTIM_CANDIDATES ? core->fleet.mark : 0;
 	     k < pass->machine_count && n < 2 * (size_t)want + WS_VICTIM_CANDIDATES &&
-	     core->steps <= pass->step_limit;
+	     core->scheduler.steps <= pass->step_limit;
 	     k++) {
 		struct ws_machine *machine = pass->machines[(k + from) % pass->machine_count];
 		double cost;
 
-		core->steps++;
+		core->scheduler.steps++;
 		if (!machine->attempt_count || !ws_machine_is_eligible(job, machine) ||
 		    machine->zone_index < 0 || !(zones >> machine->zone_index & 1) ||
 		    (cached && !ws_image_is_cached(machine, job->image_index)))
@@ -414,7 +414,7 @@
 		if (cost >= 0)
 			pass->victims[n++] = (struct ws_preemption_victim){cost, k, machine};
 	}
-	if (!n && !cached && core->steps <= pass->step_limit) {
+	if (!n && !cached && core->scheduler.steps <= pass->step_limit) {
 		pass->infeasible_known = true;
 		pass->infeasible_rank = ws_scheduling_rank(job);
 		pass->infeasible_cpus = job->spec.cpus;
@@ -459,9 +459,10 @@
  */
 static void ws_consolidate(struct ws_core *core, struct ws_machine **machines, size_t count)
 {
-	if (core->now < core->move_next || core->now - core->elected_at < core->settings->lease_s)
+	if (core->now < core->scheduler.next_consolidation_at ||
+	    core->now - core->leadership.elected_at < core->settings->lease_s)
 		return;
-	core->move_next = core->now + core->settings->report_s;
+	core->scheduler.next_consolidation_at = core->now + core->settings->report_s;
 	for (size_t i = count; i-- > 0;) {
 		struct ws_machine *machine = machines[i];
 		struct ws_attempt *first = NULL, *attempt;
@@ -569,7 +570,7 @@
 		*room -= size;
 		other_attempt->starved = job->starved;
 		ws_planned_capacity_take(job, machine);
-		core->steps++;
+		core->scheduler.steps++;
 		ws_log(core, WS_LOG_DEBUG, "place %s/%u attempt %llu on %s", job->spec.id, t,
 		       (unsigned long long)attempt, machine->name);
 	}
@@ -581,7 +582,7 @@
 {
 	size_t names =
 	    strlen(job->spec.image) + strlen(job->spec.team) + strlen(job->spec.job_class);
-	double room = core->value_most - 640 - (double)names -
+	double room = core->writer.value_bytes_max - 640 - (double)names -
 		      WS_NAME_MAX / 4.0 * (double)job->spec.type_count;
 	double used = 0;
 	const struct ws_attempt *attempt, *before = NULL;
@@ -618,7 +619,8 @@
 /* A number for an attempt: none is used twice. */
 static uint64_t ws_attempt_number_new(struct ws_core *core)
 {
-	return ((core->epoch >> WS_FENCING_TOKEN_SHIFT) << WS_ATTEMPT_SHIFT) + ++core->attempt_seq;
+	return ((core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT) << WS_ATTEMPT_SHIFT) +
+	       ++core->jobs.attempt_sequence;
 }
 
 /* Machines that a gang may be on: one that is silent would keep the whole waiting. */
@@ -686,7 +688,7 @@
 		    (machine->consecutive_failures ? 50000 : 0) - (int)(fit < 999 ? fit : 999);
 		pass->candidates[n++] = machine;
 	}
-	core->steps += n;
+	core->scheduler.steps += n;
 	qsort(pass->candidates, n, sizeof(*pass->candidates), ws_gang_cmp);
 	for (size_t i = 0; i < n && want && room; i++)
 		want -= ws_place_on_machine(core, job, pass->candidates[i], want, attempt, &room);
@@ -717,7 +719,7 @@
 
 	if (!job->spec.one_zone)
 		return zones;
-	for (int z = 0; z < pass->core->nzones; z++) {
+	for (int z = 0; z < pass->core->catalog.zone_count; z++) {
 		uint32_t score;
 
 		if (!(zones >> z & 1))
@@ -785,7 +787,7 @@
 		if (fit && ws_image_is_cached(machine, job->image_index))
 			room->free_with_image[machine->zone_index] += fit;
 	}
-	pass->core->steps += pass->machine_count;
+	pass->core->scheduler.steps += pass->machine_count;
 }
 
 /* The zones that hold all of a gang now: the one with most of its image, if it must share one. */
@@ -794,7 +796,7 @@
 {
 	uint32_t want = job->waiting, all = 0;
 
-	for (int z = 0; z < core->nzones; z++) {
+	for (int z = 0; z < core->catalog.zone_count; z++) {
 		uint32_t part =
 		    job->spec.spread ? (job->spec.tasks + 1) / 2 - job->attempts_by_zone[z] : want;
 
@@ -847,7 +849,7 @@
 	char reason[128];
 
 	zones = ws_gang_reservation_zones(pass, job, zones, room->free_or_stopping);
-	for (int z = 0; z < core->nzones; z++)
+	for (int z = 0; z < core->catalog.zone_count; z++)
 		coming += zones >> z & 1 ? room->free_or_stopping[z] : 0;
 	if (coming < want && !job->spec.spread && ws_may_stop_others(core, job, within))
 		want -= ws_preempt(pass, job, want - coming, zones, false);
@@ -952,7 +954,7 @@
 	for (size_t i = 0, sure = 0; i < pass->open_count && sure < placing->wanted; i++) {
 		struct ws_machine *machine = pass->open[i];
 
-		core->steps++;
+		core->scheduler.steps++;
 		if (!ws_machine_is_eligible(job, machine) ||
 		    !ws_has_planned_capacity(job, machine) || !ws_has_free_capacity(job, machine) ||
 		    !ws_zone_is_eligible(core, job, machine->zone_index))
@@ -1012,7 +1014,7 @@
 		struct ws_machine *machine = pass->stopping[i];
 		uint32_t n;
 
-		pass->core->steps++;
+		pass->core->scheduler.steps++;
 		if (!ws_machine_is_eligible(job, machine) ||
 		    !ws_zone_is_eligible(pass->core, job, machine->zone_index))
 			continue;
@@ -1099,22 +1101,27 @@
 {
 	struct ws_machine *machine, *next_machine;
 
-	if (!core->order_stale)
+	if (!core->fleet.first_fit_stale)
 		return;
-	core->norder = 0;
-	core->order = realloc(core->order, (HASH_COUNT(core->machines) + 1) * sizeof(*core->order));
-	if (!core->order)
+	core->fleet.first_fit_count = 0;
+	core->fleet.first_fit_order =
+	    realloc(core->fleet.first_fit_order,
+		    (HASH_COUNT(core->fleet.machines) + 1) * sizeof(*core->fleet.first_fit_order));
+	if (!core->fleet.first_fit_order)
 		abort();
-	HASH_ITER (hh, core->machines, machine, next_machine)
-		core->order[core->norder++] = machine;
-	qsort(core->order, core->norder, sizeof(*core->order), ws_machine_cmp);
-	core->name_shared = core->norder ? strlen(core->order[0]->name) - 1 : 0;
-	for (size_t i = 1; i < core->norder; i++)
-		for (size_t k = 0; k < core->name_shared; k++)
-			if (core->order[i]->name[k] != core->order[0]->name[k] ||
-			    !core->order[i]->name[k + 1])
-				core->name_shared = k;
-	core->order_stale = false;
+	HASH_ITER (hh, core->fleet.machines, machine, next_machine)
+		core->fleet.first_fit_order[core->fleet.first_fit_count++] = machine;
+	qsort(core->fleet.first_fit_order, core->fleet.first_fit_count,
+	      sizeof(*core->fleet.first_fit_order), ws_machine_cmp);
+	core->fleet.shared_name_length =
+	    core->fleet.first_fit_count ? strlen(core->fleet.first_fit_order[0]->name) - 1 : 0;
+	for (size_t i = 1; i < core->fleet.first_fit_count; i++)
+		for (size_t k = 0; k < core->fleet.shared_name_length; k++)
+			if (core->fleet.first_fit_order[i]->name[k] !=
+				core->fleet.first_fit_order[0]->name[k] ||
+			    !core->fleet.first_fit_order[i]->name[k + 1])
+				core->fleet.shared_name_length = k;
+	core->fleet.first_fit_stale = false;
 }
 
 /*
@@ -1126,14 +1133,14 @@
 	size_t need = (machines + 1) * (sizeof(struct ws_preemption_victim) + 4 * sizeof(void *)) +
 		      (jobs + 1) * sizeof(void *);
 
-	if (need > core->pass_cap) {
-		free(core->pass_memory);
-		core->pass_cap = need + need / 2;
-		core->pass_memory = malloc(core->pass_cap);
-		if (!core->pass_memory)
+	if (need > core->scheduler.scratch_size) {
+		free(core->scheduler.scratch);
+		core->scheduler.scratch_size = need + need / 2;
+		core->scheduler.scratch = malloc(core->scheduler.scratch_size);
+		if (!core->scheduler.scratch)
 			abort();
 	}
-	return core->pass_memory;
+	return core->scheduler.scratch;
 }
 
 /* The zones that a job's attempts may move to, as if those in avoided zones were gone. */
@@ -1142,10 +1149,10 @@
 	uint32_t open = ~core->subsystems.zones_avoided, zones = 0;
 	uint32_t kept = 0; /* zones in which attempts stay */
 
-	for (int z = 0; z < core->nzones; z++)
+	for (int z = 0; z < core->catalog.zone_count; z++)
 		if (job->attempts_by_zone[z] && (open >> z & 1))
 			kept |= 1u << z;
-	for (int z = 0; z < core->nzones; z++) {
+	for (int z = 0; z < core->catalog.zone_count; z++) {
 		bool ok = (open >> z & 1) && (job->pinned_zone < 0 || job->pinned_zone == z);
 
 		if (job->spec.one_zone && kept && kept != 1u << z)
@@ -1172,7 +1179,7 @@
 		struct ws_machine *machine = pass->machines[i];
 		uint32_t fit;
 
-		core->steps++;
+		core->scheduler.steps++;
 		if (i == pass->reservation_scan_from &&
 		    machine->planned_cpus + 1e-9 < pass->smallest_reserved_cpus)
 			pass->reservation_scan_from++;
@@ -1207,7 +1214,7 @@
 	struct ws_core *core = pass->core;
 	struct ws_job *job, *next;
 
-	HASH_ITER (hh, core->jobs, job, next)
+	HASH_ITER (hh, core->jobs.by_id, job, next)
 		if (job->replicas_apart && job->reserve_ahead && !job->waiting && job->team &&
 		    !ws_job_is_over(job) && !ws_has_replica(core, job))
 			job->reserved_ahead =
@@ -1289,7 +1296,7 @@
 
 	if (!pass->core->subsystems.moves)
 		return;
-	HASH_ITER (hh, pass->core->jobs, job, next)
+	HASH_ITER (hh, pass->core->jobs.by_id, job, next)
 		if (job->reserve_ahead && job->team && !ws_job_is_over(job))
 			jobs[n++] = job;
 	if (!n)
@@ -1309,23 +1316,25 @@
 	double cpus, gpus;
 
 	ws_first_fit_order_update(core);
-	pass->victims = ws_pass_memory(core, core->norder, HASH_COUNT(core->jobs));
-	pass->machines = (struct ws_machine **)(pass->victims + core->norder);
-	pass->candidates = pass->machines + core->norder;
-	pass->open = pass->candidates + core->norder;
-	pass->stopping = pass->open + core->norder;
+	pass->victims =
+	    ws_pass_memory(core, core->fleet.first_fit_count, HASH_COUNT(core->jobs.by_id));
+	pass->machines = (struct ws_machine **)(pass->victims + core->fleet.first_fit_count);
+	pass->candidates = pass->machines + core->fleet.first_fit_count;
+	pass->open = pass->candidates + core->fleet.first_fit_count;
+	pass->stopping = pass->open + core->fleet.first_fit_count;
 	pass->smallest_task_cpus = 1e18;
 	pass->step_limit =
-	    core->steps + WS_PASS_STEPS * (uint64_t)(core->norder + WS_VICTIM_CANDIDATES);
-	core->place_wanted = false;
-	core->place_next = core->now + ws_sweep_interval(core) / 2;
-	core->pass_at = core->now;
+	    core->scheduler.steps +
+	    WS_PASS_STEPS * (uint64_t)(core->fleet.first_fit_count + WS_VICTIM_CANDIDATES);
+	core->scheduler.pass_wanted = false;
+	core->scheduler.next_pass_at = core->now + ws_sweep_interval(core) / 2;
+	core->scheduler.pass_began_at = core->now;
 	ws_quarantine_reserved(core, &cpus, &gpus);
 	for (size_t i = 0; i < core->settings->team_count; i++) {
-		core->teams[i].reserved_cpus = cpus;
-		core->teams[i].reserved_gpus = gpus;
+		core->jobs.teams[i].reserved_cpus = cpus;
+		core->jobs.teams[i].reserved_gpus = gpus;
 	}
-	return (struct ws_job **)(pass->stopping + core->norder);
+	return (struct ws_job **)(pass->stopping + core->fleet.first_fit_count);
 }
 
 /* Whether a subsystem holds first starts, and the job's are such. */
@@ -1364,7 +1373,7 @@
 	struct ws_job *job, *next;
 	size_t n = 0, waiting = 0;
 
-	HASH_ITER (hh, core->jobs, job, next)
+	HASH_ITER (hh, core->jobs.by_id, job, next)
 		if (!ws_job_is_over(job))
 			jobs[n++] = job;
 	ws_mark_guaranteed(core, jobs, n);
@@ -1381,8 +1390,8 @@
 {
 	struct ws_core *core = pass->core;
 
-	for (size_t i = 0; i < core->norder; i++) {
-		struct ws_machine *machine = core->order[i];
+	for (size_t i = 0; i < core->fleet.first_fit_count; i++) {
+		struct ws_machine *machine = core->fleet.first_fit_order[i];
 
 		if (!machine->type)
 			ws_machine_set_kind(core, machine, machine->type_name, machine->zone,
@@ -1406,7 +1415,7 @@
 void ws_scheduler_run_pass(struct ws_core *core)
 {
 	struct ws_scheduling_pass pass = {.core = core, .lowest_running_rank = 1000};
-	uint64_t began = core->steps;
+	uint64_t began = core->scheduler.steps;
 	struct ws_job **jobs = ws_pass_begin(core, &pass);
 	size_t waiting = ws_pass_jobs(&pass, jobs);
 
@@ -1414,8 +1423,33 @@
 	ws_place_jobs(&pass, jobs, waiting);
 	ws_reserve_ahead(&pass, jobs);
 	ws_autoscaler_plan(core);
-	core->steps_most =
-	    core->steps - began > core->steps_most ? core->steps - began : core->steps_most;
+	core->scheduler.longest_pass_steps =
+	    core->scheduler.steps - began > core->scheduler.longest_pass_steps
+		? core->scheduler.steps - began
+		: core->scheduler.longest_pass_steps;
 	if (!waiting)
 		ws_consolidate(core, pass.machines, pass.machine_count);
 }
+
+void ws_scheduler_reset(struct ws_core *core)
+{
+	free(core->scheduler.scratch);
+	core->scheduler.scratch = NULL;
+	core->scheduler.scratch_size = 0;
+	core->scheduler.next_pass_at = core->scheduler.pass_began_at = 0;
+}
+
+void ws_core_pass_ended(struct ws_core *core, double (*clock)(void))
+{
+	double now;
+
+	if (core->scheduler.pass_began_at <= 0)
+		return;
+	now = clock();
+	/* placement takes a third of the time at the most, however long what waits; if the process
+	 * stood still meanwhile, that was no pass */
+	core->scheduler.next_pass_at =
+	    fmax(core->scheduler.next_pass_at, now + fmin(2 * (now - core->scheduler.pass_began_at),
+							  core->leadership.session_ttl_s / 2));
+	core->scheduler.pass_began_at = 0;
+}
--- a/src/core/store/job_watch.c
+++ b/src/core/store/job_watch.c
@@ -1,5 +1,5 @@
 /* The watch of the job records that keeps the leader's replica current. */
-#include "../internal.h"
+#include "../core_state.h"
 #include "../record_sources.h"
 
 /* A watch is left open for so many ttl. */
@@ -40,13 +40,13 @@
 	struct ws_job_watch *watch = &core->job_watch;
 	uint64_t held = watch->revision;
 
-	if (core->role != WS_LEADER || call->since_revision > held)
+	if (core->leadership.role != WS_LEADER || call->since_revision > held)
 		return;
 	for (size_t i = 0; i < result->entry_count; i++) {
 		const struct ws_kv *change = &result->entries[i];
 
-		if (change->revision > held && ws_key_has_prefix(change->key, WS_JOB_PREFIX))
-			ws_job_record_changed(core, change->key + strlen(WS_JOB_PREFIX),
+		if (change->revision > held && ws_key_has_prefix(change->key, WS_KEY_PREFIX_JOB))
+			ws_job_record_changed(core, change->key + strlen(WS_KEY_PREFIX_JOB),
 					      change->value, change->revision);
 	}
 	watch->revision = result->revision > held ? result->revision : held;
@@ -73,7 +73,7 @@
 		return;
 	}
 	if (result->status != 200) {
-		watch->next_at = core->now + core->ttl / RETRIES_PER_TTL;
+		watch->next_at = core->now + core->leadership.session_ttl_s / RETRIES_PER_TTL;
 		return;
 	}
 	watch->next_at = core->now + REQUESTS_PER_WATCH / core->settings->state_rps;
@@ -85,11 +85,11 @@
 	struct ws_job_watch *watch = &core->job_watch;
 	struct ws_call *call;
 
-	if (core->role != WS_LEADER || watch->open || core->now < watch->next_at)
+	if (core->leadership.role != WS_LEADER || watch->open || core->now < watch->next_at)
 		return;
 	call = ws_call_new(core, WS_CALL_WATCH, ws_job_watch_answered);
-	snprintf(call->key, sizeof(call->key), "%s", WS_JOB_PREFIX);
+	snprintf(call->key, sizeof(call->key), "%s", WS_KEY_PREFIX_JOB);
 	call->since_revision = watch->revision;
-	call->timeout_ms = (uint32_t)(core->ttl * WATCH_TTLS * 1000);
+	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * WATCH_TTLS * 1000);
 	watch->open = true;
 }
--- a/src/core/store/loader.c
+++ b/src/core/store/loader.c
@@ -1,5 +1,5 @@
 /* What a new leader reads back: listings by prefix, page by page. */
-#include "../internal.h"
+#include "../core_state.h"
 #include "record_source.h"
 
 static void ws_loader_page(struct ws_core *core, struct ws_call *call,
@@ -32,8 +32,8 @@
 /* All is read: the node leads. */
 static void ws_loader_finish(struct ws_core *core)
 {
-	core->role = WS_LEADER;
-	core->place_wanted = true;
+	core->leadership.role = WS_LEADER;
+	core->scheduler.pass_wanted = true;
 	ws_record_sources_loaded(core);
 }
 
@@ -54,7 +54,7 @@
 /* A page could not be read: it is asked for again for as long as the session lasts. */
 static void ws_loader_retry(struct ws_core *core, const struct ws_call *call)
 {
-	if (core->now > core->entitled_until)
+	if (core->now > core->leadership.entitled_until)
 		ws_step_down(core, "the records could not be read in time");
 	else
 		ws_loader_list(core, call->key, call->after);
@@ -73,7 +73,7 @@
 {
 	const struct ws_record_source *source;
 
-	if (call->generation != core->generation || core->role != WS_LOADING)
+	if (call->generation != core->generation || core->leadership.role != WS_LOADING)
 		return;
 	if (result->status != 200) {
 		ws_loader_retry(core, call);
--- a/src/core/store/write_batch.c
+++ b/src/core/store/write_batch.c
@@ -1,5 +1,5 @@
 /* Construction of the leader's transactions. */
-#include "../internal.h"
+#include "../core_state.h"
 #include "write_batch.h"
 
 void ws_write_batch_begin(struct ws_write_batch *batch, size_t operations_max)
--- a/src/core/write_counts.c
+++ b/src/core/store/write_counts.c
@@ -1,6 +1,5 @@
 /* Counts of the records written, so that operators see what the changes are spent on. */
-#include "internal.h"
-#include "write_counts.h"
+#include "../core_state.h"
 
 void ws_write_counts_add(struct ws_core *core, enum ws_write_kind kind)
 {
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -1,6 +1,5 @@
 /* The leader's transactions: one at a time, within its share of changes. */
-#include "../internal.h"
-#include "../write_counts.h"
+#include "../core_state.h"
 #include "record_source.h"
 
 /* Of the changes a second that the store allows, the leader takes up to this share while
@@ -26,7 +25,7 @@
 {
 	struct ws_writer *writer = &core->writer;
 
-	core->value_most = core->settings->value_kb * 1024;
+	core->writer.value_bytes_max = core->settings->value_kb * 1024;
 	writer->operations_max = core->settings->txn_ops;
 	writer->in_flight = false;
 	writer->woken = false;
@@ -148,13 +147,14 @@
 		    (int)(call->operation_count / 2 > OPERATIONS_FLOOR ? call->operation_count / 2
 								       : OPERATIONS_FLOOR);
 	else if (largest_bytes > VALUE_BYTES_FLOOR)
-		core->value_most = fmax(VALUE_BYTES_FLOOR, (double)largest_bytes * 3 / 4);
+		core->writer.value_bytes_max =
+		    fmax(VALUE_BYTES_FLOOR, (double)largest_bytes * 3 / 4);
 	ws_log(core, WS_LOG_ERROR,
 	       "a write of %zu records, %zu bytes, was refused; the largest is %s with %zu: from "
 	       "now on "
 	       "%d changes a transaction, values of %.0f bytes",
 	       call->operation_count, all_bytes, call->operations[largest].key, largest_bytes,
-	       writer->operations_max, core->value_most);
+	       writer->operations_max, core->writer.value_bytes_max);
 }
 
 static bool ws_writer_lost_lead(const struct ws_result *result)
@@ -182,7 +182,8 @@
 
 	if (writer->failures < BACKOFF_DOUBLINGS_MAX)
 		writer->failures++;
-	writer->retry_at = core->now + core->ttl / POLLS_PER_TTL * (1 << writer->failures);
+	writer->retry_at =
+	    core->now + core->leadership.session_ttl_s / POLLS_PER_TTL * (1 << writer->failures);
 }
 
 static void ws_writer_done(struct ws_core *core, struct ws_call *call,
@@ -234,7 +235,7 @@
 	const struct ws_writer *writer = &core->writer;
 
 	return !writer->in_flight && core->now >= writer->retry_at && ws_is_entitled(core) &&
-	       !core->in_outage && writer->tokens >= 1 &&
+	       !core->leadership.in_outage && writer->tokens >= 1 &&
 	       (writer->woken || core->now >= writer->next_poll_at);
 }
 
@@ -258,10 +259,11 @@
 	if (!ws_writer_is_ready(core))
 		return;
 	writer->woken = false;
-	writer->next_poll_at = core->now + core->ttl / POLLS_PER_TTL;
+	writer->next_poll_at = core->now + core->leadership.session_ttl_s / POLLS_PER_TTL;
 	ws_write_counts_log(core);
 	ws_write_batch_begin(&batch, (size_t)writer->operations_max);
-	ws_write_batch_compare(&batch, "leader", core->epoch >> WS_FENCING_TOKEN_SHIFT);
+	ws_write_batch_compare(&batch, "leader",
+			       core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT);
 	ws_record_sources_collect(core, &batch);
 	if (!batch.call->operation_count) {
 		writer->empty_passes++;
--- a/src/failure_domains/failure_domains.h
+++ b/src/failure_domains/failure_domains.h
@@ -4,7 +4,7 @@
  */
 #ifndef WS_DOMAINS_H
 #define WS_DOMAINS_H
-#include "../core/hooks.h"
+#include "../core/extension/hooks.h"
 
 #define WS_DOMAINS_NAME_MAX 128
 #define WS_DOMAINS_NETWORK_MAX 64
--- a/src/io/service.c
+++ b/src/io/service.c
@@ -1,5 +1,5 @@
 #include "service.h"
-#include "../core/sizing.h"
+#include "../core/autoscaler/queue_model.h"
 #include "../log.h"
 #include "codec.h"
 #include "http.h"
--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -4,7 +4,7 @@
  * subsystems ask of one job.
  */
 #include "../src/cold_start/internal.h"
-#include "../src/core/internal.h"
+#include "../src/core/core_state.h"
 #include "../src/subsystem_settings.h"
 #include "check.h"
 #include "subsystem_text.h"
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -2,7 +2,7 @@
  * Records and frames of the version in production, written down in its format, read by this one;
  * and what this one writes, held against a statement of what that version's reader accepts.
  */
-#include "../src/core/internal.h"
+#include "../src/core/core_state.h"
 #include "check.h"
 #include "codec.h"
 #include "peer.h"
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -5,7 +5,7 @@
 #ifndef WS_SIM_H
 #define WS_SIM_H
 #include "../src/core/core.h"
-#include "../src/core/internal.h"
+#include "../src/core/core_state.h"
 #include "../src/cold_start/cold_start.h"
 #include "../src/failure_domains/failure_domains.h"
 
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -190,7 +190,7 @@
 			sim_fail(sim, "%d elections", n);
 	} else if (!strcmp(what, "live-jobs")) { /* that the leader keeps in memory */
 		core = leading_core(sim);
-		n = core ? (int)HASH_COUNT(core->jobs) : -1;
+		n = core ? (int)HASH_COUNT(core->jobs.by_id) : -1;
 		if (n < 0 || n > atoi(first))
 			sim_fail(sim, "the leader keeps %d jobs", n);
 	} else if (!strcmp(what, "leader")) {
@@ -203,9 +203,9 @@
 			sim_fail(sim, "node %d: not %s", i, what);
 	} else if (!strcmp(what, "per-pass")) { /* steps of the longest pass of this leader */
 		core = leading_core(sim);
-		if (core && core->steps_most > (uint64_t)atoll(second))
+		if (core && core->scheduler.longest_pass_steps > (uint64_t)atoll(second))
 			sim_fail(sim, "a pass took %llu steps",
-				 (unsigned long long)core->steps_most);
+				 (unsigned long long)core->scheduler.longest_pass_steps);
 	} else if (!strcmp(what, "per-start") || !strcmp(what, "per-poll")) {
 		/* of changes, of commands or of steps in placement; of requests */
 		double of = !strcmp(what, "per-poll") ? (double)sim->polls : (double)sim->starts,
@@ -228,9 +228,9 @@
 		else if (!strcmp(first, "idle-looks"))
 			v = (double)core->writer.empty_passes;
 		else if (!strcmp(first, "machines"))
-			v = (double)core->sweep_steps;
+			v = (double)core->fleet.sweep_steps;
 		else
-			v = (double)core->steps;
+			v = (double)core->scheduler.steps;
 		if (!of || v / of > atof(second))
 			sim_fail(sim, "%.3f %s %s", of ? v / of : -1, first, what);
 	} else if (!strcmp(what, "started-within")) { /* job seconds */
--- a/tests/sizing_test.c
+++ b/tests/sizing_test.c
@@ -2,7 +2,7 @@
  * The queue against an independent solution: the balance equations of all states, written out from
  * the transitions alone and solved by elimination.
  */
-#include "../src/core/internal.h"
+#include "../src/core/core_state.h"
 
 static int bad;
 
