--- a/src/core/catalog/catalog.c
+++ b/src/core/catalog/catalog.c
@@ -85,3 +85,18 @@
 	core->catalog.image_names = NULL;
 	core->catalog.image_count = 0;
 }
+
+/* How many such tasks a room takes, up to so many. */
+uint32_t ws_tasks_fit(const struct ws_job_spec *spec, double cpus, double gpus, double mem,
+		      uint32_t most)
+{
+	double fit = most;
+
+	if (spec->cpus > 0)
+		fit = fmin(fit, floor((cpus + 1e-9) / spec->cpus));
+	if (spec->gpus > 0)
+		fit = fmin(fit, floor((gpus + 1e-9) / spec->gpus));
+	if (spec->mem_gb > 0)
+		fit = fmin(fit, floor((mem + 1e-9) / spec->mem_gb));
+	return fit > 0 ? (uint32_t)fit : 0;
+}
--- a/src/core/catalog/catalog.h
+++ b/src/core/catalog/catalog.h
@@ -40,6 +40,9 @@
 const struct ws_machine_type *ws_machine_type_find(const struct ws_core *core, const char *name);
 /* Whether a task of a job fits an empty machine of a type that the job allows. */
 bool ws_machine_type_fits(const struct ws_machine_type *type, const struct ws_job_spec *spec);
+/* How many such tasks fit into free capacity, up to a number. */
+uint32_t ws_tasks_fit(const struct ws_job_spec *spec, double cpus, double gpus, double mem,
+		      uint32_t most);
 /* CPUs of a machine of middling size; 0 while no type is known. */
 double ws_mean_machine_cpus(const struct ws_core *core);
 /* A task in demand units: a share of one machine of middling size. */
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -121,6 +121,24 @@
 	core->catalog.types_recorded = false;
 }
 
+void ws_core_elected(struct ws_core *core)
+{
+	ws_subsystems_elected(core);
+	ws_loader_start(core);
+}
+
+void ws_core_job_changed(struct ws_core *core, const struct ws_kv *change)
+{
+	ws_job_record_changed(core, change->key + strlen(WS_KEY_PREFIX_JOB), change->value,
+			      change->revision);
+}
+
+void ws_core_job_watch_answered(struct ws_core *core, const struct ws_call *call,
+				const struct ws_result *result)
+{
+	ws_status_cache_apply(core, call, result);
+}
+
 struct ws_core *ws_core_new(const struct ws_settings *settings, const struct ws_policy *policy,
 			    ws_log_fn log, double now, uint64_t nonce)
 {
@@ -180,7 +198,8 @@
 		core->resumed_at = core->now;
 	core->last_tick_at = core->now;
 	ws_requests_tick(core);
-	ws_leadership_tick(core);
+	if (ws_leadership_tick(core))
+		ws_job_watch_tick(core);
 	if (core->leadership.role == WS_LEADER) {
 		ws_fleet_tick(core);
 		ws_subsystems_tick(core);
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -2,7 +2,7 @@
  * The core's state: composed of the state of its parts, each of which stands in its part's header
  * and is written by that part. A part may call those below it in this list of folders:
  *
- *   api, autoscaler, scheduler, fleet, jobs, store, leadership, catalog, records, extension
+ *   api, autoscaler, scheduler, fleet, extension, jobs, catalog, store, leadership, records
  *
  * tools/layers checks that, and names the calls that still go upwards.
  */
@@ -72,4 +72,26 @@
 void ws_call_free(struct ws_call *call);
 /* Forgets all that is the leader's; called when leadership ends. */
 void ws_core_forget_cluster(struct ws_core *core);
+
+/*
+ * What a part has to say upwards goes through these, which stand above all parts.
+ */
+/* Leadership: this node was elected; its records are to be read. */
+void ws_core_elected(struct ws_core *core);
+/* The job watch: the record of a job changed, for the leader's replica. */
+void ws_core_job_changed(struct ws_core *core, const struct ws_kv *change);
+/* The job watch: all that a watch of the jobs brought, for the job status cache. */
+void ws_core_job_watch_answered(struct ws_core *core, const struct ws_call *call,
+				const struct ws_result *result);
+
+/* ---- outage_replica.c ---- */
+
+/* Outage votes: cancellations that a node confirmed to users; their tasks are to end. */
+void ws_core_outage_cancellations(struct ws_core *core, const struct ws_cancellation *cancellations,
+				  size_t count, const char *node);
+/* Outage votes: all are told. Takes in what this node itself confirmed; then the replica is as
+ * current as the time at which the voters were asked. False: this node can't tell. */
+bool ws_core_outage_confirm_replica(struct ws_core *core, double current_at);
+/* Outage votes: a paused leader goes on; machines are told what it could not say. */
+void ws_core_outage_resumed(struct ws_core *core);
 #endif
--- a/src/core/fleet/fleet.h
+++ b/src/core/fleet/fleet.h
@@ -195,4 +195,12 @@
 void ws_machine_send_commands(struct ws_core *core, struct ws_machine *machine);
 void ws_fleet_send_probes(struct ws_core *core);
 
+/* ---- gang_attempts.c ---- */
+
+bool ws_gang_is_assembling(const struct ws_job *job, uint64_t *attempt, double *since);
+bool ws_gang_is_reachable(const struct ws_core *core, const struct ws_job *job);
+void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace, const char *reason);
+void ws_gang_check_progress(struct ws_core *core, struct ws_job *job);
+void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, const char *reason);
+
 #endif
--- a/src/core/scheduler/gang.c
+++ b/src/core/fleet/gang_attempts.c
@@ -2,16 +2,16 @@
  * Gangs: jobs whose tasks run all at once or not at all. The tasks of one start share an attempt
  * number and find each other by it on the workers. An attempt
  *
- *  gathers: its tasks fetch, then wait. One that is refused or lost is replaced under the same
- *           number, once it is surely gone (placement.c); where that can't be had in time, all are
+ *  assembles: its tasks fetch, then wait. One that is refused or lost is replaced under the same
+ *           number, once it is surely gone (scheduler); where that can't be had in time, all are
  *           stopped, so that no places idle;
  *  runs:    from the first word of a running task on. When one is gone now, the attempt is over:
  *           the others notice that within gang_peer_s and end by themselves;
  *  ends:    all are told to stop at once. The next attempt begins when the last task of this one
  *           is surely gone. When one is done, all are (ws_job_task_done).
  *
- * Nothing of this is on record but the attempts themselves: a new leader learns from reports what
- * its gangs do, and replaces nothing before it has heard of every other task.
+ * Nothing of this is on record but the attempts themselves: a new leader learns from heartbeats
+ * what its gangs do, and replaces nothing before it has heard of every other task.
  */
 #include "../core_state.h"
 
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -233,8 +233,7 @@
 	core->leadership.forwarded_only_since = 0;
 	ws_log(core, WS_LOG_INFO, "elected, epoch %llu",
 	       (unsigned long long)core->leadership.fencing_token);
-	ws_subsystems_elected(core);
-	ws_loader_start(core);
+	ws_core_elected(core);
 }
 
 static void ws_campaign(struct ws_core *core)
@@ -418,34 +417,34 @@
 	       !core->leadership.in_outage;
 }
 
-void ws_leadership_tick(struct ws_core *core)
+bool ws_leadership_tick(struct ws_core *core)
 {
 	const char *lost;
 
 	ws_watch_leader(core);
 	if (core->leadership.role == WS_FOLLOWER) {
 		ws_follower_tick(core);
-		return;
+		return false;
 	}
 	ws_session_renew(core);
 	if (core->leadership.role != WS_LEADER && core->leadership.role != WS_LOADING)
-		return;
+		return false;
 	ws_outage_tick(core);
 	lost = ws_leadership_lost_reason(core);
 	if (lost) {
 		ws_step_down(core, lost);
-		return;
+		return false;
 	}
 	if (core->leadership.in_outage && core->now >= core->leadership.entitled_until) {
 		ws_pause_or_step_down(core);
-		return;
+		return false;
 	}
 	if (!core->leadership.paused)
 		core->leadership.pause_until = core->leadership.entitled_until;
 	if (ws_workers_elsewhere(core)) {
 		core->leadership.campaign_after = core->now + core->settings->lease_s;
 		ws_step_down(core, "no worker reaches this node, but others do");
-		return;
+		return false;
 	}
-	ws_job_watch_tick(core);
+	return core->leadership.role == WS_LEADER;
 }
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -78,7 +78,9 @@
 
 /* At start. */
 void ws_leadership_init(struct ws_core *core);
-void ws_leadership_tick(struct ws_core *core);
+/* Campaigns, renews the session, gives up. True: this node leads, and is to keep its replica of the
+ * jobs current. */
+bool ws_leadership_tick(struct ws_core *core);
 /* Whether this node may act as the leader now. */
 bool ws_is_entitled(const struct ws_core *core);
 /* Gives up leadership, or the campaign for it, and forgets all that is the leader's. NULL: at the
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -33,43 +33,24 @@
 	core->leadership.votes.outstanding++;
 }
 
-static void ws_cancellations_apply(struct ws_core *core, const struct ws_cancellation *list,
-				   size_t count, const char *node)
-{
-	for (size_t i = 0; i < count; i++) {
-		ws_log(core, WS_LOG_DEBUG, "%s tells that job %s was withdrawn", node, list[i].job);
-		ws_job_apply_cancellation(core, &list[i]);
-	}
-}
-
 /* All peers are refused as well, and what they told users is known here: leadership goes on. */
 static void ws_extend_entitlement(struct ws_core *core)
 {
+	struct ws_leadership *leadership = &core->leadership;
+	double session_s = leadership->session_ttl_s * (1 - WS_DRIFT);
 	double until =
-	    core->leadership.votes.asked_at + fmin(core->leadership.session_ttl_s * (1 - WS_DRIFT),
-						   core->leadership.replica_age_limit_s);
-	struct ws_cancellation *own;
-	size_t n;
-	bool more, whole = ws_cancellations_since(core, core->job_watch.revision, "", &own, &n,
-						  SIZE_MAX, &more);
+	    leadership->votes.asked_at + fmin(session_s, leadership->replica_age_limit_s);
 
-	ws_cancellations_apply(core, own, n, core->settings->node);
-	free(own);
-	if (!whole)
+	if (!ws_core_outage_confirm_replica(core, leadership->votes.asked_at))
 		return;
-	ws_job_watch_confirm(core, core->leadership.votes.asked_at);
-	if (until <= core->leadership.entitled_until || until <= core->now)
+	if (until <= leadership->entitled_until || until <= core->now)
 		return;
-	core->leadership.entitled_until = until;
-	if (!core->leadership.paused)
+	leadership->entitled_until = until;
+	if (!leadership->paused)
 		return;
-	core->leadership.paused = false;
+	leadership->paused = false;
 	ws_log(core, WS_LOG_INFO, "all peers are refused too: answering reports again");
-	struct ws_machine *machine, *next_machine;
-
-	HASH_ITER (hh, core->fleet.machines, machine, next_machine)
-		ws_machine_send_commands(core,
-					 machine); /* what we learned while we could not say so */
+	ws_core_outage_resumed(core);
 }
 
 static void ws_outage_vote_answered(struct ws_core *core, struct ws_call *call,
@@ -82,7 +63,8 @@
 	core->leadership.votes.last_answer_at = core->now;
 	if (result->status != 503 || !result->vote_granted)
 		return;
-	ws_cancellations_apply(core, result->cancellations, result->cancellation_count, call->key);
+	ws_core_outage_cancellations(core, result->cancellations, result->cancellation_count,
+				     call->key);
 	if (result->has_more && result->cancellation_count) {
 		const struct ws_cancellation *last =
 		    &result->cancellations[result->cancellation_count - 1];
--- a/src/core/scheduler/scheduler.c
+++ b/src/core/scheduler/scheduler.c
@@ -228,21 +228,6 @@
 	       (job->guaranteed && !other_job->guaranteed && other_job->team != job->team);
 }
 
-/* How many such tasks a room takes, up to so many. */
-uint32_t ws_tasks_fit(const struct ws_job_spec *spec, double cpus, double gpus, double mem,
-		      uint32_t most)
-{
-	double fit = most;
-
-	if (spec->cpus > 0)
-		fit = fmin(fit, floor((cpus + 1e-9) / spec->cpus));
-	if (spec->gpus > 0)
-		fit = fmin(fit, floor((gpus + 1e-9) / spec->gpus));
-	if (spec->mem_gb > 0)
-		fit = fmin(fit, floor((mem + 1e-9) / spec->mem_gb));
-	return fit > 0 ? (uint32_t)fit : 0;
-}
-
 /* Tasks that fit a machine by what it has free and by what it will have. */
 static uint32_t ws_tasks_fit_machine(const struct ws_job *job, const struct ws_machine *machine,
 				     uint32_t most, bool now)
--- a/src/core/scheduler/scheduler.h
+++ b/src/core/scheduler/scheduler.h
@@ -22,20 +22,9 @@
 
 /* ---- scheduler.c ---- */
 
-/* How many such tasks fit into free capacity, up to a number. */
-uint32_t ws_tasks_fit(const struct ws_job_spec *spec, double cpus, double gpus, double mem,
-		      uint32_t most);
 void ws_scheduler_run_pass(struct ws_core *core);
 
 /* At step-down: no pass is wanted or under way. */
 void ws_scheduler_reset(struct ws_core *core);
 
-/* ---- gang.c ---- */
-
-bool ws_gang_is_assembling(const struct ws_job *job, uint64_t *attempt, double *since);
-bool ws_gang_is_reachable(const struct ws_core *core, const struct ws_job *job);
-void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace, const char *reason);
-void ws_gang_check_progress(struct ws_core *core, struct ws_job *job);
-void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, const char *reason);
-
 #endif
--- a/src/core/store/job_watch.c
+++ b/src/core/store/job_watch.c
@@ -46,8 +46,7 @@
 		const struct ws_kv *change = &result->entries[i];
 
 		if (change->revision > held && ws_key_has_prefix(change->key, WS_KEY_PREFIX_JOB))
-			ws_job_record_changed(core, change->key + strlen(WS_KEY_PREFIX_JOB),
-					      change->value, change->revision);
+			ws_core_job_changed(core, change);
 	}
 	watch->revision = result->revision > held ? result->revision : held;
 	ws_job_watch_confirm(core, call->created_at);
@@ -57,7 +56,7 @@
 			const struct ws_result *result)
 {
 	ws_job_watch_update_replica(core, call, result);
-	ws_status_cache_apply(core, call, result);
+	ws_core_job_watch_answered(core, call, result);
 }
 
 static void ws_job_watch_answered(struct ws_core *core, struct ws_call *call,
