--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -1,9 +1,13 @@
-/* Decoders: what the protocol calls malformed, and mangled input with fixed seeds. */
+/*
+ * Decoders: what the protocol calls malformed, and mangled input with fixed seeds. With -d it also
+ * prints digests of all that was encoded and decoded, so that two versions can be compared.
+ */
 #include "../src/io/codec.h"
 #include "../src/io/http.h"
 #include "../src/io/json_reader.h"
 #include "../src/io/pool.h"
 #include "check.h"
+#include "codec_digest.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -36,7 +40,7 @@
 		json_object_set_new(o, field, v);
 	}
 	text = json_dumps(o, 0);
-	r = ws_decode_job(text, strlen(text), &s);
+	r = decode_job(text, strlen(text), &s);
 	free(text);
 	json_decref(o);
 	return r;
@@ -50,7 +54,7 @@
 	bool ok;
 
 	snprintf(text, sizeof(text), "{%s,%s", member, report + 1);
-	ok = ws_decode_report(text, strlen(text), &r);
+	ok = decode_report(text, strlen(text), &r);
 	if (ok)
 		ws_report_free(&r);
 	return ok;
@@ -79,9 +83,9 @@
 	check("a missing value", !with_extra("\"x\":"));
 	memset(deep, '[', sizeof(deep));
 	snprintf(text, sizeof(text), "{\"x\":%.*s}", (int)sizeof(deep), deep);
-	check("nested without end", !ws_decode_report(text, strlen(text), &(struct ws_report){0}));
+	check("nested without end", !decode_report(text, strlen(text), &(struct ws_report){0}));
 	snprintf(text, sizeof(text), "%s}", report);
-	check("more behind the end", !ws_decode_report(text, strlen(text), &(struct ws_report){0}));
+	check("more behind the end", !decode_report(text, strlen(text), &(struct ws_report){0}));
 }
 
 static uint64_t seed = 42;
@@ -118,39 +122,39 @@
 	size_t before;
 
 	ws_pool_setup();
-	ws_decode_reply(&get, 200, kv, sizeof(kv) - 1, &kept);
+	decode_reply(&get, 200, kv, sizeof(kv) - 1, &kept);
 	before = ws_pool_misses();
 	text = long_report(64);
 	check("a report of 64 tasks reads",
-	      ws_decode_report(text, strlen(text), &r) && r.ntasks == 64);
+	      decode_report(text, strlen(text), &r) && r.ntasks == 64);
 	ws_report_free(&r);
 	free(text);
-	s = ws_encode_report_answer(&a);
+	s = encode_report_answer(&a);
 	check("an answer of 300 commands is written", s && strstr(s, "\"orders\":[{"));
 	free(s);
 	check("with no memory beyond the pool's", ws_pool_misses() == before);
 	text = long_report(1000);
 	check("the longest report reads", strlen(text) < WS_BODY_MAX &&
-					      ws_decode_report(text, strlen(text), &r) &&
+					      decode_report(text, strlen(text), &r) &&
 					      r.ntasks == 1000);
 	ws_report_free(&r);
 	free(text);
 	check("in memory that is kept for the next", ws_json_capacity() <= WS_JSON_KEPT);
 	text = long_report(6000);
-	check("one that takes more reads all the same", ws_decode_report(text, strlen(text), &r) &&
+	check("one that takes more reads all the same", decode_report(text, strlen(text), &r) &&
 							    r.ntasks == 6000 &&
 							    ws_json_capacity() > WS_JSON_KEPT);
 	ws_report_free(&r);
 	free(text);
 	check("and what it took is given back with the next",
-	      ws_decode_report(report, strlen(report), &r) && ws_json_capacity() <= WS_JSON_KEPT);
+	      decode_report(report, strlen(report), &r) && ws_json_capacity() <= WS_JSON_KEPT);
 	ws_report_free(&r);
 	check("reports take nothing of jansson's", ws_pool_misses() == before);
 	a.orders = calloc(6000, sizeof(*a.orders));
 	a.norders = 6000;
 	for (size_t i = 0; i < a.norders; i++)
 		a.orders[i] = orders[0];
-	s = ws_encode_report_answer(&a);
+	s = encode_report_answer(&a);
 	check("an answer that takes more than the pool is written all the same",
 	      s && strlen(s) > 6000 * strlen("{\"verb\":\"run\"}") && ws_pool_misses() > before);
 	free(s);
@@ -161,7 +165,7 @@
 	ws_result_free(&kept);
 }
 
-int main(void)
+int main(int argc, char **argv)
 {
 	static const char *const need[] = {
 	    "nameId", "jobclass",     "owner",	   "shape",	     "tier",	 "shards",
@@ -198,7 +202,7 @@
 	struct ws_result res;
 	struct ws_call call = {.kind = WS_CALL_GET};
 
-	check("the protocol's example", ws_decode_job(base, strlen(base), &s) == 0);
+	check("the protocol's example", decode_job(base, strlen(base), &s) == 0);
 	check("its fields", !strcmp(s.id, "job-000412") && s.tasks == 16 && s.cpus == 8 &&
 				s.one_zone && s.spot && !s.spread && s.tier == WS_URGENT &&
 				s.ntypes == 1 && s.deadline_s == 900);
@@ -209,11 +213,11 @@
 		check(need[i], with(need[i], "") == 400);
 	for (size_t i = 0; i < sizeof(wrong) / sizeof(wrong[0]); i++)
 		check(wrong[i][0], with(wrong[i][0], wrong[i][1]) == 400);
-	check("no JSON", ws_decode_job("{", 1, &s) == 400 && ws_decode_job("", 0, &s) == 400);
-	check("no object", ws_decode_job("[]", 2, &s) == 400 && ws_decode_job("3", 1, &s) == 400);
-	check("not finite", ws_decode_job("{\"vcpus\":1e999}", 15, &s) == 400);
+	check("no JSON", decode_job("{", 1, &s) == 400 && decode_job("", 0, &s) == 400);
+	check("no object", decode_job("[]", 2, &s) == 400 && decode_job("3", 1, &s) == 400);
+	check("not finite", decode_job("{\"vcpus\":1e999}", 15, &s) == 400);
 
-	check("a report", ws_decode_report(report, strlen(report), &r));
+	check("a report", decode_report(report, strlen(report), &r));
 	check("its tasks", r.ntasks == 2 && r.tasks[0].task == 3 && r.tasks[1].why == WS_WHY_DONE &&
 			       r.notice_s < 0 && r.port == 9000);
 	ws_report_free(&r);
@@ -225,7 +229,7 @@
 	    "{\"shard\":\"job-1/2\",\"tryNo\":2,\"phase\":\"exited\",\"cause\":\"incomplete\"},"
 	    "{\"shard\":\"job-1/3\",\"tryNo\":2,\"phase\":\"dreaming\"},"
 	    "{\"shard\":\"job-1/4\",\"tryNo\":2,\"phase\":\"exited\",\"cause\":\"boredom\"}]}";
-	check("a gang's words", ws_decode_report(gang, strlen(gang), &r) && r.ntasks == 5);
+	check("a gang's words", decode_report(gang, strlen(gang), &r) && r.ntasks == 5);
 	check("waiting", r.tasks[0].state == WS_TASK_WAITING);
 	check("mates_gone", r.tasks[1].why == WS_WHY_MATES);
 	check("incomplete", r.tasks[2].why == WS_WHY_ALONE);
@@ -233,20 +237,20 @@
 	check("an unknown cause blames nobody", r.tasks[4].why == WS_WHY_STOPPED);
 	ws_report_free(&r);
 	check("a gang", with("shape", "\"gang\"") == 0);
-	check("no report", !ws_decode_report("{}", 2, &r));
+	check("no report", !decode_report("{}", 2, &r));
 
 	strcpy(call.key, "job/job-1");
-	ws_decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &res);
+	decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &res);
 	check("another key's answer is none", res.status == 0);
 	ws_result_free(&res);
-	ws_decode_reply(&call, 200, "garbage", 7, &res);
+	decode_reply(&call, 200, "garbage", 7, &res);
 	check("garbage is no answer", res.status == 0);
 	ws_result_free(&res);
 	call.kind = WS_CALL_RENT;
-	ws_decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &res);
+	decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &res);
 	check("trouble is no refusal", res.status == 503 && !res.no_capacity);
 	ws_result_free(&res);
-	ws_decode_reply(&call, 503, "{\"error\":\"no capacity\"}", 23, &res);
+	decode_reply(&call, 503, "{\"error\":\"no capacity\"}", 23, &res);
 	check("no capacity is one", res.no_capacity);
 	ws_result_free(&res);
 
@@ -272,17 +276,17 @@
 			if (n < 2)
 				break;
 		}
-		if (!ws_decode_job(text, n, &s) && (s.tasks < 1 || s.tasks > WS_MAX_SHARDS ||
-						    !(s.cpus >= 0) || !ws_job_id_ok(s.id)))
+		if (!decode_job(text, n, &s) && (s.tasks < 1 || s.tasks > WS_MAX_SHARDS ||
+						 !(s.cpus >= 0) || !ws_job_id_ok(s.id)))
 			check("a mangled job out of bounds is accepted", false);
-		if (ws_decode_report(text, n, &r)) {
+		if (decode_report(text, n, &r)) {
 			if (r.tenure < 1 || !r.machine[0])
 				check("a mangled report out of bounds is accepted", false);
 			ws_report_free(&r);
 		}
 		for (int k = WS_CALL_GET; k <= WS_CALL_ORDERS; k++) {
 			call.kind = (enum ws_call_kind)k;
-			ws_decode_reply(&call, rnd(4) ? 200 : 409, text, n, &res);
+			decode_reply(&call, rnd(4) ? 200 : 409, text, n, &res);
 			ws_result_free(&res);
 		}
 	}
@@ -290,5 +294,9 @@
 	malformed();
 	pool();
 	printf("%d passed, %d failed\n", good, bad);
+	if (argc > 1 && !strcmp(argv[1], "-d")) {
+		digest_of_samples();
+		digest_print();
+	}
 	return bad != 0;
 }
