--- /dev/null
+++ b/src/io/clock.c
@@ -0,0 +1,22 @@
+#include "clock.h"
+#include <time.h>
+
+#define NANOSECOND_S 1e-9
+
+static double read_clock(clockid_t clock)
+{
+	struct timespec time;
+
+	clock_gettime(clock, &time);
+	return (double)time.tv_sec + (double)time.tv_nsec * NANOSECOND_S;
+}
+
+double ws_now(void)
+{
+	return read_clock(CLOCK_MONOTONIC);
+}
+
+double ws_wall(void)
+{
+	return read_clock(CLOCK_REALTIME);
+}
--- /dev/null
+++ b/src/io/forwarding.c
@@ -0,0 +1,243 @@
+/*
+ * Requests that this node can't answer go to the leader in a frame; frames of peers come in.
+ *
+ * A heartbeat that can't be forwarded is answered 421 with the leader's name, so that the worker
+ * goes there itself, unless it was there in vain.
+ */
+#include "../log.h"
+#include "clock.h"
+#include "codec.h"
+#include "server_internal.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+/* Forwarded heartbeats under way at once: one for so many sockets. */
+#define SOCKETS_PER_HEARTBEAT 32
+/* Peers that refuse within this part of lease_s are left alone for as long. */
+#define PEERS_BAD_LEASE_PARTS 32
+/* Within what the asker waits: 4 s for workers, 5 s for submissions, WS_POLL_WAIT_S for polls. */
+#define HEARTBEAT_TIMEOUT_S 3
+#define SUBMIT_TIMEOUT_S 2.5
+#define POLL_TIMEOUT_SHARE 0.4
+#define PEER_PATH_MAX 1000
+/* Tells the tokens of peers' requests from those of the HTTP server. */
+#define PEER_TOKEN (1ULL << 63)
+
+/* A request that was forwarded. */
+struct forwarded_request {
+	struct ws_service *service;
+	uint64_t token;
+	bool heartbeat;
+	/* of a heartbeat: */
+	char leader[WS_NAME_MAX];
+	double began;
+	bool pinned; /* its worker was with the leader in vain */
+};
+
+/* ---- requests to the leader ---- */
+
+static double peers_bad_s(const struct ws_service *service)
+{
+	return service->set->lease_s / PEERS_BAD_LEASE_PARTS;
+}
+
+static void name_leader(struct ws_service *service, uint64_t token, const char *leader)
+{
+	struct ws_action answer = {.kind = WS_ACT_ANSWER_REPORT, .token = token, .status = 421};
+
+	snprintf(answer.name, sizeof(answer.name), "%s", leader);
+	ws_router_answer_heartbeat(service, &answer);
+}
+
+/* The reply to a forwarded request; NULL: there is none. */
+static void on_reply(void *context, const Ws__PeerFrame *reply)
+{
+	struct forwarded_request request = *(struct forwarded_request *)context;
+	struct ws_service *service = request.service;
+
+	free(context);
+	if (request.heartbeat)
+		service->forwarding.heartbeats--;
+	if (!reply && request.heartbeat && !request.pinned &&
+	    ws_now() - request.began < peers_bad_s(service)) {
+		/* peers refuse each other, the worker may well reach it. Where packets are lost, or
+		 * the worker was there in vain, it must go on to another node instead */
+		service->forwarding.peers_bad_until = ws_now() + peers_bad_s(service);
+		name_leader(service, request.token, request.leader);
+	} else if (!reply || reply->status < 200 || reply->status > 599) {
+		ws_router_answer_status(service, request.token, 503);
+	} else {
+		ws_router_answer(service, request.token, (int)reply->status,
+				 (const char *)reply->body.data, reply->body.len,
+				 (int)reply->retry_after);
+	}
+}
+
+/*
+ * Few heartbeats at a time: when hundreds come at once, naming the leader is quicker, but not for
+ * those who can't reach it.
+ */
+static bool heartbeat_may_be_forwarded(const struct ws_service *service, bool pinned)
+{
+	int most = service->set->sockets / SOCKETS_PER_HEARTBEAT + 1;
+
+	return pinned || (ws_now() >= service->forwarding.peers_bad_until &&
+			  service->forwarding.heartbeats < most);
+}
+
+static double forward_timeout_s(bool heartbeat, const char *method)
+{
+	if (heartbeat)
+		return HEARTBEAT_TIMEOUT_S;
+	return strcmp(method, "GET") ? SUBMIT_TIMEOUT_S : WS_POLL_WAIT_S * POLL_TIMEOUT_SHARE;
+}
+
+static struct forwarded_request *
+forwarded_request_new(struct ws_service *service, const struct ws_action *effect, bool heartbeat)
+{
+	struct forwarded_request *request = calloc(1, sizeof(*request));
+
+	if (!request)
+		return NULL;
+	request->service = service;
+	request->token = effect->token;
+	request->heartbeat = heartbeat;
+	if (heartbeat) {
+		snprintf(request->leader, sizeof(request->leader), "%s", effect->name);
+		request->began = ws_now();
+		request->pinned = effect->pinned;
+		service->forwarding.heartbeats++;
+	}
+	return request;
+}
+
+static void send_to_leader(struct forwarded_request *request, const char *leader,
+			   const struct ws_server_request *http)
+{
+	struct ws_service *service = request->service;
+	Ws__PeerFrame frame = WS__PEER_FRAME__INIT;
+	char path[WS_URL_LOCAL];
+
+	ws_router_local_path(http->url, path);
+	frame.kind = request->heartbeat ? WS__PEER_FRAME__KIND__REPORT : WS__PEER_FRAME__KIND__USER;
+	frame.node = (char *)service->set->node;
+	frame.method = (char *)http->method;
+	frame.path = path;
+	frame.body.data = (uint8_t *)http->body;
+	frame.body.len = http->len;
+	if (!ws_peers_send(service->peers, leader, &frame,
+			   forward_timeout_s(request->heartbeat, http->method), on_reply, request))
+		on_reply(request, NULL);
+}
+
+void ws_forwarding_send(struct ws_service *service, const struct ws_action *effect)
+{
+	const struct ws_pending_request *pending =
+	    ws_pending_requests_find(&service->requests, effect->token);
+	struct forwarded_request *request;
+	struct ws_server_request http;
+	bool heartbeat;
+
+	if (!pending)
+		return;
+	if (!ws_server_request(service->server, effect->token, &http)) {
+		/* who asked is gone, or it was a peer */
+		ws_router_answer_status(service, effect->token, 503);
+		return;
+	}
+	heartbeat = pending->kind == WS_REQUEST_HEARTBEAT;
+	if (heartbeat && !heartbeat_may_be_forwarded(service, effect->pinned)) {
+		name_leader(service, effect->token, effect->name);
+		return;
+	}
+	request = forwarded_request_new(service, effect, heartbeat);
+	if (request)
+		send_to_leader(request, effect->name, &http);
+	else
+		ws_router_answer_status(service, effect->token, 503);
+}
+
+/* ---- frames of peers ---- */
+
+void ws_forwarding_answer_vote(struct ws_service *service, struct ws_action *answer)
+{
+	struct ws_pending_request *request =
+	    ws_pending_requests_find(&service->requests, answer->token);
+	Ws__PeerFrame frame = WS__PEER_FRAME__INIT;
+	Ws__Testimony vote = WS__TESTIMONY__INIT;
+
+	if (!request)
+		return;
+	frame.id = request->frame_id;
+	frame.node = (char *)service->set->node;
+	ws_testimony_fill(&frame, &vote, answer);
+	ws_peers_reply(service->peers, request->peer_connection, &frame);
+	ws_testimony_free(&vote);
+	ws_pending_requests_remove(&service->requests, request);
+}
+
+/* A leader asks whether the state service refuses us too. */
+static void handle_vote_request(struct ws_service *service, uint64_t token,
+				const Ws__Testimony *vote)
+{
+	pthread_mutex_lock(&service->lock);
+	if (vote)
+		ws_core_vouch(service->core, ws_now(), token, vote->leader, vote->since,
+			      vote->after);
+	else
+		ws_core_testify(service->core, ws_now(), token);
+	pthread_mutex_unlock(&service->lock);
+	ws_effects_execute(service);
+}
+
+static enum ws_request_kind kind_of_frame(const Ws__PeerFrame *frame)
+{
+	switch (frame->kind) {
+	case WS__PEER_FRAME__KIND__REPORT: return WS_REQUEST_HEARTBEAT;
+	case WS__PEER_FRAME__KIND__USER: return WS_REQUEST_USER;
+	default: return WS_REQUEST_OUTAGE_VOTE;
+	}
+}
+
+static void handle_user_frame(struct ws_service *service, uint64_t token,
+			      const Ws__PeerFrame *frame, const char *body)
+{
+	if (strncmp(frame->path, WS_USER_PATH, strlen(WS_USER_PATH)) != 0)
+		ws_router_answer_status(service, token, 404);
+	else
+		ws_router_handle_user(service, token, frame->method, frame->path, body,
+				      frame->body.len, true);
+}
+
+void ws_forwarding_on_frame(void *context, uint64_t connection, const Ws__PeerFrame *frame)
+{
+	struct ws_service *service = context;
+	uint64_t token = PEER_TOKEN | ++service->forwarding.last_token;
+	/* a frame without a body has none to point to */
+	const char *body = frame->body.len ? (const char *)frame->body.data : "";
+	struct ws_pending_request *request;
+
+	if (frame->body.len > WS_BODY_MAX || strlen(frame->path) > PEER_PATH_MAX) {
+		ws_logf(WS_LOG_ERROR, "a frame of %s is too long: refused", frame->node);
+		return;
+	}
+	request = ws_pending_requests_add(&service->requests, token, kind_of_frame(frame));
+	if (!request)
+		return;
+	request->peer_connection = connection;
+	request->frame_id = frame->id;
+	switch (frame->kind) {
+	case WS__PEER_FRAME__KIND__REPORT:
+		ws_router_handle_heartbeat(service, token, body, frame->body.len, true);
+		break;
+	case WS__PEER_FRAME__KIND__USER: handle_user_frame(service, token, frame, body); break;
+	case WS__PEER_FRAME__KIND__TESTIFY:
+		handle_vote_request(service, token, frame->testimony);
+		break;
+	default:
+		ws_logf(WS_LOG_ERROR, "a frame of kind %d of %s is refused", (int)frame->kind,
+			frame->node);
+		ws_router_answer_status(service, token, 400);
+	}
+}
--- a/src/io/http.c
+++ b/src/io/http.c
@@ -8,19 +8,10 @@
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
-#include <time.h>
 #include <unistd.h>
 
 #define WS_PATH_MAX 1024
 
-double ws_now(void)
-{
-	struct timespec ts;
-
-	clock_gettime(CLOCK_MONOTONIC, &ts);
-	return (double)ts.tv_sec + (double)ts.tv_nsec * 1e-9;
-}
-
 struct ws_buf {
 	char *p;
 	size_t len, cap;
--- a/src/io/http.h
+++ b/src/io/http.h
@@ -1,6 +1,7 @@
 /* HTTP/1.1 over TCP on libev and http-parser: a server and a pooled client. No pipelining. */
 #ifndef WS_HTTP_H
 #define WS_HTTP_H
+#include "clock.h"
 #include <ev.h>
 #include <stdbool.h>
 #include <stddef.h>
@@ -66,5 +67,4 @@
 bool ws_client_idle(const struct ws_client *c, double now, double idle_s);
 int ws_client_conns(const struct ws_client *c);
 void ws_client_free(struct ws_client *c);
-double ws_now(void);
 #endif
--- /dev/null
+++ b/src/io/outgoing_calls.c
@@ -0,0 +1,288 @@
+/* Calls of the core to the state service, the cloud, workers and voters, and their results. */
+#include "../log.h"
+#include "clock.h"
+#include "codec.h"
+#include "server_internal.h"
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define MEBIBYTE ((size_t)1024 * 1024)
+
+#define STATE_CONNECTIONS 8
+#define STATE_REPLY_MAX (4 * MEBIBYTE)
+#define WATCH_CONNECTIONS 4
+#define WATCH_QUEUE 8
+#define WATCH_REPLY_MAX (16 * MEBIBYTE)
+#define CLOUD_CONNECTIONS 2
+#define CLOUD_QUEUE 8
+#define CLOUD_REPLY_MAX (4 * MEBIBYTE)
+
+#define CLOUD_TIMEOUT_S 5
+/* A watch is answered this long after its time at the latest. */
+#define WATCH_GRACE_S 1
+#define STATE_TIMEOUT_MAX_S 1.5
+/* A peer is asked after a read that a user waits for. */
+#define POLL_TIMEOUT_SHARE 0.4
+
+/* Of the state service's limit this node's part may be used up to here. */
+#define STATE_SHARE_USED 0.95
+/* Users' part of the changes: at most half, for sure a fair part of three tenths. */
+#define USER_WRITES_LEAST_SHARE 0.3
+#define WRITE_RATE_DECREASE 0.7
+/* Seconds in which an unused write budget grows from nothing to its full rate. */
+#define WRITE_RATE_RECOVERY_S 16
+
+/* A call on its way. */
+struct call_in_flight {
+	struct ws_service *service;
+	struct ws_call *call;
+};
+
+/* ---- the state service's limits ---- */
+
+void ws_outgoing_calls_set_share(struct ws_service *service, bool leading)
+{
+	const struct ws_settings *settings = service->set;
+	double share = leading || !settings->npeers ? 0.5 : 0.5 / (double)settings->npeers;
+
+	if (!settings->npeers)
+		share = 1;
+	service->outgoing.leading = leading;
+	ws_client_rate(service->outgoing.state, settings->state_rps * share * STATE_SHARE_USED,
+		       settings->state_rps * share / 2);
+}
+
+/* Takes so many changes of the write budget; false: it is used up, none was taken. */
+static bool take_writes(struct ws_service *service, size_t count)
+{
+	struct ws_write_budget *budget = &service->outgoing.write_budget;
+	double most = service->set->state_write_rps / 2;
+	double now = ws_now();
+	double passed = now - budget->updated_at;
+
+	budget->rate = fmin(most, budget->rate + passed * most / WRITE_RATE_RECOVERY_S);
+	budget->available = fmin(budget->rate, budget->available + passed * budget->rate);
+	budget->updated_at = now;
+	if (budget->available < 1)
+		return false;
+	budget->available -= (double)count;
+	return true;
+}
+
+static void lower_write_rate(struct ws_service *service)
+{
+	struct ws_write_budget *budget = &service->outgoing.write_budget;
+	double least = service->set->state_write_rps * USER_WRITES_LEAST_SHARE /
+		       (double)(service->set->npeers + 1);
+
+	budget->rate = fmax(least, budget->rate * WRITE_RATE_DECREASE);
+	budget->available = 0;
+}
+
+/* ---- results ---- */
+
+/* The result goes to the core, which frees the call; the result's own parts are freed here. */
+static void complete(struct ws_service *service, struct ws_call *call, struct ws_result *result)
+{
+	pthread_mutex_lock(&service->lock);
+	ws_core_complete(service->core, ws_now(), call, result);
+	pthread_mutex_unlock(&service->lock);
+	ws_result_free(result);
+}
+
+static void complete_with_reply(struct ws_service *service, struct ws_call *call, int status,
+				const char *body, size_t length)
+{
+	struct ws_result result;
+
+	ws_decode_reply(call, status, body, length, &result);
+	if (status > 0 && result.status == 0)
+		ws_logf(WS_LOG_ERROR,
+			"an answer (%d, %zu bytes) to a call of kind %d for %s can't be read: "
+			"taken for none",
+			status, length, call->kind, call->key[0] ? call->key : call->host);
+	if (result.status < 0 && call->kind != WS_CALL_ORDERS)
+		result.status = 0;
+	complete(service, call, &result);
+}
+
+static void finish_http_call(struct call_in_flight *flight, int status, const char *body,
+			     size_t length)
+{
+	struct ws_service *service = flight->service;
+	struct ws_call *call = flight->call;
+
+	free(flight);
+	if (status == 429 && call->kind == WS_CALL_TXN && !call->paced)
+		lower_write_rate(service);
+	complete_with_reply(service, call, status, body, length);
+}
+
+static void on_http_reply(void *context, int status, const char *body, size_t length)
+{
+	struct call_in_flight *flight = context;
+	struct ws_service *service = flight->service;
+
+	finish_http_call(flight, status, body, length);
+	ws_effects_execute(service);
+}
+
+static void finish_vote_call(struct call_in_flight *flight, const Ws__PeerFrame *reply)
+{
+	struct ws_result result = {0};
+
+	if (reply && !ws_testimony_read(reply, &result))
+		ws_logf(WS_LOG_ERROR, "testimony of %s can't be read: taken for none",
+			flight->call->key);
+	complete(flight->service, flight->call, &result);
+	free(flight);
+}
+
+static void on_vote(void *context, const Ws__PeerFrame *reply)
+{
+	struct call_in_flight *flight = context;
+	struct ws_service *service = flight->service;
+
+	finish_vote_call(flight, reply);
+	ws_effects_execute(service);
+}
+
+/* ---- starting ---- */
+
+static void ask_voter(struct call_in_flight *flight)
+{
+	struct ws_service *service = flight->service;
+	Ws__PeerFrame frame = WS__PEER_FRAME__INIT;
+	Ws__Testimony vote = WS__TESTIMONY__INIT;
+
+	frame.node = (char *)service->set->node;
+	ws_testimony_ask(&frame, &vote, flight->call);
+	if (!ws_peers_send(service->peers, flight->call->key, &frame, service->leader_ttl_s / 2,
+			   on_vote, flight))
+		finish_vote_call(flight, NULL);
+}
+
+/* The client that a call goes by; NULL: all connections to workers are busy. */
+static struct ws_client *client_for(struct ws_service *service, const struct ws_call *call)
+{
+	struct ws_outgoing_calls *outgoing = &service->outgoing;
+
+	switch (call->kind) {
+	case WS_CALL_WATCH: return call->ms ? outgoing->watch : outgoing->state;
+	case WS_CALL_TYPES:
+	case WS_CALL_HOSTS:
+	case WS_CALL_RENT:
+	case WS_CALL_RETURN: return outgoing->cloud;
+	case WS_CALL_ORDERS:
+		return ws_worker_connections_get(outgoing->workers, call->host, call->port);
+	default: return outgoing->state;
+	}
+}
+
+static double timeout_s(const struct ws_service *service, const struct ws_call *call)
+{
+	const struct ws_settings *settings = service->set;
+	double timeout = fmin(settings->lease_s / 12, STATE_TIMEOUT_MAX_S);
+	double poll_timeout = fmin(timeout, WS_POLL_WAIT_S * POLL_TIMEOUT_SHARE);
+
+	switch (call->kind) {
+	case WS_CALL_WATCH: /* without a time it is answered at once */
+		return call->ms ? call->ms / 1000.0 + WATCH_GRACE_S : poll_timeout;
+	case WS_CALL_GET: return poll_timeout;
+	case WS_CALL_HOLD_EXTEND: /* others follow meanwhile */
+		return service->leader_ttl_s * 3 / 4;
+	case WS_CALL_TYPES:
+	case WS_CALL_HOSTS:
+	case WS_CALL_RENT:
+	case WS_CALL_RETURN: return CLOUD_TIMEOUT_S;
+	case WS_CALL_ORDERS:
+		/* one without commands only asks whether the machine is there */
+		return call->norders ? settings->report_s
+				     : fmin(settings->report_s, settings->lease_s / 16);
+	default: return timeout;
+	}
+}
+
+static bool send_http_call(struct call_in_flight *flight, struct ws_client *client)
+{
+	const struct ws_call *call = flight->call;
+	char path[WS_URL_MAX];
+	const char *method;
+	char *body = ws_encode_call(call, &method, path);
+	bool sent =
+	    ws_client_send(client, method, path, body ? body : "", body ? strlen(body) : 0,
+			   timeout_s(flight->service, call), call->urgent, on_http_reply, flight);
+
+	free(body);
+	return sent;
+}
+
+void ws_outgoing_call_drop(struct ws_service *service, struct ws_call *call)
+{
+	complete_with_reply(service, call, -1, "", 0);
+}
+
+void ws_outgoing_call_start(struct ws_service *service, struct ws_call *call)
+{
+	struct call_in_flight *flight;
+	struct ws_client *client;
+
+	if (call->kind == WS_CALL_TXN && !call->paced && !take_writes(service, call->nops)) {
+		complete_with_reply(service, call, 429, "", 0);
+		return;
+	}
+	flight = calloc(1, sizeof(*flight));
+	if (!flight)
+		abort();
+	flight->service = service;
+	flight->call = call;
+	if (call->kind == WS_CALL_TESTIFY) {
+		ask_voter(flight);
+		return;
+	}
+	client = client_for(service, call);
+	if (!client || !send_http_call(flight, client))
+		finish_http_call(flight, call->kind == WS_CALL_ORDERS ? -1 : 429, "", 0);
+}
+
+/* ---- start and end ---- */
+
+bool ws_outgoing_calls_init(struct ws_service *service)
+{
+	const struct ws_settings *settings = service->set;
+	struct ws_outgoing_calls *outgoing = &service->outgoing;
+	const struct ws_client_opts state = {.max_conns = STATE_CONNECTIONS,
+					     .max_queue = (int)(settings->state_rps / 2),
+					     .max_reply = STATE_REPLY_MAX};
+	const struct ws_client_opts watch = {
+	    .max_conns = WATCH_CONNECTIONS, .max_queue = WATCH_QUEUE, .max_reply = WATCH_REPLY_MAX};
+	const struct ws_client_opts cloud = {.max_conns = CLOUD_CONNECTIONS,
+					     .max_queue = CLOUD_QUEUE,
+					     .max_reply = CLOUD_REPLY_MAX,
+					     .rate = settings->cloud_rps,
+					     .burst = fmax(1, settings->cloud_rps)};
+
+	outgoing->state =
+	    ws_client_new(service->loop, settings->state.host, settings->state.port, &state);
+	outgoing->watch =
+	    ws_client_new(service->loop, settings->state.host, settings->state.port, &watch);
+	outgoing->cloud =
+	    ws_client_new(service->loop, settings->cloud.host, settings->cloud.port, &cloud);
+	outgoing->workers = ws_worker_connections_new(service->loop, settings);
+	outgoing->write_budget.rate = settings->state_write_rps / 2;
+	outgoing->write_budget.available = outgoing->write_budget.rate;
+	outgoing->write_budget.updated_at = ws_now();
+	if (!outgoing->state || !outgoing->watch || !outgoing->cloud || !outgoing->workers)
+		return false;
+	ws_outgoing_calls_set_share(service, false);
+	return true;
+}
+
+void ws_outgoing_calls_free(struct ws_service *service)
+{
+	ws_client_free(service->outgoing.state);
+	ws_client_free(service->outgoing.watch);
+	ws_client_free(service->outgoing.cloud);
+	ws_worker_connections_free(service->outgoing.workers);
+}
--- /dev/null
+++ b/src/io/queue_model_thread.c
@@ -0,0 +1,105 @@
+#include "queue_model_thread.h"
+#include "../core/sizing.h"
+#include "clock.h"
+#include <stdlib.h>
+
+struct ws_queue_model_thread {
+	struct ws_queue_model_target target;
+	pthread_t thread;
+	ev_async result_set; /* wakes the event loop */
+	/* `lock` guards all below; it is never held together with the core's */
+	pthread_mutex_t lock;
+	pthread_cond_t changed;
+	struct ws_measure measure;
+	bool due;      /* `measure` was not taken yet */
+	bool stopping; /* the thread is to end */
+};
+
+static void run_model(struct ws_queue_model_thread *thread, const struct ws_measure *measure)
+{
+	const struct ws_queue_model_target *target = &thread->target;
+	struct ws_queue queue = {0};
+	int count = ws_sizing_run(measure, &queue);
+
+	pthread_mutex_lock(target->core_lock);
+	ws_core_set_k(target->core, ws_now(), count, queue.s, queue.wq);
+	pthread_mutex_unlock(target->core_lock);
+	ev_async_send(target->loop, &thread->result_set);
+}
+
+static void *thread_main(void *context)
+{
+	struct ws_queue_model_thread *thread = context;
+
+	pthread_mutex_lock(&thread->lock);
+	for (;;) {
+		struct ws_measure measure;
+
+		while (!thread->due && !thread->stopping)
+			pthread_cond_wait(&thread->changed, &thread->lock);
+		if (thread->stopping)
+			break;
+		thread->due = false;
+		measure = thread->measure;
+		pthread_mutex_unlock(&thread->lock);
+		run_model(thread, &measure);
+		pthread_mutex_lock(&thread->lock);
+	}
+	pthread_mutex_unlock(&thread->lock);
+	return NULL;
+}
+
+static void on_result_set(struct ev_loop *loop, ev_async *watcher, int events)
+{
+	const struct ws_queue_model_thread *thread = watcher->data;
+
+	(void)loop;
+	(void)events;
+	thread->target.on_result(thread->target.context);
+}
+
+struct ws_queue_model_thread *
+ws_queue_model_thread_start(const struct ws_queue_model_target *target)
+{
+	struct ws_queue_model_thread *thread = calloc(1, sizeof(*thread));
+
+	if (!thread)
+		return NULL;
+	thread->target = *target;
+	pthread_mutex_init(&thread->lock, NULL);
+	pthread_cond_init(&thread->changed, NULL);
+	ev_async_init(&thread->result_set, on_result_set);
+	thread->result_set.data = thread;
+	ev_async_start(target->loop, &thread->result_set);
+	if (pthread_create(&thread->thread, NULL, thread_main, thread)) {
+		ev_async_stop(target->loop, &thread->result_set);
+		free(thread);
+		return NULL;
+	}
+	return thread;
+}
+
+void ws_queue_model_thread_run(struct ws_queue_model_thread *thread,
+			       const struct ws_measure *measure)
+{
+	pthread_mutex_lock(&thread->lock);
+	thread->measure = *measure;
+	thread->due = true;
+	pthread_cond_signal(&thread->changed);
+	pthread_mutex_unlock(&thread->lock);
+}
+
+void ws_queue_model_thread_stop(struct ws_queue_model_thread *thread)
+{
+	if (!thread)
+		return;
+	pthread_mutex_lock(&thread->lock);
+	thread->stopping = true;
+	pthread_cond_signal(&thread->changed);
+	pthread_mutex_unlock(&thread->lock);
+	pthread_join(thread->thread, NULL);
+	ev_async_stop(thread->target.loop, &thread->result_set);
+	pthread_cond_destroy(&thread->changed);
+	pthread_mutex_destroy(&thread->lock);
+	free(thread);
+}
--- /dev/null
+++ b/src/io/request_router.c
@@ -0,0 +1,233 @@
+/* Requests of users, workers and health checks in by HTTP; answers out as the requests came. */
+#include "../log.h"
+#include "clock.h"
+#include "codec.h"
+#include "server_internal.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define HEARTBEAT_PATH "/checkin"
+#define HEALTH_PATH "/healthz"
+#define USER_PATH_LENGTH (sizeof(WS_USER_PATH) - 1)
+#define EMPTY_BODY "{}"
+#define RETRY_AFTER_S 1
+
+/* ---- answers ---- */
+
+static void answer_by_frame(struct ws_service *service, const struct ws_pending_request *request,
+			    int status, const char *body, size_t length, int retry_after_s)
+{
+	Ws__PeerFrame frame = WS__PEER_FRAME__INIT;
+
+	frame.kind = WS__PEER_FRAME__KIND__REPLY;
+	frame.id = request->frame_id;
+	frame.node = (char *)service->set->node;
+	frame.body.data = (uint8_t *)body;
+	frame.body.len = length;
+	frame.status = (uint32_t)status;
+	frame.retry_after = (uint32_t)retry_after_s;
+	ws_peers_reply(service->peers, request->peer_connection, &frame);
+}
+
+void ws_router_answer(struct ws_service *service, uint64_t token, int status, const char *body,
+		      size_t length, int retry_after_s)
+{
+	struct ws_pending_request *request = ws_pending_requests_find(&service->requests, token);
+
+	if (!request)
+		return;
+	if (request->peer_connection)
+		answer_by_frame(service, request, status, body, length, retry_after_s);
+	else
+		ws_server_answer(service->server, token, status, body, length, retry_after_s);
+	ws_pending_requests_remove(&service->requests, request);
+}
+
+void ws_router_answer_status(struct ws_service *service, uint64_t token, int status)
+{
+	bool retry = status == 503 || status == 429;
+
+	ws_router_answer(service, token, status, EMPTY_BODY, strlen(EMPTY_BODY),
+			 retry ? RETRY_AFTER_S : 0);
+}
+
+/* Answers with a body, which is freed; without one, for lack of memory, with 503. */
+static void answer_encoded(struct ws_service *service, const struct ws_action *answer, char *body,
+			   int retry_after_s)
+{
+	if (body)
+		ws_router_answer(service, answer->token, answer->status, body, strlen(body),
+				 retry_after_s);
+	else
+		ws_router_answer(service, answer->token, 503, EMPTY_BODY, strlen(EMPTY_BODY),
+				 answer->kind == WS_ACT_ANSWER_USER ? RETRY_AFTER_S : 0);
+	free(body);
+}
+
+void ws_router_answer_user(struct ws_service *service, const struct ws_action *answer)
+{
+	answer_encoded(service, answer, ws_encode_user(answer), answer->retry_after);
+}
+
+void ws_router_answer_heartbeat(struct ws_service *service, const struct ws_action *answer)
+{
+	answer_encoded(service, answer, ws_encode_report_answer(answer), 0);
+}
+
+/* ---- users ---- */
+
+static void submit_job(struct ws_service *service, uint64_t token, const char *body, size_t length,
+		       bool forwarded)
+{
+	struct ws_spec spec;
+	int refusal = ws_decode_job(body, length, &spec);
+
+	if (refusal) {
+		ws_router_answer_status(service, token, refusal);
+		return;
+	}
+	pthread_mutex_lock(&service->lock);
+	ws_core_submit(service->core, ws_now(), ws_wall(), token, &spec, forwarded);
+	pthread_mutex_unlock(&service->lock);
+	ws_effects_execute(service);
+}
+
+/* Splits "ID" or "ID/abort"; false: it is neither. */
+static bool parse_job_path(const char *path, char id[WS_ID_MAX], bool *cancel)
+{
+	size_t length = strcspn(path, "/");
+
+	if (!length || length >= WS_ID_MAX)
+		return false;
+	memcpy(id, path, length);
+	id[length] = 0;
+	*cancel = !strcmp(path + length, "/abort");
+	return *cancel || !path[length];
+}
+
+/* A poll of a job, or its cancellation. */
+static void handle_job_request(struct ws_service *service, uint64_t token, const char *method,
+			       const char *path, bool forwarded)
+{
+	char id[WS_ID_MAX];
+	bool cancel;
+
+	if (!parse_job_path(path, id, &cancel)) {
+		ws_router_answer_status(service, token, 404);
+		return;
+	}
+	if (strcmp(method, cancel ? "POST" : "GET")) {
+		ws_router_answer_status(service, token, 405);
+		return;
+	}
+	if (!ws_job_id_ok(id)) { /* no job has such an id */
+		ws_router_answer_status(service, token, 404);
+		return;
+	}
+	pthread_mutex_lock(&service->lock);
+	if (cancel)
+		ws_core_abort(service->core, ws_now(), token, id, forwarded);
+	else
+		ws_core_poll(service->core, ws_now(), token, id, forwarded);
+	pthread_mutex_unlock(&service->lock);
+	ws_effects_execute(service);
+}
+
+void ws_router_handle_user(struct ws_service *service, uint64_t token, const char *method,
+			   const char *path, const char *body, size_t length, bool forwarded)
+{
+	const char *rest = path + USER_PATH_LENGTH;
+
+	/* a small buffer: half a second of what the state service can take */
+	if (service->requests.user_requests > (int)(service->set->state_rps / 2))
+		ws_router_answer_status(service, token, 503);
+	else if (rest[0])
+		handle_job_request(service, token, method, rest + 1, forwarded);
+	else if (strcmp(method, "POST"))
+		ws_router_answer_status(service, token, 405);
+	else
+		submit_job(service, token, body, length, forwarded);
+}
+
+/* ---- workers ---- */
+
+void ws_router_handle_heartbeat(struct ws_service *service, uint64_t token, const char *body,
+				size_t length, bool forwarded)
+{
+	struct ws_report heartbeat;
+
+	if (!ws_decode_report(body, length, &heartbeat)) {
+		ws_logf(WS_LOG_ERROR, "a report of %zu bytes can't be read", length);
+		ws_router_answer_status(service, token, 400);
+		return;
+	}
+	pthread_mutex_lock(&service->lock);
+	ws_core_report(service->core, ws_now(), token, &heartbeat, forwarded);
+	pthread_mutex_unlock(&service->lock);
+	ws_report_free(&heartbeat);
+	ws_effects_execute(service);
+}
+
+/* ---- routing ---- */
+
+static void answer_health_check(struct ws_service *service, uint64_t token, const char *method)
+{
+	bool ready;
+
+	pthread_mutex_lock(&service->lock);
+	ready = ws_core_ready(service->core);
+	pthread_mutex_unlock(&service->lock);
+	if (strcmp(method, "GET"))
+		ws_router_answer_status(service, token, 405);
+	else
+		ws_router_answer_status(service, token, ready ? 200 : 503);
+}
+
+static bool is_user_path(const char *path)
+{
+	return !strncmp(path, WS_USER_PATH, USER_PATH_LENGTH) &&
+	       (!path[USER_PATH_LENGTH] || path[USER_PATH_LENGTH] == '/');
+}
+
+void ws_router_local_path(const char *url, char *path)
+{
+	snprintf(path, WS_URL_LOCAL, "%.*s", (int)strcspn(url, "?#"), url);
+}
+
+static void route_heartbeat(struct ws_service *service, uint64_t token, const char *method,
+			    const char *body, size_t length)
+{
+	ws_server_kind(service->server, token, WS_CONN_WORKER);
+	if (strcmp(method, "POST"))
+		ws_router_answer_status(service, token, 405);
+	else
+		ws_router_handle_heartbeat(service, token, body, length, false);
+}
+
+void ws_router_on_request(void *context, uint64_t token, const char *method, const char *url,
+			  const char *body, size_t length)
+{
+	struct ws_service *service = context;
+	char path[WS_URL_LOCAL];
+	bool heartbeat;
+
+	ws_router_local_path(url, path);
+	heartbeat = !strcmp(path, HEARTBEAT_PATH);
+	if (!ws_pending_requests_add(&service->requests, token,
+				     heartbeat ? WS_REQUEST_HEARTBEAT : WS_REQUEST_USER)) {
+		ws_server_answer(service->server, token, 503, EMPTY_BODY, strlen(EMPTY_BODY),
+				 RETRY_AFTER_S);
+		return;
+	}
+	if (heartbeat) {
+		route_heartbeat(service, token, method, body, length);
+	} else if (is_user_path(path)) {
+		ws_server_kind(service->server, token, WS_CONN_USER);
+		ws_router_handle_user(service, token, method, path, body, length, false);
+	} else if (!strcmp(path, HEALTH_PATH)) {
+		answer_health_check(service, token, method);
+	} else {
+		ws_router_answer_status(service, token, 404);
+	}
+}
--- /dev/null
+++ b/src/io/server.c
@@ -0,0 +1,172 @@
+/* Starts and stops the I/O layer, and runs its tick timer. */
+#include "server.h"
+#include "../log.h"
+#include "clock.h"
+#include "server_internal.h"
+#include <stdio.h>
+#include <stdlib.h>
+
+/* Ticks between two heartbeats of a worker. */
+#define TICKS_PER_HEARTBEAT 40
+#define FIRST_TICK_S 0.001
+/* Clients to workers that were unused for so many leases are closed. */
+#define WORKER_IDLE_LEASES 4
+
+static void on_queue_model_result(void *context)
+{
+	ws_effects_execute(context);
+}
+
+/* Once in lease_s: closes clients to workers that are not used, and logs what is open. */
+static void sweep(struct ws_service *service, double now)
+{
+	ws_logf(WS_LOG_INFO,
+		"connections: %d of workers, %d of users, %d others, %u to workers; "
+		"%d requests of users, %d reports passed on under way",
+		ws_server_conns(service->server, WS_CONN_WORKER),
+		ws_server_conns(service->server, WS_CONN_USER),
+		ws_server_conns(service->server, WS_CONN_NEW),
+		ws_worker_connections_count(service->outgoing.workers),
+		service->requests.user_requests, service->forwarding.heartbeats);
+	ws_worker_connections_retire_idle(service->outgoing.workers, now,
+					  WORKER_IDLE_LEASES * service->set->lease_s);
+}
+
+static void on_tick(struct ev_loop *loop, ev_timer *watcher, int events)
+{
+	struct ws_service *service = watcher->data;
+	struct ws_measure measure;
+	double now = ws_now();
+	bool measured;
+
+	(void)loop;
+	(void)events;
+	ws_worker_connections_free_retired(service->outgoing.workers);
+	pthread_mutex_lock(&service->lock);
+	ws_core_tick(service->core, now);
+	measured = ws_core_measure(service->core, now, &measure);
+	pthread_mutex_unlock(&service->lock);
+	if (measured)
+		ws_queue_model_thread_run(service->queue_model, &measure);
+	ws_effects_execute(service);
+	if (now > service->sweep_at) {
+		service->sweep_at = now + service->set->lease_s;
+		sweep(service, now);
+	}
+}
+
+/*
+ * How the sockets are shared out: workers half, users three sixteenths, those that are about to be
+ * closed and those that wait to be taken one each, and two for commands to workers. Workers send
+ * heartbeats so seldom that those above their part may come by a new connection each time: so a
+ * fleet larger than max_sockets is served.
+ */
+static struct ws_server_opts http_server_options(const struct ws_settings *settings)
+{
+	int sockets = settings->sockets;
+
+	return (struct ws_server_opts){
+	    .max = sockets * 3 / 4,
+	    .backlog = sockets / 16 + 1,
+	    .keep = {sockets, sockets * 3 / 16, sockets / 2},
+	    .idle = {settings->lease_s / 4, 4 * settings->lease_s, 2.5 * settings->report_s},
+	    .slow = settings->lease_s / 4,
+	};
+}
+
+/* Opens the sockets to listen on; false with one line in `error`. */
+static bool listen_on_sockets(struct ws_service *service, char *error, size_t error_size)
+{
+	const struct ws_settings *settings = service->set;
+	const struct ws_server_opts options = http_server_options(settings);
+
+	service->server = ws_server_new(service->loop, settings->bind.host, settings->bind.port,
+					&options, ws_router_on_request, service, error, error_size);
+	if (!service->server)
+		return false;
+	service->peers = ws_peers_new(service->loop, settings, ws_forwarding_on_frame, service,
+				      error, error_size);
+	return service->peers != NULL;
+}
+
+static bool start_queue_model(struct ws_service *service, char *error, size_t error_size)
+{
+	const struct ws_queue_model_target target = {
+	    .loop = service->loop,
+	    .core = service->core,
+	    .core_lock = &service->lock,
+	    .on_result = on_queue_model_result,
+	    .context = service,
+	};
+
+	service->queue_model = ws_queue_model_thread_start(&target);
+	if (!service->queue_model)
+		snprintf(error, error_size, "can't start the sizing thread");
+	return service->queue_model != NULL;
+}
+
+static void start_ticking(struct ws_service *service)
+{
+	ev_timer_init(&service->tick, on_tick, FIRST_TICK_S,
+		      service->set->report_s / TICKS_PER_HEARTBEAT);
+	service->tick.data = service;
+	ev_timer_start(service->loop, &service->tick);
+}
+
+static bool start(struct ws_service *service, const struct ws_policy *policy,
+		  const struct ws_subsystem_settings *subsystems, char *error, size_t error_size)
+{
+	uint64_t nonce = 0;
+
+	arc4random_buf(&nonce, sizeof(nonce));
+	service->core = ws_core_new(service->set, policy, ws_log_write, ws_now(), nonce);
+	if (!service->core)
+		return false;
+	if (!ws_outgoing_calls_init(service) || !listen_on_sockets(service, error, error_size) ||
+	    !ws_subsystem_attach(service->core, subsystems, service->set, error, error_size))
+		return false;
+	start_ticking(service);
+	return start_queue_model(service, error, error_size);
+}
+
+struct ws_service *ws_service_new(struct ev_loop *loop, const struct ws_settings *settings,
+				  const struct ws_policy *policy,
+				  const struct ws_subsystem_settings *subsystems, char *error,
+				  size_t error_size)
+{
+	struct ws_service *service = calloc(1, sizeof(*service));
+
+	if (!service)
+		return NULL;
+	service->loop = loop;
+	service->set = settings;
+	service->leader_ttl_s = settings->lease_s * policy->leader_ttl_ratio;
+	pthread_mutex_init(&service->lock, NULL);
+	if (start(service, policy, subsystems, error, error_size))
+		return service;
+	ws_service_free(service);
+	return NULL;
+}
+
+void ws_service_resign(struct ws_service *service)
+{
+	pthread_mutex_lock(&service->lock);
+	ws_core_resign(service->core, ws_now());
+	pthread_mutex_unlock(&service->lock);
+	ws_effects_execute(service);
+}
+
+void ws_service_free(struct ws_service *service)
+{
+	if (!service)
+		return;
+	ws_queue_model_thread_stop(service->queue_model);
+	service->executing_effects = true; /* nothing more is started */
+	ev_timer_stop(service->loop, &service->tick);
+	ws_outgoing_calls_free(service);
+	ws_peers_free(service->peers);
+	ws_pending_requests_clear(&service->requests);
+	ws_server_free(service->server);
+	ws_core_free(service->core);
+	free(service);
+}
--- a/src/main.c
+++ b/src/main.c
@@ -2,7 +2,7 @@
 #include "coldstart_command.h"
 #include "config.h"
 #include "io/pool.h"
-#include "io/service.h"
+#include "io/server.h"
 #include "log.h"
 #include "subsystem_settings.h"
 #include "zones_command.h"
