--- /dev/null
+++ b/src/io/http_common.c
@@ -0,0 +1,75 @@
+#include "http_common.h"
+#include <errno.h>
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+#include <stdlib.h>
+#include <string.h>
+#include <sys/socket.h>
+
+#define FIRST_CAPACITY 512
+/* One large message must not keep its memory for ever. */
+#define KEPT_CAPACITY_MAX 16384
+
+bool ws_buffer_add(struct ws_buffer *buffer, const char *bytes, size_t length)
+{
+	size_t needed = buffer->length + length + 1;
+
+	if (needed > buffer->capacity) {
+		size_t capacity = buffer->capacity ? buffer->capacity : FIRST_CAPACITY;
+		char *grown;
+
+		while (capacity < needed)
+			capacity *= 2;
+		grown = realloc(buffer->bytes, capacity);
+		if (!grown)
+			return false;
+		buffer->bytes = grown;
+		buffer->capacity = capacity;
+	}
+	if (length)
+		memcpy(buffer->bytes + buffer->length, bytes, length);
+	buffer->length += length;
+	buffer->bytes[buffer->length] = 0;
+	return true;
+}
+
+void ws_buffer_reset(struct ws_buffer *buffer)
+{
+	if (buffer->capacity > KEPT_CAPACITY_MAX)
+		ws_buffer_free(buffer);
+	buffer->length = 0;
+	if (buffer->bytes)
+		buffer->bytes[0] = 0;
+}
+
+void ws_buffer_free(struct ws_buffer *buffer)
+{
+	free(buffer->bytes);
+	*buffer = (struct ws_buffer){0};
+}
+
+const char *ws_buffer_text(const struct ws_buffer *buffer)
+{
+	return buffer->bytes ? buffer->bytes : "";
+}
+
+int ws_socket_open(void)
+{
+	int socket_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+
+	if (socket_fd >= 0)
+		ws_socket_no_delay(socket_fd);
+	return socket_fd;
+}
+
+void ws_socket_no_delay(int socket_fd)
+{
+	int one = 1;
+
+	setsockopt(socket_fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
+}
+
+bool ws_socket_would_block(void)
+{
+	return errno == EAGAIN;
+}
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -1,7 +1,8 @@
 #include "peer.h"
 #include "../log.h"
+#include "clock.h"
 #include "codec.h"
-#include "http.h"
+#include "http_common.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <netinet/tcp.h>
--- a/src/io/pool.c
+++ b/src/io/pool.c
@@ -1,5 +1,5 @@
 #include "pool.h"
-#include "http.h"
+#include "http_common.h"
 #include <jansson.h>
 #include <stdint.h>
 #include <stdlib.h>
--- a/src/io/server_internal.h
+++ b/src/io/server_internal.h
@@ -15,7 +15,8 @@
 #ifndef WS_SERVER_INTERNAL_H
 #define WS_SERVER_INTERNAL_H
 #include "../core/core.h"
-#include "http.h"
+#include "http_client.h"
+#include "http_server.h"
 #include "peer.h"
 #include "pending_requests.h"
 #include "queue_model_thread.h"
--- a/src/io/worker_connections.h
+++ b/src/io/worker_connections.h
@@ -7,7 +7,7 @@
 #ifndef WS_WORKER_CONNECTIONS_H
 #define WS_WORKER_CONNECTIONS_H
 #include "../core/settings.h"
-#include "http.h"
+#include "http_client.h"
 
 struct ws_worker_connections;
 
--- a/src/state_tool.c
+++ b/src/state_tool.c
@@ -1,6 +1,6 @@
 #include "state_tool.h"
 #include "io/codec.h"
-#include "io/http.h"
+#include "io/http_client.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -3,7 +3,7 @@
  * prints digests of all that was encoded and decoded, so that two versions can be compared.
  */
 #include "../src/io/codec.h"
-#include "../src/io/http.h"
+#include "../src/io/http_common.h"
 #include "../src/io/json_reader.h"
 #include "../src/io/pool.h"
 #include "check.h"
--- a/tests/loopback_parts.h
+++ b/tests/loopback_parts.h
@@ -1,7 +1,9 @@
 /* What the stand-ins of the loopback cluster share. */
 #ifndef WS_TEST_LOOPBACK_PARTS_H
 #define WS_TEST_LOOPBACK_PARTS_H
-#include "../src/io/http.h"
+#include "../src/io/clock.h"
+#include "../src/io/http_client.h"
+#include "../src/io/http_server.h"
 #include "loopback.h"
 #include <jansson.h>
 #include <stdio.h>
--- a/tests/smoke_test.c
+++ b/tests/smoke_test.c
@@ -3,7 +3,9 @@
  * waystep process is started, a user submits, a worker reports and is told to run; broken HTTP is
  * refused without harm.
  */
-#include "../src/io/http.h"
+#include "../src/io/clock.h"
+#include "../src/io/http_client.h"
+#include "../src/io/http_server.h"
 #include "ports.h"
 #include <arpa/inet.h>
 #include <fcntl.h>
