--- /dev/null
+++ b/src/io/decode_cloud.c
@@ -0,0 +1,108 @@
+/* Answers of the cloud. The names of the wire are mapped in codec.h. */
+#include "codec.h"
+#include "decode_internal.h"
+#include "json_members.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+static bool decode_type(struct ws_json object, struct ws_type *type)
+{
+	struct ws_json_elements zones;
+	struct ws_json zone;
+	size_t count;
+	char name[WS_NAME_MAX];
+
+	if (!ws_member_string(object, "name", type->name, sizeof(type->name), false) ||
+	    !ws_member_amount(object, "vcpus", &type->cpus) || type->cpus <= 0 ||
+	    !ws_member_amount(object, "memGb", &type->mem) ||
+	    !ws_member_amount(object, "rate", &type->price) ||
+	    !ws_member_amount(object, "startupS", &type->boot_s))
+		return false;
+	if (!ws_member_amount(object, "accelerators", &type->gpus))
+		type->gpus = 0;
+	if (!ws_member_amount(object, "spotPrice", &type->spot_price))
+		type->spot_price = type->price;
+	if (!ws_member_amount(object, "localGb", &type->local_gb))
+		type->local_gb = 0;
+	if (!ws_member_amount(object, "fetchGbPerS", &type->fetch_gb_s))
+		type->fetch_gb_s = 0;
+	if (!ws_member_array(object, "halls", &zones, &count))
+		return false;
+	while (ws_json_next(&zones, &zone)) {
+		if (!ws_element_name(zone, name))
+			return false;
+		if (type->nzones < WS_MAX_ALLOWED)
+			snprintf(type->zones[type->nzones++], WS_NAME_MAX, "%s", name);
+	}
+	return true;
+}
+
+bool ws_decode_types(struct ws_json object, struct ws_result *result)
+{
+	struct ws_json_elements elements;
+	struct ws_json type;
+	size_t count;
+
+	if (!ws_member_array(object, "flavours", &elements, &count) || !count)
+		return false;
+	result->types = calloc(count, sizeof(*result->types));
+	if (!result->types)
+		return false;
+	while (ws_json_next(&elements, &type)) {
+		if (!decode_type(type, &result->types[result->ntypes]))
+			return false;
+		result->ntypes++;
+	}
+	return true;
+}
+
+static bool decode_instance(struct ws_json object, struct ws_host *instance)
+{
+	char phase[WS_NAME_MAX];
+
+	if (!ws_member_string(object, "nameId", instance->name, sizeof(instance->name), false) ||
+	    !ws_member_address(object, "address", instance->host, sizeof(instance->host),
+			       &instance->port) ||
+	    !ws_member_string(object, "flavour", instance->type, sizeof(instance->type), false) ||
+	    !ws_member_string(object, "hall", instance->zone, sizeof(instance->zone), false) ||
+	    !ws_member_bool(object, "reclaimable", &instance->spot) ||
+	    !ws_member_string(object, "phase", phase, sizeof(phase), false))
+		return false;
+	if (!ws_member_amount(object, "ageS", &instance->age_s))
+		instance->age_s = 0;
+	instance->phase = !strcmp(phase, "failed")    ? WS_HOST_FAILED
+			  : !strcmp(phase, "running") ? WS_HOST_RUNNING
+						      : WS_HOST_STARTING;
+	return true;
+}
+
+bool ws_decode_hosts(struct ws_json object, struct ws_result *result, bool names_only)
+{
+	struct ws_json_elements elements;
+	struct ws_json element;
+	size_t count;
+
+	if (!ws_member_array(object, "hosts", &elements, &count))
+		return false;
+	result->hosts = calloc(count + 1, sizeof(*result->hosts));
+	if (!result->hosts)
+		return false;
+	while (ws_json_next(&elements, &element)) {
+		struct ws_host *instance = &result->hosts[result->nhosts];
+
+		if (names_only ? !ws_element_name(element, instance->name) || !instance->name[0]
+			       : !decode_instance(element, instance))
+			return false;
+		result->nhosts++;
+	}
+	return true;
+}
+
+bool ws_decode_no_capacity(struct ws_json object)
+{
+	char error[WS_NAME_MAX];
+
+	return ws_member_string(object, "error", error, sizeof(error), false) &&
+	       !strcmp(error, "no capacity");
+}
--- /dev/null
+++ b/src/io/decode_state.c
@@ -0,0 +1,118 @@
+/* Answers of the state service. The names of the wire are mapped in codec.h. */
+#include "codec.h"
+#include "decode_internal.h"
+#include "json_members.h"
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+/* ---- records: these live on, so they are read with jansson ---- */
+
+static bool record_revision(json_t *object, const char *key, uint64_t *to)
+{
+	json_t *value = json_object_get(object, key);
+
+	if (!json_is_integer(value) || json_integer_value(value) < 0)
+		return false;
+	*to = (uint64_t)json_integer_value(value);
+	return true;
+}
+
+static bool record_key(json_t *object, const char *name, char *to, size_t size)
+{
+	json_t *value = json_object_get(object, name);
+	const char *text = json_string_value(value);
+	size_t length = json_string_length(value);
+
+	if (!text || !length || length >= size || strlen(text) != length)
+		return false;
+	memcpy(to, text, length + 1);
+	return true;
+}
+
+static bool decode_record(json_t *object, const char *name, struct ws_kv *kv, bool need_value)
+{
+	json_t *value;
+
+	memset(kv, 0, sizeof(*kv));
+	if (!json_is_object(object) || !record_key(object, name, kv->key, sizeof(kv->key)) ||
+	    !record_revision(object, "stamp", &kv->stamp))
+		return false;
+	value = json_object_get(object, "value");
+	if (need_value && !value)
+		return false;
+	kv->value = json_incref(value);
+	return true;
+}
+
+static bool decode_records_array(json_t *array, struct ws_result *result, bool events)
+{
+	size_t i;
+	json_t *entry;
+
+	if (!json_is_array(array))
+		return false;
+	result->kvs = calloc(json_array_size(array) + 1, sizeof(*result->kvs));
+	if (!result->kvs)
+		return false;
+	json_array_foreach (array, i, entry) {
+		bool deleted = events && json_object_get(entry, "delete");
+		const char *key_name = events ? "write" : "k";
+
+		if (deleted)
+			key_name = "delete";
+		if (!decode_record(entry, key_name, &result->kvs[result->nkvs], !deleted))
+			return false;
+		if (deleted) {
+			json_decref(result->kvs[result->nkvs].value);
+			result->kvs[result->nkvs].value = NULL;
+		}
+		result->nkvs++;
+	}
+	return true;
+}
+
+static bool decode_records(const struct ws_call *call, json_t *object, struct ws_result *result)
+{
+	if (call->kind == WS_CALL_GET) {
+		result->kvs = calloc(1, sizeof(*result->kvs));
+		if (!result->kvs || !decode_record(object, "k", result->kvs, true))
+			return false;
+		result->nkvs = 1;
+		return !strcmp(result->kvs->key, call->key);
+	}
+	result->more = json_is_true(json_object_get(object, "hasNext"));
+	if (!record_revision(object, "ledgerRev", &result->rev))
+		return false;
+	return call->kind == WS_CALL_LIST
+		   ? decode_records_array(json_object_get(object, "entries"), result, false)
+		   : decode_records_array(json_object_get(object, "news"), result, true);
+}
+
+bool ws_decode_records_reply(const struct ws_call *call, const char *body, size_t length,
+			     struct ws_result *result)
+{
+	/* amounts too large for a double, duplicate keys and deep nesting are malformed too */
+	json_t *object = json_loadb(body, length, JSON_REJECT_DUPLICATES, NULL);
+	bool ok = json_is_object(object) && decode_records(call, object, result);
+
+	json_decref(object);
+	return ok;
+}
+
+/* ---- transactions ---- */
+
+void ws_decode_failed_keys(struct ws_json object, struct ws_result *result)
+{
+	struct ws_json_elements elements;
+	struct ws_json key;
+	const char *text;
+	size_t count, length;
+
+	if (!ws_member_array(object, "failed", &elements, &count))
+		return;
+	result->failed = calloc(count + 1, sizeof(*result->failed));
+	while (result->failed && ws_json_next(&elements, &key))
+		if (ws_json_string(key, &text, &length))
+			snprintf(result->failed[result->nfailed++], WS_KEY_MAX, "%s", text);
+}
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -1,81 +1,91 @@
-/* Writing: answers to users and workers, and calls to workers, the cloud and the state service. */
+/*
+ * Writing: answers to users and workers, and calls to workers, the cloud and the state service. The
+ * names of the wire are mapped in codec.h.
+ */
 #include "codec.h"
 #include "pool.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-static char *ws_dump(json_t *o)
+/* Of a task's number and the slash before it. */
+#define TASK_NUMBER_MAX 16
+
+/* The text of a document, which is freed; ends the use of the pool. */
+static char *to_text(json_t *document)
 {
-	char *s = o ? json_dumps(o, JSON_COMPACT) : NULL, *own = s ? strdup(s) : NULL;
+	char *pooled = document ? json_dumps(document, JSON_COMPACT) : NULL;
+	char *text = pooled ? strdup(pooled) : NULL;
 
-	if (s) { /* it may be the pool's, which ends here; what is part of others is given back */
-		json_free_t give;
+	if (pooled) { /* it may be the pool's, which ends here; what is part of others is freed */
+		json_free_t free_pooled;
 
-		json_get_alloc_funcs(NULL, &give);
-		give(s);
+		json_get_alloc_funcs(NULL, &free_pooled);
+		free_pooled(pooled);
 	}
-	json_decref(o);
+	json_decref(document);
 	ws_pool_end();
-	return own;
+	return text;
 }
 
-char *ws_encode_user(const struct ws_action *a)
+char *ws_encode_user(const struct ws_action *answer)
 {
 	static const char *const phases[] = {"queued", "running", "done", "withdrawn"};
-	json_t *o;
+	json_t *document;
 
-	if (a->status != 200 && a->status != 201)
+	if (answer->status != 200 && answer->status != 201)
 		return strdup("{}");
 	ws_pool_begin();
-	o = json_pack("{s:s,s:s}", "nameId", a->name, "phase", phases[a->phase]);
-	if (a->counts) {
-		json_object_set_new(o, "done", json_integer(a->done));
-		json_object_set_new(o, "running", json_integer(a->running));
+	document = json_pack("{s:s,s:s}", "nameId", answer->name, "phase", phases[answer->phase]);
+	if (answer->counts) {
+		json_object_set_new(document, "done", json_integer(answer->done));
+		json_object_set_new(document, "running", json_integer(answer->running));
 	}
-	return ws_dump(o);
+	return to_text(document);
 }
 
-static json_t *ws_orders_json(const struct ws_order *o, size_t n)
+static json_t *commands_json(const struct ws_order *commands, size_t count)
 {
 	static const char *const verbs[] = {"run", "stop", "reap"};
-	json_t *a = json_array();
-
-	for (size_t i = 0; i < n; i++) {
-		char task[WS_ID_MAX + 16];
-		json_t *x;
-
-		snprintf(task, sizeof(task), "%s/%u", o[i].job, o[i].task);
-		x = json_pack("{s:s,s:s,s:I}", "verb", verbs[o[i].verb], "shard", task, "tryNo",
-			      (json_int_t)o[i].attempt);
-		if (o[i].verb == WS_STOP)
-			json_object_set_new(x, "windDownS", json_real(o[i].grace_s));
-		json_array_append_new(a, x);
+	json_t *array = json_array();
+
+	for (size_t i = 0; i < count; i++) {
+		const struct ws_order *command = &commands[i];
+		char task[WS_ID_MAX + TASK_NUMBER_MAX];
+		json_t *entry;
+
+		snprintf(task, sizeof(task), "%s/%u", command->job, command->task);
+		entry = json_pack("{s:s,s:s,s:I}", "verb", verbs[command->verb], "shard", task,
+				  "tryNo", (json_int_t)command->attempt);
+		if (command->verb == WS_STOP)
+			json_object_set_new(entry, "windDownS", json_real(command->grace_s));
+		json_array_append_new(array, entry);
 	}
-	return a;
+	return array;
 }
 
-char *ws_encode_report_answer(const struct ws_action *a)
+char *ws_encode_report_answer(const struct ws_action *answer)
 {
-	bool names_leader = a->status == 421 && a->name[0];
+	bool names_leader = answer->status == 421 && answer->name[0];
 
-	if (a->status != 200 && !names_leader)
+	if (answer->status != 200 && !names_leader)
 		return strdup("{}");
 	ws_pool_begin();
 	if (names_leader)
-		return ws_dump(json_pack("{s:s}", "supervisor", a->name));
-	return ws_dump(json_pack("{s:I,s:o}", "epoch", (json_int_t)a->epoch, "orders",
-				 ws_orders_json(a->orders, a->norders)));
+		return to_text(json_pack("{s:s}", "supervisor", answer->name));
+	return to_text(json_pack("{s:I,s:o}", "epoch", (json_int_t)answer->epoch, "orders",
+				 commands_json(answer->orders, answer->norders)));
 }
 
-char *ws_encode_orders(uint64_t epoch, uint64_t tenure, const struct ws_order *o, size_t n)
+char *ws_encode_orders(uint64_t epoch, uint64_t tenure, const struct ws_order *commands,
+		       size_t count)
 {
 	ws_pool_begin();
-	return ws_dump(json_pack("{s:I,s:I,s:o}", "epoch", (json_int_t)epoch, "tenure",
-				 (json_int_t)tenure, "orders", ws_orders_json(o, n)));
+	return to_text(json_pack("{s:I,s:I,s:o}", "epoch", (json_int_t)epoch, "tenure",
+				 (json_int_t)tenure, "orders", commands_json(commands, count)));
 }
 
-static json_t *ws_conditions_json(const struct ws_call *call)
+static json_t *compares_json(const struct ws_call *call)
 {
 	json_t *list = json_array();
 
@@ -85,48 +95,48 @@
 	return list;
 }
 
-static json_t *ws_change_json(const struct ws_op *op)
+static json_t *operation_json(const struct ws_op *operation)
 {
-	json_t *change;
-
-	if (!op->value)
-		return json_pack("{s:s}", "delete", op->key);
-	change = json_pack("{s:s,s:O}", "write", op->key, "value", op->value);
-	if (op->hold)
-		json_object_set_new(change, "permit", json_integer((json_int_t)op->hold));
-	return change;
+	json_t *document;
+
+	if (!operation->value)
+		return json_pack("{s:s}", "delete", operation->key);
+	document = json_pack("{s:s,s:O}", "write", operation->key, "value", operation->value);
+	if (operation->hold)
+		json_object_set_new(document, "permit", json_integer((json_int_t)operation->hold));
+	return document;
 }
 
-static char *ws_encode_transaction(const struct ws_call *call)
+static char *encode_transaction(const struct ws_call *call)
 {
 	json_t *when, *then;
 
 	ws_pool_begin();
-	when = ws_conditions_json(call);
+	when = compares_json(call);
 	then = json_array();
 	for (size_t i = 0; i < call->nops; i++)
-		json_array_append_new(then, ws_change_json(&call->ops[i]));
-	return ws_dump(json_pack("{s:o,s:o}", "when", when, "then", then));
+		json_array_append_new(then, operation_json(&call->ops[i]));
+	return to_text(json_pack("{s:o,s:o}", "when", when, "then", then));
 }
 
-static char *ws_encode_return(const struct ws_call *call)
+static char *encode_scale_in(const struct ws_call *call)
 {
 	json_t *names = json_array();
 
 	for (size_t i = 0; i < call->nnames; i++)
 		json_array_append_new(names, json_string(call->names[i]));
-	return ws_dump(json_pack("{s:o}", "hosts", names));
+	return to_text(json_pack("{s:o}", "hosts", names));
 }
 
-static char *ws_encode_rent(const struct ws_call *call)
+static char *encode_scale_out(const struct ws_call *call)
 {
-	return ws_dump(json_pack("{s:s,s:s,s:s,s:b,s:i}", "booking", call->key, "flavour",
+	return to_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", "booking", call->key, "flavour",
 				 call->type, "hall", call->zone, "reclaimable", call->spot,
 				 "howMany", (int)call->count));
 }
 
 /* Reads, which have no body: their path. */
-static void ws_encode_read(const struct ws_call *call, char *path)
+static void encode_read(const struct ws_call *call, char *path)
 {
 	const char *since = call->after[0] ? "&since=" : "";
 
@@ -155,10 +165,10 @@
 {
 	*method = "POST";
 	switch (call->kind) {
-	case WS_CALL_TXN: snprintf(path, WS_URL_MAX, "/multi"); return ws_encode_transaction(call);
+	case WS_CALL_TXN: snprintf(path, WS_URL_MAX, "/multi"); return encode_transaction(call);
 	case WS_CALL_HOLD_NEW:
 		snprintf(path, WS_URL_MAX, "/holds");
-		return ws_dump(json_pack("{s:i}", "ttlMs", (int)call->ms));
+		return to_text(json_pack("{s:i}", "ttlMs", (int)call->ms));
 	case WS_CALL_HOLD_EXTEND:
 		snprintf(path, WS_URL_MAX, "/holds/%llu/extend", (unsigned long long)call->hold);
 		return NULL;
@@ -166,16 +176,16 @@
 		*method = "DELETE";
 		snprintf(path, WS_URL_MAX, "/holds/%llu", (unsigned long long)call->hold);
 		return NULL;
-	case WS_CALL_RENT: snprintf(path, WS_URL_MAX, "/hosts"); return ws_encode_rent(call);
+	case WS_CALL_RENT: snprintf(path, WS_URL_MAX, "/hosts"); return encode_scale_out(call);
 	case WS_CALL_RETURN:
 		snprintf(path, WS_URL_MAX, "/hosts/return");
-		return ws_encode_return(call);
+		return encode_scale_in(call);
 	case WS_CALL_ORDERS:
 		snprintf(path, WS_URL_MAX, "/commands");
 		return ws_encode_orders(call->epoch, call->tenure, call->orders, call->norders);
 	default:
 		*method = "GET";
-		ws_encode_read(call, path);
+		encode_read(call, path);
 		return NULL;
 	}
 }
