--- a/src/io/json_reader.cpp
+++ b/src/io/json_reader.cpp
@@ -66,34 +66,55 @@
 
 #define WS_FEW_KEYS 16
 
-/* What simdjson takes and jansson does not. */
-static bool ws_well_formed(dom::element e)
+/* Room for the values that a usual message has left to be checked. */
+#define WS_UNCHECKED_USUAL 64
+
+/* A container's members go to `unchecked`; keys and scalars are checked at once. */
+static bool ws_check_one(dom::element value, std::vector<dom::element> &unchecked)
 {
 	dom::object object;
 	dom::array array;
 
-	switch (e.type()) {
-	case dom::element_type::STRING: return ws_plain(e.get_string().value_unsafe());
+	switch (value.type()) {
+	case dom::element_type::STRING: return ws_plain(value.get_string().value_unsafe());
 	case dom::element_type::UINT64: return false;
 	case dom::element_type::ARRAY:
-		if (e.get(array))
+		if (value.get(array))
 			return false;
-		for (auto x : array)
-			if (!ws_well_formed(x))
-				return false;
+		for (auto member : array)
+			unchecked.push_back(member);
 		return true;
 	case dom::element_type::OBJECT:
-		if (e.get(object))
+		if (value.get(object))
 			return false;
-		for (auto field : object)
-			if (!ws_plain(field.key) || !ws_well_formed(field.value))
+		for (auto field : object) {
+			if (!ws_plain(field.key))
 				return false;
+			unchecked.push_back(field.value);
+		}
 		return object.size() <= WS_FEW_KEYS ? ws_unique_few(object)
 						    : ws_unique_keys(object);
 	default: return true;
 	}
 }
 
+/* False: it has what simdjson takes and jansson does not. */
+static bool ws_well_formed(dom::element root)
+{
+	std::vector<dom::element> unchecked;
+
+	unchecked.reserve(WS_UNCHECKED_USUAL);
+	unchecked.push_back(root);
+	while (!unchecked.empty()) {
+		dom::element value = unchecked.back();
+
+		unchecked.pop_back();
+		if (!ws_check_one(value, unchecked))
+			return false;
+	}
+	return true;
+}
+
 extern "C" bool ws_json_read(const char *text, size_t len, struct ws_json *root)
 {
 	dom::parser &parser = ws_parser();
--- a/src/toml.cpp
+++ b/src/toml.cpp
@@ -1,6 +1,5 @@
 #include "toml.h"
 #include <cstdio>
-#include <cstring>
 #include <string>
 #include <toml++/toml.h>
 
@@ -34,7 +33,7 @@
 	auto s = v.value<std::string>();
 	if (!v.is_string() || !s || s->size() >= n)
 		return WS_TOML_WRONG_TYPE;
-	memcpy(to, s->c_str(), s->size() + 1);
+	to[s->copy(to, s->size())] = 0;
 	return WS_TOML_OK;
 }
 
