--- a/src/config.h
+++ b/src/config.h
@@ -1,8 +1,11 @@
+/* Settings: the platform's file, and the operators' own policy. */
 #ifndef WS_CONFIG_H
 #define WS_CONFIG_H
 #include "core/settings.h"
+#include "startup_error.h"
 
-/* Both return false with one line in err that names the field. */
-bool ws_config_settings(const char *path, struct ws_settings *s, char *err, size_t n);
-bool ws_config_policy(const char *path, struct ws_policy *p, char *err, size_t n);
+/* Both read and check a file whole; false with the first error, which names the key. */
+bool ws_config_settings(const char *path, struct ws_settings *settings,
+			struct ws_startup_error *error);
+bool ws_config_policy(const char *path, struct ws_policy *policy, struct ws_startup_error *error);
 #endif
--- a/src/config_reader.c
+++ b/src/config_reader.c
@@ -8,12 +8,11 @@
 /* No setting is larger than this. */
 #define NUMBER_MAX 1e12
 
-bool ws_config_open(struct ws_config_reader *reader, const char *path, char *error,
-		    size_t error_size)
+bool ws_config_open(struct ws_config_reader *reader, const char *path,
+		    struct ws_startup_error *error)
 {
-	*reader = (struct ws_config_reader){
-	    .file = path, .error = error, .error_size = error_size, .ok = true};
-	reader->toml = ws_toml_open(path, error, error_size);
+	*reader = (struct ws_config_reader){.file = path, .error = error, .ok = true};
+	reader->toml = ws_toml_open(path, error);
 	return reader->toml != NULL;
 }
 
@@ -23,21 +22,34 @@
 	return reader->ok;
 }
 
-void ws_config_fail(struct ws_config_reader *reader, const char *field, const char *what)
+void ws_config_fail(struct ws_config_reader *reader, enum ws_startup_error_code code,
+		    const char *key, const char *text)
 {
-	if (reader->ok)
-		snprintf(reader->error, reader->error_size, "%s: %s %s", reader->file, field, what);
+	struct ws_startup_error *error = reader->error;
+
+	if (!reader->ok)
+		return;
 	reader->ok = false;
+	error->code = code;
+	error->line = 0;
+	snprintf(error->file, sizeof(error->file), "%s", reader->file);
+	snprintf(error->key, sizeof(error->key), "%s", key);
+	snprintf(error->text, sizeof(error->text), "%s", text);
+}
+
+void ws_config_invalid(struct ws_config_reader *reader, const char *key, const char *text)
+{
+	ws_config_fail(reader, WS_STARTUP_KEY_INVALID, key, text);
 }
 
 void ws_config_text(struct ws_config_reader *reader, const char *path, char *to, size_t size)
 {
-	enum ws_toml_got got = ws_toml_string(reader->toml, path, to, size);
+	enum ws_toml_got found = ws_toml_string(reader->toml, path, to, size);
 
-	if (got == WS_TOML_MISSING)
-		ws_config_fail(reader, path, "is missing");
-	else if (got == WS_TOML_WRONG_TYPE || !to[0])
-		ws_config_fail(reader, path, "must be a non-empty string of fair length");
+	if (found == WS_TOML_MISSING)
+		ws_config_fail(reader, WS_STARTUP_KEY_MISSING, path, "is missing");
+	else if (found == WS_TOML_WRONG_TYPE || !to[0])
+		ws_config_invalid(reader, path, "must be a non-empty string of fair length");
 }
 
 void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *to,
@@ -50,18 +62,19 @@
 		      bool needed)
 {
 	double value;
-	enum ws_toml_got got = ws_toml_number(reader->toml, path, &value);
+	enum ws_toml_got found = ws_toml_number(reader->toml, path, &value);
 
-	if (got == WS_TOML_MISSING) {
+	if (found == WS_TOML_MISSING) {
 		if (needed)
-			ws_config_fail(reader, path, "is missing");
+			ws_config_fail(reader, WS_STARTUP_KEY_MISSING, path, "is missing");
 		return;
 	}
-	if (got == WS_TOML_WRONG_TYPE || !isfinite(value) || value < least || value > NUMBER_MAX) {
+	if (found == WS_TOML_WRONG_TYPE || !isfinite(value) || value < least ||
+	    value > NUMBER_MAX) {
 		char what[64];
 
 		snprintf(what, sizeof(what), "must be a number of at least %g", least);
-		ws_config_fail(reader, path, what);
+		ws_config_invalid(reader, path, what);
 		return;
 	}
 	*to = value;
@@ -74,7 +87,7 @@
 
 	ws_config_number(reader, path, &value, 0, needed);
 	if (value <= 0)
-		ws_config_fail(reader, path, "must be above 0");
+		ws_config_invalid(reader, path, "must be above 0");
 	else if (ws_toml_number(reader->toml, path, &value) != WS_TOML_MISSING)
 		*to = value;
 }
@@ -98,14 +111,14 @@
 		return;
 	colon = strrchr(text, ':');
 	if (!colon) {
-		ws_config_fail(reader, path, "must be IPv4:port");
+		ws_config_invalid(reader, path, "must be IPv4:port");
 		return;
 	}
 	*colon = 0;
 	port = strtol(colon + 1, &end, 10);
 	if (inet_pton(AF_INET, text, &address) != 1 || *end || end == colon + 1 || port < 0 ||
 	    port > 65535) {
-		ws_config_fail(reader, path, "must be IPv4:port");
+		ws_config_invalid(reader, path, "must be IPv4:port");
 		return;
 	}
 	snprintf(to->host, sizeof(to->host), "%s", text);
@@ -114,18 +127,19 @@
 
 size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t most, bool needed)
 {
-	long n = ws_toml_length(reader->toml, path);
+	long length = ws_toml_length(reader->toml, path);
 
-	if (n < 0) {
+	if (length < 0) {
 		if (needed)
-			ws_config_fail(reader, path, "is missing or no array");
+			ws_config_fail(reader, WS_STARTUP_KEY_MISSING, path,
+				       "is missing or no array");
 		return 0;
 	}
-	if ((size_t)n > most) {
-		ws_config_fail(reader, path, "has too many entries");
+	if ((size_t)length > most) {
+		ws_config_invalid(reader, path, "has too many entries");
 		return 0;
 	}
-	return (size_t)n;
+	return (size_t)length;
 }
 
 static bool is_known(const char *key, const char *const *known, size_t count)
@@ -147,6 +161,6 @@
 		if (is_known(key, known, count))
 			continue;
 		snprintf(path, sizeof(path), "%s%s%s", table, table[0] ? "." : "", key);
-		ws_config_fail(reader, path, "is not a setting of waystep");
+		ws_config_fail(reader, WS_STARTUP_KEY_UNKNOWN, path, "is not a setting of waystep");
 	}
 }
--- a/src/config_reader.h
+++ b/src/config_reader.h
@@ -2,24 +2,27 @@
 #ifndef WS_CONFIG_READER_H
 #define WS_CONFIG_READER_H
 #include "core/settings.h"
+#include "startup_error.h"
 #include "toml.h"
 
 /* A file being read. Once a field was wrong, `ok` stays false and later errors are dropped. */
 struct ws_config_reader {
 	struct ws_toml *toml;
 	const char *file;
-	char *error;
-	size_t error_size;
+	struct ws_startup_error *error;
 	bool ok;
 };
 
-/* Opens a file; false with the message in `error`. */
-bool ws_config_open(struct ws_config_reader *reader, const char *path, char *error,
-		    size_t error_size);
+/* Opens a file; false with the error if that fails. `path` must outlive the reader. */
+bool ws_config_open(struct ws_config_reader *reader, const char *path,
+		    struct ws_startup_error *error);
 /* Closes it; whether all was read without an error. */
 bool ws_config_close(struct ws_config_reader *reader);
-/* Notes that a field is wrong. */
-void ws_config_fail(struct ws_config_reader *reader, const char *field, const char *what);
+/* Records that a key is wrong, and how; only the first error is kept. */
+void ws_config_fail(struct ws_config_reader *reader, enum ws_startup_error_code code,
+		    const char *key, const char *text);
+/* The same for a value that is not allowed. */
+void ws_config_invalid(struct ws_config_reader *reader, const char *key, const char *text);
 
 /* A string that must be there and not be empty. */
 void ws_config_text(struct ws_config_reader *reader, const char *path, char *to, size_t size);
@@ -34,6 +37,7 @@
 			  bool needed);
 /* A limit that will hold from some later moment on: planned by from the start if it is lower. */
 void ws_config_lower(struct ws_config_reader *reader, const char *path, double least, double *to);
+/* "IPv4:port". */
 void ws_config_endpoint(struct ws_config_reader *reader, const char *path, struct ws_endpoint *to);
 /* Entries of an array; 0 if it is missing. */
 size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t most, bool needed);
--- a/src/io/server.c
+++ b/src/io/server.c
@@ -74,22 +74,27 @@
 	};
 }
 
-/* Opens the sockets to listen on; false with one line in `error`. */
-static bool listen_on_sockets(struct ws_service *service, char *error, size_t error_size)
+/* Opens the sockets to listen on; false with the error. */
+static bool listen_on_sockets(struct ws_service *service, struct ws_startup_error *error)
 {
 	const struct ws_settings *settings = service->set;
 	const struct ws_server_opts options = http_server_options(settings);
-
-	service->server = ws_server_new(service->loop, settings->bind.host, settings->bind.port,
-					&options, ws_router_on_request, service, error, error_size);
-	if (!service->server)
-		return false;
-	service->peers = ws_peers_new(service->loop, settings, ws_forwarding_on_frame, service,
-				      error, error_size);
-	return service->peers != NULL;
+	char text[WS_STARTUP_TEXT_MAX] = "";
+
+	service->server =
+	    ws_server_new(service->loop, settings->bind.host, settings->bind.port, &options,
+			  ws_router_on_request, service, text, sizeof(text));
+	if (service->server)
+		service->peers = ws_peers_new(service->loop, settings, ws_forwarding_on_frame,
+					      service, text, sizeof(text));
+	if (service->peers)
+		return true;
+	*error = (struct ws_startup_error){.code = WS_STARTUP_LISTEN_FAILED};
+	snprintf(error->text, sizeof(error->text), "%s", text);
+	return false;
 }
 
-static bool start_queue_model(struct ws_service *service, char *error, size_t error_size)
+static bool start_queue_model(struct ws_service *service, struct ws_startup_error *error)
 {
 	const struct ws_queue_model_target target = {
 	    .loop = service->loop,
@@ -100,9 +105,11 @@
 	};
 
 	service->queue_model = ws_queue_model_thread_start(&target);
-	if (!service->queue_model)
-		snprintf(error, error_size, "can't start the sizing thread");
-	return service->queue_model != NULL;
+	if (service->queue_model)
+		return true;
+	*error = (struct ws_startup_error){.code = WS_STARTUP_THREAD_FAILED,
+					   .text = "can't start the sizing thread"};
+	return false;
 }
 
 static void start_ticking(struct ws_service *service)
@@ -114,7 +121,7 @@
 }
 
 static bool start(struct ws_service *service, const struct ws_policy *policy,
-		  const struct ws_subsystem_settings *subsystems, char *error, size_t error_size)
+		  const struct ws_subsystem_settings *subsystems, struct ws_startup_error *error)
 {
 	uint64_t nonce = 0;
 
@@ -122,17 +129,17 @@
 	service->core = ws_core_new(service->set, policy, ws_log_write, ws_now(), nonce);
 	if (!service->core)
 		return false;
-	if (!ws_outgoing_calls_init(service) || !listen_on_sockets(service, error, error_size) ||
-	    !ws_subsystem_attach(service->core, subsystems, service->set, error, error_size))
+	if (!ws_outgoing_calls_init(service) || !listen_on_sockets(service, error) ||
+	    !ws_subsystem_attach(service->core, subsystems, service->set, error))
 		return false;
 	start_ticking(service);
-	return start_queue_model(service, error, error_size);
+	return start_queue_model(service, error);
 }
 
 struct ws_service *ws_service_new(struct ev_loop *loop, const struct ws_settings *settings,
 				  const struct ws_policy *policy,
-				  const struct ws_subsystem_settings *subsystems, char *error,
-				  size_t error_size)
+				  const struct ws_subsystem_settings *subsystems,
+				  struct ws_startup_error *error)
 {
 	struct ws_service *service = calloc(1, sizeof(*service));
 
@@ -142,7 +149,7 @@
 	service->set = settings;
 	service->leader_ttl_s = settings->lease_s * policy->leader_ttl_ratio;
 	pthread_mutex_init(&service->lock, NULL);
-	if (start(service, policy, subsystems, error, error_size))
+	if (start(service, policy, subsystems, error))
 		return service;
 	ws_service_free(service);
 	return NULL;
--- a/src/main.c
+++ b/src/main.c
@@ -4,6 +4,7 @@
 #include "io/pool.h"
 #include "io/server.h"
 #include "log.h"
+#include "startup_error.h"
 #include "subsystem_settings.h"
 #include "zones_command.h"
 #include <argp.h>
@@ -19,6 +20,12 @@
 
 const char *argp_program_version = "waystep " WS_VERSION;
 
+/* Exit statuses. */
+#define EXIT_NOT_STARTED 1
+#define EXIT_USAGE 2 /* of the command line or the settings */
+
+#define ERROR_LINE_MAX 512
+
 struct ws_args {
 	const char *config, *policy, *subsystems;
 	/* instead of running as a controller: */
@@ -105,19 +112,27 @@
 			sockets, (unsigned long long)r.rlim_cur);
 }
 
+static void print_error(const struct ws_startup_error *error)
+{
+	char line[ERROR_LINE_MAX];
+
+	ws_startup_error_line(error, line, sizeof(line));
+	fprintf(stderr, "waystep: %s\n", line);
+}
+
 /* Reads and checks all files that the arguments name. */
 static bool ws_read_settings(const struct ws_args *args, struct ws_settings *settings,
 			     struct ws_policy *policy, struct ws_subsystem_settings *subsystems,
-			     char *err, size_t n)
+			     struct ws_startup_error *error)
 {
 	ws_policy_defaults(policy);
 	ws_subsystem_defaults(subsystems);
-	if (!ws_config_settings(args->config, settings, err, n))
+	if (!ws_config_settings(args->config, settings, error))
 		return false;
-	if (args->policy && !ws_config_policy(args->policy, policy, err, n))
+	if (args->policy && !ws_config_policy(args->policy, policy, error))
 		return false;
-	return !args->subsystems || (ws_subsystem_read(args->subsystems, subsystems, err, n) &&
-				     ws_subsystem_attach(NULL, subsystems, settings, err, n));
+	return !args->subsystems || (ws_subsystem_read(args->subsystems, subsystems, error) &&
+				     ws_subsystem_attach(NULL, subsystems, settings, error));
 }
 
 static void ws_print_check(const char *file, const struct ws_settings *settings,
@@ -145,16 +160,16 @@
 	struct ev_loop *loop = ev_default_loop(EVFLAG_AUTO);
 	struct ws_service *service;
 	ev_signal term, intr;
-	char err[512] = "";
+	struct ws_startup_error error = {0};
 
 	if (!loop) {
 		fprintf(stderr, "waystep: no event loop\n");
-		return 1;
+		return EXIT_NOT_STARTED;
 	}
-	service = ws_service_new(loop, settings, policy, subsystems, err, sizeof(err));
+	service = ws_service_new(loop, settings, policy, subsystems, &error);
 	if (!service) {
-		fprintf(stderr, "waystep: %s\n", err);
-		return 1;
+		print_error(&error);
+		return EXIT_NOT_STARTED;
 	}
 	ws_logf(WS_LOG_INFO, "waystep %s on %s:%d, %zu peers", WS_VERSION, settings->bind.host,
 		settings->bind.port, settings->npeers);
@@ -191,15 +206,15 @@
 	static struct ws_policy policy;
 	static struct ws_subsystem_settings subsystems;
 	struct ws_args args = {0};
-	char err[512] = "";
+	struct ws_startup_error error = {0};
 	int status = 0;
 
 	ws_pool_setup();
-	argp_err_exit_status = 2;
+	argp_err_exit_status = EXIT_USAGE;
 	argp_parse(&argp, argc, argv, 0, NULL, &args);
-	if (!ws_read_settings(&args, &settings, &policy, &subsystems, err, sizeof(err))) {
-		fprintf(stderr, "waystep: %s\n", err);
-		return 2;
+	if (!ws_read_settings(&args, &settings, &policy, &subsystems, &error)) {
+		print_error(&error);
+		return EXIT_USAGE;
 	}
 	signal(SIGPIPE, SIG_IGN);
 	if (args.check) {
--- /dev/null
+++ b/src/startup_error.c
@@ -0,0 +1,25 @@
+#include "startup_error.h"
+#include <stdio.h>
+
+void ws_startup_error_line(const struct ws_startup_error *error, char *to, size_t size)
+{
+	switch (error->code) {
+	case WS_STARTUP_NO_ERROR: to[0] = 0; break;
+	case WS_STARTUP_FILE_UNREADABLE:
+		snprintf(to, size, "%s: %s", error->file, error->text);
+		break;
+	case WS_STARTUP_FILE_MALFORMED:
+		snprintf(to, size, "%s: line %u: %s", error->file, error->line, error->text);
+		break;
+	case WS_STARTUP_KEY_MISSING:
+	case WS_STARTUP_KEY_INVALID:
+	case WS_STARTUP_KEY_UNKNOWN:
+		snprintf(to, size, "%s: %s %s", error->file, error->key, error->text);
+		break;
+	case WS_STARTUP_SETTINGS_CONFLICT:
+		snprintf(to, size, "%s: %s", error->key, error->text);
+		break;
+	case WS_STARTUP_LISTEN_FAILED:
+	case WS_STARTUP_THREAD_FAILED: snprintf(to, size, "%s", error->text); break;
+	}
+}
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -82,16 +82,16 @@
 
 	ws_config_known_keys(reader, "zones", known, sizeof(known) / sizeof(known[0]));
 	if (ws_toml_bool(reader->toml, "zones.enabled", &settings->zones_on) != WS_TOML_OK)
-		ws_config_fail(reader, "zones.enabled", "must be true or false");
+		ws_config_invalid(reader, "zones.enabled", "must be true or false");
 	ws_config_number(reader, "zones.dark_share", &zones->dark_share, 0.5, false);
 	if (zones->dark_share > 1)
-		ws_config_fail(reader, "zones.dark_share", "must be at most 1");
+		ws_config_invalid(reader, "zones.dark_share", "must be at most 1");
 	ws_config_number(reader, "zones.stable_s", &zones->stable_s, 0, false);
 	ws_config_number(reader, "zones.ramp_s", &zones->ramp_s, 0, false);
 	ws_config_above_zero(reader, "zones.half_life_s", &zones->half_life_s, false);
 	ws_config_number(reader, "zones.penalty_max", &zones->penalty_max, 1, false);
 	if (zones->penalty_max > 16) /* the hold-down doubles with each */
-		ws_config_fail(reader, "zones.penalty_max", "must be at most 16");
+		ws_config_invalid(reader, "zones.penalty_max", "must be at most 16");
 	read_class_order(reader, zones);
 	read_domains(reader, zones);
 }
@@ -103,11 +103,11 @@
 
 	ws_config_known_keys(reader, "coldstart", known, sizeof(known) / sizeof(known[0]));
 	if (ws_toml_bool(reader->toml, "coldstart.enabled", &settings->coldstart_on) != WS_TOML_OK)
-		ws_config_fail(reader, "coldstart.enabled", "must be true or false");
+		ws_config_invalid(reader, "coldstart.enabled", "must be true or false");
 	ws_config_number(reader, "coldstart.keep_s", &coldstart->keep_s, 0, false);
 	ws_config_number(reader, "coldstart.heard_share", &coldstart->heard_share, 0.5, false);
 	if (coldstart->heard_share > 1)
-		ws_config_fail(reader, "coldstart.heard_share", "must be at most 1");
+		ws_config_invalid(reader, "coldstart.heard_share", "must be at most 1");
 }
 
 /* Reads the table of a subsystem if there is one. */
@@ -118,16 +118,16 @@
 	if (ws_toml_table(reader->toml, name))
 		read(reader, settings);
 	else if (ws_toml_has(reader->toml, name))
-		ws_config_fail(reader, name, "must be a table");
+		ws_config_invalid(reader, name, "must be a table");
 }
 
-bool ws_subsystem_read(const char *path, struct ws_subsystem_settings *settings, char *error,
-		       size_t error_size)
+bool ws_subsystem_read(const char *path, struct ws_subsystem_settings *settings,
+		       struct ws_startup_error *error)
 {
 	static const char *const known[] = {"zones", "coldstart"};
 	struct ws_config_reader reader;
 
-	if (!ws_config_open(&reader, path, error, error_size))
+	if (!ws_config_open(&reader, path, error))
 		return false;
 	ws_config_known_keys(&reader, "", known, sizeof(known) / sizeof(known[0]));
 	read_table(&reader, "zones", read_zones, settings);
@@ -140,16 +140,23 @@
 	ws_log_write(WS_LOG_INFO, text);
 }
 
+/* What the domains are refused for: the domain, and the network where it is one. */
+static void set_domain_error(struct ws_startup_error *error, const struct ws_zones_error *wrong)
+{
+	*error =
+	    (struct ws_startup_error){.code = WS_STARTUP_SETTINGS_CONFLICT, .key = "zones.domains"};
+	snprintf(error->text, sizeof(error->text), "%s%s%s %s", wrong->domain,
+		 wrong->network[0] ? ": " : "", wrong->network, ws_zones_error_text(wrong->code));
+}
+
 static bool attach_zones(struct ws_core *core, const struct ws_zones_settings *settings,
-			 const struct ws_cluster_limits *limits, char *error, size_t error_size)
+			 const struct ws_cluster_limits *limits, struct ws_startup_error *error)
 {
 	struct ws_zones_error wrong;
 	struct ws_zones *zones = ws_zones_new(settings, limits, log_line, &wrong);
 
 	if (!zones) {
-		snprintf(error, error_size, "zones.domains: %s%s%s %s", wrong.domain,
-			 wrong.network[0] ? ": " : "", wrong.network,
-			 ws_zones_error_text(wrong.code));
+		set_domain_error(error, &wrong);
 		return false;
 	}
 	if (core && ws_core_attach(core, &ws_zones_ops, zones))
@@ -170,7 +177,7 @@
 }
 
 bool ws_subsystem_attach(struct ws_core *core, const struct ws_subsystem_settings *settings,
-			 const struct ws_settings *platform, char *error, size_t error_size)
+			 const struct ws_settings *platform, struct ws_startup_error *error)
 {
 	const char *names[WS_MAX_ZONES];
 	struct ws_cluster_limits limits = {
@@ -186,8 +193,7 @@
 
 	for (size_t i = 0; i < platform->nzones; i++)
 		names[i] = platform->zones[i];
-	if ((settings->zones_on || !core) &&
-	    !attach_zones(core, &settings->zones, &limits, error, error_size))
+	if ((settings->zones_on || !core) && !attach_zones(core, &settings->zones, &limits, error))
 		return false;
 	return !core || !settings->coldstart_on ||
 	       attach_coldstart(core, &settings->coldstart, &limits);
--- a/src/subsystem_settings.h
+++ b/src/subsystem_settings.h
@@ -3,6 +3,7 @@
 #define WS_SUBSYSTEM_SETTINGS_H
 #include "core/core.h"
 #include "coldstart/coldstart.h"
+#include "startup_error.h"
 #include "zones/zones.h"
 
 struct ws_subsystem_settings {
@@ -15,13 +16,13 @@
 /* All off. */
 void ws_subsystem_defaults(struct ws_subsystem_settings *settings);
 void ws_subsystem_free(struct ws_subsystem_settings *settings);
-/* Reads the file; false with one line in `error` that names the field. */
-bool ws_subsystem_read(const char *path, struct ws_subsystem_settings *settings, char *error,
-		       size_t error_size);
+/* Reads the file; false with the first error, which names the key. */
+bool ws_subsystem_read(const char *path, struct ws_subsystem_settings *settings,
+		       struct ws_startup_error *error);
 /*
  * Attaches what is on to a core; with a NULL core the settings are only checked against the
- * platform's. False with one line in `error`.
+ * platform's. False with the error.
  */
 bool ws_subsystem_attach(struct ws_core *core, const struct ws_subsystem_settings *settings,
-			 const struct ws_settings *platform, char *error, size_t error_size);
+			 const struct ws_settings *platform, struct ws_startup_error *error);
 #endif
--- a/src/toml.cpp
+++ b/src/toml.cpp
@@ -7,86 +7,99 @@
 	toml::table root;
 };
 
-extern "C" struct ws_toml *ws_toml_open(const char *path, char *err, size_t n)
+static void set_error(struct ws_startup_error *error, enum ws_startup_error_code code,
+		      const char *path, unsigned line, const char *text)
+{
+	error->code = code;
+	snprintf(error->file, sizeof(error->file), "%s", path);
+	error->key[0] = 0;
+	error->line = line;
+	snprintf(error->text, sizeof(error->text), "%s", text);
+}
+
+extern "C" struct ws_toml *ws_toml_open(const char *path, struct ws_startup_error *error)
 {
 	try {
 		return new ws_toml{toml::parse_file(path)};
-	} catch (const toml::parse_error &e) {
-		snprintf(err, n, "%s: line %u: %s", path, (unsigned)e.source().begin.line,
-			 std::string(e.description()).c_str());
-	} catch (const std::exception &e) {
-		snprintf(err, n, "%s: %s", path, e.what());
+	} catch (const toml::parse_error &wrong) {
+		set_error(error, WS_STARTUP_FILE_MALFORMED, path,
+			  (unsigned)wrong.source().begin.line,
+			  std::string(wrong.description()).c_str());
+	} catch (const std::exception &wrong) {
+		set_error(error, WS_STARTUP_FILE_UNREADABLE, path, 0, wrong.what());
 	}
 	return nullptr;
 }
 
-extern "C" void ws_toml_close(struct ws_toml *t)
+extern "C" void ws_toml_close(struct ws_toml *toml)
 {
-	delete t;
+	delete toml;
 }
 
-extern "C" enum ws_toml_got ws_toml_string(struct ws_toml *t, const char *path, char *to, size_t n)
+extern "C" enum ws_toml_got ws_toml_string(struct ws_toml *toml, const char *path, char *to,
+					   size_t size)
 {
-	auto v = t->root.at_path(path);
-	if (!v)
+	auto value = toml->root.at_path(path);
+	if (!value)
 		return WS_TOML_MISSING;
-	auto s = v.value<std::string>();
-	if (!v.is_string() || !s || s->size() >= n)
+	auto text = value.value<std::string>();
+	if (!value.is_string() || !text || text->size() >= size)
 		return WS_TOML_WRONG_TYPE;
-	to[s->copy(to, s->size())] = 0;
+	to[text->copy(to, text->size())] = 0;
 	return WS_TOML_OK;
 }
 
-extern "C" enum ws_toml_got ws_toml_number(struct ws_toml *t, const char *path, double *to)
+extern "C" enum ws_toml_got ws_toml_number(struct ws_toml *toml, const char *path, double *to)
 {
-	auto v = t->root.at_path(path);
-	if (!v)
+	auto value = toml->root.at_path(path);
+	if (!value)
 		return WS_TOML_MISSING;
-	auto d = v.value<double>();
-	if (!v.is_number() || !d)
+	auto number = value.value<double>();
+	if (!value.is_number() || !number)
 		return WS_TOML_WRONG_TYPE;
-	*to = *d;
+	*to = *number;
 	return WS_TOML_OK;
 }
 
-extern "C" bool ws_toml_table(struct ws_toml *t, const char *path)
+extern "C" bool ws_toml_table(struct ws_toml *toml, const char *path)
 {
-	return t->root.at_path(path).is_table();
+	return toml->root.at_path(path).is_table();
 }
 
-extern "C" bool ws_toml_has(struct ws_toml *t, const char *path)
+extern "C" bool ws_toml_has(struct ws_toml *toml, const char *path)
 {
-	return bool(t->root.at_path(path));
+	return bool(toml->root.at_path(path));
 }
 
-extern "C" long ws_toml_length(struct ws_toml *t, const char *path)
+extern "C" long ws_toml_length(struct ws_toml *toml, const char *path)
 {
-	auto v = t->root.at_path(path);
-	const toml::array *a = v.as_array();
-	return a ? (long)a->size() : -1;
+	auto value = toml->root.at_path(path);
+	const toml::array *array = value.as_array();
+	return array ? (long)array->size() : -1;
 }
 
-extern "C" bool ws_toml_key(struct ws_toml *t, const char *path, size_t i, char *to, size_t n)
+extern "C" bool ws_toml_key(struct ws_toml *toml, const char *path, size_t index, char *to,
+			    size_t size)
 {
-	const toml::table *table = path[0] ? t->root.at_path(path).as_table() : &t->root;
+	const toml::table *table = path[0] ? toml->root.at_path(path).as_table() : &toml->root;
 	if (!table)
 		return false;
-	for (auto &&kv : *table)
-		if (!i--) {
-			snprintf(to, n, "%s", std::string(kv.first.str()).c_str());
+	for (auto &&entry : *table)
+		if (!index--) {
+			snprintf(to, size, "%s", std::string(entry.first.str()).c_str());
 			return true;
 		}
 	return false;
 }
 
-extern "C" enum ws_toml_got ws_toml_bool(struct ws_toml *t, const char *path, bool *to)
+extern "C" enum ws_toml_got ws_toml_bool(struct ws_toml *toml, const char *path, bool *to)
 {
-	auto v = t->root.at_path(path);
-	if (!v)
+	auto value = toml->root.at_path(path);
+	if (!value)
 		return WS_TOML_MISSING;
-	auto b = v.value<bool>();
-	if (!v.is_boolean() || !b)
+	auto truth = value.value<bool>();
+	if (!value.is_boolean() || !truth)
 		return WS_TOML_WRONG_TYPE;
-	*to = *b;
+	*to = *truth;
 	return WS_TOML_OK;
 }
--- a/src/toml.h
+++ b/src/toml.h
@@ -1,6 +1,7 @@
 /* The little of TOML that waystep reads, from toml++ (Debian has no C parser). */
 #ifndef WS_TOML_H
 #define WS_TOML_H
+#include "startup_error.h"
 #include <stdbool.h>
 #include <stddef.h>
 
@@ -10,18 +11,21 @@
 struct ws_toml;
 enum ws_toml_got { WS_TOML_OK, WS_TOML_MISSING, WS_TOML_WRONG_TYPE };
 
-struct ws_toml *ws_toml_open(const char *path, char *err, size_t n);
-void ws_toml_close(struct ws_toml *t);
-/* Paths as toml++ has them: "settings.workers.lease_s", "seeds[0].node". */
-enum ws_toml_got ws_toml_string(struct ws_toml *t, const char *path, char *to, size_t n);
-enum ws_toml_got ws_toml_number(struct ws_toml *t, const char *path, double *to);
-bool ws_toml_table(struct ws_toml *t, const char *path);
-bool ws_toml_has(struct ws_toml *t, const char *path);
+/* Reads a file; NULL with the error, of the file or of a line, if that fails. */
+struct ws_toml *ws_toml_open(const char *path, struct ws_startup_error *error);
+void ws_toml_close(struct ws_toml *toml);
+/* Values by path, as toml++ has them: "settings.workers.lease_s", "seeds[0].node". They leave `to`
+ * as it is where they don't give WS_TOML_OK. A string fits into `size` bytes. */
+enum ws_toml_got ws_toml_string(struct ws_toml *toml, const char *path, char *to, size_t size);
+enum ws_toml_got ws_toml_number(struct ws_toml *toml, const char *path, double *to);
+enum ws_toml_got ws_toml_bool(struct ws_toml *toml, const char *path, bool *to);
+/* Whether there is a table, or anything. */
+bool ws_toml_table(struct ws_toml *toml, const char *path);
+bool ws_toml_has(struct ws_toml *toml, const char *path);
 /* Length of an array; -1 if there is none. */
-long ws_toml_length(struct ws_toml *t, const char *path);
-/* Name of the i-th key of a table, of the root with an empty path; false behind the last. */
-bool ws_toml_key(struct ws_toml *t, const char *path, size_t i, char *to, size_t n);
-enum ws_toml_got ws_toml_bool(struct ws_toml *t, const char *path, bool *to);
+long ws_toml_length(struct ws_toml *toml, const char *path);
+/* Name of the index-th key of a table, of the root with an empty path; false behind the last. */
+bool ws_toml_key(struct ws_toml *toml, const char *path, size_t index, char *to, size_t size);
 #ifdef __cplusplus
 }
 #endif
--- a/tests/settings_test.c
+++ b/tests/settings_test.c
@@ -35,6 +35,7 @@
 	char file[] = "/tmp/waystep-settings-XXXXXX";
 	FILE *f = fdopen(mkstemp(file), "w");
 	const char *table = "";
+	struct ws_startup_error wrong = {0};
 	bool ok;
 
 	fprintf(f, "node='n'\nzone='a'\nbind='127.0.0.1:1'\npeer_bind='127.0.0.1:2'\n"
@@ -51,8 +52,8 @@
 			fprintf(f, "%s = %s\n", figures[i].name, value);
 	}
 	fclose(f);
-	err[0] = 0;
-	ok = ws_config_settings(file, &s, err, n);
+	ok = ws_config_settings(file, &s, &wrong);
+	ws_startup_error_line(&wrong, err, n);
 	unlink(file);
 	return ok;
 }
--- a/tests/subsystem_text.h
+++ b/tests/subsystem_text.h
@@ -6,6 +6,28 @@
 #include <stdlib.h>
 #include <unistd.h>
 
+/* Reads a file; the error's line goes to `error`. */
+static inline bool read_file(const char *path, struct ws_subsystem_settings *settings, char *error,
+			     size_t size)
+{
+	struct ws_startup_error wrong = {0};
+	bool ok = ws_subsystem_read(path, settings, &wrong);
+
+	ws_startup_error_line(&wrong, error, size);
+	return ok;
+}
+
+/* Checks settings against the platform's; the error's line goes to `error`. */
+static inline bool check_against(const struct ws_subsystem_settings *settings,
+				 const struct ws_settings *platform, char *error, size_t size)
+{
+	struct ws_startup_error wrong = {0};
+	bool ok = ws_subsystem_attach(NULL, settings, platform, &wrong);
+
+	ws_startup_error_line(&wrong, error, size);
+	return ok;
+}
+
 static bool read_text(const char *text, struct ws_subsystem_settings *settings, char *error,
 		      size_t size)
 {
@@ -15,9 +37,8 @@
 
 	fputs(text, f);
 	fclose(f);
-	error[0] = 0;
 	ws_subsystem_defaults(settings);
-	ok = ws_subsystem_read(file, settings, error, size);
+	ok = read_file(file, settings, error, size);
 	unlink(file);
 	return ok;
 }
--- a/tests/zones_test.c
+++ b/tests/zones_test.c
@@ -51,7 +51,7 @@
 		struct ws_subsystem_settings settings;
 		char error[512], what[128];
 		bool ok = read_text(refusals[i].text, &settings, error, sizeof(error)) &&
-			  ws_subsystem_attach(NULL, &settings, &platform, error, sizeof(error));
+			  check_against(&settings, &platform, error, sizeof(error));
 
 		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].names);
 		check(what, !ok && strstr(error, refusals[i].names));
@@ -157,7 +157,7 @@
 	check("an empty file leaves all off",
 	      read_text("", &settings, error, sizeof(error)) && !settings.zones_on);
 	check("a missing file is refused by name",
-	      !ws_subsystem_read("/nowhere.toml", &settings, error, sizeof(error)) &&
+	      !read_file("/nowhere.toml", &settings, error, sizeof(error)) &&
 		  strstr(error, "/nowhere.toml"));
 	check_refusals();
 	check_lookups();
