--- a/src/zones_command.c
+++ b/src/failure_domains_command.c
@@ -1,41 +1,49 @@
-#include "zones_command.h"
-#include "state_tool.h"
+#include "failure_domains_command.h"
+#include "record_view.h"
 #include "io/codec.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+/* Keys of the records. */
 #define PREFIX "zones/"
+#define DOMAIN_KEY "domain/"
+#define HOLD_KEY "hold/"
+#define PLAN_KEY "plan/"
+#define PROGRESS_KEY "progress"
 #define HOLD_FORMAT 1
-/* A hold that others change at the same moment is tried again so often. */
+/* A hold that others change at the same moment is tried so often. */
 #define HOLD_TRIES 3
 
 /* ---- showing ---- */
 
+static bool starts_with(const char *text, const char *start)
+{
+	return !strncmp(text, start, strlen(start));
+}
+
 static void print_domain(const char *name, json_t *record)
 {
 	printf("domain %s: %s for %.0f s when written (%s), penalty %.1f%s\n", name,
-	       ws_state_tool_text(record, "state"),
-	       json_number_value(json_object_get(record, "for_s")),
-	       ws_state_tool_text(record, "evidence"),
-	       json_number_value(json_object_get(record, "penalty")),
-	       json_is_true(json_object_get(record, "held")) ? ", held" : "");
+	       ws_record_view_text(record, "state"), ws_record_view_number(record, "for_s"),
+	       ws_record_view_text(record, "evidence"), ws_record_view_number(record, "penalty"),
+	       ws_record_view_is_true(record, "held") ? ", held" : "");
 	printf("  machines: %lld live, %lld silent, %lld of them left a command unanswered, "
 	       "%lld gone\n",
-	       ws_state_tool_count(record, "live"), ws_state_tool_count(record, "silent"),
-	       ws_state_tool_count(record, "unanswered"), ws_state_tool_count(record, "gone"));
+	       ws_record_view_count(record, "live"), ws_record_view_count(record, "silent"),
+	       ws_record_view_count(record, "unanswered"), ws_record_view_count(record, "gone"));
 }
 
 static void print_progress(json_t *record)
 {
 	printf("plan: %lld tasks; %lld moved or over, %lld called off, %lld may be alive still, "
 	       "%lld wait for room, %lld for their zone\n",
-	       ws_state_tool_count(record, "planned"), ws_state_tool_count(record, "moved"),
-	       ws_state_tool_count(record, "called_off"), ws_state_tool_count(record, "moving"),
-	       ws_state_tool_count(record, "waiting"), ws_state_tool_count(record, "pinned"));
+	       ws_record_view_count(record, "planned"), ws_record_view_count(record, "moved"),
+	       ws_record_view_count(record, "called_off"), ws_record_view_count(record, "moving"),
+	       ws_record_view_count(record, "waiting"), ws_record_view_count(record, "pinned"));
 }
 
-static void print_part(json_t *record)
+static void print_plan_part(json_t *record)
 {
 	json_t *job;
 	size_t i;
@@ -50,36 +58,25 @@
 	}
 }
 
-static bool print_record(void *context, const struct ws_kv *record)
+/* True: it is a domain. */
+static bool print_record(const char *name, json_t *record)
 {
-	const char *name = record->key + strlen(PREFIX);
-	size_t *domains = context;
-
-	if (!strncmp(name, "domain/", 7)) {
-		print_domain(name + 7, record->value);
-		(*domains)++;
-	} else if (!strncmp(name, "hold/", 5)) {
-		printf("hold asked for: %s\n", name + 5);
-	} else if (!strcmp(name, "progress")) {
-		print_progress(record->value);
-	} else if (!strncmp(name, "plan/", 5)) {
-		print_part(record->value);
-	}
-	return true;
+	if (starts_with(name, DOMAIN_KEY))
+		print_domain(name + strlen(DOMAIN_KEY), record);
+	else if (starts_with(name, HOLD_KEY))
+		printf("hold asked for: %s\n", name + strlen(HOLD_KEY));
+	else if (!strcmp(name, PROGRESS_KEY))
+		print_progress(record);
+	else if (starts_with(name, PLAN_KEY))
+		print_plan_part(record);
+	return starts_with(name, DOMAIN_KEY);
 }
 
-static int show(struct ws_state_tool *tool)
-{
-	size_t domains = 0;
-
-	if (!ws_state_tool_list(tool, PREFIX, print_record, &domains)) {
-		fprintf(stderr, "waystep: the state service could not be read\n");
-		return 1;
-	}
-	if (!domains)
-		printf("no domain was ever dark\n");
-	return 0;
-}
+static const struct ws_record_view view = {
+    .prefix = PREFIX,
+    .print = print_record,
+    .none_text = "no domain was ever dark",
+};
 
 /* ---- holding ---- */
 
@@ -96,7 +93,7 @@
 }
 
 /* Writes or removes a hold under the revision at which it was read; the outcome's status. */
-static int hold_write(struct ws_state_tool *tool, const char *key, bool hold)
+static int hold_write(struct ws_store_client *store, const char *key, bool hold)
 {
 	struct ws_call read = {.kind = WS_CALL_GET};
 	struct ws_cond condition = {0};
@@ -107,7 +104,7 @@
 	int status;
 
 	snprintf(read.key, sizeof(read.key), "%s", key);
-	ws_state_tool_call(tool, &read, &result);
+	ws_store_client_call(store, &read, &result);
 	status = result.status;
 	condition.stamp = status == 200 && result.nkvs ? result.kvs[0].stamp : 0;
 	ws_result_free(&result);
@@ -118,21 +115,21 @@
 	snprintf(condition.key, sizeof(condition.key), "%s", key);
 	snprintf(change.key, sizeof(change.key), "%s", key);
 	change.value = hold ? json_pack("{s:i}", "v", HOLD_FORMAT) : NULL;
-	ws_state_tool_call(tool, &write, &result);
+	ws_store_client_call(store, &write, &result);
 	status = result.status;
 	ws_result_free(&result);
 	json_decref(change.value);
 	return status;
 }
 
-static int hold(struct ws_state_tool *tool, const char *domain, bool hold)
+static int hold(struct ws_store_client *store, const char *domain, bool hold)
 {
 	char key[WS_KEY_MAX];
 	int status = 409;
 
-	snprintf(key, sizeof(key), PREFIX "hold/%s", domain);
+	snprintf(key, sizeof(key), PREFIX HOLD_KEY "%s", domain);
 	for (int i = 0; i < HOLD_TRIES && status == 409; i++)
-		status = hold_write(tool, key, hold);
+		status = hold_write(store, key, hold);
 	if (status != 200) {
 		fprintf(stderr, "waystep: the state service did not take it (%d)\n", status);
 		return 1;
@@ -142,22 +139,23 @@
 	return 0;
 }
 
-int ws_zones_command_run(const struct ws_zones_command *command, const struct ws_settings *platform,
-			 const struct ws_subsystem_settings *subsystems)
+int ws_failure_domains_command_run(const struct ws_failure_domains_command *command,
+				   const struct ws_settings *platform,
+				   const struct ws_subsystem_settings *subsystems)
 {
-	struct ws_state_tool *tool;
+	struct ws_store_client *store;
 	int status = 0;
 
-	if (command->verb > WS_ZONES_SHOW &&
+	if (command->kind > WS_FAILURE_DOMAINS_SHOW &&
 	    !domain_exists(command->domain, platform, subsystems)) {
 		fprintf(stderr, "waystep: there is no domain %s\n", command->domain);
 		return 2;
 	}
-	tool = ws_state_tool_open(platform);
-	if (command->verb == WS_ZONES_SHOW)
-		status = show(tool);
+	store = ws_store_client_open(platform);
+	if (command->kind == WS_FAILURE_DOMAINS_SHOW)
+		status = ws_record_view_print(&view, store);
 	else
-		status = hold(tool, command->domain, command->verb == WS_ZONES_HOLD);
-	ws_state_tool_close(tool);
+		status = hold(store, command->domain, command->kind == WS_FAILURE_DOMAINS_HOLD);
+	ws_store_client_close(store);
 	return status;
 }
--- a/src/main.c
+++ b/src/main.c
@@ -1,12 +1,12 @@
 /* waystep: a cluster scheduler. Command line, settings, log, loop. */
-#include "coldstart_command.h"
+#include "cold_start_command.h"
 #include "config.h"
+#include "failure_domains_command.h"
 #include "io/pool.h"
 #include "io/server.h"
 #include "log.h"
 #include "startup_error.h"
 #include "subsystem_settings.h"
-#include "zones_command.h"
 #include <argp.h>
 #include <signal.h>
 #include <stdio.h>
@@ -31,7 +31,7 @@
 	/* instead of running as a controller: */
 	bool check;
 	bool cold_start;
-	struct ws_zones_command command;
+	struct ws_failure_domains_command command;
 };
 
 /* Options without a letter of their own. */
@@ -59,10 +59,14 @@
 	case 'p': a->policy = arg; return 0;
 	case 's': a->subsystems = arg; return 0;
 	case 'k': a->check = true; return 0;
-	case OPTION_DOMAINS: a->command = (struct ws_zones_command){WS_ZONES_SHOW, NULL}; return 0;
-	case OPTION_HOLD: a->command = (struct ws_zones_command){WS_ZONES_HOLD, arg}; return 0;
+	case OPTION_DOMAINS:
+		a->command = (struct ws_failure_domains_command){WS_FAILURE_DOMAINS_SHOW, NULL};
+		return 0;
+	case OPTION_HOLD:
+		a->command = (struct ws_failure_domains_command){WS_FAILURE_DOMAINS_HOLD, arg};
+		return 0;
 	case OPTION_RELEASE:
-		a->command = (struct ws_zones_command){WS_ZONES_RELEASE, arg};
+		a->command = (struct ws_failure_domains_command){WS_FAILURE_DOMAINS_RELEASE, arg};
 		return 0;
 	case OPTION_COLD_START: a->cold_start = true; return 0;
 	case ARGP_KEY_ARG: argp_error(state, "unexpected argument: %s", arg); return 0;
@@ -220,9 +224,9 @@
 	if (args.check) {
 		ws_print_check(args.config, &settings, &policy, &subsystems);
 	} else if (args.cold_start) {
-		status = ws_coldstart_command_run(&settings);
-	} else if (args.command.verb != WS_ZONES_NO_VERB) {
-		status = ws_zones_command_run(&args.command, &settings, &subsystems);
+		status = ws_cold_start_command_run(&settings);
+	} else if (args.command.kind != WS_FAILURE_DOMAINS_NONE) {
+		status = ws_failure_domains_command_run(&args.command, &settings, &subsystems);
 	} else {
 		ws_log_open(settings.node, getenv("LOG_LEVEL"));
 		ws_descriptors(settings.max_sockets);
