--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -7,6 +7,7 @@
 #include "../log.h"
 #include "clock.h"
 #include "codec.h"
+#include "outage_vote.h"
 #include "server_internal.h"
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -1,5 +1,6 @@
 #include "http_client.h"
 #include "clock.h"
+#include "sockets.h"
 #include <arpa/inet.h>
 #include <errno.h>
 #include <http_parser.h>
@@ -164,13 +165,10 @@
 static void on_writable(struct ev_loop *loop, ev_io *watcher, int events)
 {
 	struct connection *connection = watcher->data;
-	int error = 0;
-	socklen_t length = sizeof(error);
 
 	(void)events;
 	if (!connection->connected) {
-		getsockopt(connection->fd, SOL_SOCKET, SO_ERROR, &error, &length);
-		if (error) {
+		if (!ws_socket_connected(connection->fd)) {
 			fail_and_pump(connection);
 			return;
 		}
@@ -249,13 +247,8 @@
 {
 	int socket_fd = ws_socket_open();
 
-	if (socket_fd < 0)
+	if (socket_fd < 0 || !ws_socket_connect(socket_fd, address))
 		return -1;
-	if (connect(socket_fd, (const struct sockaddr *)address, sizeof(*address)) &&
-	    errno != EINPROGRESS) {
-		close(socket_fd);
-		return -1;
-	}
 	return socket_fd;
 }
 
@@ -463,9 +456,7 @@
 	client->options = *options;
 	client->tokens = options->burst;
 	client->tokens_at = client->used = ws_now();
-	client->address.sin_family = AF_INET;
-	client->address.sin_port = htons((uint16_t)port);
-	inet_pton(AF_INET, host, &client->address.sin_addr);
+	client->address = ws_socket_address(host, port);
 	ev_timer_init(&client->timer, on_timer, 0, 0);
 	client->timer.data = client;
 	return client;
--- a/src/io/http_common.c
+++ b/src/io/http_common.c
@@ -1,10 +1,6 @@
 #include "http_common.h"
-#include <errno.h>
-#include <netinet/in.h>
-#include <netinet/tcp.h>
 #include <stdlib.h>
 #include <string.h>
-#include <sys/socket.h>
 
 #define FIRST_CAPACITY 512
 /* One large message must not keep its memory for ever. */
@@ -52,24 +48,3 @@
 {
 	return buffer->bytes ? buffer->bytes : "";
 }
-
-int ws_socket_open(void)
-{
-	int socket_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-
-	if (socket_fd >= 0)
-		ws_socket_no_delay(socket_fd);
-	return socket_fd;
-}
-
-void ws_socket_no_delay(int socket_fd)
-{
-	int one = 1;
-
-	setsockopt(socket_fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-}
-
-bool ws_socket_would_block(void)
-{
-	return errno == EAGAIN;
-}
--- a/src/io/http_common.h
+++ b/src/io/http_common.h
@@ -1,4 +1,4 @@
-/* What the HTTP server and client share: limits, a growing buffer, and sockets. */
+/* What the HTTP server and client share: limits, and a growing buffer. */
 #ifndef WS_HTTP_COMMON_H
 #define WS_HTTP_COMMON_H
 #include <stdbool.h>
@@ -25,10 +25,4 @@
 /* The content as a string, "" if there never was any. */
 const char *ws_buffer_text(const struct ws_buffer *buffer);
 
-/* A TCP socket that neither blocks nor delays small segments; -1 with errno if there is none. */
-int ws_socket_open(void);
-/* Has small segments sent at once. */
-void ws_socket_no_delay(int socket_fd);
-/* Whether errno says that the socket is to be waited for. */
-bool ws_socket_would_block(void);
 #endif
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -1,6 +1,6 @@
 #include "http_server.h"
 #include "clock.h"
-#include <arpa/inet.h>
+#include "sockets.h"
 #include <errno.h>
 #include <http_parser.h>
 #include <stdio.h>
@@ -386,7 +386,7 @@
 
 	(void)events;
 	for (int i = 0; i < ACCEPTED_AT_ONCE; i++) {
-		int socket_fd = accept4(server->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+		int socket_fd = ws_socket_accept(server->fd);
 
 		if (socket_fd < 0) {
 			/* no descriptor to be had: asked again with the next sweep */
@@ -423,30 +423,6 @@
 
 /* ---- the server ---- */
 
-/* A socket that listens; -1 with errno if it can't. `port` becomes the port it has. */
-static int listen_on(const char *host, int *port, int backlog)
-{
-	struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)*port)};
-	socklen_t length = sizeof(address);
-	int socket_fd = ws_socket_open(), one = 1;
-
-	if (socket_fd < 0)
-		return -1;
-	inet_pton(AF_INET, host, &address.sin_addr);
-	setsockopt(socket_fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-	if (bind(socket_fd, (struct sockaddr *)&address, sizeof(address)) ||
-	    listen(socket_fd, backlog)) {
-		int reason = errno;
-
-		close(socket_fd);
-		errno = reason;
-		return -1;
-	}
-	getsockname(socket_fd, (struct sockaddr *)&address, &length);
-	*port = ntohs(address.sin_port);
-	return socket_fd;
-}
-
 struct ws_server *ws_server_new(struct ev_loop *loop, const char *host, int port,
 				const struct ws_server_opts *options, ws_request_fn on_request,
 				void *context, char *error, size_t error_size)
@@ -456,10 +432,8 @@
 	if (!server)
 		return NULL;
 	server->port = port;
-	server->fd = listen_on(host, &server->port, options->backlog);
+	server->fd = ws_socket_listen(host, &server->port, options->backlog, error, error_size);
 	if (server->fd < 0) {
-		snprintf(error, error_size, "can't listen on %s:%d: %s", host, port,
-			 strerror(errno));
 		free(server);
 		return NULL;
 	}
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -2,6 +2,7 @@
 #include "../log.h"
 #include "clock.h"
 #include "codec.h"
+#include "outage_vote.h"
 #include "server_internal.h"
 #include <math.h>
 #include <stdlib.h>
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -1,495 +1,527 @@
 #include "peer.h"
 #include "../log.h"
 #include "clock.h"
-#include "codec.h"
-#include "http_common.h"
+#include "sockets.h"
 #include <arpa/inet.h>
 #include <errno.h>
-#include <netinet/tcp.h>
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define WS_FRAME_MAX ((size_t)160 * 1024)
-#define WS_OUT_MAX ((size_t)1024 * 1024)
-
-struct ws_wait {
+#define FRAME_MAX ((size_t)160 * 1024)
+/* Bytes that wait to be sent by a connection. */
+#define OUT_MAX ((size_t)1024 * 1024)
+/* Of the length in front of a frame, in network order. */
+#define LENGTH_SIZE 4
+#define READ_SIZE_LEAST 16384
+#define READ_BUFFER_STEP 32768
+#define BACKLOG 64
+/* A peer keeps one connection; a few more may be left over from its earlier lives. */
+#define ACCEPTED_PER_PEER 8
+#define TIMER_S 0.1
+/* A connection on which nothing came for so long, while replies are due, is closed. */
+#define SILENT_S 1
+
+/* A request whose reply is waited for. */
+struct awaited_reply {
 	uint64_t id;
 	double deadline;
-	ws_peer_done_fn fn;
-	void *ctx;
-	struct ws_wait *next;
+	ws_peer_done_fn on_reply;
+	void *context;
+	struct awaited_reply *next;
 };
 
-struct ws_pipe {
+struct connection {
 	struct ws_peers *peers;
 	int fd; /* -1: closed */
 	bool connected;
-	ev_io rd, wr;
+	ev_io readable, writable;
 	uint8_t *in, *out;
-	size_t in_len, in_cap, out_len, out_cap;
-	uint64_t id; /* of an accepted pipe */
-	struct ws_pipe *next;
-	/* of a pipe to a peer */
-	const struct ws_endpoint *to;
-	struct ws_wait *waits;
-	double heard, failed, opened;
+	size_t in_length, in_capacity, out_length, out_capacity;
+	struct connection *next;
+	/* of an accepted one: */
+	uint64_t id;
+	/* of one to a peer: */
+	const struct ws_endpoint *peer; /* NULL: accepted */
+	struct awaited_reply *awaited;
+	double heard, failed, opened; /* when that was last */
 };
 
 struct ws_peers {
 	struct ev_loop *loop;
-	const struct ws_settings *set;
+	const struct ws_settings *settings;
 	int fd;
-	ev_io rd;
+	ev_io acceptable;
 	ev_timer timer;
-	ws_peer_ask_fn fn;
-	void *ctx;
-	uint64_t next_id;
-	struct ws_pipe *accepted, *dead;
-	int naccepted;
-	struct ws_pipe to[WS_MAX_PEERS];
-	size_t turn;
+	ws_peer_ask_fn on_request;
+	void *context;
+	uint64_t last_id;
+	struct connection *accepted;
+	struct connection *closed; /* accepted ones, to be freed by the timer */
+	int accepted_count;
+	struct connection to_peers[WS_MAX_PEERS];
+	size_t turn; /* the peer that "any" is looked for from */
 };
 
-static void ws_pipe_close(struct ws_pipe *p)
+/* ---- awaited replies ---- */
+
+/* Ends requests without a reply. */
+static void end_unanswered(struct awaited_reply *list)
 {
-	struct ws_wait *w;
+	while (list) {
+		struct awaited_reply *next = list->next;
 
-	if (p->fd < 0)
-		return;
-	ev_io_stop(p->peers->loop, &p->rd);
-	ev_io_stop(p->peers->loop, &p->wr);
-	close(p->fd);
-	p->fd = -1;
-	p->connected = false;
-	p->in_len = p->out_len = 0;
-	p->failed = ws_now();
-	w = p->waits;
-	p->waits = NULL;
-	while (w) {
-		struct ws_wait *n = w->next;
-
-		w->fn(w->ctx, NULL);
-		free(w);
-		w = n;
+		list->on_reply(list->context, NULL);
+		free(list);
+		list = next;
 	}
-	if (!p->to) { /* freed by the timer: it may be on the stack now */
-		struct ws_pipe **q = &p->peers->accepted;
-
-		while (*q && *q != p)
-			q = &(*q)->next;
-		if (*q)
-			*q = p->next;
-		p->peers->naccepted--;
-		p->next = p->peers->dead;
-		p->peers->dead = p;
+}
+
+/* Takes one out; NULL: it is not waited for (any more). */
+static struct awaited_reply *take_awaited(struct connection *connection, uint64_t id)
+{
+	struct awaited_reply **link = &connection->awaited;
+	struct awaited_reply *found;
+
+	while (*link && (*link)->id != id)
+		link = &(*link)->next;
+	found = *link;
+	if (found)
+		*link = found->next;
+	return found;
+}
+
+/* Takes those out that are past their time; the last one is the list's first. */
+static struct awaited_reply *take_late(struct connection *connection, double now)
+{
+	struct awaited_reply **link = &connection->awaited;
+	struct awaited_reply *late = NULL, *awaited;
+
+	while ((awaited = *link)) {
+		if (awaited->deadline > now) {
+			link = &awaited->next;
+			continue;
+		}
+		*link = awaited->next;
+		awaited->next = late;
+		late = awaited;
 	}
+	return late;
+}
+
+/* ---- the end of a connection ---- */
+
+/* An accepted one is freed by the timer: it may be on the stack now. */
+static void move_to_closed(struct connection *connection)
+{
+	struct ws_peers *peers = connection->peers;
+	struct connection **link = &peers->accepted;
+
+	while (*link && *link != connection)
+		link = &(*link)->next;
+	if (*link)
+		*link = connection->next;
+	peers->accepted_count--;
+	connection->next = peers->closed;
+	peers->closed = connection;
+}
+
+static void close_connection(struct connection *connection)
+{
+	struct awaited_reply *awaited = connection->awaited;
+
+	if (connection->fd < 0)
+		return;
+	ev_io_stop(connection->peers->loop, &connection->readable);
+	ev_io_stop(connection->peers->loop, &connection->writable);
+	close(connection->fd);
+	connection->fd = -1;
+	connection->connected = false;
+	connection->in_length = connection->out_length = 0;
+	connection->failed = ws_now();
+	connection->awaited = NULL;
+	end_unanswered(awaited);
+	if (!connection->peer)
+		move_to_closed(connection);
 }
 
-static void ws_pipe_flush(struct ws_pipe *p)
+/* ---- sending ---- */
+
+static void write_out(struct connection *connection)
 {
+	struct ev_loop *loop = connection->peers->loop;
 	size_t sent = 0;
 
-	while (p->connected && sent < p->out_len) {
-		ssize_t n = send(p->fd, p->out + sent, p->out_len - sent, MSG_NOSIGNAL);
+	while (connection->connected && sent < connection->out_length) {
+		ssize_t count = send(connection->fd, connection->out + sent,
+				     connection->out_length - sent, MSG_NOSIGNAL);
 
-		if (n < 0 && errno == EINTR)
+		if (count < 0 && errno == EINTR)
 			continue;
-		if (n < 0 && errno == EAGAIN)
+		if (count < 0 && ws_socket_would_block())
 			break;
-		if (n <= 0) {
-			ws_pipe_close(p);
+		if (count <= 0) {
+			close_connection(connection);
 			return;
 		}
-		sent += (size_t)n;
+		sent += (size_t)count;
 	}
 	if (sent) {
-		memmove(p->out, p->out + sent, p->out_len - sent);
-		p->out_len -= sent;
+		memmove(connection->out, connection->out + sent, connection->out_length - sent);
+		connection->out_length -= sent;
 	}
-	if (p->out_len || !p->connected)
-		ev_io_start(p->peers->loop, &p->wr);
+	if (connection->out_length || !connection->connected)
+		ev_io_start(loop, &connection->writable);
 	else
-		ev_io_stop(p->peers->loop, &p->wr);
+		ev_io_stop(loop, &connection->writable);
 }
 
-static bool ws_pipe_frame(struct ws_pipe *p, Ws__PeerFrame *f)
+/* Room for so many bytes to send; false without memory. */
+static bool reserve_out(struct connection *connection, size_t capacity)
 {
-	size_t n = ws__peer_frame__get_packed_size(f);
-	uint32_t be = htonl((uint32_t)n);
+	uint8_t *grown;
 
-	if (p->fd < 0 || n > WS_FRAME_MAX || p->out_len + n + 4 > WS_OUT_MAX)
+	if (capacity <= connection->out_capacity)
+		return true;
+	grown = realloc(connection->out, capacity);
+	if (!grown)
 		return false;
-	if (p->out_len + n + 4 > p->out_cap) {
-		uint8_t *q = realloc(p->out, p->out_len + n + 4);
+	connection->out = grown;
+	connection->out_capacity = capacity;
+	return true;
+}
 
-		if (!q)
-			return false;
-		p->out = q;
-		p->out_cap = p->out_len + n + 4;
-	}
-	memcpy(p->out + p->out_len, &be, 4);
-	ws__peer_frame__pack(f, p->out + p->out_len + 4);
-	p->out_len += n + 4;
-	ws_pipe_flush(p);
+/* Sends a frame; false: it is too long, too much waits, or the connection is closed. */
+static bool send_frame(struct connection *connection, Ws__PeerFrame *frame)
+{
+	size_t length = ws__peer_frame__get_packed_size(frame);
+	uint32_t network_length = htonl((uint32_t)length);
+	size_t after = connection->out_length + length + LENGTH_SIZE;
+	uint8_t *to;
+
+	if (connection->fd < 0 || length > FRAME_MAX || after > OUT_MAX ||
+	    !reserve_out(connection, after))
+		return false;
+	to = connection->out + connection->out_length;
+	memcpy(to, &network_length, LENGTH_SIZE);
+	ws__peer_frame__pack(frame, to + LENGTH_SIZE);
+	connection->out_length = after;
+	write_out(connection);
 	return true;
 }
 
-static void ws_pipe_got(struct ws_pipe *p, const Ws__PeerFrame *f)
+/* ---- receiving ---- */
+
+static void handle_frame(struct connection *connection, const Ws__PeerFrame *frame)
 {
-	if (!p->to) {
-		if (f->kind != WS__PEER_FRAME__KIND__REPLY)
-			p->peers->fn(p->peers->ctx, p->id, f);
+	struct ws_peers *peers = connection->peers;
+	struct awaited_reply *awaited;
+
+	if (!connection->peer) {
+		if (frame->kind != WS__PEER_FRAME__KIND__REPLY)
+			peers->on_request(peers->context, connection->id, frame);
 		return;
 	}
-	p->heard = ws_now();
-	for (struct ws_wait **w = &p->waits, *x; (x = *w); w = &x->next)
-		if (x->id == f->id) {
-			*w = x->next;
-			x->fn(x->ctx, f);
-			free(x);
-			return;
-		}
+	connection->heard = ws_now();
+	awaited = take_awaited(connection, frame->id);
+	if (!awaited)
+		return;
+	awaited->on_reply(awaited->context, frame);
+	free(awaited);
 }
 
-static void ws_pipe_readable(struct ev_loop *loop, ev_io *w, int revents)
+/* Takes the next whole frame in; false: there is none yet, or the connection was closed. */
+static bool take_frame(struct connection *connection)
 {
-	struct ws_pipe *p = w->data;
-	ssize_t n;
+	Ws__PeerFrame *frame;
+	uint32_t length;
 
-	(void)loop;
-	(void)revents;
-	if (p->in_cap - p->in_len < 16384) {
-		uint8_t *q = realloc(p->in, p->in_cap + 32768);
+	if (connection->fd < 0 || connection->in_length < LENGTH_SIZE)
+		return false;
+	memcpy(&length, connection->in, LENGTH_SIZE);
+	length = ntohl(length);
+	if (length > FRAME_MAX) {
+		ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes is refused", length);
+		close_connection(connection);
+		return false;
+	}
+	if (connection->in_length < length + LENGTH_SIZE)
+		return false;
+	frame = ws__peer_frame__unpack(NULL, length, connection->in + LENGTH_SIZE);
+	connection->in_length -= LENGTH_SIZE + length;
+	memmove(connection->in, connection->in + LENGTH_SIZE + length, connection->in_length);
+	if (!frame) { /* not ours, or garbled */
+		ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes can't be read", length);
+		close_connection(connection);
+		return false;
+	}
+	handle_frame(connection, frame);
+	ws__peer_frame__free_unpacked(frame, NULL);
+	return true;
+}
 
-		if (!q) {
-			ws_pipe_close(p);
-			return;
-		}
-		p->in = q;
-		p->in_cap += 32768;
+/* Room for the next bytes; false without memory. */
+static bool reserve_in(struct connection *connection)
+{
+	uint8_t *grown;
+
+	if (connection->in_capacity - connection->in_length >= READ_SIZE_LEAST)
+		return true;
+	grown = realloc(connection->in, connection->in_capacity + READ_BUFFER_STEP);
+	if (!grown)
+		return false;
+	connection->in = grown;
+	connection->in_capacity += READ_BUFFER_STEP;
+	return true;
+}
+
+static void on_readable(struct ev_loop *loop, ev_io *watcher, int events)
+{
+	struct connection *connection = watcher->data;
+	ssize_t count;
+
+	(void)loop;
+	(void)events;
+	if (!reserve_in(connection)) {
+		close_connection(connection);
+		return;
 	}
-	n = recv(p->fd, p->in + p->in_len, p->in_cap - p->in_len, 0);
-	if (n < 0 && (errno == EAGAIN || errno == EINTR))
+	count = recv(connection->fd, connection->in + connection->in_length,
+		     connection->in_capacity - connection->in_length, 0);
+	if (count < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
-	if (n <= 0) {
-		ws_pipe_close(p);
+	if (count <= 0) {
+		close_connection(connection);
 		return;
 	}
-	p->in_len += (size_t)n;
-	while (p->fd >= 0 && p->in_len >= 4) {
-		uint32_t be, len;
-		Ws__PeerFrame *f;
-
-		memcpy(&be, p->in, 4);
-		len = ntohl(be);
-		if (len > WS_FRAME_MAX) {
-			ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes is refused", len);
-			ws_pipe_close(p);
-			return;
-		}
-		if (p->in_len < len + 4)
-			return;
-		f = ws__peer_frame__unpack(NULL, len, p->in + 4);
-		memmove(p->in, p->in + 4 + len, p->in_len - 4 - len);
-		p->in_len -= 4 + len;
-		if (!f) { /* not ours, or garbled */
-			ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes can't be read", len);
-			ws_pipe_close(p);
-			return;
-		}
-		ws_pipe_got(p, f);
-		ws__peer_frame__free_unpacked(f, NULL);
-	}
+	connection->in_length += (size_t)count;
+	while (take_frame(connection))
+		;
 }
 
-static void ws_pipe_writable(struct ev_loop *loop, ev_io *w, int revents)
+static void on_writable(struct ev_loop *loop, ev_io *watcher, int events)
 {
-	struct ws_pipe *p = w->data;
-	int e = 0;
-	socklen_t n = sizeof(e);
+	struct connection *connection = watcher->data;
 
-	(void)loop;
-	(void)revents;
-	if (!p->connected) {
-		getsockopt(p->fd, SOL_SOCKET, SO_ERROR, &e, &n);
-		if (e) {
-			ws_pipe_close(p);
+	(void)events;
+	if (!connection->connected) {
+		if (!ws_socket_connected(connection->fd)) {
+			close_connection(connection);
 			return;
 		}
-		p->connected = true;
-		ev_io_start(p->peers->loop, &p->rd);
+		connection->connected = true;
+		ev_io_start(loop, &connection->readable);
 	}
-	ws_pipe_flush(p);
+	write_out(connection);
 }
 
-static void ws_pipe_start(struct ws_pipe *p, struct ws_peers *peers, int fd)
+/* ---- connecting and accepting ---- */
+
+static void start(struct connection *connection, struct ws_peers *peers, int socket_fd)
 {
-	int one = 1;
-
-	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-	p->peers = peers;
-	p->fd = fd;
-	p->opened = ws_now();
-	ev_io_init(&p->rd, ws_pipe_readable, fd, EV_READ);
-	ev_io_init(&p->wr, ws_pipe_writable, fd, EV_WRITE);
-	p->rd.data = p->wr.data = p;
+	ws_socket_no_delay(socket_fd);
+	connection->peers = peers;
+	connection->fd = socket_fd;
+	connection->opened = ws_now();
+	ev_io_init(&connection->readable, on_readable, socket_fd, EV_READ);
+	ev_io_init(&connection->writable, on_writable, socket_fd, EV_WRITE);
+	connection->readable.data = connection->writable.data = connection;
 }
 
-static bool ws_pipe_open(struct ws_pipe *p)
+/* Has a connection to a peer, which may still be under way; false: it can't be opened. */
+static bool open_connection(struct connection *connection)
 {
-	struct sockaddr_in a = {.sin_family = AF_INET, .sin_port = htons((uint16_t)p->to->port)};
-	int fd;
+	struct sockaddr_in address;
+	int socket_fd;
 
-	if (p->fd >= 0)
+	if (connection->fd >= 0)
 		return true;
-	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-	if (fd < 0)
+	socket_fd = ws_socket_open();
+	if (socket_fd < 0)
 		return false;
-	inet_pton(AF_INET, p->to->host, &a.sin_addr);
-	if (connect(fd, (struct sockaddr *)&a, sizeof(a)) && errno != EINPROGRESS) {
-		close(fd);
-		p->failed = ws_now();
+	address = ws_socket_address(connection->peer->host, connection->peer->port);
+	if (!ws_socket_connect(socket_fd, &address)) {
+		connection->failed = ws_now();
 		return false;
 	}
-	ws_pipe_start(p, p->peers, fd);
-	ev_io_start(p->peers->loop, &p->wr);
+	start(connection, connection->peers, socket_fd);
+	ev_io_start(connection->peers->loop, &connection->writable);
 	return true;
 }
 
-static void ws_peers_accept(struct ev_loop *loop, ev_io *w, int revents)
+/* False: there are too many, or no memory. */
+static bool add_accepted(struct ws_peers *peers, int socket_fd)
 {
-	struct ws_peers *peers = w->data;
-	int fd;
+	struct connection *connection;
 
-	(void)revents;
-	while ((fd = accept4(peers->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
-		struct ws_pipe *p;
-
-		/* a peer keeps one pipe; a few more may be left over from its earlier lives */
-		if (peers->naccepted >= (int)peers->set->npeers * 8 ||
-		    !(p = calloc(1, sizeof(*p)))) {
-			close(fd);
-			continue;
-		}
-		ws_pipe_start(p, peers, fd);
-		p->connected = true;
-		p->id = ++peers->next_id;
-		p->next = peers->accepted;
-		peers->accepted = p;
-		peers->naccepted++;
-		ev_io_start(loop, &p->rd);
-	}
+	if (peers->accepted_count >= (int)peers->settings->npeers * ACCEPTED_PER_PEER)
+		return false;
+	connection = calloc(1, sizeof(*connection));
+	if (!connection)
+		return false;
+	start(connection, peers, socket_fd);
+	connection->connected = true;
+	connection->id = ++peers->last_id;
+	connection->next = peers->accepted;
+	peers->accepted = connection;
+	peers->accepted_count++;
+	ev_io_start(peers->loop, &connection->readable);
+	return true;
 }
 
-static void ws_peers_timer(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_acceptable(struct ev_loop *loop, ev_io *watcher, int events)
 {
-	struct ws_peers *peers = t->data;
-	double now = ws_now();
+	struct ws_peers *peers = watcher->data;
+	int socket_fd;
 
 	(void)loop;
-	(void)revents;
-	while (peers->dead) {
-		struct ws_pipe *p = peers->dead;
-
-		peers->dead = p->next;
-		free(p->in);
-		free(p->out);
-		free(p);
-	}
-	for (size_t i = 0; i < peers->set->npeers; i++) {
-		struct ws_pipe *p = &peers->to[i];
-		struct ws_wait *late = NULL, *x;
-
-		for (struct ws_wait **w = &p->waits; (x = *w);) {
-			if (x->deadline > now) {
-				w = &x->next;
-				continue;
-			}
-			*w = x->next;
-			x->next = late;
-			late = x;
-		}
-		if (late && p->fd >= 0 && now - p->heard > 1 && now - p->opened > 1)
-			ws_pipe_close(p); /* silent: a new connection may fare better */
-		while ((x = late)) {
-			late = x->next;
-			x->fn(x->ctx, NULL);
-			free(x);
-		}
-	}
+	(void)events;
+	while ((socket_fd = ws_socket_accept(peers->fd)) >= 0)
+		if (!add_accepted(peers, socket_fd))
+			close(socket_fd);
 }
 
-struct ws_peers *ws_peers_new(struct ev_loop *loop, const struct ws_settings *s, ws_peer_ask_fn fn,
-			      void *ctx, char *err, size_t n)
+/* ---- timeouts ---- */
+
+static void free_closed(struct ws_peers *peers)
 {
-	struct ws_peers *p = calloc(1, sizeof(*p));
-	struct sockaddr_in a = {.sin_family = AF_INET,
-				.sin_port = htons((uint16_t)s->peer_bind.port)};
-	int one = 1;
+	while (peers->closed) {
+		struct connection *connection = peers->closed;
 
-	if (!p)
-		return NULL;
-	p->loop = loop;
-	p->set = s;
-	p->fn = fn;
-	p->ctx = ctx;
-	for (size_t i = 0; i < s->npeers; i++) {
-		p->to[i].fd = -1;
-		p->to[i].peers = p;
-		p->to[i].to = &s->peers[i];
+		peers->closed = connection->next;
+		free(connection->in);
+		free(connection->out);
+		free(connection);
 	}
-	inet_pton(AF_INET, s->peer_bind.host, &a.sin_addr);
-	p->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-	setsockopt(p->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-	if (p->fd < 0 || bind(p->fd, (struct sockaddr *)&a, sizeof(a)) || listen(p->fd, 64)) {
-		snprintf(err, n, "can't listen on %s:%d: %s", s->peer_bind.host, s->peer_bind.port,
-			 strerror(errno));
-		if (p->fd >= 0)
-			close(p->fd);
-		free(p);
-		return NULL;
-	}
-	ev_io_init(&p->rd, ws_peers_accept, p->fd, EV_READ);
-	p->rd.data = p;
-	ev_io_start(loop, &p->rd);
-	ev_timer_init(&p->timer, ws_peers_timer, 0.1, 0.1);
-	p->timer.data = p;
-	ev_timer_start(loop, &p->timer);
-	return p;
 }
 
-bool ws_peers_send(struct ws_peers *p, const char *node, Ws__PeerFrame *f, double timeout_s,
-		   ws_peer_done_fn fn, void *ctx)
+static void end_late(struct connection *connection, double now)
 {
-	struct ws_pipe *to = NULL;
-	struct ws_wait *w;
+	struct awaited_reply *late = take_late(connection, now);
 
-	for (size_t i = 0; i < p->set->npeers; i++) {
-		struct ws_pipe *x = &p->to[(i + p->turn) % p->set->npeers];
+	if (late && connection->fd >= 0 && now - connection->heard > SILENT_S &&
+	    now - connection->opened > SILENT_S)
+		close_connection(connection); /* a new connection may fare better */
+	end_unanswered(late);
+}
 
-		if (node[0] ? strcmp(x->to->node, node)
-			    : to && to->heard - to->failed >= x->heard - x->failed)
-			continue;
-		to = x;
+static void on_timer(struct ev_loop *loop, ev_timer *watcher, int events)
+{
+	struct ws_peers *peers = watcher->data;
+	double now = ws_now();
+
+	(void)loop;
+	(void)events;
+	free_closed(peers);
+	for (size_t i = 0; i < peers->settings->npeers; i++)
+		end_late(&peers->to_peers[i], now);
+}
+
+/* ---- all peers ---- */
+
+struct ws_peers *ws_peers_new(struct ev_loop *loop, const struct ws_settings *settings,
+			      ws_peer_ask_fn on_request, void *context, char *error,
+			      size_t error_size)
+{
+	struct ws_peers *peers = calloc(1, sizeof(*peers));
+	int port = settings->peer_bind.port;
+
+	if (!peers)
+		return NULL;
+	peers->fd = ws_socket_listen(settings->peer_bind.host, &port, BACKLOG, error, error_size);
+	if (peers->fd < 0) {
+		free(peers);
+		return NULL;
 	}
-	p->turn++;
-	if (!to || !ws_pipe_open(to))
-		return false;
-	w = calloc(1, sizeof(*w));
-	if (!w)
-		return false;
-	f->id = w->id = ++p->next_id;
-	w->deadline = ws_now() + timeout_s;
-	w->fn = fn;
-	w->ctx = ctx;
-	w->next = to->waits;
-	to->waits = w;
-	if (!ws_pipe_frame(to, f)) {
-		for (struct ws_wait **q = &to->waits; *q; q = &(*q)->next)
-			if (*q == w) {
-				*q = w->next;
-				free(w);
-				break;
-			}
-		return false;
+	peers->loop = loop;
+	peers->settings = settings;
+	peers->on_request = on_request;
+	peers->context = context;
+	for (size_t i = 0; i < settings->npeers; i++) {
+		peers->to_peers[i].fd = -1;
+		peers->to_peers[i].peers = peers;
+		peers->to_peers[i].peer = &settings->peers[i];
 	}
-	return true;
+	ev_io_init(&peers->acceptable, on_acceptable, peers->fd, EV_READ);
+	peers->acceptable.data = peers;
+	ev_io_start(loop, &peers->acceptable);
+	ev_timer_init(&peers->timer, on_timer, TIMER_S, TIMER_S);
+	peers->timer.data = peers;
+	ev_timer_start(loop, &peers->timer);
+	return peers;
 }
 
-void ws_peers_reply(struct ws_peers *p, uint64_t from, Ws__PeerFrame *f)
+/* Whether the last answer came later after the last failure than with the other peer. */
+static bool fared_better(const struct connection *connection, const struct connection *other)
 {
-	for (struct ws_pipe *x = p->accepted; x; x = x->next)
-		if (x->id == from) {
-			ws_pipe_frame(x, f);
-			return;
-		}
+	return connection->heard - connection->failed > other->heard - other->failed;
 }
 
-void ws_peers_free(struct ws_peers *p)
+/* The connection to a node, or with "" to the peer that fared best; NULL: there is none. */
+static struct connection *choose(struct ws_peers *peers, const char *node)
 {
-	if (!p)
-		return;
-	for (size_t i = 0; i < p->set->npeers; i++) {
-		ws_pipe_close(&p->to[i]);
-		free(p->to[i].in);
-		free(p->to[i].out);
+	size_t count = peers->settings->npeers;
+	struct connection *chosen = NULL;
+
+	for (size_t i = 0; i < count; i++) {
+		struct connection *connection = &peers->to_peers[(i + peers->turn) % count];
+		bool fits = node[0] ? !strcmp(connection->peer->node, node)
+				    : !chosen || fared_better(connection, chosen);
+
+		if (fits)
+			chosen = connection;
 	}
-	while (p->accepted)
-		ws_pipe_close(p->accepted);
-	ws_peers_timer(p->loop, &p->timer, 0);
-	ev_io_stop(p->loop, &p->rd);
-	ev_timer_stop(p->loop, &p->timer);
-	close(p->fd);
-	free(p);
+	peers->turn++;
+	return chosen;
 }
 
-/* ---- testimony ---- */
-
-void ws_testimony_ask(Ws__PeerFrame *f, Ws__Testimony *t, struct ws_call *call)
+bool ws_peers_send(struct ws_peers *peers, const char *node, Ws__PeerFrame *frame, double timeout_s,
+		   ws_peer_done_fn on_reply, void *context)
 {
-	f->kind = WS__PEER_FRAME__KIND__TESTIFY;
-	f->testimony = t;
-	t->leader = call->epoch;
-	t->since = call->since;
-	t->after = call->after;
+	struct connection *connection = choose(peers, node);
+	struct awaited_reply *awaited;
+
+	if (!connection || !open_connection(connection))
+		return false;
+	awaited = calloc(1, sizeof(*awaited));
+	if (!awaited)
+		return false;
+	frame->id = awaited->id = ++peers->last_id;
+	awaited->deadline = ws_now() + timeout_s;
+	awaited->on_reply = on_reply;
+	awaited->context = context;
+	awaited->next = connection->awaited;
+	connection->awaited = awaited;
+	if (send_frame(connection, frame))
+		return true;
+	free(take_awaited(connection, awaited->id));
+	return false;
 }
 
-bool ws_testimony_read(const Ws__PeerFrame *f, struct ws_result *r)
+void ws_peers_reply(struct ws_peers *peers, uint64_t connection, Ws__PeerFrame *frame)
 {
-	const Ws__Testimony *t = f->testimony;
-
-	memset(r, 0, sizeof(*r));
-	r->status = (int)f->status;
-	if (r->status != 503 || !t)
-		return true; /* no list: nothing is vouched for, whatever the status */
-	r->withdrawn = calloc(t->n_withdrawn + 1, sizeof(*r->withdrawn));
-	if (!r->withdrawn)
-		abort();
-	for (size_t i = 0; i < t->n_withdrawn; i++) {
-		if (!ws_job_id_ok(t->withdrawn[i]->job)) {
-			free(r->withdrawn);
-			*r = (struct ws_result){.status = 200};
-			return false;
+	for (struct connection *to = peers->accepted; to; to = to->next)
+		if (to->id == connection) {
+			send_frame(to, frame);
+			return;
 		}
-		snprintf(r->withdrawn[i].job, WS_ID_MAX, "%s", t->withdrawn[i]->job);
-		r->withdrawn[i].stamp = t->withdrawn[i]->stamp;
-	}
-	r->nwithdrawn = t->n_withdrawn;
-	r->more = t->more;
-	r->vouched = true;
-	return true;
 }
 
-void ws_testimony_fill(Ws__PeerFrame *f, Ws__Testimony *t, struct ws_action *a)
+void ws_peers_free(struct ws_peers *peers)
 {
-	Ws__Withdrawal *list;
-
-	f->kind = WS__PEER_FRAME__KIND__REPLY;
-	f->status = (uint32_t)a->status;
-	if (!a->vouched)
+	if (!peers)
 		return;
-	f->testimony = t;
-	t->more = a->more;
-	t->n_withdrawn = a->nwithdrawn;
-	t->withdrawn = calloc(a->nwithdrawn + 1, sizeof(*t->withdrawn));
-	list = calloc(a->nwithdrawn + 1, sizeof(*list));
-	if (!t->withdrawn || !list)
-		abort();
-	for (size_t i = 0; i <= a->nwithdrawn; i++) /* the first one owns them all */
-		t->withdrawn[i] = &list[i];
-	for (size_t i = 0; i < a->nwithdrawn; i++) {
-		ws__withdrawal__init(&list[i]);
-		list[i].job = a->withdrawn[i].job;
-		list[i].stamp = a->withdrawn[i].stamp;
+	for (size_t i = 0; i < peers->settings->npeers; i++) {
+		close_connection(&peers->to_peers[i]);
+		free(peers->to_peers[i].in);
+		free(peers->to_peers[i].out);
 	}
-}
-
-void ws_testimony_free(Ws__Testimony *t)
-{
-	if (t->withdrawn)
-		free(t->withdrawn[0]);
-	free(t->withdrawn);
+	while (peers->accepted)
+		close_connection(peers->accepted);
+	on_timer(peers->loop, &peers->timer, 0);
+	ev_io_stop(peers->loop, &peers->acceptable);
+	ev_timer_stop(peers->loop, &peers->timer);
+	close(peers->fd);
+	free(peers);
 }
--- a/src/io/peer.h
+++ b/src/io/peer.h
@@ -1,4 +1,8 @@
-/* Controllers among themselves: frames of protobuf-c with a length in front, over TCP. */
+/*
+ * Frames between controllers: protobuf-c with a length in front, over TCP. Each node has one
+ * connection to each peer for its own requests, and answers on those that it accepted. Belongs to
+ * the thread of its event loop.
+ */
 #ifndef WS_PEER_H
 #define WS_PEER_H
 #include "../core/core.h"
@@ -6,25 +10,21 @@
 #include <ev.h>
 
 struct ws_peers;
-/* A frame that asks for something; answered by ws_peers_reply with from and its id. */
-typedef void (*ws_peer_ask_fn)(void *ctx, uint64_t from, const Ws__PeerFrame *f);
+/* A frame that asks for something; answered by ws_peers_reply() with its connection and id. */
+typedef void (*ws_peer_ask_fn)(void *context, uint64_t connection, const Ws__PeerFrame *frame);
 /* reply is NULL when none came. */
-typedef void (*ws_peer_done_fn)(void *ctx, const Ws__PeerFrame *reply);
+typedef void (*ws_peer_done_fn)(void *context, const Ws__PeerFrame *reply);
 
-struct ws_peers *ws_peers_new(struct ev_loop *loop, const struct ws_settings *s, ws_peer_ask_fn fn,
-			      void *ctx, char *err, size_t n);
-/* Node: a name, or "" for whichever answered last. False: nobody to send to. */
-bool ws_peers_send(struct ws_peers *p, const char *node, Ws__PeerFrame *f, double timeout_s,
-		   ws_peer_done_fn fn, void *ctx);
-void ws_peers_reply(struct ws_peers *p, uint64_t from, Ws__PeerFrame *f);
-void ws_peers_free(struct ws_peers *p);
-
-/* The frame of a question for testimony; what it points to is the call's and t's. */
-void ws_testimony_ask(Ws__PeerFrame *f, Ws__Testimony *t, struct ws_call *call);
-/* A peer's answer to the core's terms; one that does not vouch, or makes no sense, is a plain 200.
- * False: it makes no sense. r's list is freed by ws_result_free. */
-bool ws_testimony_read(const Ws__PeerFrame *f, struct ws_result *r);
-/* Our answer, with the list in t, which is good until ws_testimony_free. */
-void ws_testimony_fill(Ws__PeerFrame *f, Ws__Testimony *t, struct ws_action *a);
-void ws_testimony_free(Ws__Testimony *t);
+/* Listens; NULL with one line in `error` if it can't. The settings must outlive it. */
+struct ws_peers *ws_peers_new(struct ev_loop *loop, const struct ws_settings *settings,
+			      ws_peer_ask_fn on_request, void *context, char *error,
+			      size_t error_size);
+/* Sends a request to a node by name, or with "" to the one that answered best. False: nobody to
+ * send to, and on_reply is not called. */
+bool ws_peers_send(struct ws_peers *peers, const char *node, Ws__PeerFrame *frame, double timeout_s,
+		   ws_peer_done_fn on_reply, void *context);
+/* Sends a reply by the connection that the request came by; nothing if that is gone. */
+void ws_peers_reply(struct ws_peers *peers, uint64_t connection, Ws__PeerFrame *frame);
+/* Closes all connections; requests under way end without a reply. NULL is none. */
+void ws_peers_free(struct ws_peers *peers);
 #endif
--- a/src/io/pool.c
+++ b/src/io/pool.c
@@ -5,57 +5,61 @@
 #include <stdlib.h>
 
 /* A value takes a few times the bytes of its text; pages that are not used take no memory. */
-#define WS_POOL_SIZE (16 * WS_BODY_MAX)
+#define POOL_SIZE (16 * WS_BODY_MAX)
+#define ALIGNMENT ((size_t)16)
 
-static _Alignas(16) unsigned char ws_block[WS_POOL_SIZE];
-static size_t ws_used, ws_misses, ws_spilt;
-static bool ws_on;
+static _Alignas(16) unsigned char block[POOL_SIZE];
+static size_t used;	     /* of the block */
+static size_t misses;	     /* allocations that went to malloc, from the start */
+static size_t recent_misses; /* and since the last ws_pool_begin() */
+static bool active;
 
-static void *ws_pool_alloc(size_t n)
+static void *allocate(size_t size)
 {
-	size_t want = (n + 15) & ~(size_t)15;
+	size_t aligned = (size + ALIGNMENT - 1) & ~(ALIGNMENT - 1);
 
-	if (ws_on && want <= WS_POOL_SIZE - ws_used) {
-		void *p = ws_block + ws_used;
+	if (active && aligned <= POOL_SIZE - used) {
+		void *memory = block + used;
 
-		ws_used += want;
-		return p;
+		used += aligned;
+		return memory;
 	}
-	if (ws_on) {
-		ws_misses++;
-		ws_spilt++;
+	if (active) {
+		misses++;
+		recent_misses++;
 	}
-	return malloc(n);
+	return malloc(size);
 }
 
-static void ws_pool_free(void *p)
+/* What is in the block is given back with it. */
+static void release(void *memory)
 {
-	if ((uintptr_t)p - (uintptr_t)ws_block >= sizeof(ws_block))
-		free(p);
+	if ((uintptr_t)memory - (uintptr_t)block >= sizeof(block))
+		free(memory);
 }
 
 void ws_pool_setup(void)
 {
-	json_set_alloc_funcs(ws_pool_alloc, ws_pool_free);
+	json_set_alloc_funcs(allocate, release);
 }
 
 void ws_pool_begin(void)
 {
-	ws_used = ws_spilt = 0;
-	ws_on = true;
+	used = recent_misses = 0;
+	active = true;
 }
 
 bool ws_pool_whole(void)
 {
-	return ws_spilt == 0 && ws_used > 0;
+	return recent_misses == 0 && used > 0;
 }
 
 void ws_pool_end(void)
 {
-	ws_on = false;
+	active = false;
 }
 
 size_t ws_pool_misses(void)
 {
-	return ws_misses;
+	return misses;
 }
--- a/src/log.c
+++ b/src/log.c
@@ -1,49 +1,51 @@
-/* Log lines on standard error: time of day, level, node, text. */
 #include "log.h"
 #include <stdarg.h>
 #include <stdio.h>
 #include <string.h>
 #include <time.h>
 
-static enum ws_log_level ws_level = WS_LOG_INFO;
-static char ws_node[WS_NAME_MAX];
+#define NANOSECONDS_PER_MS 1000000
+#define LINE_MAX_BYTES 512
+
+static enum ws_log_level most_detailed = WS_LOG_INFO;
+static char node_name[WS_NAME_MAX];
 
 void ws_log_open(const char *node, const char *level)
 {
-	snprintf(ws_node, sizeof(ws_node), "%s", node);
+	snprintf(node_name, sizeof(node_name), "%s", node);
 	if (level && !strcmp(level, "error"))
-		ws_level = WS_LOG_ERROR;
+		most_detailed = WS_LOG_ERROR;
 	else if (level && !strcmp(level, "debug"))
-		ws_level = WS_LOG_DEBUG;
+		most_detailed = WS_LOG_DEBUG;
 	else
-		ws_level = WS_LOG_INFO;
+		most_detailed = WS_LOG_INFO;
 }
 
 void ws_log_write(enum ws_log_level level, const char *text)
 {
 	static const char *const names[] = {"error", "info", "debug"};
-	struct timespec ts;
-	struct tm tm;
-	char at[32];
+	struct timespec now;
+	struct tm date;
+	char second[32];
 
-	if (level > ws_level)
+	if (level > most_detailed)
 		return;
-	clock_gettime(CLOCK_REALTIME, &ts);
-	gmtime_r(&ts.tv_sec, &tm);
-	strftime(at, sizeof(at), "%Y-%m-%dT%H:%M:%S", &tm);
-	fprintf(stderr, "%s.%03ldZ %s %s: %s\n", at, ts.tv_nsec / 1000000, names[level], ws_node,
-		text);
+	clock_gettime(CLOCK_REALTIME, &now);
+	gmtime_r(&now.tv_sec, &date);
+	strftime(second, sizeof(second), "%Y-%m-%dT%H:%M:%S", &date);
+	fprintf(stderr, "%s.%03ldZ %s %s: %s\n", second, now.tv_nsec / NANOSECONDS_PER_MS,
+		names[level], node_name, text);
 }
 
-void ws_logf(enum ws_log_level level, const char *fmt, ...)
+void ws_logf(enum ws_log_level level, const char *format, ...)
 {
-	char text[512];
-	va_list ap;
+	char text[LINE_MAX_BYTES];
+	va_list arguments;
 
-	if (level > ws_level)
+	if (level > most_detailed)
 		return;
-	va_start(ap, fmt);
-	vsnprintf(text, sizeof(text), fmt, ap);
-	va_end(ap);
+	va_start(arguments, format);
+	vsnprintf(text, sizeof(text), format, arguments);
+	va_end(arguments);
 	ws_log_write(level, text);
 }
--- a/src/main.c
+++ b/src/main.c
@@ -26,6 +26,11 @@
 
 #define ERROR_LINE_MAX 512
 
+/* What is sent when giving up leadership has so long to leave. */
+#define RESIGN_S 0.2
+/* Descriptors besides those of sockets: of the loop and the log. */
+#define OTHER_DESCRIPTORS 16
+
 struct ws_args {
 	const char *config, *policy, *subsystems;
 	/* instead of running as a controller: */
@@ -37,7 +42,7 @@
 /* Options without a letter of their own. */
 enum { OPTION_DOMAINS = 256, OPTION_HOLD, OPTION_RELEASE, OPTION_COLD_START };
 
-static const struct argp_option ws_options[] = {
+static const struct argp_option options[] = {
     {"config", 'c', "FILE", 0, "The platform's settings (TOML); required", 0},
     {"policy", 'p', "FILE", 0, "The operators' own settings (TOML)", 0},
     {"subsystems", 's', "FILE", 0, "Which subsystems are on, and their settings (TOML)", 0},
@@ -50,70 +55,71 @@
     {0},
 };
 
-static error_t ws_arg(int key, char *arg, struct argp_state *state)
+static error_t parse_option(int key, char *arg, struct argp_state *state)
 {
-	struct ws_args *a = state->input;
+	struct ws_args *args = state->input;
 
 	switch (key) {
-	case 'c': a->config = arg; return 0;
-	case 'p': a->policy = arg; return 0;
-	case 's': a->subsystems = arg; return 0;
-	case 'k': a->check = true; return 0;
+	case 'c': args->config = arg; return 0;
+	case 'p': args->policy = arg; return 0;
+	case 's': args->subsystems = arg; return 0;
+	case 'k': args->check = true; return 0;
 	case OPTION_DOMAINS:
-		a->command = (struct ws_failure_domains_command){WS_FAILURE_DOMAINS_SHOW, NULL};
+		args->command = (struct ws_failure_domains_command){WS_FAILURE_DOMAINS_SHOW, NULL};
 		return 0;
 	case OPTION_HOLD:
-		a->command = (struct ws_failure_domains_command){WS_FAILURE_DOMAINS_HOLD, arg};
+		args->command = (struct ws_failure_domains_command){WS_FAILURE_DOMAINS_HOLD, arg};
 		return 0;
 	case OPTION_RELEASE:
-		a->command = (struct ws_failure_domains_command){WS_FAILURE_DOMAINS_RELEASE, arg};
+		args->command =
+		    (struct ws_failure_domains_command){WS_FAILURE_DOMAINS_RELEASE, arg};
 		return 0;
-	case OPTION_COLD_START: a->cold_start = true; return 0;
+	case OPTION_COLD_START: args->cold_start = true; return 0;
 	case ARGP_KEY_ARG: argp_error(state, "unexpected argument: %s", arg); return 0;
 	case ARGP_KEY_END:
-		if (!a->config)
+		if (!args->config)
 			argp_error(state, "--config FILE is required");
 		return 0;
 	default: return ARGP_ERR_UNKNOWN;
 	}
 }
 
-static void ws_stopped(struct ev_loop *loop, ev_timer *w, int revents)
+static void on_stop_timer(struct ev_loop *loop, ev_timer *watcher, int events)
 {
-	(void)w;
-	(void)revents;
+	(void)watcher;
+	(void)events;
 	ev_break(loop, EVBREAK_ALL);
 }
 
-/* Gives up the lead and leaves a moment for that to reach the state service. */
-static void ws_stop(struct ev_loop *loop, ev_signal *w, int revents)
+/* Gives up leadership and leaves a moment for that to reach the state service. */
+static void on_stop_signal(struct ev_loop *loop, ev_signal *watcher, int events)
 {
 	static ev_timer timer;
-	struct ws_service *service = w->data;
+	struct ws_service *service = watcher->data;
 
-	(void)revents;
+	(void)events;
 	if (ev_is_active(&timer)) {
 		ev_break(loop, EVBREAK_ALL); /* told twice */
 		return;
 	}
 	ws_service_resign(service);
-	ev_timer_init(&timer, ws_stopped, 0.2, 0);
+	ev_timer_init(&timer, on_stop_timer, RESIGN_S, 0);
 	ev_timer_start(loop, &timer);
 }
 
 /* As many descriptors as there may be sockets, and a few for the loop and the log. */
-static void ws_descriptors(int sockets)
+static void raise_descriptor_limit(int sockets)
 {
-	struct rlimit r;
-	rlim_t need = (rlim_t)sockets + 16;
+	struct rlimit limit;
+	rlim_t need = (rlim_t)sockets + OTHER_DESCRIPTORS;
 
-	if (getrlimit(RLIMIT_NOFILE, &r) || r.rlim_cur >= need)
+	if (getrlimit(RLIMIT_NOFILE, &limit) || limit.rlim_cur >= need)
 		return;
-	r.rlim_cur = r.rlim_max < need ? r.rlim_max : need;
-	if (setrlimit(RLIMIT_NOFILE, &r) || r.rlim_cur < need)
+	limit.rlim_cur = limit.rlim_max < need ? limit.rlim_max : need;
+	if (setrlimit(RLIMIT_NOFILE, &limit) || limit.rlim_cur < need)
 		ws_logf(WS_LOG_ERROR,
 			"max_sockets is %d, but this process may open %llu descriptors only",
-			sockets, (unsigned long long)r.rlim_cur);
+			sockets, (unsigned long long)limit.rlim_cur);
 }
 
 static void print_error(const struct ws_startup_error *error)
@@ -125,9 +131,9 @@
 }
 
 /* Reads and checks all files that the arguments name. */
-static bool ws_read_settings(const struct ws_args *args, struct ws_settings *settings,
-			     struct ws_policy *policy, struct ws_subsystem_settings *subsystems,
-			     struct ws_startup_error *error)
+static bool read_settings(const struct ws_args *args, struct ws_settings *settings,
+			  struct ws_policy *policy, struct ws_subsystem_settings *subsystems,
+			  struct ws_startup_error *error)
 {
 	ws_policy_defaults(policy);
 	ws_subsystem_defaults(subsystems);
@@ -139,9 +145,9 @@
 				     ws_subsystem_attach(NULL, subsystems, settings, error));
 }
 
-static void ws_print_check(const char *file, const struct ws_settings *settings,
-			   const struct ws_policy *policy,
-			   const struct ws_subsystem_settings *subsystems)
+static void print_check(const char *file, const struct ws_settings *settings,
+			const struct ws_policy *policy,
+			const struct ws_subsystem_settings *subsystems)
 {
 	printf("%s: fine: node %s, %zu peers, %zu teams\n", file, settings->node, settings->npeers,
 	       settings->nteams);
@@ -158,8 +164,8 @@
 }
 
 /* Runs as a controller until it is told to stop; the exit status. */
-static int ws_serve(const struct ws_settings *settings, const struct ws_policy *policy,
-		    const struct ws_subsystem_settings *subsystems)
+static int serve(const struct ws_settings *settings, const struct ws_policy *policy,
+		 const struct ws_subsystem_settings *subsystems)
 {
 	struct ev_loop *loop = ev_default_loop(EVFLAG_AUTO);
 	struct ws_service *service;
@@ -182,10 +188,10 @@
 		settings->value_kb, settings->txn_ops, settings->state_write_rps);
 	ws_logf(WS_LOG_INFO, "subsystems: zones %s, coldstart %s",
 		subsystems->zones_on ? "on" : "off", subsystems->coldstart_on ? "on" : "off");
-	ev_signal_init(&term, ws_stop, SIGTERM);
+	ev_signal_init(&term, on_stop_signal, SIGTERM);
 	term.data = service;
 	ev_signal_start(loop, &term);
-	ev_signal_init(&intr, ws_stop, SIGINT);
+	ev_signal_init(&intr, on_stop_signal, SIGINT);
 	intr.data = service;
 	ev_signal_start(loop, &intr);
 	ev_run(loop, 0);
@@ -198,8 +204,8 @@
 int main(int argc, char **argv)
 {
 	static const struct argp argp = {
-	    ws_options,
-	    ws_arg,
+	    options,
+	    parse_option,
 	    NULL,
 	    "waystep -- one controller of a cluster: takes jobs, rents machines, places tasks\v"
 	    "LOG_LEVEL (error, info, debug) sets the amount of log on standard error.",
@@ -216,21 +222,21 @@
 	ws_pool_setup();
 	argp_err_exit_status = EXIT_USAGE;
 	argp_parse(&argp, argc, argv, 0, NULL, &args);
-	if (!ws_read_settings(&args, &settings, &policy, &subsystems, &error)) {
+	if (!read_settings(&args, &settings, &policy, &subsystems, &error)) {
 		print_error(&error);
 		return EXIT_USAGE;
 	}
 	signal(SIGPIPE, SIG_IGN);
 	if (args.check) {
-		ws_print_check(args.config, &settings, &policy, &subsystems);
+		print_check(args.config, &settings, &policy, &subsystems);
 	} else if (args.cold_start) {
 		status = ws_cold_start_command_run(&settings);
 	} else if (args.command.kind != WS_FAILURE_DOMAINS_NONE) {
 		status = ws_failure_domains_command_run(&args.command, &settings, &subsystems);
 	} else {
 		ws_log_open(settings.node, getenv("LOG_LEVEL"));
-		ws_descriptors(settings.max_sockets);
-		status = ws_serve(&settings, &policy, &subsystems);
+		raise_descriptor_limit(settings.max_sockets);
+		status = serve(&settings, &policy, &subsystems);
 	}
 	ws_subsystem_free(&subsystems);
 	return status;
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -5,7 +5,7 @@
 #include "../src/core/internal.h"
 #include "check.h"
 #include "codec.h"
-#include "peer.h"
+#include "outage_vote.h"
 
 /* As production wrote them: an array under way, a gang as it knew them, one that is withdrawn. */
 static const char array_job[] =
