--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -17,10 +17,9 @@
 #define SOCKETS_PER_HEARTBEAT 32
 /* Peers that refuse within this part of lease_s are left alone for as long. */
 #define PEERS_BAD_LEASE_PARTS 32
-/* Within what the asker waits: 4 s for workers, 5 s for submissions, WS_POLL_WAIT_S for polls. */
+/* Within what the asker waits: 4 s for workers, 5 s for submissions. */
 #define HEARTBEAT_TIMEOUT_S 3
 #define SUBMIT_TIMEOUT_S 2.5
-#define POLL_TIMEOUT_SHARE 0.4
 #define PEER_PATH_MAX 1000
 /* Tells the tokens of peers' requests from those of the HTTP server. */
 #define PEER_TOKEN (1ULL << 63)
@@ -91,7 +90,7 @@
 {
 	if (heartbeat)
 		return HEARTBEAT_TIMEOUT_S;
-	return strcmp(method, "GET") ? SUBMIT_TIMEOUT_S : WS_POLL_WAIT_S * POLL_TIMEOUT_SHARE;
+	return strcmp(method, "GET") ? SUBMIT_TIMEOUT_S : WS_POLL_STEP_S;
 }
 
 static struct forwarded_request *
@@ -118,7 +117,7 @@
 {
 	struct ws_service *service = request->service;
 	Ws__PeerFrame frame = WS__PEER_FRAME__INIT;
-	char path[WS_URL_LOCAL];
+	char path[WS_LOCAL_PATH_SIZE];
 
 	ws_router_local_path(http->url, path);
 	frame.kind = request->heartbeat ? WS__PEER_FRAME__KIND__REPORT : WS__PEER_FRAME__KIND__USER;
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -23,8 +23,6 @@
 /* A watch is answered this long after its time at the latest. */
 #define WATCH_GRACE_S 1
 #define STATE_TIMEOUT_MAX_S 1.5
-/* A peer is asked after a read that a user waits for. */
-#define POLL_TIMEOUT_SHARE 0.4
 
 /* Of the state service's limit this node's part may be used up to here. */
 #define STATE_SHARE_USED 0.95
@@ -185,7 +183,7 @@
 {
 	const struct ws_settings *settings = service->set;
 	double timeout = fmin(settings->lease_s / 12, STATE_TIMEOUT_MAX_S);
-	double poll_timeout = fmin(timeout, WS_POLL_WAIT_S * POLL_TIMEOUT_SHARE);
+	double poll_timeout = fmin(timeout, WS_POLL_STEP_S); /* a peer is asked after it */
 
 	switch (call->kind) {
 	case WS_CALL_WATCH: /* without a time it is answered at once */
--- a/src/io/request_router.c
+++ b/src/io/request_router.c
@@ -192,7 +192,7 @@
 
 void ws_router_local_path(const char *url, char *path)
 {
-	snprintf(path, WS_URL_LOCAL, "%.*s", (int)strcspn(url, "?#"), url);
+	snprintf(path, WS_LOCAL_PATH_SIZE, "%.*s", (int)strcspn(url, "?#"), url);
 }
 
 static void route_heartbeat(struct ws_service *service, uint64_t token, const char *method,
@@ -209,7 +209,7 @@
 			  const char *body, size_t length)
 {
 	struct ws_service *service = context;
-	char path[WS_URL_LOCAL];
+	char path[WS_LOCAL_PATH_SIZE];
 	bool heartbeat;
 
 	ws_router_local_path(url, path);
--- a/src/io/server.h
+++ b/src/io/server.h
@@ -1,6 +1,6 @@
 /* The I/O layer round the core: sockets, timers, and the thread of the queueing model. */
-#ifndef WS_SERVICE_H
-#define WS_SERVICE_H
+#ifndef WS_SERVER_H
+#define WS_SERVER_H
 #include "../core/core.h"
 #include "../startup_error.h"
 #include "../subsystem_settings.h"
--- a/src/io/server_internal.h
+++ b/src/io/server_internal.h
@@ -23,14 +23,15 @@
 #include "worker_connections.h"
 #include <pthread.h>
 
-/* The protocol: a user waits so long for the answer to a poll. */
-#define WS_POLL_WAIT_S 2
+/* The protocol: a user waits two seconds for the answer to a poll. The state service and after it
+ * a peer have this part of them each. */
+#define WS_POLL_STEP_S (2 * 0.4)
 
 /* The base of users' paths. */
 #define WS_USER_PATH "/v2/runs"
 
-/* A server takes no longer paths than this. */
-#define WS_URL_LOCAL 1100
+/* Room for any path that the HTTP server takes (WS_PATH_MAX). */
+#define WS_LOCAL_PATH_SIZE 1100
 
 /* Owned by forwarding.c. */
 struct ws_forwarding {
@@ -40,8 +41,8 @@
 };
 
 /*
- * Revisions a second that users' requests to this node may cost: a token bucket whose rate falls
- * when the state service refuses one and rises slowly else. Owned by outgoing_calls.c.
+ * Changes of records a second that users' requests to this node may cost: a token bucket whose rate
+ * falls when the state service refuses one and rises slowly else. Owned by outgoing_calls.c.
  */
 struct ws_write_budget {
 	double available, updated_at;
@@ -116,7 +117,7 @@
 void ws_router_answer_status(struct ws_service *service, uint64_t token, int status);
 void ws_router_answer_user(struct ws_service *service, const struct ws_action *answer);
 void ws_router_answer_heartbeat(struct ws_service *service, const struct ws_action *answer);
-/* The path of a URL, without query and fragment; `path` has WS_URL_LOCAL bytes. */
+/* The path of a URL, without query and fragment; `path` has WS_LOCAL_PATH_SIZE bytes. */
 void ws_router_local_path(const char *url, char *path);
 
 /* ---- forwarding.c ---- */
