--- a/src/config.c
+++ b/src/config.c
@@ -107,7 +107,7 @@
 	if (ws_toml_string(reader->toml, "settings.state.next", text, sizeof(text)) !=
 		WS_TOML_MISSING &&
 	    !ws_toml_table(reader->toml, "settings.state.next"))
-		ws_config_fail(reader, "settings.state.next", "must be a table");
+		ws_config_invalid(reader, "settings.state.next", "must be a table");
 	ws_config_lower(reader, "settings.state.next.rps", 1, &settings->state_rps);
 	ws_config_lower(reader, "settings.state.next.write_rps", 1, &settings->state_write_rps);
 	ws_config_lower(reader, "settings.state.next.value_kb", 1, &settings->value_kb);
@@ -131,16 +131,17 @@
 	settings->sockets =
 	    settings->max_sockets - SOCKETS_OWN - SOCKETS_PEER * (int)settings->peer_count;
 	if (reader->valid && settings->sockets < SOCKETS_LEAST)
-		ws_config_fail(reader, "settings.machine_limits.max_sockets",
-			       "leaves no room for users and workers");
+		ws_config_invalid(reader, "settings.machine_limits.max_sockets",
+				  "leaves no room for users and workers");
 }
 
-bool ws_config_settings(const char *path, struct ws_settings *settings, char *err, size_t size)
+bool ws_config_settings(const char *path, struct ws_settings *settings,
+			struct ws_startup_error *error)
 {
 	struct ws_config_reader reader;
 
 	memset(settings, 0, sizeof(*settings));
-	if (!ws_config_open(&reader, path, err, size))
+	if (!ws_config_open(&reader, path, error))
 		return false;
 	read_addresses(&reader, settings);
 	read_users(&reader, settings);
@@ -148,7 +149,8 @@
 	read_state(&reader, settings);
 	read_limits(&reader, settings);
 	if (reader.valid && settings->lease_s <= settings->report_s)
-		ws_config_fail(&reader, "settings.workers.lease_s", "must be longer than report_s");
+		ws_config_invalid(&reader, "settings.workers.lease_s",
+				  "must be longer than report_s");
 	return ws_config_close(&reader);
 }
 
@@ -161,7 +163,7 @@
 	*target = value > MACHINES_MAX ? MACHINES_MAX : (int)value;
 }
 
-bool ws_config_policy(const char *path, struct ws_policy *policy, char *err, size_t size)
+bool ws_config_policy(const char *path, struct ws_policy *policy, struct ws_startup_error *error)
 {
 	static const char *const known[] = {
 	    "delta",	       "rentals_max",	  "wait_max_s",
@@ -170,7 +172,7 @@
 	    "silent_ratio",    "boot_patience"};
 	struct ws_config_reader reader;
 
-	if (!ws_config_open(&reader, path, err, size))
+	if (!ws_config_open(&reader, path, error))
 		return false;
 	ws_config_known_keys(&reader, "", known, sizeof(known) / sizeof(known[0]));
 	ws_config_number(&reader, "delta", &policy->delta, 1e-6, false);
@@ -185,6 +187,6 @@
 	ws_config_number(&reader, "silent_ratio", &policy->silent_ratio, 0.1, false);
 	ws_config_number(&reader, "boot_patience", &policy->boot_patience, 1, false);
 	if (reader.valid && policy->leader_ttl_ratio > 0.5)
-		ws_config_fail(&reader, "leader_ttl_ratio", "must be at most 0.5");
+		ws_config_invalid(&reader, "leader_ttl_ratio", "must be at most 0.5");
 	return ws_config_close(&reader);
 }
--- /dev/null
+++ b/src/io/decode_reply.c
@@ -0,0 +1,92 @@
+/*
+ * Answers to the core's calls: which decoder reads which. A body that is not what the protocol says
+ * is a failure, never a fact.
+ */
+#include "codec.h"
+#include "decode_internal.h"
+#include "json_members.h"
+#include <stdlib.h>
+#include <string.h>
+
+static bool decode_command_answer(struct ws_json object, struct ws_result *result)
+{
+	result->heartbeat = calloc(1, sizeof(*result->heartbeat));
+	if (result->heartbeat && ws_decode_report_object(object, result->heartbeat))
+		return true;
+	free(result->heartbeat);
+	result->heartbeat = NULL;
+	return false;
+}
+
+static bool decode_success(const struct ws_call *call, struct ws_json object,
+			   struct ws_result *result)
+{
+	switch (call->kind) {
+	case WS_CALL_TRANSACTION: return ws_member_uint(object, "ledgerRev", &result->revision);
+	case WS_CALL_SESSION_OPEN: return ws_member_uint(object, "permit", &result->session);
+	case WS_CALL_MACHINE_TYPES: return ws_decode_types(object, result);
+	case WS_CALL_INSTANCES:
+		if (!ws_member_bool(object, "hasNext", &result->has_more))
+			result->has_more = false;
+		return ws_decode_instances(object, result, false);
+	case WS_CALL_SCALE_OUT: return ws_decode_instances(object, result, true);
+	case WS_CALL_COMMANDS: return decode_command_answer(object, result);
+	default: return true;
+	}
+}
+
+static bool carries_records(const struct ws_call *call)
+{
+	return call->kind == WS_CALL_GET || call->kind == WS_CALL_LIST ||
+	       call->kind == WS_CALL_WATCH;
+}
+
+/* Answers whose status says it all. */
+static bool status_says_all(const struct ws_call *call)
+{
+	return call->kind == WS_CALL_SESSION_RENEW || call->kind == WS_CALL_SESSION_CLOSE ||
+	       call->kind == WS_CALL_SCALE_IN;
+}
+
+void ws_decode_reply(const struct ws_call *call, int status, const char *body, size_t length,
+		     struct ws_result *result)
+{
+	bool done = status == 200 || (status == 409 && call->kind == WS_CALL_COMMANDS);
+	struct ws_json object;
+
+	memset(result, 0, sizeof(*result));
+	result->status = status;
+	if (status <= 0 || (done && status_says_all(call)))
+		return;
+	if (carries_records(call)) {
+		if (done && !ws_decode_store_reply(call, body, length, result))
+			ws_result_free(result); /* answered, but who knows what was done */
+		return;
+	}
+	bool read = ws_json_read(body, length, &object) && ws_json_is_object(object);
+
+	if (done) {
+		if (!read || !decode_success(call, object, result))
+			ws_result_free(result); /* answered, but who knows what was done */
+	} else if (read && status == 409 && call->kind == WS_CALL_TRANSACTION) {
+		ws_decode_failed_keys(object, result);
+	} else if (read && status == 503 && call->kind == WS_CALL_SCALE_OUT) {
+		result->no_capacity = ws_decode_no_capacity(object);
+	}
+}
+
+void ws_result_free(struct ws_result *result)
+{
+	for (size_t i = 0; i < result->entry_count; i++)
+		json_decref(result->entries[i].value);
+	if (result->heartbeat) {
+		ws_heartbeat_free(result->heartbeat);
+		free(result->heartbeat);
+	}
+	free(result->entries);
+	free(result->failed_keys);
+	free(result->types);
+	free(result->instances);
+	free(result->cancellations);
+	memset(result, 0, sizeof(*result));
+}
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -1,418 +1,509 @@
 #include "peer.h"
 #include "../log.h"
-#include "codec.h"
-#include "http.h"
+#include "clock.h"
+#include "sockets.h"
 #include <arpa/inet.h>
 #include <errno.h>
-#include <netinet/tcp.h>
-#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define WS_FRAME_MAX ((size_t)160 * 1024)
-#define WS_OUT_MAX ((size_t)1024 * 1024)
-
-struct ws_peer_request {
+#define FRAME_MAX ((size_t)160 * 1024)
+/* Bytes that wait to be sent by a connection. */
+#define OUT_MAX ((size_t)1024 * 1024)
+/* Of the length in front of a frame, in network order. */
+#define LENGTH_SIZE 4
+#define READ_SIZE_LEAST 16384
+#define READ_BUFFER_STEP 32768
+#define BACKLOG 64
+/* A peer keeps one connection; a few more may be left over from its earlier lives. */
+#define ACCEPTED_PER_PEER 8
+#define TIMER_S 0.1
+/* A connection on which nothing came for so long, while replies are due, is closed. */
+#define SILENT_S 1
+
+/* A request whose reply is waited for. */
+struct awaited_reply {
 	uint64_t id;
 	double deadline;
-	ws_peer_done_fn callback;
+	ws_peer_done_fn on_reply;
 	void *context;
-	struct ws_peer_request *next;
+	struct awaited_reply *next;
 };
 
-struct ws_peer_connection {
+struct connection {
 	struct ws_peers *peers;
 	int fd; /* -1: closed */
 	bool connected;
-	ev_io read_watcher, write_watcher;
-	uint8_t *input, *output;
-	size_t input_length, input_capacity, output_length, output_capacity;
-	uint64_t id; /* of an accepted pipe */
-	struct ws_peer_connection *next;
-	/* of a pipe to a peer */
-	const struct ws_endpoint *endpoint;
-	struct ws_peer_request *requests;
-	double heard, failed, opened;
+	ev_io readable, writable;
+	uint8_t *in, *out;
+	size_t in_length, in_capacity, out_length, out_capacity;
+	struct connection *next;
+	/* of an accepted one: */
+	uint64_t id;
+	/* of one to a peer: */
+	const struct ws_endpoint *peer; /* NULL: accepted */
+	struct awaited_reply *awaited;
+	double heard, failed, opened; /* when that was last */
 };
 
 struct ws_peers {
 	struct ev_loop *loop;
 	const struct ws_settings *settings;
 	int fd;
-	ev_io accept_watcher;
+	ev_io acceptable;
 	ev_timer timer;
-	ws_peer_ask_fn callback;
+	ws_peer_ask_fn on_request;
 	void *context;
-	uint64_t next_id;
-	struct ws_peer_connection *accepted, *dead;
-	int naccepted;
-	struct ws_peer_connection connections[WS_MAX_PEERS];
-	size_t turn;
+	uint64_t last_id;
+	struct connection *accepted;
+	struct connection *closed; /* accepted ones, to be freed by the timer */
+	int accepted_count;
+	struct connection to_peers[WS_MAX_PEERS];
+	size_t turn; /* the peer that "any" is looked for from */
 };
 
-static void ws_pipe_close(struct ws_peer_connection *pipe)
+/* ---- awaited replies ---- */
+
+/* Ends requests without a reply. */
+static void end_unanswered(struct awaited_reply *list)
 {
-	struct ws_peer_request *wait;
+	while (list) {
+		struct awaited_reply *next = list->next;
 
-	if (pipe->fd < 0)
-		return;
-	ev_io_stop(pipe->peers->loop, &pipe->read_watcher);
-	ev_io_stop(pipe->peers->loop, &pipe->write_watcher);
-	close(pipe->fd);
-	pipe->fd = -1;
-	pipe->connected = false;
-	pipe->input_length = pipe->output_length = 0;
-	pipe->failed = ws_now();
-	wait = pipe->requests;
-	pipe->requests = NULL;
-	while (wait) {
-		struct ws_peer_request *next_wait = wait->next;
-
-		wait->callback(wait->context, NULL);
-		free(wait);
-		wait = next_wait;
+		list->on_reply(list->context, NULL);
+		free(list);
+		list = next;
 	}
-	if (!pipe->endpoint) { /* freed by the timer: it may be on the stack now */
-		struct ws_peer_connection **pipe_link = &pipe->peers->accepted;
-
-		while (*pipe_link && *pipe_link != pipe)
-			pipe_link = &(*pipe_link)->next;
-		if (*pipe_link)
-			*pipe_link = pipe->next;
-		pipe->peers->naccepted--;
-		pipe->next = pipe->peers->dead;
-		pipe->peers->dead = pipe;
+}
+
+/* Takes one out; NULL: it is not waited for (any more). */
+static struct awaited_reply *take_awaited(struct connection *connection, uint64_t id)
+{
+	struct awaited_reply **link = &connection->awaited;
+	struct awaited_reply *found;
+
+	while (*link && (*link)->id != id)
+		link = &(*link)->next;
+	found = *link;
+	if (found)
+		*link = found->next;
+	return found;
+}
+
+/* Takes those out that are past their time; the last one is the list's first. */
+static struct awaited_reply *take_late(struct connection *connection, double now)
+{
+	struct awaited_reply **link = &connection->awaited;
+	struct awaited_reply *late = NULL, *awaited;
+
+	while ((awaited = *link)) {
+		if (awaited->deadline > now) {
+			link = &awaited->next;
+			continue;
+		}
+		*link = awaited->next;
+		awaited->next = late;
+		late = awaited;
 	}
+	return late;
+}
+
+/* ---- the end of a connection ---- */
+
+/* An accepted one is freed by the timer: it may be on the stack now. */
+static void move_to_closed(struct connection *connection)
+{
+	struct ws_peers *peers = connection->peers;
+	struct connection **link = &peers->accepted;
+
+	while (*link && *link != connection)
+		link = &(*link)->next;
+	if (*link)
+		*link = connection->next;
+	peers->accepted_count--;
+	connection->next = peers->closed;
+	peers->closed = connection;
 }
 
-static void ws_pipe_flush(struct ws_peer_connection *pipe)
+static void close_connection(struct connection *connection)
 {
+	struct awaited_reply *awaited = connection->awaited;
+
+	if (connection->fd < 0)
+		return;
+	ev_io_stop(connection->peers->loop, &connection->readable);
+	ev_io_stop(connection->peers->loop, &connection->writable);
+	close(connection->fd);
+	connection->fd = -1;
+	connection->connected = false;
+	connection->in_length = connection->out_length = 0;
+	connection->failed = ws_now();
+	connection->awaited = NULL;
+	end_unanswered(awaited);
+	if (!connection->peer)
+		move_to_closed(connection);
+}
+
+/* ---- sending ---- */
+
+static void write_out(struct connection *connection)
+{
+	struct ev_loop *loop = connection->peers->loop;
 	size_t sent = 0;
 
-	while (pipe->connected && sent < pipe->output_length) {
-		ssize_t n =
-		    send(pipe->fd, pipe->output + sent, pipe->output_length - sent, MSG_NOSIGNAL);
+	while (connection->connected && sent < connection->out_length) {
+		ssize_t count = send(connection->fd, connection->out + sent,
+				     connection->out_length - sent, MSG_NOSIGNAL);
 
-		if (n < 0 && errno == EINTR)
+		if (count < 0 && errno == EINTR)
 			continue;
-		if (n < 0 && errno == EAGAIN)
+		if (count < 0 && ws_socket_would_block())
 			break;
-		if (n <= 0) {
-			ws_pipe_close(pipe);
+		if (count <= 0) {
+			close_connection(connection);
 			return;
 		}
-		sent += (size_t)n;
+		sent += (size_t)count;
 	}
 	if (sent) {
-		memmove(pipe->output, pipe->output + sent, pipe->output_length - sent);
-		pipe->output_length -= sent;
+		memmove(connection->out, connection->out + sent, connection->out_length - sent);
+		connection->out_length -= sent;
 	}
-	if (pipe->output_length || !pipe->connected)
-		ev_io_start(pipe->peers->loop, &pipe->write_watcher);
+	if (connection->out_length || !connection->connected)
+		ev_io_start(loop, &connection->writable);
 	else
-		ev_io_stop(pipe->peers->loop, &pipe->write_watcher);
+		ev_io_stop(loop, &connection->writable);
 }
 
-static bool ws_pipe_frame(struct ws_peer_connection *pipe, Ws__PeerFrame *frame)
+/* Room for so many bytes to send; false without memory. */
+static bool reserve_out(struct connection *connection, size_t capacity)
 {
-	size_t n = ws__peer_frame__get_packed_size(frame);
-	uint32_t be = htonl((uint32_t)n);
+	uint8_t *grown;
 
-	if (pipe->fd < 0 || n > WS_FRAME_MAX || pipe->output_length + n + 4 > WS_OUT_MAX)
+	if (capacity <= connection->out_capacity)
+		return true;
+	grown = realloc(connection->out, capacity);
+	if (!grown)
 		return false;
-	if (pipe->output_length + n + 4 > pipe->output_capacity) {
-		uint8_t *q = realloc(pipe->output, pipe->output_length + n + 4);
+	connection->out = grown;
+	connection->out_capacity = capacity;
+	return true;
+}
 
-		if (!q)
-			return false;
-		pipe->output = q;
-		pipe->output_capacity = pipe->output_length + n + 4;
-	}
-	memcpy(pipe->output + pipe->output_length, &be, 4);
-	ws__peer_frame__pack(frame, pipe->output + pipe->output_length + 4);
-	pipe->output_length += n + 4;
-	ws_pipe_flush(pipe);
+/* Sends a frame; false: it is too long, too much waits, or the connection is closed. */
+static bool send_frame(struct connection *connection, Ws__PeerFrame *frame)
+{
+	size_t length = ws__peer_frame__get_packed_size(frame);
+	uint32_t network_length = htonl((uint32_t)length);
+	size_t after = connection->out_length + length + LENGTH_SIZE;
+	uint8_t *to;
+
+	if (connection->fd < 0 || length > FRAME_MAX || after > OUT_MAX ||
+	    !reserve_out(connection, after))
+		return false;
+	to = connection->out + connection->out_length;
+	memcpy(to, &network_length, LENGTH_SIZE);
+	ws__peer_frame__pack(frame, to + LENGTH_SIZE);
+	connection->out_length = after;
+	write_out(connection);
 	return true;
 }
 
-static void ws_pipe_got(struct ws_peer_connection *pipe, const Ws__PeerFrame *frame)
+/* ---- receiving ---- */
+
+static void handle_frame(struct connection *connection, const Ws__PeerFrame *frame)
 {
-	if (!pipe->endpoint) {
+	struct ws_peers *peers = connection->peers;
+	struct awaited_reply *awaited;
+
+	if (!connection->peer) {
 		if (frame->kind != WS__PEER_FRAME__KIND__REPLY)
-			pipe->peers->callback(pipe->peers->context, pipe->id, frame);
+			peers->on_request(peers->context, connection->id, frame);
 		return;
 	}
-	pipe->heard = ws_now();
-	for (struct ws_peer_request **wait_link = &pipe->requests, *wait; (wait = *wait_link);
-	     wait_link = &wait->next)
-		if (wait->id == frame->id) {
-			*wait_link = wait->next;
-			wait->callback(wait->context, frame);
-			free(wait);
-			return;
-		}
+	connection->heard = ws_now();
+	awaited = take_awaited(connection, frame->id);
+	if (!awaited)
+		return;
+	awaited->on_reply(awaited->context, frame);
+	free(awaited);
 }
 
-static void ws_pipe_readable(struct ev_loop *loop, ev_io *watcher, int revents)
+/* Takes the next whole frame in; false: there is none yet, or the connection was closed. */
+static bool take_frame(struct connection *connection)
 {
-	struct ws_peer_connection *pipe = watcher->data;
-	ssize_t n;
+	Ws__PeerFrame *frame;
+	uint32_t length;
 
-	(void)loop;
-	(void)revents;
-	if (pipe->input_capacity - pipe->input_length < 16384) {
-		uint8_t *q = realloc(pipe->input, pipe->input_capacity + 32768);
+	if (connection->fd < 0 || connection->in_length < LENGTH_SIZE)
+		return false;
+	memcpy(&length, connection->in, LENGTH_SIZE);
+	length = ntohl(length);
+	if (length > FRAME_MAX) {
+		ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes is refused", length);
+		close_connection(connection);
+		return false;
+	}
+	if (connection->in_length < length + LENGTH_SIZE)
+		return false;
+	frame = ws__peer_frame__unpack(NULL, length, connection->in + LENGTH_SIZE);
+	connection->in_length -= LENGTH_SIZE + length;
+	memmove(connection->in, connection->in + LENGTH_SIZE + length, connection->in_length);
+	if (!frame) { /* not ours, or garbled */
+		ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes can't be read", length);
+		close_connection(connection);
+		return false;
+	}
+	handle_frame(connection, frame);
+	ws__peer_frame__free_unpacked(frame, NULL);
+	return true;
+}
 
-		if (!q) {
-			ws_pipe_close(pipe);
-			return;
-		}
-		pipe->input = q;
-		pipe->input_capacity += 32768;
+/* Room for the next bytes; false without memory. */
+static bool reserve_in(struct connection *connection)
+{
+	uint8_t *grown;
+
+	if (connection->in_capacity - connection->in_length >= READ_SIZE_LEAST)
+		return true;
+	grown = realloc(connection->in, connection->in_capacity + READ_BUFFER_STEP);
+	if (!grown)
+		return false;
+	connection->in = grown;
+	connection->in_capacity += READ_BUFFER_STEP;
+	return true;
+}
+
+static void on_readable(struct ev_loop *loop, ev_io *watcher, int events)
+{
+	struct connection *connection = watcher->data;
+	ssize_t count;
+
+	(void)loop;
+	(void)events;
+	if (!reserve_in(connection)) {
+		close_connection(connection);
+		return;
 	}
-	n = recv(pipe->fd, pipe->input + pipe->input_length,
-		 pipe->input_capacity - pipe->input_length, 0);
-	if (n < 0 && (errno == EAGAIN || errno == EINTR))
+	count = recv(connection->fd, connection->in + connection->in_length,
+		     connection->in_capacity - connection->in_length, 0);
+	if (count < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
-	if (n <= 0) {
-		ws_pipe_close(pipe);
+	if (count <= 0) {
+		close_connection(connection);
 		return;
 	}
-	pipe->input_length += (size_t)n;
-	while (pipe->fd >= 0 && pipe->input_length >= 4) {
-		uint32_t be, len;
-		Ws__PeerFrame *frame;
-
-		memcpy(&be, pipe->input, 4);
-		len = ntohl(be);
-		if (len > WS_FRAME_MAX) {
-			ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes is refused", len);
-			ws_pipe_close(pipe);
-			return;
-		}
-		if (pipe->input_length < len + 4)
-			return;
-		frame = ws__peer_frame__unpack(NULL, len, pipe->input + 4);
-		memmove(pipe->input, pipe->input + 4 + len, pipe->input_length - 4 - len);
-		pipe->input_length -= 4 + len;
-		if (!frame) { /* not ours, or garbled */
-			ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes can't be read", len);
-			ws_pipe_close(pipe);
-			return;
-		}
-		ws_pipe_got(pipe, frame);
-		ws__peer_frame__free_unpacked(frame, NULL);
-	}
+	connection->in_length += (size_t)count;
+	while (take_frame(connection))
+		;
 }
 
-static void ws_pipe_writable(struct ev_loop *loop, ev_io *watcher, int revents)
+static void on_writable(struct ev_loop *loop, ev_io *watcher, int events)
 {
-	struct ws_peer_connection *pipe = watcher->data;
-	int e = 0;
-	socklen_t n = sizeof(e);
+	struct connection *connection = watcher->data;
 
-	(void)loop;
-	(void)revents;
-	if (!pipe->connected) {
-		getsockopt(pipe->fd, SOL_SOCKET, SO_ERROR, &e, &n);
-		if (e) {
-			ws_pipe_close(pipe);
+	(void)events;
+	if (!connection->connected) {
+		if (!ws_socket_connected(connection->fd)) {
+			close_connection(connection);
 			return;
 		}
-		pipe->connected = true;
-		ev_io_start(pipe->peers->loop, &pipe->read_watcher);
+		connection->connected = true;
+		ev_io_start(loop, &connection->readable);
 	}
-	ws_pipe_flush(pipe);
+	write_out(connection);
 }
 
-static void ws_pipe_start(struct ws_peer_connection *pipe, struct ws_peers *peers, int fd)
+/* ---- connecting and accepting ---- */
+
+static void start(struct connection *connection, struct ws_peers *peers, int socket_fd)
 {
-	int one = 1;
-
-	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-	pipe->peers = peers;
-	pipe->fd = fd;
-	pipe->opened = ws_now();
-	ev_io_init(&pipe->read_watcher, ws_pipe_readable, fd, EV_READ);
-	ev_io_init(&pipe->write_watcher, ws_pipe_writable, fd, EV_WRITE);
-	pipe->read_watcher.data = pipe->write_watcher.data = pipe;
+	ws_socket_no_delay(socket_fd);
+	connection->peers = peers;
+	connection->fd = socket_fd;
+	connection->opened = ws_now();
+	ev_io_init(&connection->readable, on_readable, socket_fd, EV_READ);
+	ev_io_init(&connection->writable, on_writable, socket_fd, EV_WRITE);
+	connection->readable.data = connection->writable.data = connection;
 }
 
-static bool ws_pipe_open(struct ws_peer_connection *pipe)
+/* Has a connection to a peer, which may still be under way; false: it can't be opened. */
+static bool open_connection(struct connection *connection)
 {
-	struct sockaddr_in a = {.sin_family = AF_INET,
-				.sin_port = htons((uint16_t)pipe->endpoint->port)};
-	int fd;
+	struct sockaddr_in address;
+	int socket_fd;
 
-	if (pipe->fd >= 0)
+	if (connection->fd >= 0)
 		return true;
-	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-	if (fd < 0)
+	socket_fd = ws_socket_open();
+	if (socket_fd < 0)
 		return false;
-	inet_pton(AF_INET, pipe->endpoint->host, &a.sin_addr);
-	if (connect(fd, (struct sockaddr *)&a, sizeof(a)) && errno != EINPROGRESS) {
-		close(fd);
-		pipe->failed = ws_now();
+	address = ws_socket_address(connection->peer->host, connection->peer->port);
+	if (!ws_socket_connect(socket_fd, &address)) {
+		connection->failed = ws_now();
 		return false;
 	}
-	ws_pipe_start(pipe, pipe->peers, fd);
-	ev_io_start(pipe->peers->loop, &pipe->write_watcher);
+	start(connection, connection->peers, socket_fd);
+	ev_io_start(connection->peers->loop, &connection->writable);
 	return true;
 }
 
-static void ws_peers_accept(struct ev_loop *loop, ev_io *watcher, int revents)
+/* False: there are too many, or no memory. */
+static bool add_accepted(struct ws_peers *peers, int socket_fd)
+{
+	struct connection *connection;
+
+	if (peers->accepted_count >= (int)peers->settings->peer_count * ACCEPTED_PER_PEER)
+		return false;
+	connection = calloc(1, sizeof(*connection));
+	if (!connection)
+		return false;
+	start(connection, peers, socket_fd);
+	connection->connected = true;
+	connection->id = ++peers->last_id;
+	connection->next = peers->accepted;
+	peers->accepted = connection;
+	peers->accepted_count++;
+	ev_io_start(peers->loop, &connection->readable);
+	return true;
+}
+
+static void on_acceptable(struct ev_loop *loop, ev_io *watcher, int events)
 {
 	struct ws_peers *peers = watcher->data;
-	int fd;
+	int socket_fd;
 
-	(void)revents;
-	while ((fd = accept4(peers->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0) {
-		struct ws_peer_connection *pipe;
+	(void)loop;
+	(void)events;
+	while ((socket_fd = ws_socket_accept(peers->fd)) >= 0)
+		if (!add_accepted(peers, socket_fd))
+			close(socket_fd);
+}
 
-		/* a peer keeps one pipe; a few more may be left over from its earlier lives */
-		if (peers->naccepted >= (int)peers->settings->peer_count * 8 ||
-		    !(pipe = calloc(1, sizeof(*pipe)))) {
-			close(fd);
-			continue;
-		}
-		ws_pipe_start(pipe, peers, fd);
-		pipe->connected = true;
-		pipe->id = ++peers->next_id;
-		pipe->next = peers->accepted;
-		peers->accepted = pipe;
-		peers->naccepted++;
-		ev_io_start(loop, &pipe->read_watcher);
+/* ---- timeouts ---- */
+
+static void free_closed(struct ws_peers *peers)
+{
+	while (peers->closed) {
+		struct connection *connection = peers->closed;
+
+		peers->closed = connection->next;
+		free(connection->in);
+		free(connection->out);
+		free(connection);
 	}
 }
 
-static void ws_peers_timer(struct ev_loop *loop, ev_timer *watcher, int revents)
+static void end_late(struct connection *connection, double now)
+{
+	struct awaited_reply *late = take_late(connection, now);
+
+	if (late && connection->fd >= 0 && now - connection->heard > SILENT_S &&
+	    now - connection->opened > SILENT_S)
+		close_connection(connection); /* a new connection may fare better */
+	end_unanswered(late);
+}
+
+static void on_timer(struct ev_loop *loop, ev_timer *watcher, int events)
 {
 	struct ws_peers *peers = watcher->data;
 	double now = ws_now();
 
 	(void)loop;
-	(void)revents;
-	while (peers->dead) {
-		struct ws_peer_connection *pipe = peers->dead;
-
-		peers->dead = pipe->next;
-		free(pipe->input);
-		free(pipe->output);
-		free(pipe);
-	}
-	for (size_t i = 0; i < peers->settings->peer_count; i++) {
-		struct ws_peer_connection *other_pipe = &peers->connections[i];
-		struct ws_peer_request *late = NULL, *wait;
-
-		for (struct ws_peer_request **wait_link = &other_pipe->requests;
-		     (wait = *wait_link);) {
-			if (wait->deadline > now) {
-				wait_link = &wait->next;
-				continue;
-			}
-			*wait_link = wait->next;
-			wait->next = late;
-			late = wait;
-		}
-		if (late && other_pipe->fd >= 0 && now - other_pipe->heard > 1 &&
-		    now - other_pipe->opened > 1)
-			ws_pipe_close(other_pipe); /* silent: a new connection may fare better */
-		while ((wait = late)) {
-			late = wait->next;
-			wait->callback(wait->context, NULL);
-			free(wait);
-		}
-	}
+	(void)events;
+	free_closed(peers);
+	for (size_t i = 0; i < peers->settings->peer_count; i++)
+		end_late(&peers->to_peers[i], now);
 }
 
+/* ---- all peers ---- */
+
 struct ws_peers *ws_peers_new(struct ev_loop *loop, const struct ws_settings *settings,
-			      ws_peer_ask_fn callback, void *ctx, char *err, size_t size)
+			      ws_peer_ask_fn on_request, void *context, char *error,
+			      size_t error_size)
 {
 	struct ws_peers *peers = calloc(1, sizeof(*peers));
-	struct sockaddr_in a = {.sin_family = AF_INET,
-				.sin_port = htons((uint16_t)settings->peer_bind.port)};
-	int one = 1;
+	int port = settings->peer_bind.port;
 
 	if (!peers)
 		return NULL;
+	peers->fd = ws_socket_listen(settings->peer_bind.host, &port, BACKLOG, error, error_size);
+	if (peers->fd < 0) {
+		free(peers);
+		return NULL;
+	}
 	peers->loop = loop;
 	peers->settings = settings;
-	peers->callback = callback;
-	peers->context = ctx;
+	peers->on_request = on_request;
+	peers->context = context;
 	for (size_t i = 0; i < settings->peer_count; i++) {
-		peers->connections[i].fd = -1;
-		peers->connections[i].peers = peers;
-		peers->connections[i].endpoint = &settings->peers[i];
-	}
-	inet_pton(AF_INET, settings->peer_bind.host, &a.sin_addr);
-	peers->fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-	setsockopt(peers->fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-	if (peers->fd < 0 || bind(peers->fd, (struct sockaddr *)&a, sizeof(a)) ||
-	    listen(peers->fd, 64)) {
-		snprintf(err, size, "can't listen on %s:%d: %s", settings->peer_bind.host,
-			 settings->peer_bind.port, strerror(errno));
-		if (peers->fd >= 0)
-			close(peers->fd);
-		free(peers);
-		return NULL;
+		peers->to_peers[i].fd = -1;
+		peers->to_peers[i].peers = peers;
+		peers->to_peers[i].peer = &settings->peers[i];
 	}
-	ev_io_init(&peers->accept_watcher, ws_peers_accept, peers->fd, EV_READ);
-	peers->accept_watcher.data = peers;
-	ev_io_start(loop, &peers->accept_watcher);
-	ev_timer_init(&peers->timer, ws_peers_timer, 0.1, 0.1);
+	ev_io_init(&peers->acceptable, on_acceptable, peers->fd, EV_READ);
+	peers->acceptable.data = peers;
+	ev_io_start(loop, &peers->acceptable);
+	ev_timer_init(&peers->timer, on_timer, TIMER_S, TIMER_S);
 	peers->timer.data = peers;
 	ev_timer_start(loop, &peers->timer);
 	return peers;
 }
 
-bool ws_peers_send(struct ws_peers *peers, const char *node, Ws__PeerFrame *frame, double timeout_s,
-		   ws_peer_done_fn callback, void *ctx)
+/* Whether the last answer came later after the last failure than with the other peer. */
+static bool fared_better(const struct connection *connection, const struct connection *other)
 {
-	struct ws_peer_connection *pipe = NULL;
-	struct ws_peer_request *wait;
+	return connection->heard - connection->failed > other->heard - other->failed;
+}
 
-	for (size_t i = 0; i < peers->settings->peer_count; i++) {
-		struct ws_peer_connection *other_pipe =
-		    &peers->connections[(i + peers->turn) % peers->settings->peer_count];
+/* The connection to a node, or with "" to the peer that fared best; NULL: there is none. */
+static struct connection *choose(struct ws_peers *peers, const char *node)
+{
+	size_t count = peers->settings->peer_count;
+	struct connection *chosen = NULL;
 
-		if (node[0] ? strcmp(other_pipe->endpoint->node, node)
-			    : pipe && pipe->heard - pipe->failed >=
-					  other_pipe->heard - other_pipe->failed)
-			continue;
-		pipe = other_pipe;
+	for (size_t i = 0; i < count; i++) {
+		struct connection *connection = &peers->to_peers[(i + peers->turn) % count];
+		bool fits = node[0] ? !strcmp(connection->peer->node, node)
+				    : !chosen || fared_better(connection, chosen);
+
+		if (fits)
+			chosen = connection;
 	}
 	peers->turn++;
-	if (!pipe || !ws_pipe_open(pipe))
-		return false;
-	wait = calloc(1, sizeof(*wait));
-	if (!wait)
+	return chosen;
+}
+
+bool ws_peers_send(struct ws_peers *peers, const char *node, Ws__PeerFrame *frame, double timeout_s,
+		   ws_peer_done_fn on_reply, void *context)
+{
+	struct connection *connection = choose(peers, node);
+	struct awaited_reply *awaited;
+
+	if (!connection || !open_connection(connection))
 		return false;
-	frame->id = wait->id = ++peers->next_id;
-	wait->deadline = ws_now() + timeout_s;
-	wait->callback = callback;
-	wait->context = ctx;
-	wait->next = pipe->requests;
-	pipe->requests = wait;
-	if (!ws_pipe_frame(pipe, frame)) {
-		for (struct ws_peer_request **wait_link = &pipe->requests; *wait_link;
-		     wait_link = &(*wait_link)->next)
-			if (*wait_link == wait) {
-				*wait_link = wait->next;
-				free(wait);
-				break;
-			}
+	awaited = calloc(1, sizeof(*awaited));
+	if (!awaited)
 		return false;
-	}
-	return true;
+	frame->id = awaited->id = ++peers->last_id;
+	awaited->deadline = ws_now() + timeout_s;
+	awaited->on_reply = on_reply;
+	awaited->context = context;
+	awaited->next = connection->awaited;
+	connection->awaited = awaited;
+	if (send_frame(connection, frame))
+		return true;
+	free(take_awaited(connection, awaited->id));
+	return false;
 }
 
-void ws_peers_reply(struct ws_peers *peers, uint64_t from, Ws__PeerFrame *frame)
+void ws_peers_reply(struct ws_peers *peers, uint64_t connection, Ws__PeerFrame *frame)
 {
-	for (struct ws_peer_connection *pipe = peers->accepted; pipe; pipe = pipe->next)
-		if (pipe->id == from) {
-			ws_pipe_frame(pipe, frame);
+	for (struct connection *to = peers->accepted; to; to = to->next)
+		if (to->id == connection) {
+			send_frame(to, frame);
 			return;
 		}
 }
@@ -422,83 +513,15 @@
 	if (!peers)
 		return;
 	for (size_t i = 0; i < peers->settings->peer_count; i++) {
-		ws_pipe_close(&peers->connections[i]);
-		free(peers->connections[i].input);
-		free(peers->connections[i].output);
+		close_connection(&peers->to_peers[i]);
+		free(peers->to_peers[i].in);
+		free(peers->to_peers[i].out);
 	}
 	while (peers->accepted)
-		ws_pipe_close(peers->accepted);
-	ws_peers_timer(peers->loop, &peers->timer, 0);
-	ev_io_stop(peers->loop, &peers->accept_watcher);
+		close_connection(peers->accepted);
+	on_timer(peers->loop, &peers->timer, 0);
+	ev_io_stop(peers->loop, &peers->acceptable);
 	ev_timer_stop(peers->loop, &peers->timer);
 	close(peers->fd);
 	free(peers);
 }
-
-/* ---- outage vote ---- */
-
-void ws_vote_set_question(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_call *call)
-{
-	frame->kind = WS__PEER_FRAME__KIND__OUTAGE_VOTE;
-	frame->vote = vote;
-	vote->leader_revision = call->fencing_token;
-	vote->since_revision = call->since_revision;
-	vote->after_job = call->after;
-}
-
-bool ws_vote_read(const Ws__PeerFrame *frame, struct ws_result *result)
-{
-	const Ws__OutageVote *vote = frame->vote;
-
-	memset(result, 0, sizeof(*result));
-	result->status = (int)frame->status;
-	if (result->status != 503 || !vote)
-		return true; /* no list: nothing is vouched for, whatever the status */
-	result->cancellations = calloc(vote->n_cancelled + 1, sizeof(*result->cancellations));
-	if (!result->cancellations)
-		abort();
-	for (size_t i = 0; i < vote->n_cancelled; i++) {
-		if (!ws_job_id_ok(vote->cancelled[i]->job)) {
-			free(result->cancellations);
-			*result = (struct ws_result){.status = 200};
-			return false;
-		}
-		snprintf(result->cancellations[i].job, WS_ID_MAX, "%s", vote->cancelled[i]->job);
-		result->cancellations[i].revision = vote->cancelled[i]->revision;
-	}
-	result->cancellation_count = vote->n_cancelled;
-	result->has_more = vote->has_more;
-	result->vote_granted = true;
-	return true;
-}
-
-void ws_vote_set_answer(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_effect *effect)
-{
-	Ws__Cancellation *list;
-
-	frame->kind = WS__PEER_FRAME__KIND__REPLY;
-	frame->status = (uint32_t)effect->status;
-	if (!effect->vote_granted)
-		return;
-	frame->vote = vote;
-	vote->has_more = effect->has_more;
-	vote->n_cancelled = effect->cancellation_count;
-	vote->cancelled = calloc(effect->cancellation_count + 1, sizeof(*vote->cancelled));
-	list = calloc(effect->cancellation_count + 1, sizeof(*list));
-	if (!vote->cancelled || !list)
-		abort();
-	for (size_t i = 0; i <= effect->cancellation_count; i++) /* the first one owns them all */
-		vote->cancelled[i] = &list[i];
-	for (size_t i = 0; i < effect->cancellation_count; i++) {
-		ws__cancellation__init(&list[i]);
-		list[i].job = effect->cancellations[i].job;
-		list[i].revision = effect->cancellations[i].revision;
-	}
-}
-
-void ws_vote_free(Ws__OutageVote *vote)
-{
-	if (vote->cancelled)
-		free(vote->cancelled[0]);
-	free(vote->cancelled);
-}
--- /dev/null
+++ b/tests/codec_digest.h
@@ -0,0 +1,210 @@
+/*
+ * A 64-bit FNV-1a digest of what the codecs write and read, for codec_test -d: the checks call the
+ * codecs through the functions below, which fold each message and each decoded value in. Two
+ * versions whose digests agree wrote the same bytes and read the same values.
+ */
+#ifndef CODEC_DIGEST_H
+#define CODEC_DIGEST_H
+#include "../src/io/codec.h"
+#include <inttypes.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#define FNV_OFFSET 14695981039346656037ULL
+#define FNV_PRIME 1099511628211ULL
+
+struct digest {
+	const char *name;
+	uint64_t hash;
+	unsigned long messages;
+};
+
+static struct digest encoded = {"encoded", FNV_OFFSET, 0};
+static struct digest jobs = {"jobs", FNV_OFFSET, 0};
+static struct digest reports = {"heartbeats", FNV_OFFSET, 0};
+static struct digest replies = {"replies", FNV_OFFSET, 0};
+
+static void digest_bytes(struct digest *digest, const void *bytes, size_t length)
+{
+	const unsigned char *next = bytes;
+
+	for (size_t i = 0; i < length; i++)
+		digest->hash = (digest->hash ^ next[i]) * FNV_PRIME;
+}
+
+/* A text and its end; NULL counts as a text of its own. */
+static void digest_text(struct digest *digest, const char *text)
+{
+	digest_bytes(digest, text ? text : "\xff", text ? strlen(text) + 1 : 2);
+}
+
+static void digest_report_value(struct digest *digest, const struct ws_heartbeat *report)
+{
+	struct ws_heartbeat plain = *report;
+
+	plain.tasks = NULL; /* an address, which differs from run to run */
+	digest_bytes(digest, &plain, sizeof(plain));
+	if (report->task_count)
+		digest_bytes(digest, report->tasks, report->task_count * sizeof(*report->tasks));
+}
+
+static void digest_records(struct digest *digest, const struct ws_result *result)
+{
+	for (size_t i = 0; i < result->entry_count; i++) {
+		char *value = json_dumps(result->entries[i].value, JSON_COMPACT | JSON_ENCODE_ANY);
+
+		digest_text(digest, result->entries[i].key);
+		digest_bytes(digest, &result->entries[i].revision,
+			     sizeof(result->entries[i].revision));
+		digest_text(digest, value);
+		free(value);
+	}
+}
+
+static void digest_result(struct digest *digest, const struct ws_result *result)
+{
+	struct ws_result plain = *result;
+
+	plain.entries = NULL;
+	plain.failed_keys = NULL;
+	plain.types = NULL;
+	plain.instances = NULL;
+	plain.heartbeat = NULL;
+	plain.cancellations = NULL;
+	digest_bytes(digest, &plain, sizeof(plain));
+	digest_records(digest, result);
+	for (size_t i = 0; i < result->failed_count; i++)
+		digest_text(digest, result->failed_keys[i]);
+	if (result->type_count)
+		digest_bytes(digest, result->types, result->type_count * sizeof(*result->types));
+	if (result->instance_count)
+		digest_bytes(digest, result->instances,
+			     result->instance_count * sizeof(*result->instances));
+	if (result->heartbeat)
+		digest_report_value(digest, result->heartbeat);
+}
+
+/* ws_decode_job(), with its outcome in the digest. */
+static int decode_job(const char *body, size_t length, struct ws_job_spec *spec)
+{
+	int status = ws_decode_job(body, length, spec);
+
+	jobs.messages++;
+	digest_bytes(&jobs, &status, sizeof(status));
+	if (!status)
+		digest_bytes(&jobs, spec, sizeof(*spec));
+	return status;
+}
+
+/* ws_decode_heartbeat(), with its outcome in the digest. */
+static bool decode_report(const char *body, size_t length, struct ws_heartbeat *report)
+{
+	bool ok = ws_decode_heartbeat(body, length, report);
+
+	reports.messages++;
+	digest_bytes(&reports, &ok, sizeof(ok));
+	if (ok)
+		digest_report_value(&reports, report);
+	return ok;
+}
+
+/* ws_decode_reply(), with its outcome in the digest. */
+static void decode_reply(const struct ws_call *call, int status, const char *body, size_t length,
+			 struct ws_result *result)
+{
+	ws_decode_reply(call, status, body, length, result);
+	replies.messages++;
+	digest_result(&replies, result);
+}
+
+/* ws_encode_heartbeat_answer(), with the message in the digest. */
+static char *encode_report_answer(const struct ws_effect *answer)
+{
+	char *text = ws_encode_heartbeat_answer(answer);
+
+	encoded.messages++;
+	digest_text(&encoded, text);
+	return text;
+}
+
+static void digest_of_answers(void)
+{
+	struct ws_effect answer = {.name = "job-000412", .done = 3, .running = 2};
+	const int statuses[] = {200, 201, 404, 421, 503};
+
+	for (size_t i = 0; i < sizeof(statuses) / sizeof(statuses[0]); i++)
+		for (int phase = 0; phase < 4; phase++) {
+			char *text;
+
+			answer.status = statuses[i];
+			answer.phase = phase;
+			answer.carries_counts = phase & 1;
+			text = ws_encode_user(&answer);
+			encoded.messages++;
+			digest_text(&encoded, text);
+			free(text);
+			free(encode_report_answer(&answer));
+		}
+}
+
+/* Messages of every kind that leaves by ws_encode_call(), whatever the checks cover. */
+static void digest_of_calls(void)
+{
+	struct ws_command orders[] = {
+	    {.kind = WS_COMMAND_RUN, .job = "job-1", .task = 3, .attempt = 9},
+	    {.kind = WS_COMMAND_STOP, .job = "job-2", .task = 0, .attempt = 1, .grace_s = 2.5},
+	    {.kind = WS_COMMAND_REAP, .job = "job-3", .task = 7, .attempt = 2},
+	};
+	struct ws_compare conditions[] = {{.key = "job/job-1", .revision = 41},
+					  {.key = "job/job-2"}};
+	struct ws_operation changes[] = {{.key = "job/job-1", .session = 5}, {.key = "job/job-2"}};
+	struct ws_call call = {.key = "job/", .after = "job/job-1"};
+
+	changes[0].value = json_pack("{s:i}", "v", 1);
+	call.compares = conditions;
+	call.compare_count = 2;
+	call.operations = changes;
+	call.operation_count = 2;
+	call.commands = orders;
+	call.command_count = 3;
+	call.fencing_token = 41;
+	call.incarnation = 2;
+	call.session = 77;
+	call.timeout_ms = 1500;
+	call.since_revision = 12;
+	call.count = 4;
+	snprintf(call.type, sizeof(call.type), "g8");
+	snprintf(call.zone, sizeof(call.zone), "a");
+	for (int kind = 0; kind <= WS_CALL_COMMANDS; kind++) {
+		char path[WS_URL_MAX] = "";
+		const char *method = NULL;
+		char *body;
+
+		call.kind = (enum ws_call_kind)kind;
+		body = ws_encode_call(&call, &method, path);
+		encoded.messages++;
+		digest_text(&encoded, method);
+		digest_text(&encoded, path);
+		digest_text(&encoded, body);
+		free(body);
+	}
+	json_decref(changes[0].value);
+}
+
+/* Messages of each kind besides those that the checks encode. */
+static void digest_of_samples(void)
+{
+	digest_of_answers();
+	digest_of_calls();
+}
+
+static void digest_print(void)
+{
+	const struct digest *const all[] = {&encoded, &jobs, &reports, &replies};
+
+	for (size_t i = 0; i < sizeof(all) / sizeof(all[0]); i++)
+		printf("digest %s: %016" PRIx64 " of %lu\n", all[i]->name, all[i]->hash,
+		       all[i]->messages);
+}
+#endif
--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -1,9 +1,13 @@
-/* Decoders: what the protocol calls malformed, and mangled input with fixed seeds. */
+/*
+ * Decoders: what the protocol calls malformed, and mangled input with fixed seeds. With -d it also
+ * prints digests of all that was encoded and decoded, so that two versions can be compared.
+ */
 #include "../src/io/codec.h"
-#include "../src/io/http.h"
+#include "../src/io/http_common.h"
 #include "../src/io/json_reader.h"
 #include "../src/io/pool.h"
 #include "check.h"
+#include "codec_digest.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -36,7 +40,7 @@
 		json_object_set_new(object, field, v);
 	}
 	text = json_dumps(object, 0);
-	r = ws_decode_job(text, strlen(text), &spec);
+	r = decode_job(text, strlen(text), &spec);
 	free(text);
 	json_decref(object);
 	return r;
@@ -50,7 +54,7 @@
 	bool ok;
 
 	snprintf(text, sizeof(text), "{%s,%s", member, report + 1);
-	ok = ws_decode_heartbeat(text, strlen(text), &heartbeat);
+	ok = decode_report(text, strlen(text), &heartbeat);
 	if (ok)
 		ws_heartbeat_free(&heartbeat);
 	return ok;
@@ -79,11 +83,9 @@
 	check("a missing value", !with_extra("\"x\":"));
 	memset(deep, '[', sizeof(deep));
 	snprintf(text, sizeof(text), "{\"x\":%.*s}", (int)sizeof(deep), deep);
-	check("nested without end",
-	      !ws_decode_heartbeat(text, strlen(text), &(struct ws_heartbeat){0}));
+	check("nested without end", !decode_report(text, strlen(text), &(struct ws_heartbeat){0}));
 	snprintf(text, sizeof(text), "%s}", report);
-	check("more behind the end",
-	      !ws_decode_heartbeat(text, strlen(text), &(struct ws_heartbeat){0}));
+	check("more behind the end", !decode_report(text, strlen(text), &(struct ws_heartbeat){0}));
 }
 
 static uint64_t seed = 42;
@@ -122,32 +124,32 @@
 	size_t before;
 
 	ws_pool_setup();
-	ws_decode_reply(&get, 200, kv, sizeof(kv) - 1, &kept);
+	decode_reply(&get, 200, kv, sizeof(kv) - 1, &kept);
 	before = ws_pool_misses();
 	text = long_report(64);
 	check("a report of 64 tasks reads",
-	      ws_decode_heartbeat(text, strlen(text), &heartbeat) && heartbeat.task_count == 64);
+	      decode_report(text, strlen(text), &heartbeat) && heartbeat.task_count == 64);
 	ws_heartbeat_free(&heartbeat);
 	free(text);
-	s = ws_encode_heartbeat_answer(&effect);
+	s = encode_report_answer(&effect);
 	check("an answer of 300 commands is written", s && strstr(s, "\"orders\":[{"));
 	free(s);
 	check("with no memory beyond the pool's", ws_pool_misses() == before);
 	text = long_report(1000);
 	check("the longest report reads", strlen(text) < WS_BODY_MAX &&
-					      ws_decode_heartbeat(text, strlen(text), &heartbeat) &&
+					      decode_report(text, strlen(text), &heartbeat) &&
 					      heartbeat.task_count == 1000);
 	ws_heartbeat_free(&heartbeat);
 	free(text);
 	check("in memory that is kept for the next", ws_json_capacity() <= WS_JSON_KEPT);
 	text = long_report(6000);
 	check("one that takes more reads all the same",
-	      ws_decode_heartbeat(text, strlen(text), &heartbeat) && heartbeat.task_count == 6000 &&
+	      decode_report(text, strlen(text), &heartbeat) && heartbeat.task_count == 6000 &&
 		  ws_json_capacity() > WS_JSON_KEPT);
 	ws_heartbeat_free(&heartbeat);
 	free(text);
 	check("and what it took is given back with the next",
-	      ws_decode_heartbeat(report, strlen(report), &heartbeat) &&
+	      decode_report(report, strlen(report), &heartbeat) &&
 		  ws_json_capacity() <= WS_JSON_KEPT);
 	ws_heartbeat_free(&heartbeat);
 	check("reports take nothing of jansson's", ws_pool_misses() == before);
@@ -155,7 +157,7 @@
 	effect.command_count = 6000;
 	for (size_t i = 0; i < effect.command_count; i++)
 		effect.commands[i] = orders[0];
-	s = ws_encode_heartbeat_answer(&effect);
+	s = encode_report_answer(&effect);
 	check("an answer that takes more than the pool is written all the same",
 	      s && strlen(s) > 6000 * strlen("{\"verb\":\"run\"}") && ws_pool_misses() > before);
 	free(s);
@@ -166,7 +168,7 @@
 	ws_result_free(&kept);
 }
 
-int main(void)
+int main(int argc, char **argv)
 {
 	static const char *const need[] = {
 	    "nameId", "jobclass",     "owner",	   "shape",	     "tier",	 "shards",
@@ -203,7 +205,7 @@
 	struct ws_result res;
 	struct ws_call call = {.kind = WS_CALL_GET};
 
-	check("the protocol's example", ws_decode_job(base, strlen(base), &spec) == 0);
+	check("the protocol's example", decode_job(base, strlen(base), &spec) == 0);
 	check("its fields", !strcmp(spec.id, "job-000412") && spec.tasks == 16 && spec.cpus == 8 &&
 				spec.one_zone && spec.allows_preemptible && !spec.spread &&
 				spec.priority == WS_PRIORITY_URGENT && spec.type_count == 1 &&
@@ -215,12 +217,11 @@
 		check(need[i], with(need[i], "") == 400);
 	for (size_t i = 0; i < sizeof(wrong) / sizeof(wrong[0]); i++)
 		check(wrong[i][0], with(wrong[i][0], wrong[i][1]) == 400);
-	check("no JSON", ws_decode_job("{", 1, &spec) == 400 && ws_decode_job("", 0, &spec) == 400);
-	check("no object",
-	      ws_decode_job("[]", 2, &spec) == 400 && ws_decode_job("3", 1, &spec) == 400);
-	check("not finite", ws_decode_job("{\"vcpus\":1e999}", 15, &spec) == 400);
+	check("no JSON", decode_job("{", 1, &spec) == 400 && decode_job("", 0, &spec) == 400);
+	check("no object", decode_job("[]", 2, &spec) == 400 && decode_job("3", 1, &spec) == 400);
+	check("not finite", decode_job("{\"vcpus\":1e999}", 15, &spec) == 400);
 
-	check("a report", ws_decode_heartbeat(report, strlen(report), &heartbeat));
+	check("a report", decode_report(report, strlen(report), &heartbeat));
 	check("its tasks", heartbeat.task_count == 2 && heartbeat.tasks[0].task == 3 &&
 			       heartbeat.tasks[1].exit_reason == WS_EXIT_DONE &&
 			       heartbeat.preemption_notice_s < 0 && heartbeat.port == 9000);
@@ -234,7 +235,7 @@
 	    "{\"shard\":\"job-1/3\",\"tryNo\":2,\"phase\":\"dreaming\"},"
 	    "{\"shard\":\"job-1/4\",\"tryNo\":2,\"phase\":\"exited\",\"cause\":\"boredom\"}]}";
 	check("a gang's words",
-	      ws_decode_heartbeat(gang, strlen(gang), &heartbeat) && heartbeat.task_count == 5);
+	      decode_report(gang, strlen(gang), &heartbeat) && heartbeat.task_count == 5);
 	check("waiting", heartbeat.tasks[0].state == WS_TASK_WAITING);
 	check("mates_gone", heartbeat.tasks[1].exit_reason == WS_EXIT_MEMBER_LOST);
 	check("incomplete", heartbeat.tasks[2].exit_reason == WS_EXIT_GANG_INCOMPLETE);
@@ -242,20 +243,20 @@
 	check("an unknown cause blames nobody", heartbeat.tasks[4].exit_reason == WS_EXIT_STOPPED);
 	ws_heartbeat_free(&heartbeat);
 	check("a gang", with("shape", "\"gang\"") == 0);
-	check("no report", !ws_decode_heartbeat("{}", 2, &heartbeat));
+	check("no report", !decode_report("{}", 2, &heartbeat));
 
 	strcpy(call.key, "job/job-1");
-	ws_decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &res);
+	decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &res);
 	check("another key's answer is none", res.status == 0);
 	ws_result_free(&res);
-	ws_decode_reply(&call, 200, "garbage", 7, &res);
+	decode_reply(&call, 200, "garbage", 7, &res);
 	check("garbage is no answer", res.status == 0);
 	ws_result_free(&res);
 	call.kind = WS_CALL_SCALE_OUT;
-	ws_decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &res);
+	decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &res);
 	check("trouble is no refusal", res.status == 503 && !res.no_capacity);
 	ws_result_free(&res);
-	ws_decode_reply(&call, 503, "{\"error\":\"no capacity\"}", 23, &res);
+	decode_reply(&call, 503, "{\"error\":\"no capacity\"}", 23, &res);
 	check("no capacity is one", res.no_capacity);
 	ws_result_free(&res);
 
@@ -281,18 +282,17 @@
 			if (n < 2)
 				break;
 		}
-		if (!ws_decode_job(text, n, &spec) &&
-		    (spec.tasks < 1 || spec.tasks > WS_MAX_TASKS || !(spec.cpus >= 0) ||
-		     !ws_job_id_ok(spec.id)))
+		if (!decode_job(text, n, &spec) && (spec.tasks < 1 || spec.tasks > WS_MAX_TASKS ||
+						    !(spec.cpus >= 0) || !ws_job_id_ok(spec.id)))
 			check("a mangled job out of bounds is accepted", false);
-		if (ws_decode_heartbeat(text, n, &heartbeat)) {
+		if (decode_report(text, n, &heartbeat)) {
 			if (heartbeat.incarnation < 1 || !heartbeat.machine[0])
 				check("a mangled report out of bounds is accepted", false);
 			ws_heartbeat_free(&heartbeat);
 		}
 		for (int k = WS_CALL_GET; k <= WS_CALL_COMMANDS; k++) {
 			call.kind = (enum ws_call_kind)k;
-			ws_decode_reply(&call, rnd(4) ? 200 : 409, text, n, &res);
+			decode_reply(&call, rnd(4) ? 200 : 409, text, n, &res);
 			ws_result_free(&res);
 		}
 	}
@@ -300,5 +300,9 @@
 	malformed();
 	pool();
 	printf("%d passed, %d failed\n", good, bad);
+	if (argc > 1 && !strcmp(argv[1], "-d")) {
+		digest_of_samples();
+		digest_print();
+	}
 	return bad != 0;
 }
