--- a/src/io/codec.h
+++ b/src/io/codec.h
@@ -1,23 +1,63 @@
-/* The wire: JSON of users, workers, cloud and store to the core's terms and back. */
+/*
+ * The wire: JSON of users, workers, the cloud and the store to the core's terms and back.
+ *
+ * The names of the protocols stay within the codecs. What they mean:
+ *
+ *   users     nameId            job id           vcpus, memGb      CPUs, memory
+ *             jobclass          job class        accelerators      GPUs
+ *             owner             team             bundle, sizeGb    image and its size
+ *             shape: sweep      batch job        hall              zone
+ *             shape: daemon     service          samePlace         all tasks in one zone
+ *             shape: gang       gang             spread            over many machines
+ *             priority class              priority class   reclaimable       on preemptible
+ * instances shards            tasks            expectedS         estimated duration flavours
+ * machine types    dueS              deadline phase: cancelled  cancelled        snapshotEveryS
+ * checkpoint interval snapshotS         duration of a checkpoint workers   host machine shards task
+ * attempts flavour, hall     type, zone       shard             job and task reclaimable
+ * preemptible      tryNo             attempt incarnation            incarnation      phase: pulling
+ * fetching the image counter           sequence number  phase: flushing   saving a checkpoint
+ *             fencing token             fencing token    cause             exit reason
+ *             warningS          preemption notice  cause: mates_gone  of a gang: a member is gone
+ *             orders, verb      commands, kind   cause: incomplete   of a gang: never whole
+ *             verb: reap        forget an exit   windDownS         grace period of a stop
+ *             supervisor        leader
+ *   state     k                 key              holds             store sessions
+ *   service   revision             revision         permit            id of a store session
+ *             ledgerRev         store revision   ttlMs             its time to live
+ *             entries, news     records, events  multi             transaction
+ *             starts, since     prefix, after    when, then        compares, operations
+ *             most, holdMs      limit, wait      failed            keys whose compare failed
+ *             hasNext           more follow
+ *   cloud     hosts             instances        halls             zones
+ *             flavours          machine types    rate, spotPrice   price, preemptible price
+ *             scale-out request           idempotency key  startupS          time to boot
+ *             howMany           count            localGb, fetchGbPerS  disk, image bandwidth
+ */
 #ifndef WS_CODEC_H
 #define WS_CODEC_H
 #include "../core/core.h"
 
-/* 0, or the HTTP status that refuses the body. */
-int ws_decode_job(const char *body, size_t len, struct ws_job_spec *spec);
+/* A user's job. 0, or the HTTP status that refuses the body. */
+int ws_decode_job(const char *body, size_t length, struct ws_job_spec *spec);
+/* Whether a job may have such an id. */
 bool ws_job_id_ok(const char *id);
-bool ws_decode_heartbeat(const char *body, size_t len, struct ws_heartbeat *heartbeat);
-void ws_heartbeat_free(struct ws_heartbeat *heartbeat);
-char *ws_encode_user(const struct ws_effect *effect);
-char *ws_encode_heartbeat_answer(const struct ws_effect *effect);
-char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *command,
+/* A worker's heartbeat; false: malformed. What it allocates is freed by ws_heartbeat_free(). */
+bool ws_decode_heartbeat(const char *body, size_t length, struct ws_heartbeat *report);
+void ws_heartbeat_free(struct ws_heartbeat *report);
+
+/* Bodies to send; freed by the caller, NULL without memory. */
+char *ws_encode_user(const struct ws_effect *answer);
+char *ws_encode_heartbeat_answer(const struct ws_effect *answer);
+char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *commands,
 			 size_t count);
 
-/* Requests to the store and the cloud; paths go to buffers of this size. */
+/* Paths of calls go to buffers of this size. */
 #define WS_URL_MAX 900
+/* The request of a call: its body, which the caller frees, or NULL where it has none. */
 char *ws_encode_call(const struct ws_call *call, const char **method, char *path);
-/* Fills r; what it allocates is freed by ws_result_free. A body that makes no sense: status 0. */
-void ws_decode_reply(const struct ws_call *call, int status, const char *body, size_t len,
+/* Reads an answer into `result`; what it allocates is freed by ws_result_free(). A body that makes
+ * no sense: status 0. */
+void ws_decode_reply(const struct ws_call *call, int status, const char *body, size_t length,
 		     struct ws_result *result);
 void ws_result_free(struct ws_result *result);
 #endif
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -1,82 +1,91 @@
-/* Writing: answers to users and workers, and calls to workers, the cloud and the store. */
+/*
+ * Writing: answers to users and workers, and calls to workers, the cloud and the store. The
+ * names of the wire are mapped in codec.h.
+ */
 #include "codec.h"
 #include "pool.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-static char *ws_dump(json_t *object)
+/* Of a task's number and the slash before it. */
+#define TASK_NUMBER_MAX 16
+
+/* The text of a document, which is freed; ends the use of the pool. */
+static char *to_text(json_t *document)
 {
-	char *s = object ? json_dumps(object, JSON_COMPACT) : NULL, *own = s ? strdup(s) : NULL;
+	char *pooled = document ? json_dumps(document, JSON_COMPACT) : NULL;
+	char *text = pooled ? strdup(pooled) : NULL;
 
-	if (s) { /* it may be the pool's, which ends here; what is part of others is given back */
-		json_free_t give;
+	if (pooled) { /* it may be the pool's, which ends here; what is part of others is freed */
+		json_free_t free_pooled;
 
-		json_get_alloc_funcs(NULL, &give);
-		give(s);
+		json_get_alloc_funcs(NULL, &free_pooled);
+		free_pooled(pooled);
 	}
-	json_decref(object);
+	json_decref(document);
 	ws_pool_end();
-	return own;
+	return text;
 }
 
-char *ws_encode_user(const struct ws_effect *effect)
+char *ws_encode_user(const struct ws_effect *answer)
 {
 	static const char *const phases[] = {"queued", "running", "done", "withdrawn"};
-	json_t *object;
+	json_t *document;
 
-	if (effect->status != 200 && effect->status != 201)
+	if (answer->status != 200 && answer->status != 201)
 		return strdup("{}");
 	ws_pool_begin();
-	object = json_pack("{s:s,s:s}", "nameId", effect->name, "phase", phases[effect->phase]);
-	if (effect->carries_counts) {
-		json_object_set_new(object, "done", json_integer(effect->done));
-		json_object_set_new(object, "running", json_integer(effect->running));
+	document = json_pack("{s:s,s:s}", "nameId", answer->name, "phase", phases[answer->phase]);
+	if (answer->carries_counts) {
+		json_object_set_new(document, "done", json_integer(answer->done));
+		json_object_set_new(document, "running", json_integer(answer->running));
 	}
-	return ws_dump(object);
+	return to_text(document);
 }
 
-static json_t *ws_commands_json(const struct ws_command *command, size_t count)
+static json_t *commands_json(const struct ws_command *commands, size_t count)
 {
 	static const char *const verbs[] = {"run", "stop", "reap"};
 	json_t *array = json_array();
 
 	for (size_t i = 0; i < count; i++) {
-		char task[WS_ID_MAX + 16];
-		json_t *x;
-
-		snprintf(task, sizeof(task), "%s/%u", command[i].job, command[i].task);
-		x = json_pack("{s:s,s:s,s:I}", "verb", verbs[command[i].kind], "shard", task,
-			      "tryNo", (json_int_t)command[i].attempt);
-		if (command[i].kind == WS_COMMAND_STOP)
-			json_object_set_new(x, "windDownS", json_real(command[i].grace_s));
-		json_array_append_new(array, x);
+		const struct ws_command *command = &commands[i];
+		char task[WS_ID_MAX + TASK_NUMBER_MAX];
+		json_t *entry;
+
+		snprintf(task, sizeof(task), "%s/%u", command->job, command->task);
+		entry = json_pack("{s:s,s:s,s:I}", "verb", verbs[command->kind], "shard", task,
+				  "tryNo", (json_int_t)command->attempt);
+		if (command->kind == WS_COMMAND_STOP)
+			json_object_set_new(entry, "windDownS", json_real(command->grace_s));
+		json_array_append_new(array, entry);
 	}
 	return array;
 }
 
-char *ws_encode_heartbeat_answer(const struct ws_effect *effect)
+char *ws_encode_heartbeat_answer(const struct ws_effect *answer)
 {
-	bool names_leader = effect->status == 421 && effect->name[0];
+	bool names_leader = answer->status == 421 && answer->name[0];
 
-	if (effect->status != 200 && !names_leader)
+	if (answer->status != 200 && !names_leader)
 		return strdup("{}");
 	ws_pool_begin();
 	if (names_leader)
-		return ws_dump(json_pack("{s:s}", "supervisor", effect->name));
-	return ws_dump(json_pack("{s:I,s:o}", "epoch", (json_int_t)effect->fencing_token, "orders",
-				 ws_commands_json(effect->commands, effect->command_count)));
+		return to_text(json_pack("{s:s}", "supervisor", answer->name));
+	return to_text(json_pack("{s:I,s:o}", "epoch", (json_int_t)answer->fencing_token, "orders",
+				 commands_json(answer->commands, answer->command_count)));
 }
 
-char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *command,
+char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *commands,
 			 size_t count)
 {
 	ws_pool_begin();
-	return ws_dump(json_pack("{s:I,s:I,s:o}", "epoch", (json_int_t)epoch, "tenure",
-				 (json_int_t)tenure, "orders", ws_commands_json(command, count)));
+	return to_text(json_pack("{s:I,s:I,s:o}", "epoch", (json_int_t)epoch, "tenure",
+				 (json_int_t)tenure, "orders", commands_json(commands, count)));
 }
 
-static json_t *ws_compares_json(const struct ws_call *call)
+static json_t *compares_json(const struct ws_call *call)
 {
 	json_t *list = json_array();
 
@@ -87,48 +96,49 @@
 	return list;
 }
 
-static json_t *ws_operation_json(const struct ws_operation *operation)
+static json_t *operation_json(const struct ws_operation *operation)
 {
-	json_t *change;
+	json_t *document;
 
 	if (!operation->value)
 		return json_pack("{s:s}", "delete", operation->key);
-	change = json_pack("{s:s,s:O}", "write", operation->key, "value", operation->value);
+	document = json_pack("{s:s,s:O}", "write", operation->key, "value", operation->value);
 	if (operation->session)
-		json_object_set_new(change, "permit", json_integer((json_int_t)operation->session));
-	return change;
+		json_object_set_new(document, "permit",
+				    json_integer((json_int_t)operation->session));
+	return document;
 }
 
-static char *ws_encode_transaction(const struct ws_call *call)
+static char *encode_transaction(const struct ws_call *call)
 {
 	json_t *when, *then;
 
 	ws_pool_begin();
-	when = ws_compares_json(call);
+	when = compares_json(call);
 	then = json_array();
 	for (size_t i = 0; i < call->operation_count; i++)
-		json_array_append_new(then, ws_operation_json(&call->operations[i]));
-	return ws_dump(json_pack("{s:o,s:o}", "when", when, "then", then));
+		json_array_append_new(then, operation_json(&call->operations[i]));
+	return to_text(json_pack("{s:o,s:o}", "when", when, "then", then));
 }
 
-static char *ws_encode_scale_in(const struct ws_call *call)
+static char *encode_scale_in(const struct ws_call *call)
 {
 	json_t *names = json_array();
 
 	for (size_t i = 0; i < call->machine_count; i++)
 		json_array_append_new(names, json_string(call->machine_names[i]));
-	return ws_dump(json_pack("{s:o}", "hosts", names));
+	return to_text(json_pack("{s:o}", "hosts", names));
 }
 
-static char *ws_encode_scale_out(const struct ws_call *call)
+static char *encode_scale_out(const struct ws_call *call)
 {
-	return ws_dump(json_pack("{s:s,s:s,s:s,s:b,s:i}", "booking", call->key, "flavour",
+	return to_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", "booking", call->key, "flavour",
 				 call->type, "hall", call->zone, "reclaimable", call->preemptible,
 				 "howMany", (int)call->count));
 }
 
 /* Reads, which have no body: their path. */
-static void ws_encode_read(const struct ws_call *call, char *path)
+static void encode_read(const struct ws_call *call, char *path)
 {
 	const char *since = call->after[0] ? "&since=" : "";
 
@@ -159,10 +169,10 @@
 	switch (call->kind) {
 	case WS_CALL_TRANSACTION:
 		snprintf(path, WS_URL_MAX, "/multi");
-		return ws_encode_transaction(call);
+		return encode_transaction(call);
 	case WS_CALL_SESSION_OPEN:
 		snprintf(path, WS_URL_MAX, "/holds");
-		return ws_dump(json_pack("{s:i}", "ttlMs", (int)call->timeout_ms));
+		return to_text(json_pack("{s:i}", "ttlMs", (int)call->timeout_ms));
 	case WS_CALL_SESSION_RENEW:
 		snprintf(path, WS_URL_MAX, "/holds/%llu/extend", (unsigned long long)call->session);
 		return NULL;
@@ -170,19 +180,17 @@
 		*method = "DELETE";
 		snprintf(path, WS_URL_MAX, "/holds/%llu", (unsigned long long)call->session);
 		return NULL;
-	case WS_CALL_SCALE_OUT:
-		snprintf(path, WS_URL_MAX, "/hosts");
-		return ws_encode_scale_out(call);
+	case WS_CALL_SCALE_OUT: snprintf(path, WS_URL_MAX, "/hosts"); return encode_scale_out(call);
 	case WS_CALL_SCALE_IN:
 		snprintf(path, WS_URL_MAX, "/hosts/return");
-		return ws_encode_scale_in(call);
+		return encode_scale_in(call);
 	case WS_CALL_COMMANDS:
 		snprintf(path, WS_URL_MAX, "/commands");
 		return ws_encode_commands(call->fencing_token, call->incarnation, call->commands,
 					  call->command_count);
 	default:
 		*method = "GET";
-		ws_encode_read(call, path);
+		encode_read(call, path);
 		return NULL;
 	}
 }
