--- a/src/cold_start/cold_start.c
+++ b/src/cold_start/cold_start.c
@@ -12,7 +12,7 @@
 /* The core finds leases that are out within this, in heartbeat intervals. */
 #define SWEEP_REPORTS 0.25
 
-void ws_cold_start_logf(const struct ws_cold_start *coldstart, const char *format, ...)
+void ws_cold_start_logf(const struct ws_cold_start *cold_start, const char *format, ...)
 {
 	char text[512];
 	va_list arguments;
@@ -20,8 +20,8 @@
 	va_start(arguments, format);
 	vsnprintf(text, sizeof(text), format, arguments);
 	va_end(arguments);
-	if (coldstart->log)
-		coldstart->log(text);
+	if (cold_start->log)
+		cold_start->log(text);
 }
 
 void ws_cold_start_defaults(struct ws_cold_start_settings *settings)
@@ -33,53 +33,53 @@
 					const struct ws_cluster_limits *limits,
 					ws_cold_start_log_fn log)
 {
-	struct ws_cold_start *coldstart = calloc(1, sizeof(*coldstart));
+	struct ws_cold_start *cold_start = calloc(1, sizeof(*cold_start));
 
-	if (!coldstart)
+	if (!cold_start)
 		abort();
-	coldstart->settings = *settings;
-	coldstart->limits = *limits;
-	coldstart->limits.zones = NULL; /* the caller's */
-	coldstart->limits.node_zone = NULL;
-	coldstart->log = log;
-	if (coldstart->settings.keep_s < 0)
-		coldstart->settings.keep_s = limits->cancel_s;
-	return coldstart;
+	cold_start->settings = *settings;
+	cold_start->limits = *limits;
+	cold_start->limits.zones = NULL; /* the caller's */
+	cold_start->limits.node_zone = NULL;
+	cold_start->log = log;
+	if (cold_start->settings.keep_s < 0)
+		cold_start->settings.keep_s = limits->cancel_s;
+	return cold_start;
 }
 
-static void term_forget(struct ws_cold_start *coldstart)
+static void term_forget(struct ws_cold_start *cold_start)
 {
-	ws_cold_start_zones_free(coldstart);
-	ws_cold_start_quarantine_free(coldstart);
-	ws_cold_start_lost_free(coldstart);
-	memset(&coldstart->counts, 0, sizeof(coldstart->counts));
-	coldstart->phase = coldstart->recorded_phase = WS_COLD_START_NONE;
-	coldstart->recorded_term = coldstart->recorded_began = 0;
-	coldstart->recorded_doubt = false;
-	coldstart->cold = coldstart->later_format = coldstart->doubted = false;
-	coldstart->phase_due = coldstart->counts_changed = coldstart->survey_done = false;
-	coldstart->lost_new = false;
-	coldstart->account_next = 0;
-	coldstart->surveyed_at = -INFINITY;
+	ws_cold_start_zones_free(cold_start);
+	ws_cold_start_quarantine_free(cold_start);
+	ws_cold_start_lost_free(cold_start);
+	memset(&cold_start->counts, 0, sizeof(cold_start->counts));
+	cold_start->phase = cold_start->recorded_phase = WS_COLD_START_NONE;
+	cold_start->recorded_term = cold_start->recorded_began = 0;
+	cold_start->recorded_doubt = false;
+	cold_start->cold = cold_start->later_format = cold_start->doubted = false;
+	cold_start->phase_due = cold_start->counts_changed = cold_start->survey_done = false;
+	cold_start->lost_new = false;
+	cold_start->account_next = 0;
+	cold_start->surveyed_at = -INFINITY;
 }
 
-void ws_cold_start_free(struct ws_cold_start *coldstart)
+void ws_cold_start_free(struct ws_cold_start *cold_start)
 {
-	if (!coldstart)
+	if (!cold_start)
 		return;
-	term_forget(coldstart);
-	free(coldstart);
+	term_forget(cold_start);
+	free(cold_start);
 }
 
-uint64_t ws_cold_start_steps(const struct ws_cold_start *coldstart)
+uint64_t ws_cold_start_steps(const struct ws_cold_start *cold_start)
 {
-	return coldstart->steps;
+	return cold_start->steps;
 }
 
-bool ws_cold_start_active(const struct ws_cold_start *coldstart)
+bool ws_cold_start_active(const struct ws_cold_start *cold_start)
 {
-	return coldstart->phase == WS_COLD_START_OBSERVING ||
-	       coldstart->phase == WS_COLD_START_RECOVERING;
+	return cold_start->phase == WS_COLD_START_OBSERVING ||
+	       cold_start->phase == WS_COLD_START_RECOVERING;
 }
 
 /* ---- leadership ---- */
@@ -96,22 +96,22 @@
 
 static void elected(void *self, const struct ws_election_facts *facts)
 {
-	struct ws_cold_start *coldstart = self;
-
-	term_forget(coldstart);
-	coldstart->elected_at = facts->now;
-	coldstart->leases_out = facts->leases_out;
-	coldstart->term = coldstart->began_term = facts->term;
-	coldstart->proven_term = facts->proven_term;
-	coldstart->unproven_s = facts->unproven_s;
-	coldstart->cold = facts->unproven_s > PROOF_LEASES * coldstart->limits.lease_s;
+	struct ws_cold_start *cold_start = self;
+
+	term_forget(cold_start);
+	cold_start->elected_at = facts->now;
+	cold_start->leases_out = facts->leases_out;
+	cold_start->term = cold_start->began_term = facts->term;
+	cold_start->proven_term = facts->proven_term;
+	cold_start->unproven_s = facts->unproven_s;
+	cold_start->cold = facts->unproven_s > PROOF_LEASES * cold_start->limits.lease_s;
 }
 
-static void phase_set(struct ws_cold_start *coldstart, enum ws_cold_start_phase phase)
+static void phase_set(struct ws_cold_start *cold_start, enum ws_cold_start_phase phase)
 {
-	coldstart->phase = phase;
-	coldstart->phase_due = coldstart->counts_changed = true;
-	coldstart->account_next = 0;
+	cold_start->phase = phase;
+	cold_start->phase_due = cold_start->counts_changed = true;
+	cold_start->account_next = 0;
 }
 
 static bool phase_open(enum ws_cold_start_phase phase)
@@ -119,22 +119,22 @@
 	return phase == WS_COLD_START_OBSERVING || phase == WS_COLD_START_RECOVERING;
 }
 
-static void begin_log(const struct ws_cold_start *coldstart, bool again)
+static void begin_log(const struct ws_cold_start *cold_start, bool again)
 {
-	size_t expected = ws_cold_start_unheard(coldstart);
+	size_t expected = ws_cold_start_unheard(cold_start);
 
 	if (again)
-		ws_cold_start_logf(coldstart,
+		ws_cold_start_logf(cold_start,
 				   "cold start: goes on, begun by the leader of term %llu: %zu "
 				   "machines expected",
-				   (unsigned long long)coldstart->began_term, expected);
-	else if (isfinite(coldstart->unproven_s))
-		ws_cold_start_logf(coldstart,
+				   (unsigned long long)cold_start->began_term, expected);
+	else if (isfinite(cold_start->unproven_s))
+		ws_cold_start_logf(cold_start,
 				   "cold start: no leader is known to have lived for %.1f s: %zu "
 				   "machines expected",
-				   coldstart->unproven_s, expected);
+				   cold_start->unproven_s, expected);
 	else
-		ws_cold_start_logf(coldstart,
+		ws_cold_start_logf(cold_start,
 				   "cold start: this process knows of no leader before it: %zu "
 				   "machines expected",
 				   expected);
@@ -146,27 +146,27 @@
  */
 static void records_loaded(void *self, double now)
 {
-	struct ws_cold_start *coldstart = self;
-	bool open = phase_open(coldstart->recorded_phase);
+	struct ws_cold_start *cold_start = self;
+	bool open = phase_open(cold_start->recorded_phase);
 	bool again =
-	    open && (coldstart->cold || coldstart->recorded_term == coldstart->proven_term);
+	    open && (cold_start->cold || cold_start->recorded_term == cold_start->proven_term);
 
 	(void)now;
-	if (coldstart->later_format)
+	if (cold_start->later_format)
 		return;
 	if (again) {
-		coldstart->began_term = coldstart->recorded_began;
-		coldstart->doubted = coldstart->recorded_doubt;
+		cold_start->began_term = cold_start->recorded_began;
+		cold_start->doubted = cold_start->recorded_doubt;
 	}
-	if (coldstart->cold || again) {
-		begin_log(coldstart, again);
-		phase_set(coldstart, WS_COLD_START_OBSERVING);
+	if (cold_start->cold || again) {
+		begin_log(cold_start, again);
+		phase_set(cold_start, WS_COLD_START_OBSERVING);
 	} else if (open) {
-		ws_cold_start_logf(coldstart, "cold start: another leader has taken over since, "
-					      "nothing is held");
-		coldstart->began_term = coldstart->recorded_began;
-		coldstart->phase = WS_COLD_START_ENDED;
-		coldstart->phase_due = true;
+		ws_cold_start_logf(cold_start, "cold start: another leader has taken over since, "
+					       "nothing is held");
+		cold_start->began_term = cold_start->recorded_began;
+		cold_start->phase = WS_COLD_START_ENDED;
+		cold_start->phase_due = true;
 	}
 }
 
@@ -180,31 +180,31 @@
 
 static bool attempt_found(void *self, double now, const struct ws_reconciliation *finding)
 {
-	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start *cold_start = self;
 
-	if (!ws_cold_start_active(coldstart))
+	if (!ws_cold_start_active(cold_start))
 		return false;
-	coldstart->steps++;
-	coldstart->counts.findings[finding->result]++;
-	coldstart->counts_changed = true;
+	cold_start->steps++;
+	cold_start->counts.results[finding->result]++;
+	cold_start->counts_changed = true;
 	if (finding->result == WS_RECONCILED_TWO_MACHINES)
-		ws_cold_start_logf(coldstart,
+		ws_cold_start_logf(cold_start,
 				   "cold start: machine %s reports %s/%u, an attempt on record for "
 				   "another machine: stopped",
 				   finding->machine, finding->job, finding->task);
 	if (loses_work(finding->result))
-		ws_cold_start_lost_add(coldstart, finding->job);
+		ws_cold_start_lost_add(cold_start, finding->job);
 	if (finding->result == WS_RECONCILED_UNKNOWN_JOB)
-		return ws_cold_start_keep(coldstart, now, finding);
+		return ws_cold_start_keep(cold_start, now, finding);
 	return finding->result == WS_RECONCILED_UNRECORDED;
 }
 
 /* ---- the gate ---- */
 
-static bool waits_for_zone(const struct ws_cold_start *coldstart, const char *zone)
+static bool waits_for_zone(const struct ws_cold_start *cold_start, const char *zone)
 {
-	return coldstart->phase == WS_COLD_START_OBSERVING &&
-	       ws_cold_start_zone_waits(coldstart, zone);
+	return cold_start->phase == WS_COLD_START_OBSERVING &&
+	       ws_cold_start_zone_waits(cold_start, zone);
 }
 
 static bool zone_closed(void *self, double now, const char *zone)
@@ -215,19 +215,19 @@
 
 static bool order_held(void *self, double now, enum ws_deferrable_action kind, const char *zone)
 {
-	const struct ws_cold_start *coldstart = self;
+	const struct ws_cold_start *cold_start = self;
 
 	switch (kind) {
 	case WS_DEFER_PREEMPTION:
 	case WS_DEFER_GANG_STOP:
-	case WS_DEFER_SCALE_IN_SILENT: return waits_for_zone(coldstart, zone);
+	case WS_DEFER_SCALE_IN_SILENT: return waits_for_zone(cold_start, zone);
 	case WS_DEFER_SCALE_IN_EMPTY:
-		return coldstart->phase == WS_COLD_START_OBSERVING ||
-		       (ws_cold_start_active(coldstart) && coldstart->lost);
+		return cold_start->phase == WS_COLD_START_OBSERVING ||
+		       (ws_cold_start_active(cold_start) && cold_start->lost);
 	case WS_DEFER_FIRST_START:
-		return coldstart->doubted && now < coldstart->leases_out &&
-		       ws_cold_start_unheard(coldstart) > 0;
-	case WS_DEFER_SECOND_REPLICA: return ws_cold_start_active(coldstart);
+		return cold_start->doubted && now < cold_start->leases_out &&
+		       ws_cold_start_unheard(cold_start) > 0;
+	case WS_DEFER_SECOND_REPLICA: return ws_cold_start_active(cold_start);
 	case WS_DEFERRABLE_ACTIONS: break;
 	}
 	return false;
@@ -235,78 +235,79 @@
 
 /* ---- tick ---- */
 
-static void end_log(const struct ws_cold_start *coldstart, double now)
+static void end_log(const struct ws_cold_start *cold_start, double now)
 {
-	const struct ws_cold_start_counts *counts = &coldstart->counts;
+	const struct ws_cold_start_counts *counts = &cold_start->counts;
 
-	ws_cold_start_logf(coldstart,
+	ws_cold_start_logf(cold_start,
 			   "cold start: ended after %.1f s: %zu attempts agreed, %zu lost, %zu "
 			   "jobs lost work, %zu of them run again; %zu jobs the store never heard "
 			   "of, %zu attempts adopted, %zu jobs unclaimed",
-			   now - coldstart->elected_at, counts->findings[WS_RECONCILED_AGREED],
-			   counts->findings[WS_RECONCILED_LEASE_LOST] +
-			       counts->findings[WS_RECONCILED_LEASE_EXPIRED] +
-			       counts->findings[WS_RECONCILED_MACHINE_GONE],
-			   counts->lost_jobs, counts->recovered_jobs, counts->kept, counts->adopted,
-			   counts->unclaimed);
+			   now - cold_start->elected_at, counts->results[WS_RECONCILED_AGREED],
+			   counts->results[WS_RECONCILED_LEASE_LOST] +
+			       counts->results[WS_RECONCILED_LEASE_EXPIRED] +
+			       counts->results[WS_RECONCILED_MACHINE_GONE],
+			   counts->lost_jobs, counts->recovered_jobs, counts->quarantined,
+			   counts->adopted, counts->unclaimed);
 }
 
 /* Leases of machines that were not heard may not be out, or the core may not have seen to it yet.
  */
-static bool silent_may_live(const struct ws_cold_start *coldstart, double now)
+static bool silent_may_live(const struct ws_cold_start *cold_start, double now)
 {
-	return now < coldstart->leases_out + SWEEP_REPORTS * coldstart->limits.report_s;
+	return now < cold_start->leases_out + SWEEP_REPORTS * cold_start->limits.report_s;
 }
 
-static void phase_tick(struct ws_cold_start *coldstart, double now, struct ws_request_queue *out)
+static void phase_tick(struct ws_cold_start *cold_start, double now, struct ws_request_queue *out)
 {
-	double recovering_s = now - coldstart->recovering_at;
+	double recovering_s = now - cold_start->recovering_at;
 
-	if (coldstart->phase == WS_COLD_START_OBSERVING) {
-		if (!ws_cold_start_observe(coldstart, now))
+	if (cold_start->phase == WS_COLD_START_OBSERVING) {
+		if (!ws_cold_start_observe(cold_start, now))
 			return;
-		coldstart->recovering_at = now;
-		phase_set(coldstart, WS_COLD_START_RECOVERING);
+		cold_start->recovering_at = now;
+		phase_set(cold_start, WS_COLD_START_RECOVERING);
 		return;
 	}
-	if (ws_cold_start_keeps(coldstart) ||
-	    (silent_may_live(coldstart, now) && ws_cold_start_unheard(coldstart)) ||
-	    (coldstart->lost && recovering_s < RECOVERY_LEASES * coldstart->limits.lease_s))
+	if (ws_cold_start_keeps(cold_start) ||
+	    (silent_may_live(cold_start, now) && ws_cold_start_unheard(cold_start)) ||
+	    (cold_start->lost && recovering_s < RECOVERY_LEASES * cold_start->limits.lease_s))
 		return;
-	ws_cold_start_recovery_end(coldstart, out);
-	phase_set(coldstart, WS_COLD_START_ENDED);
-	end_log(coldstart, now);
+	ws_cold_start_recovery_end(cold_start, out);
+	phase_set(cold_start, WS_COLD_START_ENDED);
+	end_log(cold_start, now);
 }
 
-static void records_write(struct ws_cold_start *coldstart, double now, struct ws_request_queue *out)
+static void records_write(struct ws_cold_start *cold_start, double now,
+			  struct ws_request_queue *out)
 {
-	if (coldstart->phase_due)
-		ws_request_write(out, "phase", ws_cold_start_phase_record(coldstart), true);
-	coldstart->phase_due = false;
-	if (!coldstart->counts_changed || now < coldstart->account_next)
+	if (cold_start->phase_due)
+		ws_request_write(out, "phase", ws_cold_start_phase_record(cold_start), true);
+	cold_start->phase_due = false;
+	if (!cold_start->counts_changed || now < cold_start->account_next)
 		return;
-	coldstart->counts_changed = false;
-	coldstart->account_next = now + ACCOUNT_LEASES * coldstart->limits.lease_s;
-	ws_request_write(out, "account", ws_cold_start_account_record(coldstart, now), false);
+	cold_start->counts_changed = false;
+	cold_start->account_next = now + ACCOUNT_LEASES * cold_start->limits.lease_s;
+	ws_request_write(out, "account", ws_cold_start_account_record(cold_start, now), false);
 }
 
 static void tick(void *self, const struct ws_tick_facts *facts, struct ws_request_queue *out)
 {
-	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start *cold_start = self;
 
-	if (coldstart->later_format)
+	if (cold_start->later_format)
 		return;
-	if (ws_cold_start_active(coldstart)) /* in an outage too: a job may be a cancelled one */
-		ws_cold_start_quarantine_tick(coldstart, facts->now, out);
+	if (ws_cold_start_active(cold_start)) /* in an outage too: a job may be a cancelled one */
+		ws_cold_start_quarantine_tick(cold_start, facts->now, out);
 	if (!facts->serving)
 		return;
-	if (ws_cold_start_active(coldstart)) {
-		ws_cold_start_recovery_tick(coldstart, facts->now, out);
-		phase_tick(coldstart, facts->now, out);
+	if (ws_cold_start_active(cold_start)) {
+		ws_cold_start_recovery_tick(cold_start, facts->now, out);
+		phase_tick(cold_start, facts->now, out);
 	} else {
-		ws_cold_start_quarantine_forget(coldstart, out);
+		ws_cold_start_quarantine_forget(cold_start, out);
 	}
-	records_write(coldstart, facts->now, out);
+	records_write(cold_start, facts->now, out);
 }
 
 const struct ws_subsystem_ops ws_cold_start_ops = {
--- a/src/cold_start/cold_start.h
+++ b/src/cold_start/cold_start.h
@@ -21,13 +21,13 @@
 struct ws_cold_start *ws_cold_start_new(const struct ws_cold_start_settings *settings,
 					const struct ws_cluster_limits *limits,
 					ws_cold_start_log_fn log);
-void ws_cold_start_free(struct ws_cold_start *coldstart);
+void ws_cold_start_free(struct ws_cold_start *cold_start);
 
 /* The name of a reconciliation result on record and in the log. */
-const char *ws_cold_start_finding_name(enum ws_reconciliation_result kind);
+const char *ws_cold_start_result_name(enum ws_reconciliation_result kind);
 
 /* Steps of work on single machines and jobs so far: for tests that hold it to what changed. */
-uint64_t ws_cold_start_steps(const struct ws_cold_start *coldstart);
+uint64_t ws_cold_start_steps(const struct ws_cold_start *cold_start);
 
 /* For ws_core_attach(), with the object as `self`. */
 extern const struct ws_subsystem_ops ws_cold_start_ops;
--- a/src/cold_start/internal.h
+++ b/src/cold_start/internal.h
@@ -69,11 +69,11 @@
 
 /* What the account of a cold start counts, besides machines. */
 struct ws_cold_start_counts {
-	size_t findings[WS_RECONCILIATION_RESULTS];
-	size_t kept;	  /* jobs that the store never heard of */
-	size_t adopted;	  /* attempts */
-	size_t unclaimed; /* of the jobs kept, stopped when their time was over */
-	size_t over;	  /* of them, stopped since they were on record as over, or unreadable */
+	size_t results[WS_RECONCILIATION_RESULTS];
+	size_t quarantined; /* jobs that the store never heard of */
+	size_t adopted;	    /* attempts */
+	size_t unclaimed;   /* of the jobs kept, stopped when their time was over */
+	size_t over;	    /* of them, stopped since they were on record as over, or unreadable */
 	size_t lost_jobs, recovered_jobs;
 };
 
@@ -106,15 +106,15 @@
 	bool recorded_doubt;
 
 	struct ws_cold_start_zone *zones;
-	struct ws_cold_start_quarantined *kept;
+	struct ws_cold_start_quarantined *quarantined;
 	struct ws_cold_start_lost *lost;
 	struct ws_cold_start_counts counts;
 };
 
-void ws_cold_start_logf(const struct ws_cold_start *coldstart, const char *format, ...)
+void ws_cold_start_logf(const struct ws_cold_start *cold_start, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 /* Attempts are reconciled, and may be quarantined. */
-bool ws_cold_start_active(const struct ws_cold_start *coldstart);
+bool ws_cold_start_active(const struct ws_cold_start *cold_start);
 
 /* observation.c */
 void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_facts *facts);
@@ -123,46 +123,48 @@
 void ws_cold_start_machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss);
 void ws_cold_start_heartbeat_seen(void *self, double now, void *handle);
 /* Machines of a zone ought to answer, and too few have. */
-bool ws_cold_start_zone_waits(const struct ws_cold_start *coldstart, const char *name);
+bool ws_cold_start_zone_waits(const struct ws_cold_start *cold_start, const char *name);
 /* Expected machines that have not been heard. */
-size_t ws_cold_start_unheard(const struct ws_cold_start *coldstart);
+size_t ws_cold_start_unheard(const struct ws_cold_start *cold_start);
 /* Ends the observation of zones that have answered; whether all have. */
-bool ws_cold_start_observe(struct ws_cold_start *coldstart, double now);
-void ws_cold_start_zones_free(struct ws_cold_start *coldstart);
+bool ws_cold_start_observe(struct ws_cold_start *cold_start, double now);
+void ws_cold_start_zones_free(struct ws_cold_start *cold_start);
 
 /* kept.c */
 /* Whether an attempt of a job that no record names is quarantined. */
-bool ws_cold_start_keep(struct ws_cold_start *coldstart, double now,
+bool ws_cold_start_keep(struct ws_cold_start *cold_start, double now,
 			const struct ws_reconciliation *finding);
 void ws_cold_start_looked_up(void *self, double now, const char *job,
 			     enum ws_job_standing standing);
 void ws_cold_start_adopted(void *self, double now, const char *job, uint32_t count);
-void ws_cold_start_quarantine_loaded(struct ws_cold_start *coldstart, const char *job,
+void ws_cold_start_quarantine_loaded(struct ws_cold_start *cold_start, const char *job,
 				     json_t *value);
-void ws_cold_start_quarantine_tick(struct ws_cold_start *coldstart, double now,
+void ws_cold_start_quarantine_tick(struct ws_cold_start *cold_start, double now,
 				   struct ws_request_queue *out);
 /* Nothing is kept any more: its records go. */
-void ws_cold_start_quarantine_forget(struct ws_cold_start *coldstart, struct ws_request_queue *out);
-bool ws_cold_start_keeps(const struct ws_cold_start *coldstart);
-void ws_cold_start_quarantine_free(struct ws_cold_start *coldstart);
+void ws_cold_start_quarantine_forget(struct ws_cold_start *cold_start,
+				     struct ws_request_queue *out);
+bool ws_cold_start_keeps(const struct ws_cold_start *cold_start);
+void ws_cold_start_quarantine_free(struct ws_cold_start *cold_start);
 
 /* recovery.c */
-void ws_cold_start_lost_add(struct ws_cold_start *coldstart, const char *job);
+void ws_cold_start_lost_add(struct ws_cold_start *cold_start, const char *job);
 bool ws_cold_start_attempt_surveyed(void *self, void *machine);
 void ws_cold_start_job_surveyed(void *self, const struct ws_job_facts *facts);
 void ws_cold_start_survey_done(void *self, double now);
 /* Moves that are due; asks for a survey each heartbeat interval while something has to start again.
  */
-void ws_cold_start_recovery_tick(struct ws_cold_start *coldstart, double now,
+void ws_cold_start_recovery_tick(struct ws_cold_start *cold_start, double now,
 				 struct ws_request_queue *out);
 /* The jobs take their ordinary turn again. */
-void ws_cold_start_recovery_end(struct ws_cold_start *coldstart, struct ws_request_queue *out);
-void ws_cold_start_lost_free(struct ws_cold_start *coldstart);
+void ws_cold_start_recovery_end(struct ws_cold_start *cold_start, struct ws_request_queue *out);
+void ws_cold_start_lost_free(struct ws_cold_start *cold_start);
 
 /* records.c */
 const char *ws_cold_start_phase_name(enum ws_cold_start_phase phase);
-json_t *ws_cold_start_phase_record(const struct ws_cold_start *coldstart);
-json_t *ws_cold_start_account_record(const struct ws_cold_start *coldstart, double now);
-json_t *ws_cold_start_quarantine_record(const struct ws_cold_start_quarantined *kept, double now);
+json_t *ws_cold_start_phase_record(const struct ws_cold_start *cold_start);
+json_t *ws_cold_start_account_record(const struct ws_cold_start *cold_start, double now);
+json_t *ws_cold_start_quarantine_record(const struct ws_cold_start_quarantined *quarantined,
+					double now);
 void ws_cold_start_record_loaded(void *self, const char *name, json_t *value);
 #endif
--- a/src/cold_start/observation.c
+++ b/src/cold_start/observation.c
@@ -4,26 +4,26 @@
  */
 #include "internal.h"
 
-static struct ws_cold_start_zone *zone_get(struct ws_cold_start *coldstart, const char *name)
+static struct ws_cold_start_zone *zone_get(struct ws_cold_start *cold_start, const char *name)
 {
 	struct ws_cold_start_zone *zone;
 
-	HASH_FIND_STR(coldstart->zones, name, zone);
+	HASH_FIND_STR(cold_start->zones, name, zone);
 	if (zone)
 		return zone;
 	zone = calloc(1, sizeof(*zone));
 	if (!zone)
 		abort();
 	snprintf(zone->name, sizeof(zone->name), "%s", name);
-	HASH_ADD_STR(coldstart->zones, name, zone);
+	HASH_ADD_STR(cold_start->zones, name, zone);
 	return zone;
 }
 
-void ws_cold_start_zones_free(struct ws_cold_start *coldstart)
+void ws_cold_start_zones_free(struct ws_cold_start *cold_start)
 {
-	struct ws_cold_start_zone *zone = coldstart->zones, *next;
+	struct ws_cold_start_zone *zone = cold_start->zones, *next;
 
-	HASH_CLEAR(hh, coldstart->zones);
+	HASH_CLEAR(hh, cold_start->zones);
 	for (; zone; zone = next) {
 		next = zone->hh.next;
 		free(zone);
@@ -47,20 +47,20 @@
 
 void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_facts *facts)
 {
-	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start *cold_start = self;
 	struct ws_cold_start_machine *machine = calloc(1, sizeof(*machine));
 
 	(void)now;
 	if (!machine)
 		abort();
-	coldstart->steps++;
-	machine->zone = zone_get(coldstart, facts->zone);
+	cold_start->steps++;
+	machine->zone = zone_get(cold_start, facts->zone);
 	machine->expected = facts->expected;
 	machine_count(machine, true);
-	if (facts->unknown && ws_cold_start_active(coldstart)) {
-		coldstart->counts.findings[WS_RECONCILED_UNKNOWN_MACHINE]++;
-		coldstart->counts_changed = true;
-		ws_cold_start_logf(coldstart,
+	if (facts->unknown && ws_cold_start_active(cold_start)) {
+		cold_start->counts.results[WS_RECONCILED_UNKNOWN_MACHINE]++;
+		cold_start->counts_changed = true;
+		ws_cold_start_logf(cold_start,
 				   "cold start: machine %s is neither on record nor listed",
 				   facts->name);
 	}
@@ -100,66 +100,66 @@
 
 void ws_cold_start_heartbeat_seen(void *self, double now, void *handle)
 {
-	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start *cold_start = self;
 	struct ws_cold_start_machine *machine = handle;
 
 	(void)now;
 	if (machine->heard)
 		return;
-	coldstart->steps++;
+	cold_start->steps++;
 	machine_count(machine, false);
 	machine->heard = true;
 	machine_count(machine, true);
-	coldstart->counts_changed = true;
+	cold_start->counts_changed = true;
 }
 
 /* ---- zones ---- */
 
-bool ws_cold_start_zone_waits(const struct ws_cold_start *coldstart, const char *name)
+bool ws_cold_start_zone_waits(const struct ws_cold_start *cold_start, const char *name)
 {
 	const struct ws_cold_start_zone *zone;
 
-	HASH_FIND_STR(coldstart->zones, name, zone);
+	HASH_FIND_STR(cold_start->zones, name, zone);
 	return zone && !zone->observed && zone->expected;
 }
 
-size_t ws_cold_start_unheard(const struct ws_cold_start *coldstart)
+size_t ws_cold_start_unheard(const struct ws_cold_start *cold_start)
 {
 	size_t unheard = 0;
 
-	for (const struct ws_cold_start_zone *zone = coldstart->zones; zone; zone = zone->hh.next)
+	for (const struct ws_cold_start_zone *zone = cold_start->zones; zone; zone = zone->hh.next)
 		unheard += zone->expected - zone->heard;
 	return unheard;
 }
 
-static bool zone_answered(const struct ws_cold_start *coldstart,
+static bool zone_answered(const struct ws_cold_start *cold_start,
 			  const struct ws_cold_start_zone *zone, double now)
 {
-	double wanted = coldstart->settings.heard_share * (double)zone->expected;
+	double wanted = cold_start->settings.heard_share * (double)zone->expected;
 
-	return (double)zone->heard >= wanted - 1e-9 || now >= coldstart->leases_out;
+	return (double)zone->heard >= wanted - 1e-9 || now >= cold_start->leases_out;
 }
 
-bool ws_cold_start_observe(struct ws_cold_start *coldstart, double now)
+bool ws_cold_start_observe(struct ws_cold_start *cold_start, double now)
 {
 	bool all = true;
 
-	for (struct ws_cold_start_zone *zone = coldstart->zones; zone; zone = zone->hh.next) {
+	for (struct ws_cold_start_zone *zone = cold_start->zones; zone; zone = zone->hh.next) {
 		if (zone->observed)
 			continue;
-		if (!zone_answered(coldstart, zone, now)) {
+		if (!zone_answered(cold_start, zone, now)) {
 			all = false;
 			continue;
 		}
 		zone->observed = true;
-		coldstart->counts_changed = true;
+		cold_start->counts_changed = true;
 		if (zone->expected)
 			ws_cold_start_logf(
-			    coldstart,
+			    cold_start,
 			    "cold start: zone %s: %zu of %zu machines answered "
 			    "within %.1f s%s",
-			    zone->name, zone->heard, zone->expected, now - coldstart->elected_at,
-			    zone->heard < zone->expected && now >= coldstart->leases_out
+			    zone->name, zone->heard, zone->expected, now - cold_start->elected_at,
+			    zone->heard < zone->expected && now >= cold_start->leases_out
 				? ", the leases of the others are out"
 				: "");
 	}
--- a/src/cold_start/quarantine.c
+++ b/src/cold_start/quarantine.c
@@ -14,233 +14,247 @@
 /* Of one tick, so that they leave the leader's requests room. */
 #define LOOK_UPS_MAX 4
 
-static struct ws_cold_start_quarantined *kept_find(const struct ws_cold_start *coldstart,
-						   const char *job)
+static struct ws_cold_start_quarantined *quarantine_find(const struct ws_cold_start *cold_start,
+							 const char *job)
 {
-	struct ws_cold_start_quarantined *kept;
+	struct ws_cold_start_quarantined *quarantined;
 
-	HASH_FIND_STR(coldstart->kept, job, kept);
-	return kept;
+	HASH_FIND_STR(cold_start->quarantined, job, quarantined);
+	return quarantined;
 }
 
-static struct ws_cold_start_quarantined *kept_get(struct ws_cold_start *coldstart, const char *job,
-						  double now)
+static struct ws_cold_start_quarantined *quarantine_get(struct ws_cold_start *cold_start,
+							const char *job, double now)
 {
-	struct ws_cold_start_quarantined *kept = kept_find(coldstart, job);
+	struct ws_cold_start_quarantined *quarantined = quarantine_find(cold_start, job);
 
-	if (kept)
-		return kept;
-	kept = calloc(1, sizeof(*kept));
-	if (!kept)
+	if (quarantined)
+		return quarantined;
+	quarantined = calloc(1, sizeof(*quarantined));
+	if (!quarantined)
 		abort();
-	snprintf(kept->job, sizeof(kept->job), "%s", job);
-	kept->since = now;
-	kept->asked_first = kept->asked_at = -1;
-	HASH_ADD_STR(coldstart->kept, job, kept);
-	return kept;
+	snprintf(quarantined->job, sizeof(quarantined->job), "%s", job);
+	quarantined->since = now;
+	quarantined->asked_first = quarantined->asked_at = -1;
+	HASH_ADD_STR(cold_start->quarantined, job, quarantined);
+	return quarantined;
 }
 
-void ws_cold_start_quarantine_free(struct ws_cold_start *coldstart)
+void ws_cold_start_quarantine_free(struct ws_cold_start *cold_start)
 {
-	struct ws_cold_start_quarantined *kept = coldstart->kept, *next;
+	struct ws_cold_start_quarantined *quarantined = cold_start->quarantined, *next;
 
-	HASH_CLEAR(hh, coldstart->kept);
-	for (; kept; kept = next) {
-		next = kept->hh.next;
-		free(kept);
+	HASH_CLEAR(hh, cold_start->quarantined);
+	for (; quarantined; quarantined = next) {
+		next = quarantined->hh.next;
+		free(quarantined);
 	}
 }
 
-static double kept_for(const struct ws_cold_start_quarantined *kept, double now)
+static double quarantined_for(const struct ws_cold_start_quarantined *quarantined, double now)
 {
-	return kept->before_s + (now - kept->since);
+	return quarantined->before_s + (now - quarantined->since);
 }
 
-bool ws_cold_start_keep(struct ws_cold_start *coldstart, double now,
+bool ws_cold_start_keep(struct ws_cold_start *cold_start, double now,
 			const struct ws_reconciliation *finding)
 {
-	struct ws_cold_start_quarantined *kept = kept_get(coldstart, finding->job, now);
+	struct ws_cold_start_quarantined *quarantined =
+	    quarantine_get(cold_start, finding->job, now);
 
-	coldstart->steps++;
-	if (!kept->reported) {
-		kept->reported = true;
-		snprintf(kept->machine, sizeof(kept->machine), "%s", finding->machine);
+	cold_start->steps++;
+	if (!quarantined->reported) {
+		quarantined->reported = true;
+		snprintf(quarantined->machine, sizeof(quarantined->machine), "%s",
+			 finding->machine);
 	}
-	return !kept->ended;
+	return !quarantined->ended;
 }
 
 /* An earlier leader kept it: for how long counts, also where no worker reports it any more. */
-void ws_cold_start_quarantine_loaded(struct ws_cold_start *coldstart, const char *job,
+void ws_cold_start_quarantine_loaded(struct ws_cold_start *cold_start, const char *job,
 				     json_t *value)
 {
-	struct ws_cold_start_quarantined *kept = kept_get(coldstart, job, coldstart->elected_at);
+	struct ws_cold_start_quarantined *quarantined =
+	    quarantine_get(cold_start, job, cold_start->elected_at);
 
-	kept->before_s = fmax(0, json_number_value(json_object_get(value, "kept_s")));
-	kept->on_record = true;
-	kept->written_at = coldstart->elected_at;
+	quarantined->before_s = fmax(0, json_number_value(json_object_get(value, "kept_s")));
+	quarantined->on_record = true;
+	quarantined->written_at = cold_start->elected_at;
 }
 
 void ws_cold_start_looked_up(void *self, double now, const char *job, enum ws_job_standing standing)
 {
-	struct ws_cold_start *coldstart = self;
-	struct ws_cold_start_quarantined *kept = kept_find(coldstart, job);
+	struct ws_cold_start *cold_start = self;
+	struct ws_cold_start_quarantined *quarantined = quarantine_find(cold_start, job);
 
-	if (!kept || kept->ended || standing == WS_STANDING_UNREADABLE)
+	if (!quarantined || quarantined->ended || standing == WS_STANDING_UNREADABLE)
 		return;
-	kept->looked_up = true;
-	kept->standing = standing;
-	coldstart->counts_changed = true;
+	quarantined->looked_up = true;
+	quarantined->standing = standing;
+	cold_start->counts_changed = true;
 	if (standing != WS_STANDING_NEVER_HEARD)
 		return;
-	coldstart->counts.kept++;
-	kept->record_due = true;
-	ws_cold_start_logf(coldstart,
-			   "cold start: machine %s reports job %s, of which the store has never "
-			   "heard: kept for %.0f s unless its user submits it again",
-			   kept->machine, job,
-			   fmax(0, coldstart->settings.keep_s - kept_for(kept, now)));
-	if (!coldstart->doubted)
-		ws_cold_start_logf(coldstart,
+	cold_start->counts.quarantined++;
+	quarantined->record_due = true;
+	ws_cold_start_logf(
+	    cold_start,
+	    "cold start: machine %s reports job %s, of which the store has never "
+	    "heard: kept for %.0f s unless its user submits it again",
+	    quarantined->machine, job,
+	    fmax(0, cold_start->settings.keep_s - quarantined_for(quarantined, now)));
+	if (!cold_start->doubted)
+		ws_cold_start_logf(cold_start,
 				   "cold start: the store has lost records; first starts wait "
 				   "until all machines answered or their leases are out");
-	coldstart->phase_due |= !coldstart->doubted;
-	coldstart->doubted = true;
+	cold_start->phase_due |= !cold_start->doubted;
+	cold_start->doubted = true;
 }
 
-static void kept_record_delete(struct ws_cold_start_quarantined *kept, struct ws_request_queue *out)
+static void quarantine_record_delete(struct ws_cold_start_quarantined *quarantined,
+				     struct ws_request_queue *out)
 {
 	char name[WS_COLD_START_NAME_MAX + 8];
 
-	kept->record_due = false;
-	if (!kept->on_record)
+	quarantined->record_due = false;
+	if (!quarantined->on_record)
 		return;
-	kept->on_record = false;
-	snprintf(name, sizeof(name), "kept/%s", kept->job);
+	quarantined->on_record = false;
+	snprintf(name, sizeof(name), "kept/%s", quarantined->job);
 	ws_request_delete(out, name);
 }
 
 /* It was submitted again, or its record was there all the time. */
 void ws_cold_start_adopted(void *self, double now, const char *job, uint32_t count)
 {
-	struct ws_cold_start *coldstart = self;
-	struct ws_cold_start_quarantined *kept = kept_find(coldstart, job);
+	struct ws_cold_start *cold_start = self;
+	struct ws_cold_start_quarantined *quarantined = quarantine_find(cold_start, job);
 
 	(void)now;
-	coldstart->counts.adopted += count;
-	coldstart->counts_changed = true;
-	if (!kept || kept->ended)
+	cold_start->counts.adopted += count;
+	cold_start->counts_changed = true;
+	if (!quarantined || quarantined->ended)
 		return;
-	kept->ended = true; /* its record goes with the next tick */
-	ws_cold_start_logf(coldstart, "cold start: job %s is known: adopted", job);
+	quarantined->ended = true; /* its record goes with the next tick */
+	ws_cold_start_logf(cold_start, "cold start: job %s is known: adopted", job);
 }
 
-static void kept_end(struct ws_cold_start *coldstart, struct ws_cold_start_quarantined *kept,
-		     double grace_s, struct ws_request_queue *out)
+static void quarantine_end_one(struct ws_cold_start *cold_start,
+			       struct ws_cold_start_quarantined *quarantined, double grace_s,
+			       struct ws_request_queue *out)
 {
-	kept->ended = true;
-	coldstart->counts_changed = true;
-	ws_request_end_quarantined(out, kept->job, grace_s);
+	quarantined->ended = true;
+	cold_start->counts_changed = true;
+	ws_request_end_quarantined(out, quarantined->job, grace_s);
 }
 
 /* Whether it was ended because it must not go on. */
-static bool kept_must_end(const struct ws_cold_start *coldstart,
-			  const struct ws_cold_start_quarantined *kept, double now)
+static bool quarantine_must_end(const struct ws_cold_start *cold_start,
+				const struct ws_cold_start_quarantined *quarantined, double now)
 {
-	if (kept->looked_up)
-		return kept->standing == WS_STANDING_OVER;
-	return kept->asked_first >= 0 &&
-	       now - kept->asked_first > UNREADABLE_LEASES * coldstart->limits.lease_s;
+	if (quarantined->looked_up)
+		return quarantined->standing == WS_STANDING_OVER;
+	return quarantined->asked_first >= 0 &&
+	       now - quarantined->asked_first > UNREADABLE_LEASES * cold_start->limits.lease_s;
 }
 
 /* Whether a look-up was asked for; not too many in one tick. */
-static bool kept_look_up(const struct ws_cold_start *coldstart,
-			 struct ws_cold_start_quarantined *kept, double now,
-			 struct ws_request_queue *out)
+static bool quarantine_look_up(const struct ws_cold_start *cold_start,
+			       struct ws_cold_start_quarantined *quarantined, double now,
+			       struct ws_request_queue *out)
 {
-	if (kept->looked_up || (kept->asked_at >= 0 &&
-				now - kept->asked_at < RETRY_LEASES * coldstart->limits.lease_s))
+	if (quarantined->looked_up ||
+	    (quarantined->asked_at >= 0 &&
+	     now - quarantined->asked_at < RETRY_LEASES * cold_start->limits.lease_s))
 		return false;
-	if (kept->asked_first < 0)
-		kept->asked_first = now;
-	kept->asked_at = now;
-	ws_request_look_up(out, kept->job);
+	if (quarantined->asked_first < 0)
+		quarantined->asked_first = now;
+	quarantined->asked_at = now;
+	ws_request_look_up(out, quarantined->job);
 	return true;
 }
 
-static void kept_write(struct ws_cold_start_quarantined *kept, double now,
-		       struct ws_request_queue *out)
+static void quarantine_write(struct ws_cold_start_quarantined *quarantined, double now,
+			     struct ws_request_queue *out)
 {
 	char name[WS_COLD_START_NAME_MAX + 8];
 
-	kept->record_due = false;
-	kept->on_record = true;
-	kept->written_at = now;
-	snprintf(name, sizeof(name), "kept/%s", kept->job);
-	ws_request_write(out, name, ws_cold_start_quarantine_record(kept, now), false);
+	quarantined->record_due = false;
+	quarantined->on_record = true;
+	quarantined->written_at = now;
+	snprintf(name, sizeof(name), "kept/%s", quarantined->job);
+	ws_request_write(out, name, ws_cold_start_quarantine_record(quarantined, now), false);
 }
 
 /* No worker has reported it to this leader, and none that held it can. */
-static bool kept_vanished(const struct ws_cold_start *coldstart,
-			  const struct ws_cold_start_quarantined *kept, double now)
+static bool quarantine_vanished(const struct ws_cold_start *cold_start,
+				const struct ws_cold_start_quarantined *quarantined, double now)
 {
-	return !kept->reported && now >= coldstart->leases_out;
+	return !quarantined->reported && now >= cold_start->leases_out;
 }
 
 /* Ends what has to end, writes what is due. */
-static void kept_one(struct ws_cold_start *coldstart, struct ws_cold_start_quarantined *kept,
-		     double now, struct ws_request_queue *out)
+static void quarantine_tick_one(struct ws_cold_start *cold_start,
+				struct ws_cold_start_quarantined *quarantined, double now,
+				struct ws_request_queue *out)
 {
-	coldstart->steps++;
-	kept->ended |= kept_vanished(coldstart, kept, now);
-	if (kept->ended) {
-		kept_record_delete(kept, out);
+	cold_start->steps++;
+	quarantined->ended |= quarantine_vanished(cold_start, quarantined, now);
+	if (quarantined->ended) {
+		quarantine_record_delete(quarantined, out);
 		return;
 	}
-	if (kept_must_end(coldstart, kept, now)) {
-		coldstart->counts.over++;
-		ws_cold_start_logf(coldstart, "cold start: job %s is %s: stopped", kept->job,
-				   kept->looked_up ? "over on record" : "not to be looked up");
-		kept_end(coldstart, kept, 0, out);
+	if (quarantine_must_end(cold_start, quarantined, now)) {
+		cold_start->counts.over++;
+		ws_cold_start_logf(
+		    cold_start, "cold start: job %s is %s: stopped", quarantined->job,
+		    quarantined->looked_up ? "over on record" : "not to be looked up");
+		quarantine_end_one(cold_start, quarantined, 0, out);
 		return;
 	}
-	if (kept->reported && kept_for(kept, now) >= coldstart->settings.keep_s) {
-		coldstart->counts.unclaimed++;
-		ws_cold_start_logf(coldstart,
+	if (quarantined->reported &&
+	    quarantined_for(quarantined, now) >= cold_start->settings.keep_s) {
+		cold_start->counts.unclaimed++;
+		ws_cold_start_logf(cold_start,
 				   "cold start: nobody submitted job %s again within %.0f s: "
 				   "stopped with time to save; it ran on machine %s",
-				   kept->job, coldstart->settings.keep_s, kept->machine);
-		kept_end(coldstart, kept, coldstart->limits.lease_s, out);
+				   quarantined->job, cold_start->settings.keep_s,
+				   quarantined->machine);
+		quarantine_end_one(cold_start, quarantined, cold_start->limits.lease_s, out);
 		return;
 	}
-	if (kept->record_due ||
-	    (kept->on_record && now - kept->written_at > RECORD_LEASES * coldstart->limits.lease_s))
-		kept_write(kept, now, out);
+	if (quarantined->record_due ||
+	    (quarantined->on_record &&
+	     now - quarantined->written_at > RECORD_LEASES * cold_start->limits.lease_s))
+		quarantine_write(quarantined, now, out);
 }
 
-void ws_cold_start_quarantine_tick(struct ws_cold_start *coldstart, double now,
+void ws_cold_start_quarantine_tick(struct ws_cold_start *cold_start, double now,
 				   struct ws_request_queue *out)
 {
 	unsigned look_ups = LOOK_UPS_MAX;
 
-	for (struct ws_cold_start_quarantined *kept = coldstart->kept; kept; kept = kept->hh.next) {
-		kept_one(coldstart, kept, now, out);
-		if (kept->reported && !kept->ended && look_ups)
-			look_ups -= kept_look_up(coldstart, kept, now, out);
+	for (struct ws_cold_start_quarantined *quarantined = cold_start->quarantined; quarantined;
+	     quarantined = quarantined->hh.next) {
+		quarantine_tick_one(cold_start, quarantined, now, out);
+		if (quarantined->reported && !quarantined->ended && look_ups)
+			look_ups -= quarantine_look_up(cold_start, quarantined, now, out);
 	}
 }
 
-void ws_cold_start_quarantine_forget(struct ws_cold_start *coldstart, struct ws_request_queue *out)
+void ws_cold_start_quarantine_forget(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
-	for (struct ws_cold_start_quarantined *kept = coldstart->kept; kept; kept = kept->hh.next)
-		kept_record_delete(kept, out);
-	ws_cold_start_quarantine_free(coldstart);
+	for (struct ws_cold_start_quarantined *quarantined = cold_start->quarantined; quarantined;
+	     quarantined = quarantined->hh.next)
+		quarantine_record_delete(quarantined, out);
+	ws_cold_start_quarantine_free(cold_start);
 }
 
-bool ws_cold_start_keeps(const struct ws_cold_start *coldstart)
+bool ws_cold_start_keeps(const struct ws_cold_start *cold_start)
 {
-	for (const struct ws_cold_start_quarantined *kept = coldstart->kept; kept;
-	     kept = kept->hh.next)
-		if (kept->reported && !kept->ended)
+	for (const struct ws_cold_start_quarantined *quarantined = cold_start->quarantined;
+	     quarantined; quarantined = quarantined->hh.next)
+		if (quarantined->reported && !quarantined->ended)
 			return true;
 	return false;
 }
--- a/src/cold_start/records.c
+++ b/src/cold_start/records.c
@@ -33,39 +33,39 @@
 	return phase_names[phase];
 }
 
-const char *ws_cold_start_finding_name(enum ws_reconciliation_result kind)
+const char *ws_cold_start_result_name(enum ws_reconciliation_result kind)
 {
 	return finding_names[kind];
 }
 
 /* ---- written ---- */
 
-json_t *ws_cold_start_phase_record(const struct ws_cold_start *coldstart)
+json_t *ws_cold_start_phase_record(const struct ws_cold_start *cold_start)
 {
 	return json_pack("{s:i,s:s,s:I,s:I,s:b}", "v", WS_COLD_START_FORMAT, "phase",
-			 ws_cold_start_phase_name(coldstart->phase), "term",
-			 (json_int_t)coldstart->term, "began", (json_int_t)coldstart->began_term,
-			 "doubted", coldstart->doubted);
+			 ws_cold_start_phase_name(cold_start->phase), "term",
+			 (json_int_t)cold_start->term, "began", (json_int_t)cold_start->began_term,
+			 "doubted", cold_start->doubted);
 }
 
-static json_t *findings_record(const struct ws_cold_start *coldstart)
+static json_t *findings_record(const struct ws_cold_start *cold_start)
 {
 	json_t *findings = json_object();
 
 	for (int kind = 0; kind < WS_RECONCILIATION_RESULTS; kind++)
-		if (coldstart->counts.findings[kind])
+		if (cold_start->counts.results[kind])
 			json_object_set_new(
 			    findings, finding_names[kind],
-			    json_integer((json_int_t)coldstart->counts.findings[kind]));
+			    json_integer((json_int_t)cold_start->counts.results[kind]));
 	return findings;
 }
 
 /* Machines of each zone: expected, heard, and whether the zone's observation has ended. */
-static json_t *zones_record(const struct ws_cold_start *coldstart)
+static json_t *zones_record(const struct ws_cold_start *cold_start)
 {
 	json_t *zones = json_object();
 
-	for (const struct ws_cold_start_zone *zone = coldstart->zones; zone; zone = zone->hh.next)
+	for (const struct ws_cold_start_zone *zone = cold_start->zones; zone; zone = zone->hh.next)
 		if (zone->expected)
 			json_object_set_new(zones, zone->name,
 					    json_pack("[I,I,b]", (json_int_t)zone->expected,
@@ -73,36 +73,39 @@
 	return zones;
 }
 
-json_t *ws_cold_start_account_record(const struct ws_cold_start *coldstart, double now)
+json_t *ws_cold_start_account_record(const struct ws_cold_start *cold_start, double now)
 {
-	const struct ws_cold_start_counts *counts = &coldstart->counts;
-	double left = coldstart->leases_out - now;
+	const struct ws_cold_start_counts *counts = &cold_start->counts;
+	double left = cold_start->leases_out - now;
 	json_t *record =
 	    json_pack("{s:i,s:s,s:I,s:I,s:f,s:f,s:f,s:b}", "v", WS_COLD_START_FORMAT, "phase",
-		      ws_cold_start_phase_name(coldstart->phase), "term",
-		      (json_int_t)coldstart->term, "began", (json_int_t)coldstart->began_term,
-		      "unproven_s", isfinite(coldstart->unproven_s) ? coldstart->unproven_s : -1,
-		      "for_s", now - coldstart->elected_at, "leases_out_s", left > 0 ? left : 0.0,
-		      "doubted", coldstart->doubted);
-
-	json_object_set_new(record, "findings", findings_record(coldstart));
-	json_object_update_new(
-	    record,
-	    json_pack("{s:I,s:I,s:I,s:I,s:I,s:I}", "lost_jobs", (json_int_t)counts->lost_jobs,
-		      "recovered_jobs", (json_int_t)counts->recovered_jobs, "kept",
-		      (json_int_t)counts->kept, "adopted", (json_int_t)counts->adopted, "unclaimed",
-		      (json_int_t)counts->unclaimed, "over", (json_int_t)counts->over));
-	json_object_set_new(record, "zones", zones_record(coldstart));
+		      ws_cold_start_phase_name(cold_start->phase), "term",
+		      (json_int_t)cold_start->term, "began", (json_int_t)cold_start->began_term,
+		      "unproven_s", isfinite(cold_start->unproven_s) ? cold_start->unproven_s : -1,
+		      "for_s", now - cold_start->elected_at, "leases_out_s", left > 0 ? left : 0.0,
+		      "doubted", cold_start->doubted);
+
+	json_object_set_new(record, "findings", findings_record(cold_start));
+	json_object_update_new(record, json_pack("{s:I,s:I,s:I,s:I,s:I,s:I}", "lost_jobs",
+						 (json_int_t)counts->lost_jobs, "recovered_jobs",
+						 (json_int_t)counts->recovered_jobs, "kept",
+						 (json_int_t)counts->quarantined, "adopted",
+						 (json_int_t)counts->adopted, "unclaimed",
+						 (json_int_t)counts->unclaimed, "over",
+						 (json_int_t)counts->over));
+	json_object_set_new(record, "zones", zones_record(cold_start));
 	/* the core leaves out a record that is too large: better one without its zones */
-	if (json_dumpb(record, NULL, 0, JSON_COMPACT) >= coldstart->limits.value_bytes)
+	if (json_dumpb(record, NULL, 0, JSON_COMPACT) >= cold_start->limits.value_bytes)
 		json_object_del(record, "zones");
 	return record;
 }
 
-json_t *ws_cold_start_quarantine_record(const struct ws_cold_start_quarantined *kept, double now)
+json_t *ws_cold_start_quarantine_record(const struct ws_cold_start_quarantined *quarantined,
+					double now)
 {
 	return json_pack("{s:i,s:f,s:s}", "v", WS_COLD_START_FORMAT, "kept_s",
-			 kept->before_s + now - kept->since, "machine", kept->machine);
+			 quarantined->before_s + now - quarantined->since, "machine",
+			 quarantined->machine);
 }
 
 /* ---- read ---- */
@@ -115,30 +118,30 @@
 	return WS_COLD_START_NONE;
 }
 
-static void phase_loaded(struct ws_cold_start *coldstart, json_t *value)
+static void phase_loaded(struct ws_cold_start *cold_start, json_t *value)
 {
-	coldstart->recorded_phase = phase_read(json_string_value(json_object_get(value, "phase")));
-	coldstart->recorded_term = (uint64_t)json_integer_value(json_object_get(value, "term"));
-	coldstart->recorded_began = (uint64_t)json_integer_value(json_object_get(value, "began"));
-	coldstart->recorded_doubt = json_is_true(json_object_get(value, "doubted"));
+	cold_start->recorded_phase = phase_read(json_string_value(json_object_get(value, "phase")));
+	cold_start->recorded_term = (uint64_t)json_integer_value(json_object_get(value, "term"));
+	cold_start->recorded_began = (uint64_t)json_integer_value(json_object_get(value, "began"));
+	cold_start->recorded_doubt = json_is_true(json_object_get(value, "doubted"));
 }
 
 void ws_cold_start_record_loaded(void *self, const char *name, json_t *value)
 {
-	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start *cold_start = self;
 	json_int_t format = json_integer_value(json_object_get(value, "v"));
 
 	if (format > WS_COLD_START_FORMAT) {
-		if (!coldstart->later_format)
-			ws_cold_start_logf(coldstart,
+		if (!cold_start->later_format)
+			ws_cold_start_logf(cold_start,
 					   "cold start: record %s has format %lld, later than %d: "
 					   "records are left alone and nothing is held",
 					   name, (long long)format, WS_COLD_START_FORMAT);
-		coldstart->later_format = true;
+		cold_start->later_format = true;
 		return;
 	}
 	if (!strcmp(name, "phase"))
-		phase_loaded(coldstart, value);
+		phase_loaded(cold_start, value);
 	else if (!strncmp(name, "kept/", 5))
-		ws_cold_start_quarantine_loaded(coldstart, name + 5, value);
+		ws_cold_start_quarantine_loaded(cold_start, name + 5, value);
 }
--- a/src/cold_start/recovery.c
+++ b/src/cold_start/recovery.c
@@ -10,32 +10,32 @@
 /* In heartbeat intervals: how soon a survey follows another where more work was lost meanwhile. */
 #define SURVEY_NEW_REPORTS 0.25
 
-void ws_cold_start_lost_add(struct ws_cold_start *coldstart, const char *job)
+void ws_cold_start_lost_add(struct ws_cold_start *cold_start, const char *job)
 {
 	struct ws_cold_start_lost *lost;
 
-	coldstart->steps++;
-	HASH_FIND_STR(coldstart->lost, job, lost);
+	cold_start->steps++;
+	HASH_FIND_STR(cold_start->lost, job, lost);
 	if (!lost) {
 		lost = calloc(1, sizeof(*lost));
 		if (!lost)
 			abort();
 		snprintf(lost->job, sizeof(lost->job), "%s", job);
-		HASH_ADD_STR(coldstart->lost, job, lost);
-		coldstart->counts.lost_jobs++;
+		HASH_ADD_STR(cold_start->lost, job, lost);
+		cold_start->counts.lost_jobs++;
 	}
 	lost->attempts++;
 	lost->fresh = true;
 	lost->ordered = false;
-	coldstart->lost_new = true;
-	coldstart->counts_changed = true;
+	cold_start->lost_new = true;
+	cold_start->counts_changed = true;
 }
 
-void ws_cold_start_lost_free(struct ws_cold_start *coldstart)
+void ws_cold_start_lost_free(struct ws_cold_start *cold_start)
 {
-	struct ws_cold_start_lost *lost = coldstart->lost, *next;
+	struct ws_cold_start_lost *lost = cold_start->lost, *next;
 
-	HASH_CLEAR(hh, coldstart->lost);
+	HASH_CLEAR(hh, cold_start->lost);
 	for (; lost; lost = next) {
 		next = lost->hh.next;
 		free(lost);
@@ -53,11 +53,11 @@
 
 void ws_cold_start_job_surveyed(void *self, const struct ws_job_facts *facts)
 {
-	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start *cold_start = self;
 	struct ws_cold_start_lost *lost;
 
-	coldstart->steps++;
-	HASH_FIND_STR(coldstart->lost, facts->id, lost);
+	cold_start->steps++;
+	HASH_FIND_STR(cold_start->lost, facts->id, lost);
 	if (!lost)
 		return;
 	lost->surveyed = true;
@@ -83,13 +83,13 @@
 
 void ws_cold_start_survey_done(void *self, double now)
 {
-	struct ws_cold_start *coldstart = self;
+	struct ws_cold_start *cold_start = self;
 
 	(void)now;
-	HASH_SORT(coldstart->lost, compare_lost);
-	for (struct ws_cold_start_lost *lost = coldstart->lost; lost; lost = lost->hh.next)
+	HASH_SORT(cold_start->lost, compare_lost);
+	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next)
 		lost->fresh = false;
-	coldstart->survey_done = true;
+	cold_start->survey_done = true;
 }
 
 /* ---- moves ---- */
@@ -108,10 +108,10 @@
 	ws_request_move(out, &move);
 }
 
-static uint32_t window(const struct ws_cold_start *coldstart)
+static uint32_t window(const struct ws_cold_start *cold_start)
 {
 	double share =
-	    WINDOW_SHARE * coldstart->limits.state_write_rps * coldstart->limits.report_s;
+	    WINDOW_SHARE * cold_start->limits.state_write_rps * cold_start->limits.report_s;
 
 	return share < WINDOW_MIN ? WINDOW_MIN : (uint32_t)share;
 }
@@ -123,15 +123,15 @@
 }
 
 /* Takes jobs that are recovered off the list, as one linked by `next_recovered`. */
-static struct ws_cold_start_lost *lost_take_recovered(struct ws_cold_start *coldstart)
+static struct ws_cold_start_lost *lost_take_recovered(struct ws_cold_start *cold_start)
 {
 	struct ws_cold_start_lost *lost, *next, *recovered = NULL;
 
-	HASH_ITER (hh, coldstart->lost, lost, next) {
-		coldstart->steps++;
+	HASH_ITER (hh, cold_start->lost, lost, next) {
+		cold_start->steps++;
 		if (!lost_recovered(lost))
 			continue;
-		HASH_DEL(coldstart->lost, lost);
+		HASH_DEL(cold_start->lost, lost);
 		lost->next_recovered = recovered;
 		recovered = lost;
 	}
@@ -139,26 +139,26 @@
 }
 
 /* What runs again, or is over, is done with. */
-static void recovered_finish(struct ws_cold_start *coldstart, struct ws_request_queue *out)
+static void recovered_finish(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
-	struct ws_cold_start_lost *lost = lost_take_recovered(coldstart), *next;
+	struct ws_cold_start_lost *lost = lost_take_recovered(cold_start), *next;
 
 	for (; lost; lost = next) {
 		next = lost->next_recovered;
-		coldstart->counts.recovered_jobs++;
-		coldstart->counts_changed = true;
+		cold_start->counts.recovered_jobs++;
+		cold_start->counts_changed = true;
 		move_ask(lost, 0, false, out);
 		free(lost);
 	}
 }
 
 /* What waits gets its place, by the last survey. */
-static void places_give(struct ws_cold_start *coldstart, struct ws_request_queue *out)
+static void places_give(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
 	uint32_t position = 0;
 
-	for (struct ws_cold_start_lost *lost = coldstart->lost; lost; lost = lost->hh.next) {
-		bool within = position < window(coldstart);
+	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next) {
+		bool within = position < window(cold_start);
 
 		if (lost->fresh || lost_recovered(lost))
 			continue;
@@ -167,29 +167,29 @@
 	}
 }
 
-void ws_cold_start_recovery_tick(struct ws_cold_start *coldstart, double now,
+void ws_cold_start_recovery_tick(struct ws_cold_start *cold_start, double now,
 				 struct ws_request_queue *out)
 {
-	if (coldstart->survey_done) {
-		coldstart->survey_done = false;
-		places_give(coldstart, out);
-		recovered_finish(coldstart, out);
+	if (cold_start->survey_done) {
+		cold_start->survey_done = false;
+		places_give(cold_start, out);
+		recovered_finish(cold_start, out);
 		return;
 	}
-	if (!coldstart->lost ||
-	    now < coldstart->surveyed_at +
-		      (coldstart->lost_new ? SURVEY_NEW_REPORTS : 1) * coldstart->limits.report_s)
+	if (!cold_start->lost ||
+	    now < cold_start->surveyed_at +
+		      (cold_start->lost_new ? SURVEY_NEW_REPORTS : 1) * cold_start->limits.report_s)
 		return;
-	coldstart->surveyed_at = now;
-	coldstart->lost_new = false;
-	for (struct ws_cold_start_lost *lost = coldstart->lost; lost; lost = lost->hh.next)
+	cold_start->surveyed_at = now;
+	cold_start->lost_new = false;
+	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next)
 		lost->surveyed = false;
 	ws_request_survey(out);
 }
 
-void ws_cold_start_recovery_end(struct ws_cold_start *coldstart, struct ws_request_queue *out)
+void ws_cold_start_recovery_end(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
-	for (struct ws_cold_start_lost *lost = coldstart->lost; lost; lost = lost->hh.next)
+	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next)
 		move_ask(lost, 0, false, out);
-	ws_cold_start_lost_free(coldstart);
+	ws_cold_start_lost_free(cold_start);
 }
--- a/src/cold_start_command.c
+++ b/src/cold_start_command.c
@@ -12,7 +12,7 @@
 static void print_reconciliation(json_t *results)
 {
 	for (int kind = 0; kind < WS_RECONCILIATION_RESULTS; kind++) {
-		const char *name = ws_cold_start_finding_name((enum ws_reconciliation_result)kind);
+		const char *name = ws_cold_start_result_name((enum ws_reconciliation_result)kind);
 		long long count = ws_record_view_count(results, name);
 
 		if (count)
--- a/src/config_reader.c
+++ b/src/config_reader.c
@@ -127,7 +127,7 @@
 	endpoint->port = (int)port;
 }
 
-size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t most, bool needed)
+size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t limit, bool needed)
 {
 	long length = ws_toml_length(reader->toml, path);
 
@@ -137,7 +137,7 @@
 				       "is missing or no array");
 		return 0;
 	}
-	if ((size_t)length > most) {
+	if ((size_t)length > limit) {
 		ws_config_invalid(reader, path, "has too many entries");
 		return 0;
 	}
--- a/src/config_reader.h
+++ b/src/config_reader.h
@@ -42,7 +42,8 @@
 void ws_config_endpoint(struct ws_config_reader *reader, const char *path,
 			struct ws_endpoint *endpoint);
 /* Entries of an array; 0 if it is missing. */
-size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t most, bool needed);
+size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t limit,
+		       bool needed);
 /* Refuses keys of a table that are not among those known; an empty path is the file itself. */
 void ws_config_known_keys(struct ws_config_reader *reader, const char *table,
 			  const char *const *known, size_t count);
--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -21,8 +21,12 @@
 	bool request_in_flight;
 	uint64_t revision;
 	double next_request_at, fresh_at;
-	struct ws_final_status *final_statuses; /* of jobs that are over */
-	struct ws_status_query *queries;	/* wait for the cache to be found current */
+};
+
+/* Status queries of users. */
+struct ws_status_queries {
+	struct ws_status_query *waiting;	/* for the cache to be found current */
+	struct ws_final_status *final_statuses; /* of jobs that are over; the newest */
 };
 
 /* Of a node that does not lead: workers that were sent to the leader. */
@@ -46,50 +50,75 @@
 	int attempts;
 };
 
-/* ---- user_requests.c ---- */
+/* ---- api.c ---- */
 
-/* All that any node does by the clock, and its end. */
+/* All that any node does for its callers by the clock, and its end. */
 void ws_requests_tick(struct ws_core *core);
-/* Neither the store nor any peer answers. */
-bool ws_node_is_isolated(const struct ws_core *core);
 void ws_requests_free(struct ws_core *core);
+
+/* ---- store_health.c ---- */
+
 /* Takes in whether the store served a call, by its status. */
 void ws_store_answered(struct ws_core *core, int status);
+/* The store refused this node, or did not answer it, a moment ago. */
+bool ws_store_refuses(const struct ws_core *core);
+/* Neither the store nor any peer answers. */
+bool ws_node_is_isolated(const struct ws_core *core);
+/* Asks the peers whether they answer, while the store does not. */
+void ws_peer_probe_tick(struct ws_core *core);
+
+/* ---- user_answers.c ---- */
 
 void ws_user_answer(struct ws_core *core, uint64_t request_id, int status, const char *id,
 		    enum ws_job_phase phase);
 /* The store does not serve us: a peer may do better, unless the request came from one. */
 void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
 				bool forwarded, int status);
-/* Reads a job's record under "job" or "old"; takes over the request. */
+/* Reads a job's record under a prefix, live or archived; takes over the request. */
 struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
 				  uint64_t request_id, struct ws_user_request *request,
-				  ws_result_fn done);
-bool ws_store_refuses(const struct ws_core *core);
+				  ws_result_fn on_result);
+/* Answers with the state of a job; with_counts: the counts of its tasks go with it. */
 void ws_user_answer_status(struct ws_core *core, uint64_t request_id, const char *id,
-			   enum ws_job_phase phase, uint32_t done, uint32_t running, bool poll);
+			   enum ws_job_phase phase, uint32_t done, uint32_t running,
+			   bool with_counts);
 /* Answers with what a record says. */
 void ws_user_answer_record(struct ws_core *core, struct ws_call *call,
-			   const struct ws_result *result, bool poll);
-void ws_peer_probe_tick(struct ws_core *core);
+			   const struct ws_result *result, bool with_counts);
+/* A user is about to be told that a job is cancelled: the job status cache must hold that. */
+void ws_status_cache_note_cancelled(struct ws_core *core, const char *key, uint64_t revision);
 
-/* ---- status_queries.c ---- */
+/* ---- status_cache.c ---- */
 
+/* Loads the cache, and keeps it current while queries wait, or else now and then. */
+void ws_status_cache_tick(struct ws_core *core);
+void ws_status_cache_clear(struct ws_core *core);
+/* What a watch of the jobs brought: only what is newer than the cache. */
 void ws_status_cache_apply(struct ws_core *core, const struct ws_call *call,
 			   const struct ws_result *result);
-
-/* The entry of a job of which we know more than the copy tells; NULL: the copy is as new. */
+/* The entry of a job of which we know more than the cache tells; NULL: the cache is as new. */
 struct ws_job_status *ws_status_cache_note(struct ws_core *core, const char *id, uint64_t revision);
-/* Answers with a record under "old". */
+
+/* ---- status_queries.c ---- */
+
+/* The cache was checked, with this status: answers the queries that awaited it. */
+void ws_queries_answer(struct ws_core *core, int status);
+/* A check of the cache is sent: the queries that wait now are answered by it. */
+void ws_queries_await_check(struct ws_core *core);
+/* That check did not take place: they wait for the next. */
+void ws_queries_await_next_check(struct ws_core *core);
+/* Passes queries that have waited too long to a peer. */
+void ws_queries_expire(struct ws_core *core);
+/* Answers with an archived record. */
 void ws_query_archived_read(struct ws_core *core, struct ws_call *call,
 			    const struct ws_result *result);
-void ws_status_cache_tick(struct ws_core *core);
 void ws_queries_free(struct ws_core *core);
 
 /* ---- outage_votes.c ---- */
 
 bool ws_cancellations_since(struct ws_core *core, uint64_t since, const char *after,
-			    struct ws_cancellation **list, size_t *count, size_t most, bool *more);
+			    struct ws_cancellation **list, size_t *count, size_t limit,
+			    bool *has_more);
 
 /* ---- heartbeat_requests.c ---- */
 
--- /dev/null
+++ b/src/core/api/cancellation.c
@@ -0,0 +1,116 @@
+/*
+ * Cancellations: a job is cancelled once its record says so. The leader learns of it by its watch
+ * of the jobs and ends the tasks.
+ */
+#include "../core_state.h"
+
+/* The record may change between the read and the write; after so many tries the user is to retry.
+ */
+#define CANCEL_ATTEMPTS_MAX 8
+
+static void ws_cancel_record_read(struct ws_core *core, struct ws_call *call,
+				  const struct ws_result *result);
+
+static void ws_cancel_written(struct ws_core *core, struct ws_call *call,
+			      const struct ws_result *result)
+{
+	struct ws_user_request *request = call->context;
+
+	if (result->status == 200) {
+		ws_status_cache_note_cancelled(core, call->compares[0].key, result->revision);
+		ws_user_answer(core, call->context_number, 200, call->context_name,
+			       WS_JOB_CANCELLED);
+	} else if ((result->status == 409 || result->status == 400) &&
+		   ++request->attempts < CANCEL_ATTEMPTS_MAX) {
+		/* changed meanwhile, or larger than the limit of now: read it again */
+		request->record_split |= result->status == 400;
+		call->context = NULL;
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, call->context_name, call->context_number,
+				  request, ws_cancel_record_read);
+		return;
+	} else {
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
+	}
+}
+
+/* The record as it is was refused: what does not fit goes to records of its own. */
+static void ws_cancel_split_written(struct ws_core *core, struct ws_call *call)
+{
+	size_t continuations_max = (size_t)core->settings->txn_ops - 1, continuation_count,
+	       bytes_before = ws_record_size(call->operations[0].value);
+	json_t **continuations = calloc(continuations_max + 1, sizeof(*continuations));
+
+	if (!continuations)
+		abort();
+	ws_record_split_attempts(call->operations[0].value, ws_record_size_limit(core),
+				 continuations, continuations_max, &continuation_count);
+	for (size_t i = 0; i < continuation_count; i++) {
+		snprintf(call->operations[call->operation_count].key, WS_KEY_MAX,
+			 WS_KEY_PREFIX_JOB_CONTINUATION "%s/%zu", call->context_name, i);
+		call->operations[call->operation_count++].value = continuations[i];
+	}
+	free(continuations);
+	ws_log(core, WS_LOG_INFO,
+	       "job %s: its record of %zu bytes was refused, withdrawn in %zu parts",
+	       call->context_name, bytes_before, continuation_count + 1);
+}
+
+static void ws_cancel_record_read(struct ws_core *core, struct ws_call *call,
+				  const struct ws_result *result)
+{
+	struct ws_user_request *request = call->context;
+	enum ws_job_phase phase;
+	uint32_t done, running;
+	struct ws_call *transaction;
+
+	if (result->status == 404) {
+		call->context = NULL;
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, call->context_name,
+				  call->context_number, request, ws_query_archived_read);
+		return;
+	}
+	if (result->status != 200 || result->entry_count != 1 ||
+	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded,
+					   result->status == 200 ? 500 : result->status);
+		return;
+	}
+	if (phase == WS_JOB_DONE || phase == WS_JOB_CANCELLED) {
+		if (phase == WS_JOB_CANCELLED)
+			ws_status_cache_note_cancelled(core, call->key,
+						       result->entries[0].revision);
+		ws_user_answer(core, call->context_number, 200, call->context_name, phase);
+		return;
+	}
+	transaction = ws_call_new(core, WS_CALL_TRANSACTION, ws_cancel_written);
+	transaction->context = request;
+	call->context = NULL;
+	transaction->context_number = call->context_number;
+	snprintf(transaction->context_name, sizeof(transaction->context_name), "%s",
+		 call->context_name);
+	ws_transaction_reserve(transaction, 1, (size_t)core->settings->txn_ops);
+	ws_transaction_compare(transaction, call->key, result->entries[0].revision);
+	ws_transaction_set(transaction, call->key, json_deep_copy(result->entries[0].value));
+	ws_record_cancel(transaction->operations[0].value);
+	if (request->record_split)
+		ws_cancel_split_written(core, transaction);
+}
+
+void ws_core_cancel(struct ws_core *core, double now, uint64_t request_id, const char *id,
+		    bool forwarded)
+{
+	struct ws_user_request *request;
+
+	if (now > core->now)
+		core->now = now;
+	request = calloc(1, sizeof(*request));
+	if (!request) {
+		ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
+		return;
+	}
+	request->forwarded = forwarded;
+	ws_job_record_get(core, WS_KEY_PREFIX_JOB, id, request_id, request, ws_cancel_record_read);
+	ws_core_tick(core, now);
+}
--- a/src/core/api/outage_votes.c
+++ b/src/core/api/outage_votes.c
@@ -26,7 +26,8 @@
  * where that is one of the revision itself. False: the copy can't tell.
  */
 bool ws_cancellations_since(struct ws_core *core, uint64_t since, const char *after,
-			    struct ws_cancellation **list, size_t *count, size_t most, bool *more)
+			    struct ws_cancellation **list, size_t *count, size_t limit,
+			    bool *has_more)
 {
 	struct ws_cancellation from = {.revision = since};
 	struct ws_job_status *job_status, *next_job_status;
@@ -34,7 +35,7 @@
 
 	*list = NULL;
 	*count = 0;
-	*more = false;
+	*has_more = false;
 	if (!core->status_cache.complete)
 		return false;
 	snprintf(from.job, sizeof(from.job), "%s", after);
@@ -57,8 +58,8 @@
 	}
 	if (*count)
 		qsort(*list, *count, sizeof(**list), ws_cancellation_cmp);
-	*more = *count > most;
-	*count = *more ? most : *count;
+	*has_more = *count > limit;
+	*count = *has_more ? limit : *count;
 	return true;
 }
 
@@ -88,17 +89,17 @@
 static void ws_outage_vote_check(struct ws_core *core, double now, uint64_t request_id,
 				 const struct ws_outage_question *question)
 {
-	struct ws_outage_question *other_question = malloc(sizeof(*other_question));
+	struct ws_outage_question *pending = malloc(sizeof(*pending));
 	struct ws_call *call;
 
-	if (!other_question)
+	if (!pending)
 		abort();
-	*other_question = *question;
+	*pending = *question;
 	if (now > core->now)
 		core->now = now;
 	call = ws_call_new(core, WS_CALL_GET, ws_outage_vote_checked);
 	snprintf(call->key, sizeof(call->key), "leader");
-	call->context = other_question;
+	call->context = pending;
 	call->context_number = request_id;
 	call->urgent = true;
 }
--- /dev/null
+++ b/src/core/api/status_cache.c
@@ -0,0 +1,178 @@
+/*
+ * The job status cache: what the live jobs' records say, on every node.
+ *
+ * Status queries wait until a request that was sent after they came has brought the cache up to
+ * date, and are then answered together: so an answer is never older than one that another node
+ * gave, and the store is asked a few times a second however many users ask. Outage votes are given
+ * by it too.
+ */
+#include "../core_state.h"
+#include "../record_sources.h"
+
+static struct ws_job_status *ws_status_cache_put(struct ws_core *core, const char *id,
+						 uint64_t revision)
+{
+	struct ws_job_status *job_status;
+
+	HASH_FIND_STR(core->status_cache.jobs, id, job_status);
+	if (!job_status) {
+		job_status = ws_alloc(1, sizeof(*job_status));
+		snprintf(job_status->id, sizeof(job_status->id), "%s", id);
+		HASH_ADD_STR(core->status_cache.jobs, id, job_status);
+	}
+	job_status->revision = revision;
+	return job_status;
+}
+
+struct ws_job_status *ws_status_cache_note(struct ws_core *core, const char *id, uint64_t revision)
+{
+	struct ws_job_status *job_status;
+
+	HASH_FIND_STR(core->status_cache.jobs, id, job_status);
+	return revision <= core->status_cache.revision ||
+		       (job_status && revision <= job_status->revision)
+		   ? NULL
+		   : ws_status_cache_put(core, id, revision);
+}
+
+static void ws_status_cache_drop(struct ws_core *core, struct ws_job_status *job_status)
+{
+	HASH_DEL(core->status_cache.jobs, job_status);
+	free(job_status);
+}
+
+static void ws_status_cache_apply_change(struct ws_core *core, const struct ws_kv *entry)
+{
+	struct ws_job_status *job_status;
+	enum ws_job_phase phase;
+	uint32_t done, running;
+	const char *id = entry->key + strlen(WS_KEY_PREFIX_JOB);
+
+	if (!ws_key_has_prefix(entry->key, WS_KEY_PREFIX_JOB) || strlen(id) >= WS_ID_MAX)
+		return;
+	HASH_FIND_STR(core->status_cache.jobs, id, job_status);
+	if (job_status && entry->revision <= job_status->revision)
+		return;
+	if (!entry->value) {
+		if (job_status)
+			ws_status_cache_drop(core, job_status);
+		return;
+	}
+	job_status = ws_status_cache_put(core, id, entry->revision);
+	if (!ws_record_read_phase(entry->value, &phase, &done, &running)) {
+		job_status->phase = WS_JOB_QUEUED; /* known at any rate */
+		return;
+	}
+	job_status->phase = phase;
+	job_status->done = done;
+	job_status->running = running;
+}
+
+void ws_status_cache_clear(struct ws_core *core)
+{
+	struct ws_job_status *job_status = core->status_cache.jobs, *next;
+
+	HASH_CLEAR(hh, core->status_cache.jobs);
+	for (; job_status; job_status = next) {
+		next = job_status->hh.next;
+		free(job_status);
+	}
+	core->status_cache.complete = false;
+	core->status_cache.revision = 0;
+}
+
+/* What a watch of the jobs brought, to the cache of their phases: only what is newer than it. */
+void ws_status_cache_apply(struct ws_core *core, const struct ws_call *call,
+			   const struct ws_result *result)
+{
+	uint64_t held = core->status_cache.revision;
+
+	if (!core->status_cache.complete || call->since_revision > held)
+		return;
+	for (size_t i = 0; i < result->entry_count; i++)
+		if (result->entries[i].revision > held)
+			ws_status_cache_apply_change(core, &result->entries[i]);
+	core->status_cache.revision = result->revision > held ? result->revision : held;
+	core->status_cache.fresh_at = core->now;
+}
+
+static void ws_status_cache_watch_answered(struct ws_core *core, struct ws_call *call,
+					   const struct ws_result *result)
+{
+	core->status_cache.request_in_flight = false;
+	if (result->status != 429)
+		ws_store_answered(core, result->status);
+	if (result->status == 200) {
+		ws_job_watch_apply(core, call, result);
+		ws_queries_answer(core, 200);
+	} else if (result->status == 410) { /* the copy is too old to be brought up to date */
+		ws_status_cache_clear(core);
+	} else if (result->status == 429) {
+		ws_queries_await_next_check(core);
+	} else {
+		ws_queries_answer(core, result->status);
+	}
+}
+
+static void ws_status_cache_load(struct ws_core *core, const char *after);
+
+static void ws_status_cache_page_read(struct ws_core *core, struct ws_call *call,
+				      const struct ws_result *result)
+{
+	if (result->status != 200) {
+		core->status_cache.request_in_flight = false;
+		core->status_cache.next_request_at = core->now + core->leadership.session_ttl_s / 4;
+		return;
+	}
+	if (!call->after[0]) {
+		struct ws_job_status *job_status, *next_job_status;
+
+		core->status_cache.revision = result->revision;
+		HASH_ITER (hh, core->status_cache.jobs, job_status,
+			   next_job_status) /* noted meanwhile: the pages tell */
+			if (job_status->revision <= result->revision)
+				ws_status_cache_drop(core, job_status);
+	}
+	for (size_t i = 0; i < result->entry_count; i++)
+		ws_status_cache_apply_change(core, &result->entries[i]);
+	if (result->has_more && result->entry_count) {
+		ws_status_cache_load(core, result->entries[result->entry_count - 1].key);
+		return;
+	}
+	core->status_cache.request_in_flight = false;
+	core->status_cache.complete = true;
+	core->status_cache.fresh_at = core->now;
+}
+
+static void ws_status_cache_load(struct ws_core *core, const char *after)
+{
+	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_status_cache_page_read);
+
+	snprintf(call->key, sizeof(call->key), WS_KEY_PREFIX_JOB);
+	snprintf(call->after, sizeof(call->after), "%s", after);
+	core->status_cache.request_in_flight = true;
+}
+
+void ws_status_cache_tick(struct ws_core *core)
+{
+	struct ws_call *call;
+
+	if (core->status_cache.request_in_flight || core->now < core->status_cache.next_request_at)
+		return;
+	if (!core->status_cache.complete) {
+		ws_status_cache_clear(core);
+		ws_status_cache_load(core, "");
+		return;
+	}
+	if (!core->status_queries.waiting &&
+	    core->now - core->status_cache.fresh_at < core->settings->lease_s / 4)
+		return;
+	/* all nodes together spend a quarter of the requests allowed on this */
+	core->status_cache.next_request_at =
+	    core->now + 4.0 * (double)(core->settings->peer_count + 1) / core->settings->state_rps;
+	core->status_cache.request_in_flight = true;
+	ws_queries_await_check(core);
+	call = ws_call_new(core, WS_CALL_WATCH, ws_status_cache_watch_answered);
+	snprintf(call->key, sizeof(call->key), WS_KEY_PREFIX_JOB);
+	call->since_revision = core->status_cache.revision;
+}
--- /dev/null
+++ b/src/core/api/submission.c
@@ -0,0 +1,140 @@
+/*
+ * Submissions: a job is accepted once its record is in the store, under the condition that no
+ * record, live or archived, has its id; so a repeated submission is answered with what the job is
+ * by now.
+ */
+#include "../core_state.h"
+
+/* At most half of its tasks in a zone, and all of them at once: that takes two zones. */
+static bool ws_gang_spreads(struct ws_core *core, const struct ws_job_spec *spec)
+{
+	uint32_t zones = 0;
+
+	if (!spec->gang || !spec->spread || spec->tasks == 1)
+		return true;
+	for (size_t i = 0; i < core->catalog.type_count; i++)
+		for (size_t index = 0; ws_machine_type_fits(&core->catalog.types[i], spec) &&
+				       index < core->catalog.types[i].zone_count;
+		     index++) {
+			int zone_index = ws_zone_index(core, core->catalog.types[i].zones[index]);
+
+			if (zone_index >= 0 &&
+			    (!spec->zone[0] ||
+			     !strcmp(spec->zone, core->catalog.zones[zone_index])))
+				zones |= 1u << zone_index;
+		}
+	return !spec->one_zone && (zones & (zones - 1));
+}
+
+static bool ws_can_ever_run(struct ws_core *core, const struct ws_job_spec *spec)
+{
+	struct ws_team *team = ws_team_find(core, spec->team);
+	double tasks_at_once = spec->service || spec->gang ? spec->tasks : 1;
+	bool fits = false;
+
+	for (size_t i = 0; i < core->catalog.type_count; i++)
+		fits |= ws_machine_type_fits(&core->catalog.types[i], spec) &&
+			ws_gang_recordable(core, spec, &core->catalog.types[i]);
+	return team && fits && ws_gang_spreads(core, spec) &&
+	       tasks_at_once * spec->cpus <= team->settings->cpus_max + 1e-9 &&
+	       tasks_at_once * spec->gpus <= team->settings->gpus_max + 1e-9;
+}
+
+static void ws_submit_known_old(struct ws_core *core, struct ws_call *call,
+				const struct ws_result *result)
+{
+	struct ws_user_request *request = call->context;
+
+	if (result->status == 200)
+		ws_user_answer_record(core, call, result, false);
+	else if (result->status == 404) /* else moved between two reads; it is known in any case */
+		ws_user_answer(core, call->context_number, request->never_runnable ? 422 : 503,
+			       call->context_name, WS_JOB_QUEUED);
+	else
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
+}
+
+static void ws_submit_known(struct ws_core *core, struct ws_call *call,
+			    const struct ws_result *result)
+{
+	struct ws_user_request *request = call->context;
+
+	if (result->status == 404) {
+		call->context = NULL;
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, call->context_name,
+				  call->context_number, request, ws_submit_known_old);
+		return;
+	}
+	if (result->status == 200)
+		ws_user_answer_record(core, call, result, false);
+	else
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
+}
+
+static void ws_submit_written(struct ws_core *core, struct ws_call *call,
+			      const struct ws_result *result)
+{
+	struct ws_user_request *request = call->context;
+
+	if (result->status == 409) {
+		call->context = NULL;
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, call->context_name, call->context_number,
+				  request, ws_submit_known);
+		return;
+	}
+	if (result->status == 200) {
+		ws_log(core, WS_LOG_DEBUG, "job %s accepted", call->context_name);
+		ws_user_answer(core, call->context_number, 201, call->context_name, WS_JOB_QUEUED);
+	} else if (result->status == 400) { /* a record over the limits: it can't be kept */
+		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
+	} else {
+		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+					   request->forwarded, result->status);
+	}
+}
+
+void ws_core_submit(struct ws_core *core, double now, double wall, uint64_t request_id,
+		    const struct ws_job_spec *spec, bool forwarded)
+{
+	char live_key[WS_KEY_MAX], archived_key[WS_KEY_MAX];
+	struct ws_user_request *request;
+	struct ws_call *call;
+
+	if (now > core->now)
+		core->now = now;
+	if (!core->catalog.type_count) {
+		ws_user_answer_unavailable(core, request_id, spec->id, forwarded, 503);
+		return;
+	}
+	if (!forwarded && ws_store_refuses(core)) {
+		ws_user_answer_unavailable(core, request_id, spec->id, forwarded, 503);
+		return;
+	}
+	request = calloc(1, sizeof(*request));
+	if (!request) {
+		ws_user_answer(core, request_id, 503, spec->id, WS_JOB_QUEUED);
+		return;
+	}
+	request->forwarded = forwarded;
+	if (!ws_can_ever_run(core, spec)) {
+		/* limits and teams change: what was accepted under others stays known */
+		request->never_runnable = true;
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, spec->id, request_id, request,
+				  ws_submit_known);
+		ws_core_tick(core, now);
+		return;
+	}
+	call = ws_call_new(core, WS_CALL_TRANSACTION, ws_submit_written);
+	call->context = request;
+	call->context_number = request_id;
+	snprintf(call->context_name, sizeof(call->context_name), "%s", spec->id);
+	snprintf(live_key, sizeof(live_key), "%s%s", WS_KEY_PREFIX_JOB, spec->id);
+	snprintf(archived_key, sizeof(archived_key), "%s%s", WS_KEY_PREFIX_ARCHIVED_JOB, spec->id);
+	ws_transaction_reserve(call, 2, 1);
+	ws_transaction_compare(call, live_key, 0);
+	ws_transaction_compare(call, archived_key, 0);
+	ws_transaction_set(call, live_key, ws_record_spec(spec, WS_JOB_QUEUED, wall));
+	ws_core_tick(core, now);
+}
--- /dev/null
+++ b/src/core/api/user_answers.c
@@ -0,0 +1,102 @@
+/*
+ * Answers to users. One that binds the service (accepted, done, cancelled) is given only with what
+ * was read from or written to the store.
+ */
+#include "../core_state.h"
+#include "../record_sources.h"
+
+void ws_user_answer(struct ws_core *core, uint64_t request_id, int status, const char *id,
+		    enum ws_job_phase phase)
+{
+	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_USER);
+
+	effect->request_id = request_id;
+	effect->status = status;
+	effect->phase = phase;
+	snprintf(effect->name, sizeof(effect->name), "%s", id);
+	if (status == 503 || status == 429)
+		effect->retry_after = 1;
+}
+
+/* The store does not serve us: a peer may do better, unless the request came from one. */
+void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
+				bool forwarded, int status)
+{
+	if (!forwarded && !ws_node_is_isolated(core) && (status == 503 || status == 0) &&
+	    core->settings->peer_count) {
+		struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_FORWARD);
+
+		effect->request_id = request_id;
+		return;
+	}
+	ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
+}
+
+struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
+				  uint64_t request_id, struct ws_user_request *request,
+				  ws_result_fn on_result)
+{
+	struct ws_call *call = ws_call_new(core, WS_CALL_GET, on_result);
+
+	snprintf(call->key, sizeof(call->key), "%s%s", prefix, id);
+	snprintf(call->context_name, sizeof(call->context_name), "%s", id);
+	call->context = request;
+	call->context_number = request_id;
+	return call;
+}
+
+/*
+ * A user is about to be told that this job is cancelled: the job status cache must hold that,
+ * for it is what we vote with. A record under old/ has nothing left on any machine.
+ */
+void ws_status_cache_note_cancelled(struct ws_core *core, const char *key, uint64_t revision)
+{
+	struct ws_job_status *job_status =
+	    ws_key_has_prefix(key, WS_KEY_PREFIX_JOB)
+		? ws_status_cache_note(core, key + strlen(WS_KEY_PREFIX_JOB), revision)
+		: NULL;
+
+	if (job_status)
+		job_status->phase = WS_JOB_CANCELLED;
+}
+
+void ws_user_answer_status(struct ws_core *core, uint64_t request_id, const char *id,
+			   enum ws_job_phase phase, uint32_t done, uint32_t running,
+			   bool with_counts)
+{
+	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_USER);
+
+	effect->request_id = request_id;
+	effect->status = 200;
+	effect->phase = phase;
+	effect->carries_counts = with_counts;
+	effect->done = done;
+	effect->running = running;
+	snprintf(effect->name, sizeof(effect->name), "%s", id);
+	if (with_counts && core->leadership.role == WS_LEADER && phase == WS_JOB_RUNNING) {
+		struct ws_job *job = ws_job_find(core, id);
+
+		if (job) {
+			effect->done = job->done_count;
+			effect->running = job->attempt_count;
+		}
+	}
+}
+
+void ws_user_answer_record(struct ws_core *core, struct ws_call *call,
+			   const struct ws_result *result, bool with_counts)
+{
+	enum ws_job_phase phase;
+	uint32_t done, running;
+
+	if (result->entry_count != 1 ||
+	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
+		ws_log(core, WS_LOG_ERROR, "record %s can't be read", call->key);
+		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
+		return;
+	}
+	if (phase == WS_JOB_CANCELLED)
+		ws_status_cache_note_cancelled(core, call->key, result->entries[0].revision);
+	ws_user_answer_status(core, call->context_number, call->context_name, phase, done, running,
+			      with_counts);
+}
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -19,14 +19,14 @@
 	};
 }
 
-void ws_log(struct ws_core *core, enum ws_log_level level, const char *fmt, ...)
+void ws_log(struct ws_core *core, enum ws_log_level level, const char *format, ...)
 {
 	char text[512];
-	va_list ap;
+	va_list arguments;
 
-	va_start(ap, fmt);
-	vsnprintf(text, sizeof(text), fmt, ap);
-	va_end(ap);
+	va_start(arguments, format);
+	vsnprintf(text, sizeof(text), format, arguments);
+	va_end(arguments);
 	if (core->log)
 		core->log(level, text);
 }
@@ -46,14 +46,14 @@
 	return effect;
 }
 
-struct ws_call *ws_call_new(struct ws_core *core, enum ws_call_kind kind, ws_result_fn done)
+struct ws_call *ws_call_new(struct ws_core *core, enum ws_call_kind kind, ws_result_fn on_result)
 {
 	struct ws_call *call = calloc(1, sizeof(*call));
 
 	if (!call)
 		abort();
 	call->kind = kind;
-	call->on_result = done;
+	call->on_result = on_result;
 	call->generation = core->generation;
 	call->created_at = core->now;
 	ws_effect_new(core, WS_EFFECT_CALL)->call = call;
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -18,6 +18,7 @@
 #include "jobs/jobs.h"
 #include "leadership/leadership.h"
 #include "lease.h"
+#include "memory.h"
 #include "records/records.h"
 #include "scheduler/scheduler.h"
 #include "store/job_watch.h"
@@ -25,6 +26,7 @@
 #include "store/write_counts.h"
 #include "store/writer.h"
 #include "tombstones.h"
+#include "transaction.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -47,6 +49,7 @@
 	struct ws_leadership leadership;
 	struct ws_store_health store_health;
 	struct ws_status_cache status_cache;
+	struct ws_status_queries status_queries;
 	struct ws_follower follower;
 
 	/* of the leader */
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -99,16 +99,16 @@
 	core->leadership.proof.term = term;
 }
 
-static void ws_leader_key_read(struct ws_core *core, double asked)
+static void ws_leader_key_read(struct ws_core *core, double asked_at)
 {
 	struct ws_leader_proof *proof = &core->leadership.proof;
-	const double hold_s = WS_PROOF_TTLS * core->leadership.session_ttl_s;
+	const double proof_s = WS_PROOF_TTLS * core->leadership.session_ttl_s;
 
 	if (core->leadership.leader_revision != proof->leader_revision) {
 		proof->leader_revision = core->leadership.leader_revision;
-		proof->key_since = asked;
-	} else if (proof->leader_revision && asked - proof->key_since > hold_s) {
-		ws_leader_proven(core, asked - hold_s, proof->leader_revision);
+		proof->key_since = asked_at;
+	} else if (proof->leader_revision && asked_at - proof->key_since > proof_s) {
+		ws_leader_proven(core, asked_at - proof_s, proof->leader_revision);
 	}
 }
 
@@ -171,7 +171,8 @@
 static void ws_session_opened(struct ws_core *core, struct ws_call *call,
 			      const struct ws_result *result)
 {
-	struct ws_call *other_call;
+	const struct ws_leader_record record = {core->settings->node, core->nonce >> 2};
+	struct ws_call *transaction;
 
 	if (call->generation != core->generation || core->leadership.role != WS_CANDIDATE)
 		return;
@@ -189,20 +190,13 @@
 	core->leadership.entitled_until =
 	    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT);
 	core->leadership.next_renewal_at = call->created_at + core->leadership.session_ttl_s / 4;
-	other_call = ws_call_new(core, WS_CALL_TRANSACTION, ws_election_answered);
-	other_call->urgent = true;
-	other_call->compares = calloc(1, sizeof(*other_call->compares));
-	other_call->operations = calloc(1, sizeof(*other_call->operations));
-	if (!other_call->compares || !other_call->operations)
-		abort();
-	other_call->compare_count = other_call->operation_count = 1;
-	snprintf(other_call->compares[0].key, WS_KEY_MAX, "leader");
-	other_call->compares[0].revision =
-	    core->leadership.leader_revision; /* 0, or the key of our own earlier life */
-	snprintf(other_call->operations[0].key, WS_KEY_MAX, "leader");
-	other_call->operations[0].value = ws_leader_record_encode(
-	    &(struct ws_leader_record){core->settings->node, core->nonce >> 2});
-	other_call->operations[0].session = core->leadership.session;
+	transaction = ws_call_new(core, WS_CALL_TRANSACTION, ws_election_answered);
+	transaction->urgent = true;
+	ws_transaction_reserve(transaction, 1, 1);
+	/* none, or the key of our own earlier life */
+	ws_transaction_compare(transaction, WS_KEY_LEADER, core->leadership.leader_revision);
+	ws_transaction_set(transaction, WS_KEY_LEADER, ws_leader_record_encode(&record))->session =
+	    core->leadership.session;
 }
 
 static void ws_election_answered(struct ws_core *core, struct ws_call *call,
@@ -261,7 +255,7 @@
 	}
 	core->leadership.watch_revision = result->revision;
 	for (size_t i = 0; i < result->entry_count; i++)
-		if (!strcmp(result->entries[i].key, "leader"))
+		if (!strcmp(result->entries[i].key, WS_KEY_LEADER))
 			ws_leader_changed(core, result->entries[i].value,
 					  result->entries[i].revision);
 	ws_leader_key_read(core, call->created_at);
@@ -280,7 +274,7 @@
 	core->leadership.leader_known = true; /* the revision of a new store may be 0 */
 	core->leadership.watch_revision = result->revision;
 	for (size_t i = 0; i < result->entry_count; i++)
-		if (!strcmp(result->entries[i].key, "leader")) {
+		if (!strcmp(result->entries[i].key, WS_KEY_LEADER)) {
 			any = true;
 			ws_leader_changed(core, result->entries[i].value,
 					  result->entries[i].revision);
@@ -299,11 +293,11 @@
 	core->leadership.watch_in_flight = true;
 	if (!core->leadership.leader_known) {
 		call = ws_call_new(core, WS_CALL_LIST, ws_leader_read_answered);
-		snprintf(call->key, sizeof(call->key), "leader");
+		snprintf(call->key, sizeof(call->key), WS_KEY_LEADER);
 		return;
 	}
 	call = ws_call_new(core, WS_CALL_WATCH, ws_leader_watch_answered);
-	snprintf(call->key, sizeof(call->key), "leader");
+	snprintf(call->key, sizeof(call->key), WS_KEY_LEADER);
 	call->since_revision = core->leadership.watch_revision;
 	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
 }
--- a/src/core/records/continuation_record.c
+++ b/src/core/records/continuation_record.c
@@ -105,8 +105,8 @@
 	}
 }
 
-void ws_record_split_attempts(json_t *record, size_t limit, json_t **continuations, size_t most,
-			      size_t *count)
+void ws_record_split_attempts(json_t *record, size_t limit, json_t **continuations,
+			      size_t continuations_max, size_t *count)
 {
 	struct ws_record_splitter splitter = {.limit = limit};
 	json_t *filled = record;
@@ -116,12 +116,13 @@
 	*count = 0;
 	json_object_set_new(record, WS_FIELD_COMPLETED_TASKS, json_string(""));
 	json_object_set_new(record, WS_FIELD_ATTEMPTS, json_array());
-	json_object_set_new(record, WS_FIELD_CONTINUATIONS, json_integer((json_int_t)most));
+	json_object_set_new(record, WS_FIELD_CONTINUATIONS,
+			    json_integer((json_int_t)continuations_max));
 	while (filled && splitter.next < splitter.count) {
 		size_t before = splitter.next;
 
 		ws_fill_record(&splitter, filled);
-		if (splitter.next == splitter.count || *count == most ||
+		if (splitter.next == splitter.count || *count == continuations_max ||
 		    (splitter.next == before && filled != record))
 			break;
 		filled = json_pack("{s:[]}", WS_FIELD_ATTEMPTS);
--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -116,8 +116,8 @@
  * most `most` continuation records, of which `count` are made. The completed tasks are dropped.
  * Attempts that fit none of them are lost to the records.
  */
-void ws_record_split_attempts(json_t *record, size_t limit, json_t **continuations, size_t most,
-			      size_t *count);
+void ws_record_split_attempts(json_t *record, size_t limit, json_t **continuations,
+			      size_t continuations_max, size_t *count);
 
 /* How many continuation records a job's record has. */
 uint32_t ws_record_continuation_count(json_t *record);
--- a/src/core/store/write_batch.c
+++ b/src/core/store/write_batch.c
@@ -4,16 +4,11 @@
 
 void ws_write_batch_begin(struct ws_write_batch *batch, size_t operations_max)
 {
-	struct ws_call *call = calloc(1, sizeof(*call));
+	struct ws_call *call = ws_alloc(1, sizeof(*call));
 
-	if (!call)
-		abort();
-	/* the leader key's compare, up to two for each operation, and one operation to spare */
-	call->compares = calloc(2 * operations_max + 2, sizeof(*call->compares));
-	call->operations = calloc(operations_max + 1, sizeof(*call->operations));
-	if (!call->compares || !call->operations)
-		abort();
 	call->kind = WS_CALL_TRANSACTION;
+	/* the leader key's compare, up to two for each operation, and one operation to spare */
+	ws_transaction_reserve(call, 2 * operations_max + 2, operations_max + 1);
 	*batch = (struct ws_write_batch){.call = call, .operations_max = operations_max};
 }
 
@@ -31,18 +26,12 @@
 
 void ws_write_batch_compare(struct ws_write_batch *batch, const char *key, uint64_t revision)
 {
-	struct ws_compare *compare = &batch->call->compares[batch->call->compare_count++];
-
-	snprintf(compare->key, sizeof(compare->key), "%s", key);
-	compare->revision = revision;
+	ws_transaction_compare(batch->call, key, revision);
 }
 
 void ws_write_batch_set(struct ws_write_batch *batch, const char *key, json_t *value)
 {
-	struct ws_operation *operation = &batch->call->operations[batch->call->operation_count++];
-
-	snprintf(operation->key, sizeof(operation->key), "%s", key);
-	operation->value = value;
+	ws_transaction_set(batch->call, key, value);
 }
 
 void ws_write_batch_set_if(struct ws_write_batch *batch, const char *key, uint64_t revision,
--- a/src/failure_domains/domains.c
+++ b/src/failure_domains/domains.c
@@ -12,11 +12,12 @@
 #define ROOM_BEFORE 32
 #define IPV4_OFFSET 12 /* of an IPv4 address within libcidr's 16 bytes */
 
-struct ws_failure_domain *ws_failure_domain_find(struct ws_failure_domains *zones, const char *name)
+struct ws_failure_domain *ws_failure_domain_find(struct ws_failure_domains *domains,
+						 const char *name)
 {
 	struct ws_failure_domain *domain;
 
-	HASH_FIND_STR(zones->domains, name, domain);
+	HASH_FIND_STR(domains->by_name, name, domain);
 	return domain;
 }
 
@@ -27,12 +28,12 @@
 
 	prefix->length = (uint8_t)length;
 	for (int i = start; i < 16; i++) {
-		int kept = length - 8 * (i - start);
+		int bits = length - 8 * (i - start);
 
-		if (kept <= 0)
+		if (bits <= 0)
 			prefix->bytes[i] = 0;
-		else if (kept < 8)
-			prefix->bytes[i] &= (uint8_t)(0xff << (8 - kept));
+		else if (bits < 8)
+			prefix->bytes[i] &= (uint8_t)(0xff << (8 - bits));
 	}
 }
 
@@ -120,7 +121,7 @@
 	return true;
 }
 
-static enum ws_domains_error_code network_add(struct ws_failure_domains *zones,
+static enum ws_domains_error_code network_add(struct ws_failure_domains *domains,
 					      struct ws_failure_domain *domain, const char *text)
 {
 	struct ws_domains_network *network;
@@ -132,19 +133,19 @@
 	prefix_cut(&cut, prefix.length);
 	if (memcmp(&cut, &prefix, sizeof(cut)) != 0)
 		return WS_DOMAINS_HOST_BITS;
-	if (network_find(&zones->networks, &prefix))
+	if (network_find(&domains->networks, &prefix))
 		return WS_DOMAINS_NETWORK_TWICE;
 	network = calloc(1, sizeof(*network));
 	if (!network)
 		abort();
 	network->prefix = prefix;
 	network->domain = domain;
-	HASH_ADD(hh, zones->networks.table, prefix, sizeof(network->prefix), network);
-	zones->networks.used[prefix.version == 6][prefix.length] = true;
+	HASH_ADD(hh, domains->networks.table, prefix, sizeof(network->prefix), network);
+	domains->networks.used[prefix.version == 6][prefix.length] = true;
 	return WS_DOMAINS_OK;
 }
 
-static enum ws_domains_error_code domain_add(struct ws_failure_domains *zones, const char *name,
+static enum ws_domains_error_code domain_add(struct ws_failure_domains *domains, const char *name,
 					     bool is_zone, struct ws_failure_domain **added)
 {
 	struct ws_failure_domain *domain;
@@ -152,66 +153,66 @@
 	/* names are part of keys, which hold no spaces */
 	if (!name[0] || strpbrk(name, " \t/") != NULL)
 		return WS_DOMAINS_BAD_NAME;
-	if (ws_failure_domain_find(zones, name))
+	if (ws_failure_domain_find(domains, name))
 		return WS_DOMAINS_NAME_TWICE;
 	domain = calloc(1, sizeof(*domain));
 	if (!domain)
 		abort();
 	snprintf(domain->name, sizeof(domain->name), "%s", name);
 	domain->is_zone = is_zone;
-	HASH_ADD_STR(zones->domains, name, domain);
+	HASH_ADD_STR(domains->by_name, name, domain);
 	*added = domain;
 	return WS_DOMAINS_OK;
 }
 
-static bool declared_add(struct ws_failure_domains *zones,
+static bool declared_add(struct ws_failure_domains *domains,
 			 const struct ws_domains_declared *declared, struct ws_domains_error *error)
 {
 	struct ws_failure_domain *domain;
 
 	snprintf(error->domain, sizeof(error->domain), "%s", declared->name);
-	error->code = domain_add(zones, declared->name, false, &domain);
+	error->code = domain_add(domains, declared->name, false, &domain);
 	for (size_t i = 0; error->code == WS_DOMAINS_OK && i < declared->network_count; i++) {
 		snprintf(error->network, sizeof(error->network), "%s", declared->networks[i]);
-		error->code = network_add(zones, domain, declared->networks[i]);
+		error->code = network_add(domains, domain, declared->networks[i]);
 	}
 	return error->code == WS_DOMAINS_OK;
 }
 
-struct ws_failure_domain *ws_domains_add_zone(struct ws_failure_domains *zones, const char *name)
+struct ws_failure_domain *ws_domains_add_zone(struct ws_failure_domains *domains, const char *name)
 {
 	struct ws_failure_domain *domain = NULL;
 
-	domain_add(zones, name, true, &domain);
+	domain_add(domains, name, true, &domain);
 	if (domain)
-		domain->since = domain->penalty_at = domain->clean_since = zones->clock_read;
+		domain->since = domain->penalty_at = domain->clean_since = domains->clock_read;
 	return domain;
 }
 
-bool ws_domains_domains_create(struct ws_failure_domains *zones, struct ws_domains_error *error)
+bool ws_domains_domains_create(struct ws_failure_domains *domains, struct ws_domains_error *error)
 {
 	struct ws_failure_domain *domain;
 
 	memset(error, 0, sizeof(*error));
-	for (size_t i = 0; i < zones->limits.zone_count; i++) /* a zone listed twice is one */
-		domain_add(zones, zones->limits.zones[i], true, &domain);
-	for (size_t i = 0; i < zones->settings.declared_count; i++)
-		if (!declared_add(zones, &zones->settings.declared[i], error))
+	for (size_t i = 0; i < domains->limits.zone_count; i++) /* a zone listed twice is one */
+		domain_add(domains, domains->limits.zones[i], true, &domain);
+	for (size_t i = 0; i < domains->settings.declared_count; i++)
+		if (!declared_add(domains, &domains->settings.declared[i], error))
 			return false;
 	return true;
 }
 
-void ws_domains_domains_free(struct ws_failure_domains *zones)
+void ws_domains_domains_free(struct ws_failure_domains *domains)
 {
-	struct ws_failure_domain *domain = zones->domains, *next_domain;
-	struct ws_domains_network *network = zones->networks.table, *next_network;
+	struct ws_failure_domain *domain = domains->by_name, *next_domain;
+	struct ws_domains_network *network = domains->networks.table, *next_network;
 
-	HASH_CLEAR(hh, zones->domains);
+	HASH_CLEAR(hh, domains->by_name);
 	for (; domain; domain = next_domain) {
 		next_domain = domain->hh.next;
 		free(domain);
 	}
-	HASH_CLEAR(hh, zones->networks.table);
+	HASH_CLEAR(hh, domains->networks.table);
 	for (; network; network = next_network) {
 		next_network = network->hh.next;
 		free(network);
@@ -257,25 +258,26 @@
 	}
 }
 
-void ws_domains_join(struct ws_failure_domains *zones, struct ws_domains_machine *machine,
+void ws_domains_join(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
 		     const struct ws_machine_facts *facts)
 {
 	struct ws_failure_domain *declared = NULL, *zone = NULL;
 
 	if (facts->zone[0]) {
-		zone = ws_failure_domain_find(zones, facts->zone);
+		zone = ws_failure_domain_find(domains, facts->zone);
 		if (!zone) /* the settings don't list it */
-			zone = ws_domains_add_zone(zones, facts->zone);
+			zone = ws_domains_add_zone(domains, facts->zone);
 		if (zone && !zone->is_zone) {
-			ws_domains_logf(zones,
+			ws_domains_logf(domains,
 					"zones: zone %s of machine %s is named like a domain",
 					facts->zone, facts->name);
 			zone = NULL;
 		}
 	}
-	if (zones->networks.table && facts->address[0] &&
-	    !network_lookup(&zones->networks, facts->address, &declared))
-		ws_domains_logf(zones, "zones: address %s of machine %s can't be read: by its zone",
+	if (domains->networks.table && facts->address[0] &&
+	    !network_lookup(&domains->networks, facts->address, &declared))
+		ws_domains_logf(domains,
+				"zones: address %s of machine %s can't be read: by its zone",
 				facts->address, facts->name);
 	member_add(machine, 0, zone);
 	member_add(machine, 1, declared);
--- a/src/failure_domains/failure_domains.c
+++ b/src/failure_domains/failure_domains.c
@@ -16,7 +16,7 @@
 /* The golden section: spreads machines evenly over the ramp, in whatever number they come. */
 #define RAMP_STEP 0.6180339887498949
 
-void ws_domains_logf(const struct ws_failure_domains *zones, const char *format, ...)
+void ws_domains_logf(const struct ws_failure_domains *domains, const char *format, ...)
 {
 	char text[512];
 	va_list arguments;
@@ -24,8 +24,8 @@
 	va_start(arguments, format);
 	vsnprintf(text, sizeof(text), format, arguments);
 	va_end(arguments);
-	if (zones->log)
-		zones->log(text);
+	if (domains->log)
+		domains->log(text);
 }
 
 const char *ws_domains_error_text(enum ws_domains_error_code code)
@@ -101,38 +101,38 @@
 					  const struct ws_cluster_limits *limits,
 					  ws_domains_log_fn log, struct ws_domains_error *error)
 {
-	struct ws_failure_domains *zones = calloc(1, sizeof(*zones));
+	struct ws_failure_domains *domains = calloc(1, sizeof(*domains));
 
-	if (!zones)
+	if (!domains)
 		abort();
-	settings_copy(&zones->settings, settings, limits->lease_s);
-	zones->limits = *limits;
-	zones->log = log;
-	snprintf(zones->node_zone, sizeof(zones->node_zone), "%s", limits->node_zone);
-	if (!ws_domains_domains_create(zones, error)) {
-		ws_domains_free(zones);
+	settings_copy(&domains->settings, settings, limits->lease_s);
+	domains->limits = *limits;
+	domains->log = log;
+	snprintf(domains->node_zone, sizeof(domains->node_zone), "%s", limits->node_zone);
+	if (!ws_domains_domains_create(domains, error)) {
+		ws_domains_free(domains);
 		return NULL;
 	}
-	zones->limits.zones = NULL; /* the caller's */
-	zones->limits.node_zone = zones->node_zone;
-	return zones;
+	domains->limits.zones = NULL; /* the caller's */
+	domains->limits.node_zone = domains->node_zone;
+	return domains;
 }
 
-void ws_domains_free(struct ws_failure_domains *zones)
+void ws_domains_free(struct ws_failure_domains *domains)
 {
-	if (!zones)
+	if (!domains)
 		return;
-	ws_domains_plan_free(zones);
-	ws_domains_domains_free(zones);
-	ws_domains_settings_free(&zones->settings);
-	free(zones);
+	ws_domains_plan_free(domains);
+	ws_domains_domains_free(domains);
+	ws_domains_settings_free(&domains->settings);
+	free(domains);
 }
 
 /* ---- leadership ---- */
 
-uint64_t ws_domains_steps(const struct ws_failure_domains *zones)
+uint64_t ws_domains_steps(const struct ws_failure_domains *domains)
 {
-	return zones->steps;
+	return domains->steps;
 }
 
 static void destroy(void *self)
@@ -142,10 +142,11 @@
 
 static void elected(void *self, const struct ws_election_facts *facts)
 {
-	struct ws_failure_domains *zones = self;
+	struct ws_failure_domains *domains = self;
 	const double now = facts->now;
 
-	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next) {
+	for (struct ws_failure_domain *domain = domains->by_name; domain;
+	     domain = domain->hh.next) {
 		domain->state = WS_DOMAINS_HEALTHY;
 		domain->evidence = WS_DOMAINS_NO_EVIDENCE;
 		domain->penalty = 0;
@@ -154,20 +155,21 @@
 		domain->held = domain->held_read = domain->record_due = false;
 		domain->removed = 0;
 	}
-	zones->later_format = false;
-	zones->serving = false; /* judge after the first tick that finds it so */
-	zones->clock = zones->judge_from = 0;
-	zones->clock_read = now;
-	zones->hold_read_next = 0;
+	domains->later_format = false;
+	domains->serving = false; /* judge after the first tick that finds it so */
+	domains->clock = domains->judge_from = 0;
+	domains->clock_read = now;
+	domains->hold_read_next = 0;
 }
 
 /* The listing of holds is complete: what it did not name is not held. */
-static void holds_read(struct ws_failure_domains *zones)
+static void holds_read(struct ws_failure_domains *domains)
 {
-	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next) {
+	for (struct ws_failure_domain *domain = domains->by_name; domain;
+	     domain = domain->hh.next) {
 		if (domain->held != domain->held_read) {
-			ws_domains_logf(zones, "zones: domain %s is %s by operators", domain->name,
-					domain->held_read ? "held" : "released");
+			ws_domains_logf(domains, "zones: domain %s is %s by operators",
+					domain->name, domain->held_read ? "held" : "released");
 			domain->record_due = true;
 		}
 		domain->held = domain->held_read;
@@ -177,13 +179,13 @@
 
 static void records_loaded(void *self, double now)
 {
-	struct ws_failure_domains *zones = self;
+	struct ws_failure_domains *domains = self;
 
 	(void)now;
-	holds_read(zones);
-	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next)
+	holds_read(domains);
+	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
 		if (domain->state != WS_DOMAINS_HEALTHY)
-			ws_domains_logf(zones, "zones: domain %s is %s on record, penalty %.2f",
+			ws_domains_logf(domains, "zones: domain %s is %s on record, penalty %.2f",
 					domain->name, ws_domains_state_name(domain->state),
 					domain->penalty);
 }
@@ -196,26 +198,26 @@
 
 static void stepped_down(void *self)
 {
-	struct ws_failure_domains *zones = self;
+	struct ws_failure_domains *domains = self;
 
-	ws_domains_plan_free(zones);
+	ws_domains_plan_free(domains);
 }
 
 /* ---- machines ---- */
 
 static void *machine_added(void *self, double now, const struct ws_machine_facts *facts)
 {
-	struct ws_failure_domains *zones = self;
+	struct ws_failure_domains *domains = self;
 	struct ws_domains_machine *machine = calloc(1, sizeof(*machine));
 
 	(void)now;
 	if (!machine)
 		abort();
 	machine->presence = WS_DOMAINS_SINGLE; /* counts from its first heartbeat on */
-	machine->ramp = fmod((double)zones->machine_count++ * RAMP_STEP, 1);
-	ws_domains_join(zones, machine, facts);
+	machine->ramp = fmod((double)domains->machine_count++ * RAMP_STEP, 1);
+	ws_domains_join(domains, machine, facts);
 	if (facts->expected)
-		ws_domains_set_presence(zones, machine, WS_DOMAINS_EXPECTED);
+		ws_domains_set_presence(domains, machine, WS_DOMAINS_EXPECTED);
 	return machine;
 }
 
@@ -238,17 +240,17 @@
 
 static void machine_removed(void *self, void *handle)
 {
-	struct ws_failure_domains *zones = self;
+	struct ws_failure_domains *domains = self;
 	struct ws_domains_machine *machine = handle;
 
-	ws_domains_set_presence(zones, machine, WS_DOMAINS_SINGLE);
+	ws_domains_set_presence(domains, machine, WS_DOMAINS_SINGLE);
 	ws_domains_leave(machine);
 	free(machine);
 }
 
 static void machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss)
 {
-	struct ws_failure_domains *zones = self;
+	struct ws_failure_domains *domains = self;
 	struct ws_domains_machine *machine = handle;
 
 	(void)now;
@@ -257,7 +259,7 @@
 		return;
 	if (machine->presence == WS_DOMAINS_SILENT)
 		count_removed(machine);
-	ws_domains_set_presence(zones, machine, WS_DOMAINS_SINGLE);
+	ws_domains_set_presence(domains, machine, WS_DOMAINS_SINGLE);
 }
 
 static void heartbeat_seen(void *self, double now, void *handle)
@@ -280,30 +282,30 @@
 
 static bool machine_avoided(void *self, double now, const void *handle)
 {
-	const struct ws_failure_domains *zones = self;
+	const struct ws_failure_domains *domains = self;
 	const struct ws_domains_machine *machine = handle;
 
-	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS && !zones->later_format; i++) {
+	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS && !domains->later_format; i++) {
 		const struct ws_failure_domain *domain = machine->memberships[i].domain;
 
-		if (domain && ws_failure_domain_avoids(zones, domain, machine, now))
+		if (domain && ws_failure_domain_avoids(domains, domain, machine, now))
 			return true;
 	}
 	return false;
 }
 
 /* The domain of a zone if it is dark, or recovering within its hold-down; else NULL. */
-static const struct ws_failure_domain *zone_in_trouble(struct ws_failure_domains *zones, double now,
-						       const char *zone)
+static const struct ws_failure_domain *zone_in_trouble(struct ws_failure_domains *domains,
+						       double now, const char *zone)
 {
-	const struct ws_failure_domain *domain = ws_failure_domain_find(zones, zone);
+	const struct ws_failure_domain *domain = ws_failure_domain_find(domains, zone);
 
-	if (!domain || !domain->is_zone || zones->later_format)
+	if (!domain || !domain->is_zone || domains->later_format)
 		return NULL;
 	if (domain->state == WS_DOMAINS_DARK)
 		return domain;
 	return domain->state == WS_DOMAINS_RECOVERING &&
-		       now - domain->clean_since < ws_domains_hold_down(zones, domain)
+		       now - domain->clean_since < ws_domains_hold_down(domains, domain)
 		   ? domain
 		   : NULL;
 }
@@ -323,20 +325,21 @@
 
 /* ---- tick ---- */
 
-static void domains_write(struct ws_failure_domains *zones, double now,
+static void domains_write(struct ws_failure_domains *domains, double now,
 			  struct ws_request_queue *out)
 {
-	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next) {
+	for (struct ws_failure_domain *domain = domains->by_name; domain;
+	     domain = domain->hh.next) {
 		char name[WS_DOMAINS_NAME_MAX + 16];
 		bool trouble =
 		    domain->state == WS_DOMAINS_DARK || domain->state == WS_DOMAINS_RECOVERING;
 		bool old =
-		    trouble && now - domain->recorded_at > RECORD_LEASES * zones->limits.lease_s;
+		    trouble && now - domain->recorded_at > RECORD_LEASES * domains->limits.lease_s;
 
 		if (!domain->record_due && !old)
 			continue;
 		snprintf(name, sizeof(name), "domain/%s", domain->name);
-		ws_request_write(out, name, ws_failure_domain_record(zones, domain, now),
+		ws_request_write(out, name, ws_failure_domain_record(domains, domain, now),
 				 domain->record_due);
 		domain->record_due = false;
 		domain->recorded_at = now;
@@ -345,17 +348,17 @@
 
 static void tick(void *self, const struct ws_tick_facts *facts, struct ws_request_queue *out)
 {
-	struct ws_failure_domains *zones = self;
+	struct ws_failure_domains *domains = self;
 
-	if (zones->later_format)
+	if (domains->later_format)
 		return;
-	ws_domains_health_tick(zones, facts);
+	ws_domains_health_tick(domains, facts);
 	if (!facts->serving)
 		return;
-	domains_write(zones, facts->now, out);
-	ws_domains_plan_tick(zones, facts->now, out);
-	if (facts->now >= zones->hold_read_next) {
-		zones->hold_read_next = facts->now + HOLD_READ_LEASES * zones->limits.lease_s;
+	domains_write(domains, facts->now, out);
+	ws_domains_plan_tick(domains, facts->now, out);
+	if (facts->now >= domains->hold_read_next) {
+		domains->hold_read_next = facts->now + HOLD_READ_LEASES * domains->limits.lease_s;
 		ws_request_read(out, "hold/");
 	}
 }
--- a/src/failure_domains/failure_domains.h
+++ b/src/failure_domains/failure_domains.h
@@ -56,10 +56,10 @@
 struct ws_failure_domains *ws_domains_new(const struct ws_domains_settings *settings,
 					  const struct ws_cluster_limits *limits,
 					  ws_domains_log_fn log, struct ws_domains_error *error);
-void ws_domains_free(struct ws_failure_domains *zones);
+void ws_domains_free(struct ws_failure_domains *domains);
 
 /* Steps of work on single machines so far: for tests that hold it to what changed. */
-uint64_t ws_domains_steps(const struct ws_failure_domains *zones);
+uint64_t ws_domains_steps(const struct ws_failure_domains *domains);
 
 /* For ws_core_attach(), with the object as `self`. */
 extern const struct ws_subsystem_ops ws_domains_ops;
--- a/src/failure_domains/internal.h
+++ b/src/failure_domains/internal.h
@@ -173,7 +173,7 @@
 	char node_zone[WS_DOMAINS_NAME_MAX];
 	ws_domains_log_fn log;
 	struct ws_domains_networks networks;
-	struct ws_failure_domain *domains;
+	struct ws_failure_domain *by_name;
 	struct ws_domains_list live, silent, expected; /* each in the order of changed_at */
 	/*
 	 * Time during which we were listening: it stands still while the process does, and while
@@ -190,17 +190,17 @@
 	struct ws_domains_plan plan;
 };
 
-void ws_domains_logf(const struct ws_failure_domains *zones, const char *format, ...)
+void ws_domains_logf(const struct ws_failure_domains *domains, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 
 /* domains.c */
-struct ws_failure_domain *ws_failure_domain_find(struct ws_failure_domains *zones,
+struct ws_failure_domain *ws_failure_domain_find(struct ws_failure_domains *domains,
 						 const char *name);
-bool ws_domains_domains_create(struct ws_failure_domains *zones, struct ws_domains_error *error);
+bool ws_domains_domains_create(struct ws_failure_domains *domains, struct ws_domains_error *error);
 /* A zone that the settings don't list; NULL: its name can be no key. */
-struct ws_failure_domain *ws_domains_add_zone(struct ws_failure_domains *zones, const char *name);
-void ws_domains_domains_free(struct ws_failure_domains *zones);
-void ws_domains_join(struct ws_failure_domains *zones, struct ws_domains_machine *machine,
+struct ws_failure_domain *ws_domains_add_zone(struct ws_failure_domains *domains, const char *name);
+void ws_domains_domains_free(struct ws_failure_domains *domains);
+void ws_domains_join(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
 		     const struct ws_machine_facts *facts);
 void ws_domains_leave(struct ws_domains_machine *machine);
 /* Adds a machine to the counts of one of its domains, or takes it off. */
@@ -208,32 +208,32 @@
 			     const struct ws_domains_machine *machine, int sign);
 
 /* health.c */
-void ws_domains_listen(struct ws_failure_domains *zones, double now);
-void ws_domains_set_presence(struct ws_failure_domains *zones, struct ws_domains_machine *machine,
+void ws_domains_listen(struct ws_failure_domains *domains, double now);
+void ws_domains_set_presence(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
 			     enum ws_domains_presence presence);
 void ws_domains_set_unanswered(struct ws_domains_machine *machine, bool unanswered);
-void ws_domains_health_tick(struct ws_failure_domains *zones, const struct ws_tick_facts *facts);
-double ws_domains_penalty(const struct ws_failure_domains *zones,
+void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_facts *facts);
+double ws_domains_penalty(const struct ws_failure_domains *domains,
 			  const struct ws_failure_domain *domain, double now);
-double ws_domains_hold_down(const struct ws_failure_domains *zones,
+double ws_domains_hold_down(const struct ws_failure_domains *domains,
 			    const struct ws_failure_domain *domain);
-bool ws_failure_domain_avoids(const struct ws_failure_domains *zones,
+bool ws_failure_domain_avoids(const struct ws_failure_domains *domains,
 			      const struct ws_failure_domain *domain,
 			      const struct ws_domains_machine *machine, double now);
-bool ws_domains_in_state(const struct ws_failure_domains *zones, enum ws_domains_state state);
+bool ws_domains_in_state(const struct ws_failure_domains *domains, enum ws_domains_state state);
 
 /* plan.c */
-void ws_domains_plan_free(struct ws_failure_domains *zones);
+void ws_domains_plan_free(struct ws_failure_domains *domains);
 bool ws_domains_attempt_surveyed(void *self, void *machine);
 void ws_domains_job_surveyed(void *self, const struct ws_job_facts *facts);
 void ws_domains_survey_done(void *self, double now);
-void ws_domains_plan_tick(struct ws_failure_domains *zones, double now,
+void ws_domains_plan_tick(struct ws_failure_domains *domains, double now,
 			  struct ws_request_queue *out);
-void ws_domains_plan_loaded(struct ws_failure_domains *zones, const char *number, json_t *value);
-void ws_domains_called_off(struct ws_failure_domains *zones, struct ws_domains_machine *machine);
+void ws_domains_plan_loaded(struct ws_failure_domains *domains, const char *number, json_t *value);
+void ws_domains_called_off(struct ws_failure_domains *domains, struct ws_domains_machine *machine);
 
 /* records.c */
-json_t *ws_failure_domain_record(const struct ws_failure_domains *zones,
+json_t *ws_failure_domain_record(const struct ws_failure_domains *domains,
 				 const struct ws_failure_domain *domain, double now);
 void ws_domains_record_loaded(void *self, const char *name, json_t *value);
 const char *ws_domains_state_name(enum ws_domains_state state);
--- a/src/failure_domains/plan.c
+++ b/src/failure_domains/plan.c
@@ -52,9 +52,9 @@
 	return part;
 }
 
-void ws_domains_plan_free(struct ws_failure_domains *zones)
+void ws_domains_plan_free(struct ws_failure_domains *domains)
 {
-	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_plan *plan = &domains->plan;
 	struct ws_domains_entry *entry = plan->entries, *next_entry;
 	struct ws_domains_part *part = plan->parts, *next_part;
 
@@ -82,12 +82,12 @@
 }
 
 /* Why the entry stands where it does: the first of the rules that speaks for it. */
-static enum ws_domains_reason reason_of(const struct ws_failure_domains *zones,
+static enum ws_domains_reason reason_of(const struct ws_failure_domains *domains,
 					const struct ws_domains_entry *entry)
 {
 	if (entry->pinned)
 		return WS_DOMAINS_PINNED;
-	if (entry->class_position < zones->settings.class_count)
+	if (entry->class_position < domains->settings.class_count)
 		return WS_DOMAINS_BY_CLASS;
 	if (entry->first_replica)
 		return WS_DOMAINS_BY_FIRST_REPLICA;
@@ -144,18 +144,18 @@
 	return false;
 }
 
-static bool pinned_to_dark(struct ws_failure_domains *zones, const char *zone)
+static bool pinned_to_dark(struct ws_failure_domains *domains, const char *zone)
 {
 	const struct ws_failure_domain *domain =
-	    zone[0] ? ws_failure_domain_find(zones, zone) : NULL;
+	    zone[0] ? ws_failure_domain_find(domains, zone) : NULL;
 
 	return domain && domain->state == WS_DOMAINS_DARK;
 }
 
 void ws_domains_job_surveyed(void *self, const struct ws_job_facts *facts)
 {
-	struct ws_failure_domains *zones = self;
-	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_failure_domains *domains = self;
+	struct ws_domains_plan *plan = &domains->plan;
 	struct ws_domains_entry *entry;
 
 	HASH_FIND_STR(plan->entries, facts->id, entry);
@@ -166,15 +166,15 @@
 	entry->affected = facts->affected;
 	entry->waiting = facts->waiting;
 	entry->planned = entry->planned > facts->affected ? entry->planned : facts->affected;
-	entry->class_position = class_position(&zones->settings, facts->job_class);
+	entry->class_position = class_position(&domains->settings, facts->job_class);
 	entry->guaranteed = facts->guaranteed;
 	entry->priority = facts->priority;
 	entry->latest_start = facts->latest_start;
 	entry->service = facts->service;
 	entry->first_replica = facts->service && !facts->elsewhere;
-	entry->pinned = pinned_to_dark(zones, facts->pinned_zone);
+	entry->pinned = pinned_to_dark(domains, facts->pinned_zone);
 	if (entry->part < 0) /* what is on record keeps the reason it was given */
-		entry->reason = reason_of(zones, entry);
+		entry->reason = reason_of(domains, entry);
 }
 
 /* Over, or all of it placed anew or heard again, with no request left to take back. */
@@ -203,8 +203,8 @@
 
 void ws_domains_survey_done(void *self, double now)
 {
-	struct ws_failure_domains *zones = self;
-	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_failure_domains *domains = self;
+	struct ws_domains_plan *plan = &domains->plan;
 	struct ws_domains_entry *finished = take_finished(plan);
 
 	(void)now;
@@ -221,9 +221,9 @@
 	plan->surveyed = true;
 }
 
-void ws_domains_called_off(struct ws_failure_domains *zones, struct ws_domains_machine *machine)
+void ws_domains_called_off(struct ws_failure_domains *domains, struct ws_domains_machine *machine)
 {
-	zones->plan.called_off += machine->affected;
+	domains->plan.called_off += machine->affected;
 	machine->affected = 0;
 }
 
@@ -244,9 +244,9 @@
 }
 
 /* Puts on record what is not yet, in the order of the plan. */
-static void plan_write(struct ws_failure_domains *zones, struct ws_request_queue *out)
+static void plan_write(struct ws_failure_domains *domains, struct ws_request_queue *out)
 {
-	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_plan *plan = &domains->plan;
 	size_t bytes = PART_BYTES;
 	json_t *jobs = NULL;
 
@@ -255,7 +255,7 @@
 
 		if (entry->part >= 0)
 			continue;
-		if (jobs && bytes + size > zones->limits.value_bytes) {
+		if (jobs && bytes + size > domains->limits.value_bytes) {
 			part_write(plan, jobs, out);
 			jobs = NULL;
 		}
@@ -304,9 +304,9 @@
 }
 
 /* An earlier leader's order is kept; jobs that are over drop out with the first survey. */
-void ws_domains_plan_loaded(struct ws_failure_domains *zones, const char *number, json_t *value)
+void ws_domains_plan_loaded(struct ws_failure_domains *domains, const char *number, json_t *value)
 {
-	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_plan *plan = &domains->plan;
 	struct ws_domains_part *part = part_get(plan, strtoll(number, NULL, 10));
 	json_t *jobs = json_object_get(value, "jobs"), *job;
 	size_t i;
@@ -327,10 +327,10 @@
 	}
 }
 
-static void progress_write(struct ws_failure_domains *zones, double now,
+static void progress_write(struct ws_failure_domains *domains, double now,
 			   struct ws_request_queue *out)
 {
-	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_plan *plan = &domains->plan;
 	struct ws_domains_progress progress = {.planned = plan->finished,
 					       .called_off = plan->called_off};
 	size_t open = 0;
@@ -348,11 +348,11 @@
 			     ? progress.planned - open - progress.called_off
 			     : 0;
 	if (!memcmp(&progress, &plan->told, sizeof(progress)) ||
-	    now - plan->told_at < PROGRESS_LEASES * zones->limits.lease_s)
+	    now - plan->told_at < PROGRESS_LEASES * domains->limits.lease_s)
 		return;
 	plan->told = progress;
 	plan->told_at = now;
-	ws_domains_logf(zones,
+	ws_domains_logf(domains,
 			"zones: of %zu tasks planned %zu moved, %zu called off, %zu may be alive "
 			"still, %zu wait for room, %zu for their zone",
 			progress.planned, progress.moved, progress.called_off, progress.moving,
@@ -370,24 +370,24 @@
 /* ---- what the core is asked ---- */
 
 /* A domain that flaps gets room ahead only after a while, longer with each flap. */
-static bool ahead_due(const struct ws_failure_domains *zones, double now)
+static bool ahead_due(const struct ws_failure_domains *domains, double now)
 {
-	for (const struct ws_failure_domain *domain = zones->domains; domain;
+	for (const struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next) {
-		double patience = zones->limits.lease_s / 4 * fmax(0, domain->penalty - 1);
+		double patience = domains->limits.lease_s / 4 * fmax(0, domain->penalty - 1);
 
 		if (domain->state == WS_DOMAINS_DARK &&
-		    now - domain->since >= fmin(patience, zones->limits.lease_s))
+		    now - domain->since >= fmin(patience, domains->limits.lease_s))
 			return true;
 	}
 	return false;
 }
 
-static size_t window(const struct ws_failure_domains *zones)
+static size_t window(const struct ws_failure_domains *domains)
 {
-	double most = WINDOW_SHARE * zones->limits.state_write_rps * zones->limits.report_s;
+	double jobs_max = WINDOW_SHARE * domains->limits.state_write_rps * domains->limits.report_s;
 
-	return most > WINDOW_MIN ? (size_t)most : WINDOW_MIN;
+	return jobs_max > WINDOW_MIN ? (size_t)jobs_max : WINDOW_MIN;
 }
 
 /* Whether some service of the plan has no replica that is surely heard. */
@@ -399,21 +399,22 @@
 	return false;
 }
 
-static void moves_request(struct ws_failure_domains *zones, double now,
+static void moves_request(struct ws_failure_domains *domains, double now,
 			  struct ws_request_queue *out)
 {
-	const size_t most = window(zones);
-	const bool ahead = ahead_due(zones, now);
-	const bool trouble = ws_domains_in_state(zones, WS_DOMAINS_DARK) ||
-			     ws_domains_in_state(zones, WS_DOMAINS_RECOVERING);
-	const bool apart = replica_missing(&zones->plan);
+	const size_t moves_max = window(domains);
+	const bool ahead = ahead_due(domains, now);
+	const bool trouble = ws_domains_in_state(domains, WS_DOMAINS_DARK) ||
+			     ws_domains_in_state(domains, WS_DOMAINS_RECOVERING);
+	const bool apart = replica_missing(&domains->plan);
 	uint32_t position = 0;
 
-	for (struct ws_domains_entry *entry = zones->plan.entries; entry; entry = entry->hh.next) {
+	for (struct ws_domains_entry *entry = domains->plan.entries; entry;
+	     entry = entry->hh.next) {
 		struct ws_move move = {0};
 		bool open = trouble && !entry->pinned && (entry->affected || entry->waiting);
 
-		if (open && position < most)
+		if (open && position < moves_max)
 			move.position = ++position;
 		if (open && ahead)
 			move.reserve_ahead = (uint32_t)entry->affected;
@@ -428,44 +429,44 @@
 	}
 }
 
-static void plan_log(const struct ws_failure_domains *zones)
+static void plan_log(const struct ws_failure_domains *domains)
 {
-	const struct ws_domains_entry *first = zones->plan.entries;
+	const struct ws_domains_entry *first = domains->plan.entries;
 	size_t jobs = 0;
 
 	for (const struct ws_domains_entry *entry = first; entry; entry = entry->hh.next)
 		jobs += entry->part < 0;
 	if (jobs)
-		ws_domains_logf(zones, "zones: %zu jobs more in the plan, first of all %s (%s)",
+		ws_domains_logf(domains, "zones: %zu jobs more in the plan, first of all %s (%s)",
 				jobs, first->job, ws_domains_reason_name(first->reason));
 }
 
-void ws_domains_plan_tick(struct ws_failure_domains *zones, double now,
+void ws_domains_plan_tick(struct ws_failure_domains *domains, double now,
 			  struct ws_request_queue *out)
 {
-	struct ws_domains_plan *plan = &zones->plan;
+	struct ws_domains_plan *plan = &domains->plan;
 
 	if (plan->surveyed) {
 		plan->surveyed = false;
-		plan_log(zones);
-		moves_request(zones, now, out);
-		plan_write(zones, out);
+		plan_log(domains);
+		moves_request(domains, now, out);
+		plan_write(domains, out);
 		parts_delete(plan, out);
-		progress_write(zones, now, out);
+		progress_write(domains, now, out);
 	}
-	if ((!plan->entries && !plan->parts && !ws_domains_in_state(zones, WS_DOMAINS_DARK)) ||
+	if ((!plan->entries && !plan->parts && !ws_domains_in_state(domains, WS_DOMAINS_DARK)) ||
 	    now < plan->survey_next)
 		return;
 	if (!plan->entries && !plan->parts) { /* the counts of one trouble, from its beginning */
 		plan->finished = plan->called_off = 0;
 		plan->told = (struct ws_domains_progress){0};
 	}
-	plan->survey_next = now + zones->limits.report_s;
+	plan->survey_next = now + domains->limits.report_s;
 	plan->surveys++;
-	for (struct ws_failure_domain *domain = zones->domains; domain; domain = domain->hh.next)
+	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
 		for (struct ws_domains_member *member = domain->members; member;
 		     member = member->next) {
-			zones->steps++;
+			domains->steps++;
 			member->machine->affected = 0;
 		}
 	ws_request_survey(out);
--- a/src/failure_domains/records.c
+++ b/src/failure_domains/records.c
@@ -44,13 +44,13 @@
 	return reason_names[reason];
 }
 
-json_t *ws_failure_domain_record(const struct ws_failure_domains *zones,
+json_t *ws_failure_domain_record(const struct ws_failure_domains *domains,
 				 const struct ws_failure_domain *domain, double now)
 {
 	return json_pack("{s:i,s:s,s:s,s:f,s:f,s:b,s:I,s:I,s:I,s:I}", "v", WS_DOMAINS_FORMAT,
 			 "state", ws_domains_state_name(domain->state), "evidence",
 			 ws_domains_evidence_name(domain->evidence), "penalty",
-			 ws_domains_penalty(zones, domain, now), "for_s", now - domain->since,
+			 ws_domains_penalty(domains, domain, now), "for_s", now - domain->since,
 			 "held", domain->held, "live", (json_int_t)domain->live, "silent",
 			 (json_int_t)domain->silent, "unanswered", (json_int_t)domain->unanswered,
 			 "gone", (json_int_t)domain->removed);
@@ -69,15 +69,15 @@
  * start only: heartbeats decide from here on. How long ago it was written can't be known, so the
  * penalty counts as undecayed and the stable time begins anew.
  */
-static void domain_loaded(struct ws_failure_domains *zones, const char *name, json_t *value)
+static void domain_loaded(struct ws_failure_domains *domains, const char *name, json_t *value)
 {
-	struct ws_failure_domain *domain = ws_failure_domain_find(zones, name);
+	struct ws_failure_domain *domain = ws_failure_domain_find(domains, name);
 
 	if (!domain) /* of a zone that machines brought, or of a domain declared no more */
-		domain = ws_domains_add_zone(zones, name);
+		domain = ws_domains_add_zone(domains, name);
 	if (!domain)
 		return;
-	domain->penalty = fmin(zones->settings.penalty_max,
+	domain->penalty = fmin(domains->settings.penalty_max,
 			       fmax(0, json_number_value(json_object_get(value, "penalty"))));
 	domain->state = state_read(json_string_value(json_object_get(value, "state")));
 	if (domain->state == WS_DOMAINS_SUSPECT)
@@ -85,9 +85,9 @@
 	domain->evidence = WS_DOMAINS_RECORDED;
 }
 
-static void hold_loaded(struct ws_failure_domains *zones, const char *name)
+static void hold_loaded(struct ws_failure_domains *domains, const char *name)
 {
-	struct ws_failure_domain *domain = ws_failure_domain_find(zones, name);
+	struct ws_failure_domain *domain = ws_failure_domain_find(domains, name);
 
 	if (domain)
 		domain->held_read = true;
@@ -95,22 +95,22 @@
 
 void ws_domains_record_loaded(void *self, const char *name, json_t *value)
 {
-	struct ws_failure_domains *zones = self;
+	struct ws_failure_domains *domains = self;
 	json_int_t format = json_integer_value(json_object_get(value, "v"));
 
 	if (format > WS_DOMAINS_FORMAT) {
-		if (!zones->later_format)
-			ws_domains_logf(zones,
+		if (!domains->later_format)
+			ws_domains_logf(domains,
 					"zones: record %s has format %lld, later than %d: records "
 					"are left alone and nothing is judged",
 					name, (long long)format, WS_DOMAINS_FORMAT);
-		zones->later_format = true;
+		domains->later_format = true;
 		return;
 	}
 	if (!strncmp(name, "domain/", 7))
-		domain_loaded(zones, name + 7, value);
+		domain_loaded(domains, name + 7, value);
 	else if (!strncmp(name, "hold/", 5))
-		hold_loaded(zones, name + 5);
+		hold_loaded(domains, name + 5);
 	else if (!strncmp(name, "plan/", 5))
-		ws_domains_plan_loaded(zones, name + 5, value);
+		ws_domains_plan_loaded(domains, name + 5, value);
 }
--- a/src/io/json_reader.h
+++ b/src/io/json_reader.h
@@ -1,8 +1,8 @@
 /*
  * Reading of JSON messages that are copied from and dropped again: reports, submissions, answers of
- * workers and the cloud. It is simdjson behind a C interface: a heartbeat of a dozen tasks takes it a
- * twentieth of the time that building a jansson document does. Records of the store, which
- * live on, and all that is written stay with jansson.
+ * workers and the cloud. It is simdjson behind a C interface: a heartbeat of a dozen tasks takes it
+ * a twentieth of the time that building a jansson document does. Records of the store, which live
+ * on, and all that is written stay with jansson.
  *
  * One document at a time, one thread: a value is good until the next ws_json_read. Documents with
  * duplicate keys, NUL characters or integers beyond 63 bits are malformed, as they are to jansson.
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -153,26 +153,26 @@
 			 const struct ws_cluster_limits *limits, struct ws_startup_error *error)
 {
 	struct ws_domains_error wrong;
-	struct ws_failure_domains *zones = ws_domains_new(settings, limits, log_line, &wrong);
+	struct ws_failure_domains *domains = ws_domains_new(settings, limits, log_line, &wrong);
 
-	if (!zones) {
+	if (!domains) {
 		set_domain_error(error, &wrong);
 		return false;
 	}
-	if (core && ws_core_attach(core, &ws_domains_ops, zones))
+	if (core && ws_core_attach(core, &ws_domains_ops, domains))
 		return true;
-	ws_domains_free(zones);
+	ws_domains_free(domains);
 	return !core;
 }
 
 static bool attach_coldstart(struct ws_core *core, const struct ws_cold_start_settings *settings,
 			     const struct ws_cluster_limits *limits)
 {
-	struct ws_cold_start *coldstart = ws_cold_start_new(settings, limits, log_line);
+	struct ws_cold_start *cold_start = ws_cold_start_new(settings, limits, log_line);
 
-	if (ws_core_attach(core, &ws_cold_start_ops, coldstart))
+	if (ws_core_attach(core, &ws_cold_start_ops, cold_start))
 		return true;
-	ws_cold_start_free(coldstart);
+	ws_cold_start_free(cold_start);
 	return false;
 }
 
--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -79,7 +79,7 @@
 static enum ws_cold_start_phase phase_after(double unproven_s, const char *recorded,
 					    uint64_t recorded_term, uint64_t proven_term)
 {
-	struct ws_cold_start *coldstart = package();
+	struct ws_cold_start *cold_start = package();
 	const struct ws_election_facts facts = {.now = 100,
 						.term = 50,
 						.unproven_s = unproven_s,
@@ -87,18 +87,18 @@
 						.leases_out = 117};
 	enum ws_cold_start_phase phase;
 
-	ws_cold_start_ops.elected(coldstart, &facts);
+	ws_cold_start_ops.elected(cold_start, &facts);
 	if (recorded) {
 		json_t *value =
 		    json_pack("{s:i,s:s,s:I,s:I}", "v", 1, "phase", recorded, "term",
 			      (json_int_t)recorded_term, "began", (json_int_t)recorded_term);
 
-		ws_cold_start_ops.record_loaded(coldstart, "phase", value);
+		ws_cold_start_ops.record_loaded(cold_start, "phase", value);
 		json_decref(value);
 	}
-	ws_cold_start_ops.records_loaded(coldstart, 100);
-	phase = coldstart->phase;
-	ws_cold_start_free(coldstart);
+	ws_cold_start_ops.records_loaded(cold_start, 100);
+	phase = cold_start->phase;
+	ws_cold_start_free(cold_start);
 	return phase;
 }
 
@@ -122,34 +122,34 @@
 
 static void check_records(void)
 {
-	struct ws_cold_start *coldstart = package();
+	struct ws_cold_start *cold_start = package();
 	const struct ws_election_facts facts = {
 	    .now = 100, .term = 50, .unproven_s = INFINITY, .leases_out = 117};
 	const struct ws_reconciliation finding = {
 	    .result = WS_RECONCILED_UNKNOWN_JOB, .machine = "m", .job = "job-000001"};
 	json_t *value;
 
-	ws_cold_start_ops.elected(coldstart, &facts);
+	ws_cold_start_ops.elected(cold_start, &facts);
 	value = json_pack("{s:i,s:f,s:s}", "v", 1, "kept_s", 30.0, "machine", "m");
-	ws_cold_start_ops.record_loaded(coldstart, "kept/job-000001", value);
+	ws_cold_start_ops.record_loaded(cold_start, "kept/job-000001", value);
 	json_decref(value);
-	ws_cold_start_ops.records_loaded(coldstart, 100);
-	check("an unknown job is kept", ws_cold_start_ops.attempt_found(coldstart, 101, &finding));
-	value = ws_cold_start_quarantine_record(coldstart->kept, 111);
+	ws_cold_start_ops.records_loaded(cold_start, 100);
+	check("an unknown job is kept", ws_cold_start_ops.attempt_found(cold_start, 101, &finding));
+	value = ws_cold_start_quarantine_record(cold_start->quarantined, 111);
 	check("and for how long it was kept before counts",
 	      fabs(json_number_value(json_object_get(value, "kept_s")) - 41) < 1e-6);
 	json_decref(value);
-	value = ws_cold_start_account_record(coldstart, 110);
+	value = ws_cold_start_account_record(cold_start, 110);
 	check("the account counts it",
 	      json_integer_value(
 		  json_object_get(json_object_get(value, "findings"), "unknown_job")) == 1);
 	json_decref(value);
-	coldstart->limits.value_bytes = 100;
-	value = ws_cold_start_account_record(coldstart, 110);
+	cold_start->limits.value_bytes = 100;
+	value = ws_cold_start_account_record(cold_start, 110);
 	check("one that is too large goes without its zones",
 	      !json_object_get(value, "zones") && json_object_get(value, "findings"));
 	json_decref(value);
-	ws_cold_start_free(coldstart);
+	ws_cold_start_free(cold_start);
 }
 
 /* ---- moves of several subsystems ---- */
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -96,22 +96,22 @@
 	struct ws_subsystem_settings settings;
 	struct ws_cluster_limits limits = {.report_s = 2, .lease_s = 16, .node_zone = "a"};
 	struct ws_domains_error wrong;
-	struct ws_failure_domains *zones;
+	struct ws_failure_domains *domains;
 	char error[512];
 
 	check("declared domains are read",
 	      read_text(declared, &settings, error, sizeof(error)) && settings.zones_on &&
 		  settings.zones.declared_count == 4 && settings.zones.class_count == 2);
-	zones = ws_domains_new(&settings.zones, &limits, log_text, &wrong);
-	check("and taken", zones != NULL);
-	for (size_t i = 0; zones && i < sizeof(lookups) / sizeof(lookups[0]); i++) {
+	domains = ws_domains_new(&settings.zones, &limits, log_text, &wrong);
+	check("and taken", domains != NULL);
+	for (size_t i = 0; domains && i < sizeof(lookups) / sizeof(lookups[0]); i++) {
 		const struct ws_machine_facts facts = {
 		    .name = "m", .address = lookups[i].address, .zone = "z"};
 		struct ws_domains_machine machine = {0};
 		const struct ws_failure_domain *got;
 		char what[128];
 
-		ws_domains_join(zones, &machine, &facts);
+		ws_domains_join(domains, &machine, &facts);
 		got = machine.memberships[1].domain;
 		snprintf(what, sizeof(what), "%s is in %s", lookups[i].address,
 			 lookups[i].domain ? lookups[i].domain : "its zone alone");
@@ -121,7 +121,7 @@
 		ws_domains_leave(&machine);
 	}
 	check("two addresses were reported as unreadable", unreadable == 2);
-	ws_domains_free(zones);
+	ws_domains_free(domains);
 	ws_subsystem_free(&settings);
 }
 
@@ -131,23 +131,23 @@
 	struct ws_domains_settings settings;
 	struct ws_cluster_limits limits = {.report_s = 2, .lease_s = 16, .node_zone = "a"};
 	struct ws_domains_error wrong;
-	struct ws_failure_domains *zones;
+	struct ws_failure_domains *domains;
 	const struct ws_failure_domain *domain;
 	json_t *record = json_pack("{s:i,s:s,s:f}", "v", 1, "state", "dark", "penalty", 2.0);
 
 	ws_domains_defaults(&settings);
-	zones = ws_domains_new(&settings, &limits, log_text, &wrong);
-	ws_domains_ops.elected(zones, &(struct ws_election_facts){.now = 10});
-	ws_domains_ops.record_loaded(zones, "domain/far", record);
-	ws_domains_ops.records_loaded(zones, 10);
-	domain = ws_failure_domain_find(zones, "far");
+	domains = ws_domains_new(&settings, &limits, log_text, &wrong);
+	ws_domains_ops.elected(domains, &(struct ws_election_facts){.now = 10});
+	ws_domains_ops.record_loaded(domains, "domain/far", record);
+	ws_domains_ops.records_loaded(domains, 10);
+	domain = ws_failure_domain_find(domains, "far");
 	check("a zone on record that is not listed is dark",
 	      domain && domain->state == WS_DOMAINS_DARK && domain->penalty == 2);
-	check("and avoided", ws_domains_ops.zone_avoided(zones, 11, "far"));
+	check("and avoided", ws_domains_ops.zone_avoided(domains, 11, "far"));
 	check("one that nobody has heard of is not",
-	      !ws_domains_ops.zone_avoided(zones, 11, "near"));
+	      !ws_domains_ops.zone_avoided(domains, 11, "near"));
 	json_decref(record);
-	ws_domains_free(zones);
+	ws_domains_free(domains);
 }
 
 int main(void)
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -28,19 +28,19 @@
 	const char *names[8];
 	struct ws_domains_error error;
 	struct ws_cluster_limits limits;
-	struct ws_failure_domains *zones;
+	struct ws_failure_domains *domains;
 
 	if (!sim->zones_on || node->version != &sim_this_version)
 		return;
 	sim_cluster_limits(sim, node, names, &limits);
-	zones = ws_domains_new(&sim->zones_settings, &limits, zones_log, &error);
-	if (!zones) {
+	domains = ws_domains_new(&sim->zones_settings, &limits, zones_log, &error);
+	if (!domains) {
 		sim_fail(sim, "domain %s, %s: %s", error.domain, error.network,
 			 ws_domains_error_text(error.code));
 		return;
 	}
-	node->zones = zones;
-	ws_core_attach(node->core, &ws_domains_ops, zones);
+	node->zones = domains;
+	ws_core_attach(node->core, &ws_domains_ops, domains);
 }
 
 static struct ws_domains_declared *declared_get(struct ws_domains_settings *settings,
