--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -147,26 +147,6 @@
 		memset(capacity_error, 0, sizeof(*capacity_error));
 }
 
-void ws_autoscaler_add_demand(struct ws_core *core, struct ws_job *job, uint32_t tasks,
-			      uint32_t zones)
-{
-	if (!job->unmet_since)
-		job->unmet_since = core->now;
-	if (zones && !(zones &= ~core->subsystems.zones_closed))
-		return; /* it waits for zones in which nothing is rented now */
-	if (core->autoscaler.unmet_count == core->autoscaler.unmet_capacity) {
-		core->autoscaler.unmet_capacity =
-		    core->autoscaler.unmet_capacity ? core->autoscaler.unmet_capacity * 2 : 64;
-		core->autoscaler.unmet_demand = realloc(core->autoscaler.unmet_demand,
-							core->autoscaler.unmet_capacity *
-							    sizeof(*core->autoscaler.unmet_demand));
-		if (!core->autoscaler.unmet_demand)
-			abort();
-	}
-	core->autoscaler.unmet_demand[core->autoscaler.unmet_count++] =
-	    (struct ws_unmet_demand){job, tasks, zones};
-}
-
 /* How many such tasks one of these machines still takes. */
 static uint32_t ws_bin_fit(const struct ws_core *core, const struct ws_bin *bin,
 			   const struct ws_unmet_demand *demand)
@@ -217,18 +197,6 @@
 	return taken;
 }
 
-/* The paper's W'q: the wait that users are promised within their guarantee. */
-double ws_latency_bound(const struct ws_core *core)
-{
-	if (core->policy.latency_bound_s > 0)
-		return core->policy.latency_bound_s;
-	for (size_t i = 0; i < core->settings->objective_count; i++)
-		if (!strcmp(core->settings->objectives[i].kind, "guarantee") &&
-		    core->settings->objectives[i].within_s > 0)
-			return core->settings->objectives[i].within_s;
-	return core->settings->lease_s / 4;
-}
-
 /* The kind of machine that costs least for what waits. */
 static bool ws_cheapest_kind(struct ws_core *core, const struct ws_unmet_demand *demand,
 			     uint32_t tasks, const struct ws_bins *bins, struct ws_bin *kind)
@@ -350,7 +318,7 @@
 	struct ws_machine *machine, *next_machine;
 	struct ws_scale_out *request, *next_rental;
 
-	if (!core->autoscaler.unmet_count)
+	if (!core->scheduler.unmet_count)
 		return;
 	HASH_ITER (hh, core->fleet.machines, machine, next_machine)
 		if (!machine->owned && !machine->gone && !machine->failed &&
@@ -373,8 +341,8 @@
 {
 	double waited = 0, tasks = 0;
 
-	for (size_t i = 0; i < core->autoscaler.unmet_count; i++) {
-		const struct ws_unmet_demand *demand = &core->autoscaler.unmet_demand[i];
+	for (size_t i = 0; i < core->scheduler.unmet_count; i++) {
+		const struct ws_unmet_demand *demand = &core->scheduler.unmet_demand[i];
 		double loads = ws_demand_units_of(core, &demand->job->spec) * demand->tasks;
 
 		waited += (core->now - demand->job->unmet_since) *
@@ -429,8 +397,8 @@
 	int enough =
 	    2 * WS_SCALE_OUT_MAX + (plan->units_allowed > 0 ? (int)plan->units_allowed : 0);
 
-	for (size_t i = 0; i < core->autoscaler.unmet_count; i++) {
-		const struct ws_unmet_demand *demand = &core->autoscaler.unmet_demand[i];
+	for (size_t i = 0; i < core->scheduler.unmet_count; i++) {
+		const struct ws_unmet_demand *demand = &core->scheduler.unmet_demand[i];
 		uint32_t left = demand->tasks;
 		int before = core->autoscaler.units_waiting;
 
@@ -445,7 +413,6 @@
 		    core->autoscaler.units_waiting - before > plan->largest_gang_units)
 			plan->largest_gang_units = core->autoscaler.units_waiting - before;
 	}
-	core->autoscaler.unmet_count = 0;
 	if (plan->largest_gang_units >
 	    plan->unit_limit) { /* k is at least what the largest waiting gang lacks */
 		int most = core->policy.rental_ceiling;
@@ -507,7 +474,7 @@
 	       plan->booting_count, core->autoscaler.unit_limit);
 }
 
-/* Called at the end of a placement pass with all that found no room. */
+/* Called between a placement pass and its end, with the demand that the pass could not meet. */
 void ws_autoscaler_plan(struct ws_core *core)
 {
 	struct ws_scale_out_plan plan = {0};
@@ -1054,9 +1021,6 @@
 		free(request);
 	}
 	autoscaler->dirty_requests = NULL;
-	free(autoscaler->unmet_demand);
-	autoscaler->unmet_demand = NULL;
-	autoscaler->unmet_count = autoscaler->unmet_capacity = 0;
 	autoscaler->list_in_flight = autoscaler->scale_out_in_flight = false;
 	autoscaler->list_continues_after[0] = 0;
 	autoscaler->next_list_at = autoscaler->next_cloud_call_at = autoscaler->next_check_at = 0;
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -43,13 +43,6 @@
 	int returned_since; /* machines of this kind given back since */
 };
 
-/* Tasks of a job that found no room, and the zones they may be in, a bit each. */
-struct ws_unmet_demand {
-	struct ws_job *job;
-	uint32_t tasks;
-	uint32_t zones;
-};
-
 struct ws_autoscaler {
 	struct ws_scale_out *requests;
 	struct ws_scale_out *dirty_requests;
@@ -69,9 +62,7 @@
 	uint64_t list_mark;
 	struct ws_capacity_error capacity_errors[WS_MAX_TYPES][WS_MAX_ZONES]
 						[2]; /* ordinary, preemptible */
-	/* of the scheduler's pass under way */
-	struct ws_unmet_demand *unmet_demand;
-	size_t unmet_count, unmet_capacity;
+
 	int units_waiting; /* demand units that wait, at the last pass */
 	/* the queue model: its result, and what is measured for it, in demand units */
 	int unit_limit; /* the paper's k; below 0: not known yet */
@@ -83,10 +74,6 @@
 
 bool ws_zone_can_scale_out(struct ws_core *core, const struct ws_job *job, int zone_index);
 void ws_autoscaler_tick(struct ws_core *core);
-void ws_autoscaler_add_demand(struct ws_core *core, struct ws_job *job, uint32_t tasks,
-			      uint32_t zones);
-/* The wait that users are promised within their guarantee, in seconds; the paper's W'q. */
-double ws_latency_bound(const struct ws_core *core);
 void ws_autoscaler_plan(struct ws_core *core);
 void ws_scale_out_mark_dirty(struct ws_core *core, struct ws_scale_out *request);
 void ws_scale_out_written(struct ws_core *core, struct ws_scale_out *request, bool deleted);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -188,6 +188,14 @@
 	       !ws_node_is_isolated(core);
 }
 
+/* A placement pass; the autoscaler plans by the demand that it could not meet. */
+static void ws_core_run_pass(struct ws_core *core)
+{
+	ws_scheduler_run_pass(core);
+	ws_autoscaler_plan(core);
+	ws_scheduler_finish_pass(core);
+}
+
 /* Everything that is due; called after each event and by the I/O layer's timer. */
 void ws_core_tick(struct ws_core *core, double now)
 {
@@ -207,7 +215,7 @@
 			core->scheduler.pass_wanted = true; /* back-offs end without an event */
 		if (core->scheduler.pass_wanted && core->now >= core->scheduler.next_pass_at &&
 		    ws_is_entitled(core) && !core->leadership.in_outage)
-			ws_scheduler_run_pass(core);
+			ws_core_run_pass(core);
 		ws_autoscaler_tick(core);
 		ws_writer_tick(core);
 	}
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -18,6 +18,7 @@
 #include "jobs/jobs.h"
 #include "leadership/leadership.h"
 #include "lease.h"
+#include "objectives.h"
 #include "records/records.h"
 #include "scheduler/scheduler.h"
 #include "store/job_watch.h"
--- a/src/core/scheduler/scheduler.c
+++ b/src/core/scheduler/scheduler.c
@@ -3,7 +3,7 @@
  * Production goes first, then work within its team's guarantee, then by priority class, deadline
  * and age.
  */
-#include "../core_state.h"
+#include "pass.h"
 
 /*
  * The order in which work is served. What may stop other work must also be served before it, or
@@ -16,16 +16,6 @@
 	return (job->guaranteed ? 50 : 0) + (int)job->spec.priority;
 }
 
-/* How soon a class should start by its aim; 0: it has none. */
-static double ws_start_objective(const struct ws_core *core, const char *job_class)
-{
-	for (size_t i = 0; i < core->settings->objective_count; i++)
-		if (!strcmp(core->settings->objectives[i].kind, "wait") &&
-		    !strcmp(core->settings->objectives[i].job_class, job_class))
-			return core->settings->objectives[i].within_s;
-	return 0;
-}
-
 /* How long the fetch of its image takes, on machines of all types alike. */
 static double ws_fetch_s(const struct ws_core *core, const struct ws_job *job)
 {
@@ -841,7 +831,7 @@
 	holds |= coming >= want;
 	want = ws_gang_reserve(pass, job, zones, want, holds);
 	if (want)
-		ws_autoscaler_add_demand(core, job, want, zones);
+		ws_unmet_demand_add(core, job, want, zones);
 	snprintf(reason, sizeof(reason),
 		 "a gang, room for %u of %u tasks is there or comes, %u to be rented%s",
 		 coming < job->waiting ? coming : job->waiting, job->waiting, want,
@@ -894,7 +884,7 @@
 		if (core->now - since > core->settings->gang_wait_s / 4)
 			ws_gang_stop(core, job, 0, "no room for what it lost before it ran");
 	} else if (room.ready_zones) { /* on too many machines: nothing is held for it */
-		ws_autoscaler_add_demand(
+		ws_unmet_demand_add(
 		    core, job, job->waiting,
 		    ws_gang_reservation_zones(pass, job, zones, room.free_or_stopping));
 	} else {
@@ -1035,7 +1025,7 @@
 		job->unmet_since = 0;
 		return;
 	}
-	ws_autoscaler_add_demand(core, job, placing->wanted, ws_eligible_zones(core, job));
+	ws_unmet_demand_add(core, job, placing->wanted, ws_eligible_zones(core, job));
 	ws_log_unmet(core, job, placing->wanted);
 }
 
@@ -1271,7 +1261,7 @@
 				   want > job->reserved_ahead ? want - job->reserved_ahead : 0);
 	job->reserved_ahead = 0;
 	if (want && zones)
-		ws_autoscaler_add_demand(pass->core, job, want, zones);
+		ws_unmet_demand_add(pass->core, job, want, zones);
 }
 
 static void ws_reserve_ahead(struct ws_scheduling_pass *pass, struct ws_job **jobs)
@@ -1407,13 +1397,25 @@
 	ws_pass_machines(&pass);
 	ws_place_jobs(&pass, jobs, waiting);
 	ws_reserve_ahead(&pass, jobs);
-	ws_autoscaler_plan(core);
-	core->scheduler.longest_pass_steps =
-	    core->scheduler.steps - began > core->scheduler.longest_pass_steps
-		? core->scheduler.steps - began
-		: core->scheduler.longest_pass_steps;
-	if (!waiting)
-		ws_consolidate(core, pass.machines, pass.machine_count);
+	core->scheduler.unfinished_pass =
+	    (struct ws_unfinished_pass){.machines = pass.machines,
+					.machine_count = pass.machine_count,
+					.waiting_job_count = waiting,
+					.first_step = began};
+}
+
+void ws_scheduler_finish_pass(struct ws_core *core)
+{
+	struct ws_scheduler *scheduler = &core->scheduler;
+	const struct ws_unfinished_pass *pass = &scheduler->unfinished_pass;
+	uint64_t steps = scheduler->steps - pass->first_step;
+
+	scheduler->unmet_count = 0;
+	if (steps > scheduler->longest_pass_steps)
+		scheduler->longest_pass_steps = steps;
+	if (!pass->waiting_job_count)
+		ws_consolidate(core, pass->machines, pass->machine_count);
+	scheduler->unfinished_pass = (struct ws_unfinished_pass){0};
 }
 
 void ws_scheduler_reset(struct ws_core *core)
@@ -1422,6 +1424,7 @@
 	core->scheduler.scratch = NULL;
 	core->scheduler.scratch_size = 0;
 	core->scheduler.next_pass_at = core->scheduler.pass_began_at = 0;
+	ws_unmet_demand_free(&core->scheduler);
 }
 
 void ws_core_pass_ended(struct ws_core *core, double (*clock)(void))
--- /dev/null
+++ b/src/core/scheduler/unmet_demand.c
@@ -0,0 +1,41 @@
+/*
+ * Unmet demand: the tasks for which a pass found no capacity. The autoscaler, which stands above
+ * the scheduler, reads the list between a pass and its end.
+ */
+#include "pass.h"
+
+/* Entries that the list has memory for at first; it doubles when they are used up. */
+#define WS_UNMET_DEMAND_INITIAL 64
+
+/* Makes room for one more entry. */
+static void ws_unmet_demand_grow(struct ws_scheduler *scheduler)
+{
+	if (scheduler->unmet_count < scheduler->unmet_capacity)
+		return;
+	scheduler->unmet_capacity =
+	    scheduler->unmet_capacity ? scheduler->unmet_capacity * 2 : WS_UNMET_DEMAND_INITIAL;
+	scheduler->unmet_demand = realloc(
+	    scheduler->unmet_demand, scheduler->unmet_capacity * sizeof(*scheduler->unmet_demand));
+	if (!scheduler->unmet_demand)
+		abort();
+}
+
+void ws_unmet_demand_add(struct ws_core *core, struct ws_job *job, uint32_t tasks, uint32_t zones)
+{
+	struct ws_scheduler *scheduler = &core->scheduler;
+
+	if (!job->unmet_since)
+		job->unmet_since = core->now;
+	if (zones && !(zones &= ~core->subsystems.zones_closed))
+		return; /* it waits for zones in which nothing is rented now */
+	ws_unmet_demand_grow(scheduler);
+	scheduler->unmet_demand[scheduler->unmet_count++] =
+	    (struct ws_unmet_demand){job, tasks, zones};
+}
+
+void ws_unmet_demand_free(struct ws_scheduler *scheduler)
+{
+	free(scheduler->unmet_demand);
+	scheduler->unmet_demand = NULL;
+	scheduler->unmet_count = scheduler->unmet_capacity = 0;
+}
