--- /dev/null
+++ b/src/core/scheduler/array_placement.c
@@ -0,0 +1,208 @@
+/*
+ * Placement of arrays, whose tasks run independently of each other: bin packing by first fit.
+ * Machines that have the job's image go before others of the same owner, and owned machines before
+ * rented ones. A latency-sensitive job, whose class has a start objective, takes machines with its
+ * image first, whoever owns them.
+ */
+#include "pass.h"
+
+/* Ranks of machines with capacity: the sum of these, the lowest goes first. */
+#define WS_CANDIDATE_LACKS_IMAGE 1
+#define WS_CANDIDATE_IS_RENTED 2
+#define WS_CANDIDATE_RANKS 4
+
+/* A job whose tasks are being placed in this pass. */
+struct ws_array_placement {
+	struct ws_job *job;
+	double start_objective_s; /* within how long its class should start; 0: no objective */
+	uint64_t attempt_number;  /* number of the attempts that are planned now */
+	uint32_t unplaced;	  /* tasks to be placed that have no capacity yet */
+	size_t record_bytes_left; /* for attempts, in its record; 0: it can name no more */
+	size_t candidate_count;	  /* machines with capacity, in the pass's scratch */
+};
+
+/* A machine that is full for any task that waits is not looked at again in this pass. */
+static void ws_open_machines_compact(struct ws_scheduling_pass *pass)
+{
+	size_t kept = 0;
+
+	for (size_t i = 0; i < pass->open_count; i++) {
+		struct ws_machine *machine = pass->open_machines[i];
+		double free_cpus = machine->type->cpus - machine->used_cpus;
+
+		if (fmin(machine->planned_cpus, free_cpus) + WS_CAPACITY_TOLERANCE >=
+		    pass->smallest_task_cpus)
+			pass->open_machines[kept++] = machine;
+	}
+	pass->open_count = kept;
+}
+
+/* Lists machines with capacity and ranks them, until those of the first rank hold all tasks. */
+static void ws_find_candidates(struct ws_scheduling_pass *pass,
+			       struct ws_array_placement *placement)
+{
+	struct ws_core *core = pass->core;
+	struct ws_job *job = placement->job;
+	size_t preferred_tasks = 0; /* that fit machines of the first rank */
+
+	ws_open_machines_compact(pass);
+	for (size_t i = 0; i < pass->open_count && preferred_tasks < placement->unplaced; i++) {
+		struct ws_machine *machine = pass->open_machines[i];
+
+		core->scheduler.steps++;
+		if (!ws_machine_is_eligible(job, machine) ||
+		    !ws_has_planned_capacity(job, machine) || !ws_has_free_capacity(job, machine) ||
+		    !ws_zone_is_eligible(core, job, machine->zone_index))
+			continue;
+		machine->pass_rank = 0;
+		if (!ws_image_is_cached(machine, job->image_index))
+			machine->pass_rank += WS_CANDIDATE_LACKS_IMAGE;
+		if (!job->latency_sensitive && !machine->owned)
+			machine->pass_rank += WS_CANDIDATE_IS_RENTED;
+		if (!machine->pass_rank)
+			preferred_tasks += ws_tasks_fit_now(job, machine, placement->unplaced);
+		pass->candidates[placement->candidate_count++] = machine;
+	}
+}
+
+/* Whether the fetch of the image alone exceeds the start objective on each machine with capacity.
+ */
+static bool ws_fetch_exceeds_objective(const struct ws_scheduling_pass *pass,
+				       const struct ws_array_placement *placement)
+{
+	for (size_t i = 0; i < placement->candidate_count; i++) {
+		double rate = pass->candidates[i]->type->fetch_gb_s;
+
+		if (!(rate > 0 &&
+		      placement->job->spec.image_gb / rate > placement->start_objective_s))
+			return false;
+	}
+	return placement->candidate_count > 0;
+}
+
+/* Places tasks on the candidates of one rank. */
+static void ws_place_on_rank(struct ws_scheduling_pass *pass, struct ws_array_placement *placement,
+			     int rank)
+{
+	for (size_t i = 0;
+	     i < placement->candidate_count && placement->unplaced && placement->record_bytes_left;
+	     i++)
+		if (pass->candidates[i]->pass_rank == rank)
+			placement->unplaced -= ws_place_on_machine(
+			    pass->core, placement->job, pass->candidates[i], placement->unplaced,
+			    placement->attempt_number, &placement->record_bytes_left);
+}
+
+/* Places tasks on the candidates, by rank. Before a latency-sensitive production job goes where its
+ * image must be fetched first, it preempts others where the image is, if the fetch takes too long.
+ */
+static void ws_place_on_candidates(struct ws_scheduling_pass *pass,
+				   struct ws_array_placement *placement)
+{
+	struct ws_job *job = placement->job;
+
+	for (int rank = 0;
+	     rank < WS_CANDIDATE_RANKS && placement->unplaced && placement->record_bytes_left;
+	     rank++) {
+		if (rank == WS_CANDIDATE_LACKS_IMAGE && job->latency_sensitive &&
+		    job->spec.priority == WS_PRIORITY_PRODUCTION &&
+		    ws_fetch_exceeds_objective(pass, placement))
+			placement->unplaced -=
+			    ws_preempt(pass, &(struct ws_preemption_request){
+						 .job = job,
+						 .tasks = placement->unplaced,
+						 .zones = ws_eligible_zones(pass->core, job),
+						 .only_cached_image = true,
+					     });
+		ws_place_on_rank(pass, placement, rank);
+	}
+}
+
+/* Takes planned capacity of tasks that were told to stop: it need not be made again. */
+static void ws_await_stopping_capacity(struct ws_scheduling_pass *pass,
+				       struct ws_array_placement *placement)
+{
+	struct ws_job *job = placement->job;
+
+	for (size_t i = 0; i < pass->stopping_count && placement->unplaced; i++) {
+		struct ws_machine *machine = pass->stopping_machines[i];
+		uint32_t fit;
+
+		pass->core->scheduler.steps++;
+		if (!ws_machine_is_eligible(job, machine) ||
+		    !ws_zone_is_eligible(pass->core, job, machine->zone_index))
+			continue;
+		fit = ws_tasks_fit_planned(job, machine, placement->unplaced);
+		for (uint32_t k = 0; k < fit; k++)
+			ws_planned_capacity_take(job, machine);
+		placement->unplaced -= fit;
+	}
+}
+
+static void ws_log_unmet(struct ws_core *core, struct ws_job *job, uint32_t tasks)
+{
+	if (!ws_wait_log_is_due(core, job))
+		return;
+	ws_log(core, WS_LOG_INFO, "job %s: %u tasks wait for room (%s%s)", job->spec.id, tasks,
+	       job->guaranteed ? "guaranteed, " : "",
+	       job->spec.allows_preemptible ? "spot allowed" : "ordinary machines only");
+}
+
+/* Tasks that found no free capacity wait for that of stopping tasks, or preempt others, or become
+ * unmet demand. */
+static void ws_place_unplaced(struct ws_scheduling_pass *pass, struct ws_array_placement *placement)
+{
+	struct ws_core *core = pass->core;
+	struct ws_job *job = placement->job;
+
+	ws_await_stopping_capacity(pass, placement);
+	if (placement->unplaced && ws_preemption_is_due(core, job, placement->start_objective_s))
+		placement->unplaced -= ws_preempt(
+		    pass, &(struct ws_preemption_request){
+			      .job = job,
+			      .tasks = placement->unplaced,
+			      .zones = ws_eligible_zones(core, job),
+			      .only_cached_image = job->latency_sensitive && !job->guaranteed,
+			  });
+	if (!placement->unplaced) {
+		job->unmet_since = 0;
+		return;
+	}
+	ws_unmet_demand_add(core, job, placement->unplaced, ws_eligible_zones(core, job));
+	ws_log_unmet(core, job, placement->unplaced);
+}
+
+/* How many tasks of a job are to be placed: no more than its team's limit allows, since more
+ * machines would not help. */
+static uint32_t ws_tasks_to_place(struct ws_core *core, struct ws_job *job)
+{
+	uint32_t tasks = ws_tasks_within_team_limit(job);
+
+	if (tasks < job->waiting)
+		ws_log_wait_reason(core, job, "its team is at its limit");
+	if (job->placement_limit && tasks > job->placement_limit)
+		tasks = job->placement_limit;
+	return tasks;
+}
+
+void ws_place_array(struct ws_scheduling_pass *pass, struct ws_job *job, double start_objective_s)
+{
+	struct ws_core *core = pass->core;
+	struct ws_array_placement placement = {.job = job, .start_objective_s = start_objective_s};
+
+	placement.unplaced = ws_tasks_to_place(core, job);
+	if (!placement.unplaced)
+		return;
+	placement.record_bytes_left = ws_record_bytes_left(core, job);
+	placement.attempt_number = ws_attempt_number_new(core);
+	ws_find_candidates(pass, &placement);
+	ws_place_on_candidates(pass, &placement);
+	if (job->waiting < job->waiting_before) {
+		job->last_placed_at = core->now;
+		ws_job_mark_dirty(core, job, true);
+	}
+	/* else the record names as many as it can: the rest is placed when some of these are over
+	 */
+	if (placement.record_bytes_left)
+		ws_place_unplaced(pass, &placement);
+}
--- /dev/null
+++ b/src/core/scheduler/capacity.c
@@ -0,0 +1,138 @@
+/*
+ * Capacity: which zones and machines a job may use, and what they have left for its tasks.
+ *
+ * A machine's free capacity is what nothing uses that may be alive there. Its planned capacity is
+ * what a pass may give away: the free capacity and that of tasks told to stop, less what the pass
+ * has given to attempts or reserved.
+ */
+#include "pass.h"
+
+/* At most half of the tasks of a spread job, rounded up, may be in one zone. */
+bool ws_zone_is_eligible(const struct ws_core *core, const struct ws_job *job, int zone)
+{
+	if (zone < 0 || (job->pinned_zone >= 0 && job->pinned_zone != zone))
+		return false;
+	if (job->spec.one_zone)
+		for (int i = 0; i < core->catalog.zone_count; i++)
+			if (i != zone && job->attempts_by_zone[i])
+				return false;
+	return !job->spec.spread || job->attempts_by_zone[zone] < (job->spec.tasks + 1) / 2;
+}
+
+uint32_t ws_eligible_zones(const struct ws_core *core, const struct ws_job *job)
+{
+	uint32_t zones = 0;
+
+	for (int i = 0; i < core->catalog.zone_count; i++)
+		if (ws_zone_is_eligible(core, job, i))
+			zones |= 1u << i;
+	return zones;
+}
+
+bool ws_zone_is_among(int zone, uint32_t zones)
+{
+	return zone >= 0 && (zones >> zone & 1);
+}
+
+/* It has found no other capacity for the length of a lease, or its zones are all avoided. */
+bool ws_job_may_use_avoided(const struct ws_core *core, const struct ws_job *job)
+{
+	uint32_t avoided = core->subsystems.zones_avoided;
+
+	if (job->unmet_since > 0 && core->now - job->unmet_since > core->settings->lease_s)
+		return true;
+	return avoided && job->waiting && !(ws_eligible_zones(core, job) & ~avoided);
+}
+
+bool ws_machine_is_eligible(const struct ws_job *job, const struct ws_machine *machine)
+{
+	return machine->type && (job->eligible_types >> machine->type_index & 1) &&
+	       (!machine->preemptible || job->spec.allows_preemptible) &&
+	       (!machine->avoided || job->may_use_avoided);
+}
+
+bool ws_capacity_holds_task(const struct ws_capacity *capacity, const struct ws_job *job)
+{
+	return job->spec.cpus <= capacity->cpus + WS_CAPACITY_TOLERANCE &&
+	       job->spec.gpus <= capacity->gpus + WS_CAPACITY_TOLERANCE &&
+	       job->spec.mem_gb <= capacity->mem_gb + WS_CAPACITY_TOLERANCE;
+}
+
+bool ws_has_free_capacity(const struct ws_job *job, const struct ws_machine *machine)
+{
+	const struct ws_machine_type *type = machine->type;
+
+	return machine->used_cpus + job->spec.cpus <= type->cpus + WS_CAPACITY_TOLERANCE &&
+	       machine->used_gpus + job->spec.gpus <= type->gpus + WS_CAPACITY_TOLERANCE &&
+	       machine->used_mem + job->spec.mem_gb <= type->mem_gb + WS_CAPACITY_TOLERANCE;
+}
+
+struct ws_capacity ws_planned_capacity(const struct ws_machine *machine)
+{
+	return (struct ws_capacity){machine->planned_cpus, machine->planned_gpus,
+				    machine->planned_mem};
+}
+
+bool ws_has_planned_capacity(const struct ws_job *job, const struct ws_machine *machine)
+{
+	struct ws_capacity planned = ws_planned_capacity(machine);
+
+	return ws_capacity_holds_task(&planned, job);
+}
+
+void ws_planned_capacity_take(const struct ws_job *job, struct ws_machine *machine)
+{
+	machine->planned_cpus -= job->spec.cpus;
+	machine->planned_gpus -= job->spec.gpus;
+	machine->planned_mem -= job->spec.mem_gb;
+}
+
+void ws_planned_capacity_give(const struct ws_job *job, struct ws_machine *machine)
+{
+	machine->planned_cpus += job->spec.cpus;
+	machine->planned_gpus += job->spec.gpus;
+	machine->planned_mem += job->spec.mem_gb;
+}
+
+uint32_t ws_tasks_fit_planned(const struct ws_job *job, const struct ws_machine *machine,
+			      uint32_t limit)
+{
+	return ws_tasks_fit(&job->spec, machine->planned_cpus, machine->planned_gpus,
+			    machine->planned_mem, limit);
+}
+
+uint32_t ws_tasks_fit_now(const struct ws_job *job, const struct ws_machine *machine,
+			  uint32_t limit)
+{
+	const struct ws_machine_type *type = machine->type;
+	double cpus = fmin(machine->planned_cpus, type->cpus - machine->used_cpus);
+	double gpus = fmin(machine->planned_gpus, type->gpus - machine->used_gpus);
+	double mem_gb = fmin(machine->planned_mem, type->mem_gb - machine->used_mem);
+
+	return ws_tasks_fit(&job->spec, cpus, gpus, mem_gb, limit);
+}
+
+uint32_t ws_tasks_within_team_limit(const struct ws_job *job)
+{
+	const struct ws_team *team = job->team;
+	const struct ws_job_spec *spec = &job->spec;
+	double tasks = job->waiting;
+
+	if (spec->cpus > 0)
+		tasks = fmin(tasks, floor((team->settings->cpus_max + WS_CAPACITY_TOLERANCE -
+					   team->used_cpus - team->reserved_cpus) /
+					  spec->cpus));
+	if (spec->gpus > 0)
+		tasks = fmin(tasks, floor((team->settings->gpus_max + WS_CAPACITY_TOLERANCE -
+					   team->used_gpus - team->reserved_gpus) /
+					  spec->gpus));
+	return tasks > 0 ? (uint32_t)tasks : 0;
+}
+
+bool ws_image_is_cached(const struct ws_machine *machine, int image)
+{
+	for (int i = 0; i < machine->image_cache_count; i++)
+		if (machine->image_cache[i] == image)
+			return true;
+	return false;
+}
--- /dev/null
+++ b/src/core/scheduler/consolidation.c
@@ -0,0 +1,105 @@
+/*
+ * Consolidation of replicas: with nothing waiting, a rented machine that holds replicas of services
+ * alone is emptied onto owned machines with capacity, a replica at a time. Otherwise the rented
+ * machine would be paid for as long as the services run.
+ */
+#include "pass.h"
+
+/* A replica is down while its new machine fetches the image: for so many heartbeat intervals at
+ * most. */
+#define WS_MOVE_FETCH_HEARTBEATS 2
+
+static bool ws_replica_moves_quickly(const struct ws_core *core, const struct ws_machine *machine,
+				     const struct ws_job *job)
+{
+	return ws_image_is_cached(machine, job->image_index) ||
+	       job->spec.image_gb <=
+		   machine->type->fetch_gb_s * WS_MOVE_FETCH_HEARTBEATS * core->settings->report_s;
+}
+
+/* Whether an attempt is a replica that has run for long enough for its start to count. */
+static bool ws_replica_is_settled(const struct ws_core *core, const struct ws_attempt *attempt)
+{
+	return attempt->job && attempt->job->spec.service && !attempt->stopping &&
+	       !attempt->unrecorded && attempt->task_state == WS_TASK_RUNNING &&
+	       attempt->running_at > 0 && core->now - attempt->running_at > WS_START_COUNTS_S;
+}
+
+/* The first owned machine that a replica of a job can move to; NULL: there is none. */
+static struct ws_machine *ws_find_owned_machine(const struct ws_core *core,
+						const struct ws_job *job,
+						struct ws_machine **machines, size_t machine_count)
+{
+	for (size_t i = 0; i < machine_count && machines[i]->owned; i++)
+		if (ws_machine_is_eligible(job, machines[i]) &&
+		    ws_has_free_capacity(job, machines[i]) &&
+		    ws_has_planned_capacity(job, machines[i]) &&
+		    ws_zone_is_eligible(core, job, machines[i]->zone_index) &&
+		    ws_replica_moves_quickly(core, machines[i], job))
+			return machines[i];
+	return NULL;
+}
+
+/* The same for a replica, whose zone counts as if the replica had left it. */
+static struct ws_machine *ws_find_move_target(const struct ws_core *core,
+					      const struct ws_attempt *replica,
+					      struct ws_machine **machines, size_t machine_count)
+{
+	struct ws_job *job = replica->job;
+	int zone = replica->machine->zone_index;
+	struct ws_machine *target;
+
+	if (zone >= 0)
+		job->attempts_by_zone[zone]--;
+	target = ws_find_owned_machine(core, job, machines, machine_count);
+	if (zone >= 0)
+		job->attempts_by_zone[zone]++;
+	return target;
+}
+
+/* The replica to be moved off a rented machine first; NULL unless all that is there can move. */
+static struct ws_attempt *ws_find_replica_to_move(const struct ws_core *core,
+						  const struct ws_machine *rented,
+						  struct ws_machine **machines,
+						  size_t machine_count)
+{
+	struct ws_attempt *replica = NULL;
+
+	if (!rented->attempt_count)
+		return NULL;
+	for (struct ws_attempt *attempt = rented->attempts; attempt;
+	     attempt = attempt->machine_next) {
+		struct ws_machine *target;
+
+		if (attempt->state == WS_ATTEMPT_GONE)
+			continue;
+		if (!ws_replica_is_settled(core, attempt))
+			return NULL;
+		target = ws_find_move_target(core, attempt, machines, machine_count);
+		if (!target)
+			return NULL;
+		ws_planned_capacity_take(attempt->job, target);
+		replica = attempt;
+	}
+	return replica;
+}
+
+void ws_consolidate(struct ws_core *core, struct ws_machine **machines, size_t machine_count)
+{
+	if (core->now < core->scheduler.next_consolidation_at ||
+	    core->now - core->leadership.elected_at < core->settings->lease_s)
+		return;
+	core->scheduler.next_consolidation_at = core->now + core->settings->report_s;
+	for (size_t i = machine_count; i-- > 0;) {
+		struct ws_attempt *replica;
+
+		if (machines[i]->owned)
+			break; /* owned ones come first in the order */
+		replica = ws_find_replica_to_move(core, machines[i], machines, machine_count);
+		if (!replica)
+			continue;
+		ws_task_stop(core, replica, ws_stop_reason_name(WS_STOP_FOR_CONSOLIDATION));
+		ws_machine_send_commands(core, machines[i]);
+		return;
+	}
+}
--- /dev/null
+++ b/src/core/scheduler/gang_placement.c
@@ -0,0 +1,398 @@
+/*
+ * Gang scheduling: a gang is placed whole or not at all. What it lacks is reserved: what is free in
+ * its zones, or will be, is kept from jobs that come after it, for good if it is enough for the
+ * whole and else half of the time, so that neither can starve the other. For the rest others are
+ * preempted, if that frees capacity for all of it, or it becomes unmet demand.
+ */
+#include "pass.h"
+
+/* Ranks of machines for a gang: the sum of these, less the tasks that fit; the lowest goes first.
+ */
+#define WS_GANG_RANK_FAILED 50000 /* it failed tasks of late */
+#define WS_GANG_RANK_FETCH 2000	  /* for each image that is fetched there, this one included */
+#define WS_GANG_RANK_RENTED 1000
+#define WS_GANG_RANK_TASKS_MAX 999
+/* Fetches under way on a machine that are told apart. */
+#define WS_FETCHES_COUNTED_MAX 9
+
+/* Weights of a zone in which a gang that must share one is to reserve capacity, a task. */
+#define WS_ZONE_SCORE_CAPACITY 2      /* there is, or will be, planned capacity for it */
+#define WS_ZONE_SCORE_CAN_SCALE_OUT 2 /* machines can be asked for */
+#define WS_ZONE_SCORE_RESERVED 1      /* it is reserved there already */
+
+/* Capacity for a gang, by zone, in tasks. */
+struct ws_gang_capacity {
+	uint32_t free[WS_MAX_ZONES];		 /* free */
+	uint32_t free_or_stopping[WS_MAX_ZONES]; /* free, or told to end */
+	uint32_t free_with_image[WS_MAX_ZONES];	 /* free, where its image is */
+	uint32_t placeable_zones; /* zones in which it can be placed at once; 0: none */
+};
+
+/* A gang that is being placed in this pass. */
+struct ws_gang_placement {
+	struct ws_job *job;
+	double start_objective_s; /* within how long its class should start; 0: no objective */
+	uint32_t zones;		  /* eligible ones, a bit each */
+	bool keeps_reservation;	  /* also what is not enough yet is kept from others */
+	struct ws_gang_capacity capacity;
+};
+
+/* Machines that a gang may be on: one that is silent would keep the whole waiting. */
+static bool ws_gang_machine_is_eligible(const struct ws_core *core, const struct ws_job *job,
+					const struct ws_machine *machine, uint32_t zones)
+{
+	return ws_machine_is_eligible(job, machine) &&
+	       ws_zone_is_among(machine->zone_index, zones) &&
+	       !ws_heartbeat_overdue(core, machine->last_heard_at);
+}
+
+static int ws_gang_candidate_compare(const void *left, const void *right)
+{
+	const struct ws_machine *first = *(struct ws_machine *const *)left;
+	const struct ws_machine *second = *(struct ws_machine *const *)right;
+
+	if (first->pass_rank != second->pass_rank)
+		return first->pass_rank < second->pass_rank ? -1 : 1;
+	return strcmp(first->name, second->name);
+}
+
+/* Fetches of other images under way on a machine, up to a number: they share its rate. */
+static int ws_fetches_in_flight(const struct ws_machine *machine, int image)
+{
+	int fetches = 0, last_image = image;
+
+	for (const struct ws_attempt *attempt = machine->attempts;
+	     attempt && fetches < WS_FETCHES_COUNTED_MAX; attempt = attempt->machine_next)
+		if (attempt->job && attempt->state != WS_ATTEMPT_GONE &&
+		    attempt->task_state == WS_TASK_FETCHING &&
+		    attempt->job->image_index != last_image && attempt->job->image_index != image &&
+		    !ws_image_is_cached(machine, attempt->job->image_index)) {
+			last_image = attempt->job->image_index;
+			fetches++;
+		}
+	return fetches;
+}
+
+/*
+ * Where the image is first, or few others are fetched, then where most of the gang fits on one
+ * machine, since it starts with its last fetch and ends with its first loss; a machine that failed
+ * a task of late only if there is no other.
+ */
+static int ws_gang_machine_rank(const struct ws_job *job, const struct ws_machine *machine,
+				uint32_t fit)
+{
+	int rank = -(int)(fit < WS_GANG_RANK_TASKS_MAX ? fit : WS_GANG_RANK_TASKS_MAX);
+
+	if (!ws_image_is_cached(machine, job->image_index))
+		rank += WS_GANG_RANK_FETCH * (1 + ws_fetches_in_flight(machine, job->image_index));
+	if (!job->latency_sensitive && !machine->owned)
+		rank += WS_GANG_RANK_RENTED;
+	if (machine->consecutive_failures)
+		rank += WS_GANG_RANK_FAILED;
+	return rank;
+}
+
+/* Lists machines with capacity for tasks of a gang, sorted by rank; how many. */
+static size_t ws_gang_find_candidates(struct ws_scheduling_pass *pass, const struct ws_job *job,
+				      uint32_t zones)
+{
+	struct ws_core *core = pass->core;
+	size_t count = 0;
+
+	for (size_t i = 0; i < pass->machine_count; i++) {
+		struct ws_machine *machine = pass->machines[i];
+		uint32_t fit;
+
+		if (!ws_has_planned_capacity(job, machine) ||
+		    !ws_gang_machine_is_eligible(core, job, machine, zones))
+			continue;
+		fit = ws_tasks_fit_now(job, machine, job->waiting);
+		if (!fit)
+			continue;
+		machine->pass_rank = ws_gang_machine_rank(job, machine, fit);
+		pass->candidates[count++] = machine;
+	}
+	core->scheduler.steps += count;
+	qsort(pass->candidates, count, sizeof(*pass->candidates), ws_gang_candidate_compare);
+	return count;
+}
+
+/* Takes back the attempts that were planned just now. */
+static void ws_gang_unplace(struct ws_core *core, struct ws_job *job)
+{
+	struct ws_attempt *attempt, *next_attempt;
+
+	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
+		if (attempt->state == WS_ATTEMPT_PLANNED && attempt->planned_at == core->now &&
+		    !attempt->write_in_flight) {
+			ws_planned_capacity_give(job, attempt->machine);
+			ws_attempt_count(core, attempt, -1);
+			ws_attempt_free(attempt);
+		}
+}
+
+/* Plans attempts for all tasks that a gang lacks, or for none. */
+static bool ws_gang_place_whole(struct ws_scheduling_pass *pass, struct ws_job *job, uint32_t zones,
+				uint64_t attempt_number)
+{
+	struct ws_core *core = pass->core;
+	uint32_t unplaced = job->waiting;
+	size_t record_bytes_left = ws_record_bytes_left(core, job);
+	size_t count = ws_gang_find_candidates(pass, job, zones);
+
+	for (size_t i = 0; i < count && unplaced && record_bytes_left; i++)
+		unplaced -= ws_place_on_machine(core, job, pass->candidates[i], unplaced,
+						attempt_number, &record_bytes_left);
+	if (!unplaced) {
+		job->last_placed_at = core->now;
+		job->unmet_since = job->gang_broken_at = job->gang_reserving_since = 0;
+		ws_job_mark_dirty(core, job, true);
+		return true;
+	}
+	if (!record_bytes_left)
+		ws_log_wait_reason(core, job, "its record can't name so many machines");
+	ws_gang_unplace(core, job);
+	return false;
+}
+
+/* How well a zone suits the reservation of a gang that must share one; above 0. */
+static uint32_t ws_gang_zone_score(struct ws_scheduling_pass *pass,
+				   const struct ws_gang_placement *placement, int zone)
+{
+	const struct ws_job *job = placement->job;
+	uint32_t tasks = job->waiting;
+	uint32_t with_capacity = placement->capacity.free_or_stopping[zone];
+	uint32_t score = 1;
+
+	score += WS_ZONE_SCORE_CAPACITY * (with_capacity < tasks ? with_capacity : tasks);
+	if (ws_zone_can_scale_out(pass->core, job, zone))
+		score += WS_ZONE_SCORE_CAN_SCALE_OUT * tasks;
+	if (job->gang_reservation_zone == zone + 1)
+		score += WS_ZONE_SCORE_RESERVED * tasks;
+	return score;
+}
+
+/* The zones in which a gang reserves capacity: one, if its tasks must share it, and that for long.
+ */
+static uint32_t ws_gang_reservation_zones(struct ws_scheduling_pass *pass,
+					  const struct ws_gang_placement *placement)
+{
+	uint32_t best_score = 0;
+	int best_zone = -1;
+
+	if (!placement->job->spec.one_zone)
+		return placement->zones;
+	for (int zone = 0; zone < pass->core->catalog.zone_count; zone++) {
+		uint32_t score;
+
+		if (!ws_zone_is_among(zone, placement->zones))
+			continue;
+		score = ws_gang_zone_score(pass, placement, zone);
+		if (score > best_score) {
+			best_score = score;
+			best_zone = zone;
+		}
+	}
+	if (best_zone < 0)
+		return 0;
+	placement->job->gang_reservation_zone = best_zone + 1;
+	return 1u << best_zone;
+}
+
+/* Whether capacity that is not yet enough for a gang is kept for it: half of the time, and when it
+ * becomes starved. */
+static bool ws_gang_keeps_reservation(const struct ws_core *core, struct ws_job *job)
+{
+	double span_s = core->settings->gang_wait_s;
+
+	if (!job->gang_reserving_since || core->now - job->gang_reserving_since >= 2 * span_s ||
+	    (job->starved && !job->gang_was_starved))
+		job->gang_reserving_since = core->now;
+	job->gang_was_starved = job->starved;
+	return core->now - job->gang_reserving_since < span_s;
+}
+
+static void ws_gang_count_capacity(struct ws_scheduling_pass *pass,
+				   struct ws_gang_placement *placement)
+{
+	const struct ws_job *job = placement->job;
+	struct ws_gang_capacity *capacity = &placement->capacity;
+
+	for (size_t i = 0; i < pass->machine_count; i++) {
+		struct ws_machine *machine = pass->machines[i];
+		uint32_t fit;
+
+		if (!ws_has_planned_capacity(job, machine) ||
+		    !ws_gang_machine_is_eligible(pass->core, job, machine, placement->zones))
+			continue;
+		capacity->free_or_stopping[machine->zone_index] +=
+		    ws_tasks_fit_planned(job, machine, job->waiting);
+		fit = ws_tasks_fit_now(job, machine, job->waiting);
+		capacity->free[machine->zone_index] += fit;
+		if (fit && ws_image_is_cached(machine, job->image_index))
+			capacity->free_with_image[machine->zone_index] += fit;
+	}
+	pass->core->scheduler.steps += pass->machine_count;
+}
+
+/* Limits the capacity of a zone to the tasks that may be there: half of a gang that is spread. */
+static void ws_gang_limit_zone_capacity(const struct ws_job *job, int zone,
+					struct ws_gang_capacity *capacity)
+{
+	uint32_t limit = job->spec.spread ? (job->spec.tasks + 1) / 2 - job->attempts_by_zone[zone]
+					  : job->waiting;
+
+	if (capacity->free[zone] > limit)
+		capacity->free[zone] = limit;
+	if (capacity->free_or_stopping[zone] > limit)
+		capacity->free_or_stopping[zone] = limit;
+}
+
+/* Whether a zone holds more of a gang's image than the one chosen so far, if there is one. */
+static bool ws_zone_has_more_of_image(const struct ws_gang_capacity *capacity, int zone)
+{
+	return !capacity->placeable_zones ||
+	       capacity->free_with_image[zone] >
+		   capacity->free_with_image[__builtin_ctz(capacity->placeable_zones)];
+}
+
+/* The zones that hold all of a gang now: the one with most of its image, if it must share one. */
+static void ws_gang_choose_zones(const struct ws_core *core, struct ws_gang_placement *placement)
+{
+	const struct ws_job *job = placement->job;
+	struct ws_gang_capacity *capacity = &placement->capacity;
+	uint32_t free_in_all_zones = 0;
+
+	for (int zone = 0; zone < core->catalog.zone_count; zone++) {
+		if (!ws_zone_is_among(zone, placement->zones))
+			continue;
+		ws_gang_limit_zone_capacity(job, zone, capacity);
+		free_in_all_zones += capacity->free[zone];
+		if (job->spec.one_zone && capacity->free[zone] >= job->waiting &&
+		    ws_zone_has_more_of_image(capacity, zone))
+			capacity->placeable_zones = 1u << zone;
+	}
+	if (!job->spec.one_zone && free_in_all_zones >= job->waiting)
+		capacity->placeable_zones = placement->zones;
+}
+
+/* Reserves planned capacity for tasks of a gang, or only keeps machines for it that are empty; how
+ * many tasks have none. */
+static uint32_t ws_gang_reserve(struct ws_scheduling_pass *pass, struct ws_job *job, uint32_t zones,
+				uint32_t tasks, bool takes_capacity)
+{
+	struct ws_core *core = pass->core;
+	uint32_t lacking = tasks;
+
+	for (size_t i = 0; i < pass->machine_count && lacking; i++) {
+		struct ws_machine *machine = pass->machines[i];
+		uint32_t fit;
+
+		if (!ws_has_planned_capacity(job, machine) ||
+		    !ws_gang_machine_is_eligible(core, job, machine, zones))
+			continue;
+		fit = ws_tasks_fit_planned(job, machine, lacking);
+		lacking -= fit;
+		if (!machine->attempt_count && fit)
+			machine->reserved_until = core->now + core->settings->report_s;
+		for (uint32_t k = 0; takes_capacity && k < fit; k++)
+			ws_planned_capacity_take(job, machine);
+	}
+	return lacking;
+}
+
+/* Tasks for which there is, or will be, capacity in some zones. */
+static uint32_t ws_gang_tasks_with_capacity(const struct ws_core *core,
+					    const struct ws_gang_capacity *capacity, uint32_t zones)
+{
+	uint32_t tasks = 0;
+
+	for (int zone = 0; zone < core->catalog.zone_count; zone++)
+		if (ws_zone_is_among(zone, zones))
+			tasks += capacity->free_or_stopping[zone];
+	return tasks;
+}
+
+/* A gang for which there is not enough capacity yet: it is reserved, freed by preemption or asked
+ * for. */
+static void ws_gang_await_capacity(struct ws_scheduling_pass *pass,
+				   const struct ws_gang_placement *placement)
+{
+	struct ws_core *core = pass->core;
+	struct ws_job *job = placement->job;
+	uint32_t zones = ws_gang_reservation_zones(pass, placement);
+	uint32_t with_capacity = ws_gang_tasks_with_capacity(core, &placement->capacity, zones);
+	uint32_t lacking = job->waiting;
+	bool takes_capacity;
+	char reason[128];
+
+	if (with_capacity < lacking && !job->spec.spread &&
+	    ws_preemption_is_due(core, job, placement->start_objective_s))
+		lacking -= ws_preempt(pass, &(struct ws_preemption_request){
+						.job = job,
+						.tasks = lacking - with_capacity,
+						.zones = zones,
+					    });
+	takes_capacity = placement->keeps_reservation || with_capacity >= lacking;
+	lacking = ws_gang_reserve(pass, job, zones, lacking, takes_capacity);
+	if (lacking)
+		ws_unmet_demand_add(core, job, lacking, zones);
+	snprintf(reason, sizeof(reason),
+		 "a gang, room for %u of %u tasks is there or comes, %u to be rented%s",
+		 with_capacity < job->waiting ? with_capacity : job->waiting, job->waiting, lacking,
+		 takes_capacity ? ", and is held" : "");
+	ws_log_wait_reason(core, job, reason);
+}
+
+/* Its team is at its limit: what it lacks of that is reserved for it. */
+static void ws_gang_at_team_limit(struct ws_core *core, struct ws_job *job, bool keeps_reservation)
+{
+	ws_log_wait_reason(core, job, "its team is at its limit");
+	if (!keeps_reservation)
+		return;
+	job->team->reserved_cpus += job->waiting * job->spec.cpus;
+	job->team->reserved_gpus += job->waiting * job->spec.gpus;
+}
+
+/* A gang that lost tasks before it ran, and can't replace them: stopped if that lasts too long. */
+static void ws_gang_check_incomplete(struct ws_core *core, struct ws_job *job,
+				     double assembling_since)
+{
+	if (core->now - assembling_since > core->settings->gang_wait_s / 4)
+		ws_gang_stop(core, job, 0, ws_stop_reason_name(WS_STOP_GANG_INCOMPLETE));
+}
+
+void ws_place_gang(struct ws_scheduling_pass *pass, struct ws_job *job, double start_objective_s)
+{
+	struct ws_core *core = pass->core;
+	struct ws_gang_placement placement = {.job = job, .start_objective_s = start_objective_s};
+	uint64_t attempt_number = 0;
+	double assembling_since = 0;
+
+	if (job->attempt_count && !ws_gang_is_assembling(job, &attempt_number, &assembling_since)) {
+		job->unmet_since = 0; /* it waits for its last attempt to end, not for capacity */
+		return;
+	}
+	if (!job->unmet_since)
+		job->unmet_since = core->now;
+	placement.zones = ws_eligible_zones(core, job);
+	placement.keeps_reservation = ws_gang_keeps_reservation(core, job);
+	if (ws_tasks_within_team_limit(job) < job->waiting) {
+		ws_gang_at_team_limit(core, job, placement.keeps_reservation);
+		return;
+	}
+	ws_gang_count_capacity(pass, &placement);
+	ws_gang_choose_zones(core, &placement);
+	if (!attempt_number)
+		attempt_number = ws_attempt_number_new(core);
+	if (placement.capacity.placeable_zones &&
+	    ws_gang_place_whole(pass, job, placement.capacity.placeable_zones, attempt_number))
+		return;
+	if (job->attempt_count)
+		ws_gang_check_incomplete(core, job, assembling_since);
+	else if (placement.capacity.placeable_zones) /* too many for its record: no reservation */
+		ws_unmet_demand_add(core, job, job->waiting,
+				    ws_gang_reservation_zones(pass, &placement));
+	else
+		ws_gang_await_capacity(pass, &placement);
+}
--- /dev/null
+++ b/src/core/scheduler/preemption.c
@@ -0,0 +1,309 @@
+/*
+ * Preemption: stops running work to free capacity for work of a higher scheduling rank. On each
+ * machine the victims are the tasks that lose least, and the machines on which least is lost go
+ * first.
+ */
+#include "pass.h"
+
+/* Cost of a preemption that can't free capacity. */
+#define WS_PREEMPTION_IMPOSSIBLE (-1.0)
+/* By how much the work of a guaranteed job counts for more. */
+#define WS_GUARANTEED_COST_FACTOR 4
+
+static const char *const stop_reason_names[WS_STOP_REASONS] = {
+    [WS_STOP_FOR_GUARANTEE] = "room for a guarantee",
+    [WS_STOP_FOR_PRODUCTION] = "room for production",
+    [WS_STOP_FOR_CONSOLIDATION] = "moved so that its rental can go back",
+    [WS_STOP_GANG_INCOMPLETE] = "no room for what it lost before it ran",
+};
+
+const char *ws_stop_reason_name(enum ws_stop_reason reason)
+{
+	return stop_reason_names[reason];
+}
+
+/* Whether a job is of the kinds that preempt at all. */
+static bool ws_job_can_preempt(const struct ws_job *job)
+{
+	return job->guaranteed || job->latency_sensitive ||
+	       job->spec.priority == WS_PRIORITY_PRODUCTION;
+}
+
+/* A gang's start is expensive: it is given the time to count, and all of the gang must be told at
+ * once.
+ */
+static bool ws_gang_can_be_preempted(const struct ws_core *core, const struct ws_attempt *attempt)
+{
+	double started_at = fmax(attempt->planned_at, attempt->running_at);
+
+	return core->now - started_at >= WS_START_COUNTS_S &&
+	       ws_gang_is_reachable(core, attempt->job);
+}
+
+/* Whether a job may preempt an attempt. */
+static bool ws_may_preempt(const struct ws_core *core, const struct ws_job *job,
+			   const struct ws_attempt *attempt)
+{
+	const struct ws_job *victim_job = attempt->job;
+
+	if (!victim_job || attempt->stopping || attempt->unrecorded ||
+	    attempt->state == WS_ATTEMPT_GONE)
+		return false;
+	if (ws_scheduling_rank(job) <= ws_scheduling_rank(victim_job) ||
+	    (attempt->starved && job->spec.priority != WS_PRIORITY_PRODUCTION) ||
+	    !ws_job_can_preempt(job))
+		return false;
+	if (victim_job->spec.gang && !ws_gang_can_be_preempted(core, attempt))
+		return false;
+	return victim_job->spec.priority < job->spec.priority ||
+	       (job->guaranteed && !victim_job->guaranteed && victim_job->team != job->team);
+}
+
+/*
+ * What a preemption loses, in CPU seconds. Of a gang all stop, wherever they are: if they save,
+ * that is the time until they run again, at most the work since the last checkpoint, and more each
+ * time.
+ */
+static double ws_preemption_cost(const struct ws_core *core, const struct ws_attempt *attempt)
+{
+	const struct ws_job *job = attempt->job;
+	const struct ws_job_spec *spec = &job->spec;
+	double lost_s = core->now - attempt->planned_at + 1;
+
+	if (spec->gang && spec->checkpoint_s > 0)
+		lost_s = spec->checkpoint_s + spec->save_s + core->settings->gang_peer_s;
+	if (spec->gang)
+		lost_s *= job->attempt_count * (1 + job->gang_preemptions);
+	return lost_s * spec->cpus * (job->guaranteed ? WS_GUARANTEED_COST_FACTOR : 1);
+}
+
+/* The attempt on a machine that loses least, of those not chosen yet; NULL: there is none. */
+static struct ws_attempt *ws_cheapest_victim(struct ws_core *core, const struct ws_job *job,
+					     const struct ws_machine *machine, double *victim_cost)
+{
+	struct ws_attempt *victim = NULL;
+
+	*victim_cost = 0;
+	for (struct ws_attempt *attempt = machine->attempts; attempt;
+	     attempt = attempt->machine_next) {
+		double cost;
+
+		core->scheduler.steps++;
+		if (attempt->mark == core->fleet.mark || !ws_may_preempt(core, job, attempt))
+			continue;
+		cost = ws_preemption_cost(core, attempt);
+		if (!victim || cost < *victim_cost) {
+			victim = attempt;
+			*victim_cost = cost;
+		}
+	}
+	return victim;
+}
+
+/* Whether an attempt stops when a victim on the same machine does: of a gang all do. */
+static bool ws_stops_with_victim(const struct ws_attempt *attempt, const struct ws_attempt *victim)
+{
+	if (attempt == victim)
+		return true;
+	return victim->job->spec.gang && attempt->job == victim->job && !attempt->stopping &&
+	       !attempt->unrecorded && attempt->state != WS_ATTEMPT_GONE;
+}
+
+/* Marks what stops with a victim as chosen, and adds its share to a capacity. */
+static void ws_choose_victim(const struct ws_core *core, const struct ws_machine *machine,
+			     const struct ws_attempt *victim, struct ws_capacity *capacity)
+{
+	for (struct ws_attempt *attempt = machine->attempts; attempt;
+	     attempt = attempt->machine_next) {
+		if (!ws_stops_with_victim(attempt, victim))
+			continue;
+		attempt->mark = core->fleet.mark;
+		capacity->cpus += attempt->job->spec.cpus;
+		capacity->gpus += attempt->job->spec.gpus;
+		capacity->mem_gb += attempt->job->spec.mem_gb;
+	}
+}
+
+/* Stops a victim; its capacity is planned with from now on. */
+static void ws_stop_victim(struct ws_core *core, const struct ws_job *job,
+			   struct ws_machine *machine, struct ws_attempt *victim)
+{
+	for (struct ws_attempt *attempt = machine->attempts; attempt;
+	     attempt = attempt->machine_next)
+		if (ws_stops_with_victim(attempt, victim))
+			ws_planned_capacity_give(attempt->job, machine);
+	ws_task_stop(
+	    core, victim,
+	    ws_stop_reason_name(job->guaranteed ? WS_STOP_FOR_GUARANTEE : WS_STOP_FOR_PRODUCTION));
+}
+
+/* The cost of preempting on a machine until a task fits; the victims are stopped only if asked for.
+ */
+static double ws_preempt_for_task(struct ws_core *core, const struct ws_job *job,
+				  struct ws_machine *machine, bool stop_victims)
+{
+	struct ws_capacity capacity = ws_planned_capacity(machine);
+	double cost = 0;
+
+	if (ws_subsystems_defer(core, WS_DEFER_PREEMPTION, machine->zone_index))
+		return WS_PREEMPTION_IMPOSSIBLE;
+	core->fleet.mark++; /* attempts with this mark are chosen */
+	while (!ws_capacity_holds_task(&capacity, job)) {
+		double victim_cost;
+		struct ws_attempt *victim = ws_cheapest_victim(core, job, machine, &victim_cost);
+
+		if (!victim)
+			return WS_PREEMPTION_IMPOSSIBLE;
+		cost += victim_cost;
+		ws_choose_victim(core, machine, victim, &capacity);
+		if (stop_victims)
+			ws_stop_victim(core, job, machine, victim);
+	}
+	return cost;
+}
+
+/* Whether this pass has found that there is nothing to preempt for such a job. */
+static bool ws_preemption_is_infeasible(const struct ws_scheduling_pass *pass,
+					const struct ws_preemption_request *request)
+{
+	const struct ws_infeasible_preemption *infeasible = &pass->infeasible_preemption;
+	const struct ws_job *job = request->job;
+
+	return infeasible->known && !job->may_use_avoided &&
+	       ws_scheduling_rank(job) <= infeasible->rank &&
+	       job->spec.cpus >= infeasible->task.cpus && job->spec.gpus >= infeasible->task.gpus &&
+	       job->spec.mem_gb >= infeasible->task.mem_gb &&
+	       (!job->spec.allows_preemptible || infeasible->allows_preemptible) &&
+	       !(job->eligible_types & ~infeasible->eligible_types) &&
+	       !(request->zones & ~infeasible->zones);
+}
+
+static void ws_remember_infeasible(struct ws_scheduling_pass *pass,
+				   const struct ws_preemption_request *request)
+{
+	const struct ws_job *job = request->job;
+
+	pass->infeasible_preemption = (struct ws_infeasible_preemption){
+	    .known = true,
+	    .rank = ws_scheduling_rank(job),
+	    .task = {job->spec.cpus, job->spec.gpus, job->spec.mem_gb},
+	    .allows_preemptible = job->spec.allows_preemptible,
+	    .eligible_types = job->eligible_types,
+	    .zones = request->zones,
+	};
+}
+
+/* Whether a machine has work and may be used for what is requested. */
+static bool ws_may_preempt_on(const struct ws_preemption_request *request,
+			      const struct ws_machine *machine)
+{
+	const struct ws_job *job = request->job;
+
+	return machine->attempt_count && ws_machine_is_eligible(job, machine) &&
+	       ws_zone_is_among(machine->zone_index, request->zones) &&
+	       (!request->only_cached_image || ws_image_is_cached(machine, job->image_index));
+}
+
+/* Lists machines on which there is something to preempt; how many. Of a large fleet only a part is
+ * looked at, from another machine on each time. */
+static size_t ws_find_preemption_candidates(struct ws_scheduling_pass *pass,
+					    const struct ws_preemption_request *request)
+{
+	struct ws_core *core = pass->core;
+	size_t limit = 2 * (size_t)request->tasks + WS_VICTIM_CANDIDATES;
+	size_t start = pass->machine_count > WS_VICTIM_CANDIDATES ? core->fleet.mark : 0;
+	size_t found = 0;
+
+	for (size_t i = 0;
+	     i < pass->machine_count && found < limit && core->scheduler.steps <= pass->step_limit;
+	     i++) {
+		struct ws_machine *machine = pass->machines[(i + start) % pass->machine_count];
+		double cost;
+
+		core->scheduler.steps++;
+		if (!ws_may_preempt_on(request, machine))
+			continue;
+		cost = ws_preempt_for_task(core, request->job, machine, false);
+		if (cost >= 0)
+			pass->preemption_candidates[found++] =
+			    (struct ws_preemption_candidate){cost, i, machine};
+	}
+	return found;
+}
+
+static int ws_preemption_candidate_compare(const void *left, const void *right)
+{
+	const struct ws_preemption_candidate *first = left, *second = right;
+
+	if (first->cost != second->cost)
+		return first->cost < second->cost ? -1 : 1;
+	if (first->first_fit_index != second->first_fit_index)
+		return first->first_fit_index < second->first_fit_index ? -1 : 1;
+	return 0;
+}
+
+/* Preempts on a machine and takes the capacity that this makes, which often holds more tasks than
+ * one; for how many. */
+static uint32_t ws_preempt_on_machine(struct ws_scheduling_pass *pass, struct ws_job *job,
+				      struct ws_machine *machine, uint32_t limit)
+{
+	uint32_t fit;
+
+	if (machine->stopping_cpus <= 0 && machine->stopping_mem <= 0 &&
+	    pass->stopping_count < pass->machine_count)
+		pass->stopping_machines[pass->stopping_count++] = machine;
+	ws_preempt_for_task(pass->core, job, machine, true);
+	fit = ws_tasks_fit_planned(job, machine, limit);
+	for (uint32_t i = 0; i < fit; i++)
+		ws_planned_capacity_take(job, machine);
+	ws_machine_send_commands(pass->core, machine);
+	return fit;
+}
+
+uint32_t ws_preempt(struct ws_scheduling_pass *pass, const struct ws_preemption_request *request)
+{
+	const struct ws_scheduler *scheduler = &pass->core->scheduler;
+	struct ws_job *job = request->job;
+	uint32_t with_room = 0;
+	size_t count;
+
+	if (scheduler->steps > pass->step_limit ||
+	    ws_scheduling_rank(job) <= pass->lowest_running_rank || !ws_job_can_preempt(job) ||
+	    ws_preemption_is_infeasible(pass, request))
+		return 0;
+	count = ws_find_preemption_candidates(pass, request);
+	if (!count && !request->only_cached_image && scheduler->steps <= pass->step_limit)
+		ws_remember_infeasible(pass, request);
+	if (job->spec.gang && count < request->tasks)
+		return 0;
+	qsort(pass->preemption_candidates, count, sizeof(*pass->preemption_candidates),
+	      ws_preemption_candidate_compare);
+	for (size_t i = 0; i < count && with_room < request->tasks; i++)
+		with_room += ws_preempt_on_machine(
+		    pass, job, pass->preemption_candidates[i].machine, request->tasks - with_room);
+	return with_room;
+}
+
+/*
+ * Seconds that a job waits before it preempts: half of the wait that is promised to work within its
+ * guarantee, or to its class if that is less, once the image's fetch is taken off.
+ */
+static double ws_preemption_delay(const struct ws_core *core, const struct ws_job *job,
+				  double start_objective_s)
+{
+	double bound_s = ws_latency_bound(core);
+
+	if (start_objective_s > 0 && start_objective_s < bound_s)
+		bound_s = start_objective_s;
+	return fmax(0, bound_s - ws_image_fetch_s(core, job)) / 2;
+}
+
+/* Other work ends all the time: it is preempted only when waiting for that takes too long. */
+bool ws_preemption_is_due(const struct ws_core *core, const struct ws_job *job,
+			  double start_objective_s)
+{
+	double unmet_since = job->unmet_since > 0 ? job->unmet_since : core->now;
+
+	return job->spec.priority == WS_PRIORITY_PRODUCTION ||
+	       core->now - unmet_since >= ws_preemption_delay(core, job, start_objective_s);
+}
--- a/src/core/scheduler/scheduler.h
+++ b/src/core/scheduler/scheduler.h
@@ -1,7 +1,7 @@
 /*
  * The scheduler: places waiting tasks on machines in passes over all of them, by first fit, and
- * makes room by preemption where the rules allow; gangs are placed whole. What found no capacity is
- * listed as unmet demand, for the autoscaler.
+ * frees capacity by preemption where the rules allow; gangs are placed whole. What found no
+ * capacity is listed as unmet demand, for the autoscaler.
  *
  * All of it is the leader's and forgotten at step-down.
  */
@@ -30,8 +30,9 @@
 
 struct ws_scheduler {
 	bool pass_wanted;
-	double next_pass_at;
-	double pass_began_at; /* of a pass that the I/O layer has not told the length of; 0: none */
+	double next_pass_at; /* no pass before then */
+	/* of a pass whose duration the I/O layer has yet to report; 0: none */
+	double pass_began_at;
 	double next_consolidation_at;
 	void *scratch; /* memory of passes, kept from one to the next */
 	size_t scratch_size;
--- /dev/null
+++ b/src/core/scheduler/task_placement.c
@@ -0,0 +1,103 @@
+/*
+ * Placement of tasks on one machine: plans their attempts, as many as the job's record can name,
+ * and logs why jobs wait.
+ */
+#include "pass.h"
+
+/* Bytes of a job's record for its description, besides the names in it. */
+#define WS_RECORD_DESCRIPTION_BYTES 640
+/* Bytes in which a gang's record names its tasks: they are done together, in one range. */
+#define WS_RECORD_GANG_TASKS_BYTES 64
+
+uint64_t ws_attempt_number_new(struct ws_core *core)
+{
+	uint64_t term = core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT;
+
+	return (term << WS_ATTEMPT_SHIFT) + ++core->jobs.attempt_sequence;
+}
+
+/* Attempts of an array have three quarters of what the description leaves, the rest goes to the
+ * tasks that are done. */
+size_t ws_record_bytes_left(const struct ws_core *core, const struct ws_job *job)
+{
+	size_t names =
+	    strlen(job->spec.image) + strlen(job->spec.team) + strlen(job->spec.job_class);
+	double limit = core->writer.value_bytes_max - WS_RECORD_DESCRIPTION_BYTES - (double)names -
+		       WS_NAME_MAX / 4.0 * (double)job->spec.type_count;
+	double used = 0;
+	const struct ws_attempt *attempt, *before = NULL;
+
+	limit = job->spec.gang ? limit - WS_RECORD_GANG_TASKS_BYTES : limit * 3 / 4;
+	DL_FOREACH2 (job->attempts, attempt, job_next)
+		if (attempt->state != WS_ATTEMPT_GONE && !attempt->unrecorded) {
+			used += (double)ws_record_attempt_size(core, before, attempt);
+			before = attempt;
+		}
+	return limit > used ? (size_t)(limit - used) : 0;
+}
+
+/* The first task that waits; the number of tasks if none does. */
+static uint32_t ws_next_waiting_task(struct ws_job *job)
+{
+	uint32_t task = job->lowest_waiting;
+
+	while (task < job->spec.tasks && (job->tasks[task].done || job->tasks[task].live_attempts))
+		task++;
+	job->lowest_waiting = task;
+	return task;
+}
+
+/* Plans an attempt of a task. False: the record can't name it, and it is not planned. */
+static bool ws_place_task(struct ws_core *core, struct ws_job *job, struct ws_machine *machine,
+			  uint32_t task, uint64_t attempt_number, size_t *record_bytes_left)
+{
+	struct ws_attempt *attempt =
+	    ws_attempt_add(core, machine, job->spec.id, task, attempt_number);
+	size_t size = ws_record_attempt_size(
+	    core, attempt->job_prev != attempt ? attempt->job_prev : NULL, attempt);
+
+	if (size > *record_bytes_left) {
+		ws_attempt_count(core, attempt, -1);
+		ws_attempt_free(attempt);
+		*record_bytes_left = 0;
+		return false;
+	}
+	*record_bytes_left -= size;
+	attempt->starved = job->starved;
+	ws_planned_capacity_take(job, machine);
+	core->scheduler.steps++;
+	ws_log(core, WS_LOG_DEBUG, "place %s/%u attempt %llu on %s", job->spec.id, task,
+	       (unsigned long long)attempt_number, machine->name);
+	return true;
+}
+
+uint32_t ws_place_on_machine(struct ws_core *core, struct ws_job *job, struct ws_machine *machine,
+			     uint32_t limit, uint64_t attempt_number, size_t *record_bytes_left)
+{
+	uint32_t fit = ws_tasks_fit_now(job, machine, limit);
+	uint32_t placed = 0;
+
+	while (placed < fit && ws_zone_is_eligible(core, job, machine->zone_index)) {
+		uint32_t task = ws_next_waiting_task(job);
+
+		if (task == job->spec.tasks ||
+		    !ws_place_task(core, job, machine, task, attempt_number, record_bytes_left))
+			break;
+		placed++;
+	}
+	return placed;
+}
+
+bool ws_wait_log_is_due(const struct ws_core *core, struct ws_job *job)
+{
+	if (core->now - job->wait_logged_at <= core->settings->lease_s)
+		return false;
+	job->wait_logged_at = core->now;
+	return true;
+}
+
+void ws_log_wait_reason(struct ws_core *core, struct ws_job *job, const char *reason)
+{
+	if (ws_wait_log_is_due(core, job))
+		ws_log(core, WS_LOG_INFO, "job %s waits: %s", job->spec.id, reason);
+}
--- a/src/core/scheduler/unmet_demand.c
+++ b/src/core/scheduler/unmet_demand.c
@@ -7,7 +7,7 @@
 /* Entries that the list has memory for at first; it doubles when they are used up. */
 #define WS_UNMET_DEMAND_INITIAL 64
 
-/* Makes room for one more entry. */
+/* Grows the list if it is full. */
 static void ws_unmet_demand_grow(struct ws_scheduler *scheduler)
 {
 	if (scheduler->unmet_count < scheduler->unmet_capacity)
@@ -27,7 +27,7 @@
 	if (!job->unmet_since)
 		job->unmet_since = core->now;
 	if (zones && !(zones &= ~core->subsystems.zones_closed))
-		return; /* it waits for zones in which nothing is rented now */
+		return; /* it waits for zones in which there is no scale-out now */
 	ws_unmet_demand_grow(scheduler);
 	scheduler->unmet_demand[scheduler->unmet_count++] =
 	    (struct ws_unmet_demand){job, tasks, zones};
