--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -19,6 +19,7 @@
 #include "leadership/leadership.h"
 #include "lease.h"
 #include "memory.h"
+#include "objectives.h"
 #include "records/records.h"
 #include "scheduler/scheduler.h"
 #include "store/job_watch.h"
