--- a/src/core/api/status_cache.c
+++ b/src/core/api/status_cache.c
@@ -116,6 +116,23 @@
 
 static void ws_status_cache_load(struct ws_core *core, const char *after);
 
+/* The pages of a listing as of a revision are about to come: they tell what was noted up to it. */
+static void ws_status_cache_begin_load(struct ws_core *core, uint64_t revision)
+{
+	struct ws_status_cache *cache = &core->status_cache;
+	struct ws_job_status *job_status = cache->jobs, *next;
+
+	cache->revision = revision;
+	HASH_CLEAR(hh, cache->jobs);
+	for (; job_status; job_status = next) {
+		next = job_status->hh.next;
+		if (job_status->revision <= revision)
+			free(job_status);
+		else
+			HASH_ADD_STR(cache->jobs, id, job_status);
+	}
+}
+
 static void ws_status_cache_page_read(struct ws_core *core, struct ws_call *call,
 				      const struct ws_result *result)
 {
@@ -124,15 +141,8 @@
 		core->status_cache.next_request_at = core->now + core->leadership.session_ttl_s / 4;
 		return;
 	}
-	if (!call->after[0]) {
-		struct ws_job_status *job_status, *next_job_status;
-
-		core->status_cache.revision = result->revision;
-		HASH_ITER (hh, core->status_cache.jobs, job_status,
-			   next_job_status) /* noted meanwhile: the pages tell */
-			if (job_status->revision <= result->revision)
-				ws_status_cache_drop(core, job_status);
-	}
+	if (!call->after[0])
+		ws_status_cache_begin_load(core, result->revision);
 	for (size_t i = 0; i < result->entry_count; i++)
 		ws_status_cache_apply_change(core, &result->entries[i]);
 	if (result->has_more && result->entry_count) {
