--- /dev/null
+++ b/tests/sim_actions.c
@@ -0,0 +1,450 @@
+/* Timed actions: what befalls jobs, nodes, store, cloud and network. */
+#include "sim_nodes.h"
+#include "sim_store.h"
+#include "sim_subsystems.h"
+#include "sim_users.h"
+#include "sim_workers.h"
+
+#define DEFAULT_SPAN_S 5
+#define DEFAULT_LATE_S 5
+#define NEVER_SUBMITTED (-1)
+
+/* ---- users ---- */
+
+static enum ws_priority_class priority_of(const char *text)
+{
+	char word[32] = "normal";
+
+	sim_option_text(text, "tier", word, sizeof(word));
+	if (!strcmp(word, "production"))
+		return WS_PRIORITY_PRODUCTION;
+	if (!strcmp(word, "urgent"))
+		return WS_PRIORITY_URGENT;
+	if (!strcmp(word, "best"))
+		return WS_PRIORITY_BEST_EFFORT;
+	return WS_PRIORITY_NORMAL;
+}
+
+static void read_job_spec(const char *text, struct ws_job_spec *spec)
+{
+	snprintf(spec->job_class, sizeof(spec->job_class), "c");
+	sim_option_text(text, "class", spec->job_class, sizeof(spec->job_class));
+	snprintf(spec->team, sizeof(spec->team), "t");
+	sim_option_text(text, "team", spec->team, sizeof(spec->team));
+	spec->service = sim_flag(text, "service");
+	spec->gang = sim_flag(text, "gang");
+	spec->spread = sim_flag(text, "spread");
+	spec->one_zone = sim_flag(text, "one-zone");
+	spec->allows_preemptible = sim_flag(text, "spot");
+	sim_option_text(text, "zone", spec->zone, sizeof(spec->zone));
+	if (sim_option_text(text, "type", spec->types[0], sizeof(spec->types[0])))
+		spec->type_count = 1;
+	spec->priority = priority_of(text);
+	spec->tasks = (uint32_t)sim_option(text, "tasks", 1);
+	spec->cpus = sim_option(text, "cpus", 4);
+	spec->mem_gb = sim_option(text, "mem", 1);
+	snprintf(spec->image, sizeof(spec->image), "img");
+	sim_option_text(text, "image", spec->image, sizeof(spec->image));
+	spec->image_gb = sim_option(text, "gb", 0.5);
+	spec->deadline_s = sim_option(text, "deadline", -1);
+	spec->estimate_s = sim_option(text, "estimate", 0);
+	spec->checkpoint_s = sim_option(text, "checkpoint", 0);
+	spec->save_s = sim_option(text, "save", 0);
+}
+
+static void add_job(struct sim *sim, const char *id, const char *text, double submit_at)
+{
+	struct sim_job *job = &sim->jobs[sim->job_count++];
+
+	memset(job, 0, sizeof(*job));
+	snprintf(job->spec.id, sizeof(job->spec.id), "%s", id);
+	read_job_spec(text, &job->spec);
+	job->run_s = sim_option(text, "run", 10);
+	job->bad = sim_flag(text, "bad");
+	job->submit_at = submit_at;
+	job->node = sim->job_count;
+	job->task_done = calloc(job->spec.tasks, sizeof(bool));
+	HASH_ADD_KEYPTR(hh, sim->jobs_by_id, job->spec.id, strlen(job->spec.id), job);
+}
+
+/* submit ID [OPTION ...] */
+static void run_submit(struct sim *sim, const struct sim_action *action)
+{
+	add_job(sim, action->name, action->text, sim->now);
+}
+
+/* submit-many COUNT [first=N] [every=S] [OPTION ...]: one after another from now on */
+static void run_submit_many(struct sim *sim, const struct sim_action *action)
+{
+	int first = (int)sim_option(action->text, "first", 1);
+	double every = sim_option(action->text, "every", SIM_STEP_S);
+
+	for (int i = 0; i < atoi(action->name) && sim->job_count < SIM_JOBS; i++) {
+		char id[WS_ID_MAX];
+
+		snprintf(id, sizeof(id), "job-%06d", first + i);
+		add_job(sim, id, action->text, sim->now + i * every);
+	}
+}
+
+/* ask ID: for a job that nobody submitted */
+static void run_ask(struct sim *sim, const struct sim_action *action)
+{
+	add_job(sim, action->name, action->text, NEVER_SUBMITTED);
+}
+
+/* abort ID [at=NODE]: of this node first */
+static void run_abort(struct sim *sim, const struct sim_action *action)
+{
+	struct sim_job *job = sim_job_of(sim, action->name);
+	char node[16];
+
+	if (!job)
+		return;
+	job->cancel_at = sim->now;
+	if (sim_option_text(action->text, "at", node, sizeof(node)))
+		job->node = sim_node_named(sim, node) - 1;
+}
+
+/* abort-many COUNT [first=N] [every=S] */
+static void run_abort_many(struct sim *sim, const struct sim_action *action)
+{
+	int first = (int)sim_option(action->text, "first", 1);
+	double every = sim_option(action->text, "every", SIM_STEP_S);
+
+	for (int i = 0; i < atoi(action->name); i++) {
+		char id[WS_ID_MAX];
+		struct sim_job *job;
+
+		snprintf(id, sizeof(id), "job-%06d", first + i);
+		job = sim_job_of(sim, id);
+		if (job)
+			job->cancel_at = sim->now + i * every;
+	}
+}
+
+/* abort-at-end SHARE for=S */
+static void run_abort_at_end(struct sim *sim, const struct sim_action *action)
+{
+	sim->cancel_at_end_until = sim->now + action->span;
+	sim->cancel_at_end_share = atof(action->name);
+}
+
+/* look ID: asked for and sent again, at all nodes */
+static void run_look(struct sim *sim, const struct sim_action *action)
+{
+	struct sim_job *job = sim_job_of(sim, action->name);
+
+	if (job)
+		sim_user_check_all_nodes(sim, job);
+}
+
+/* looks SHARE for=S: after each news; that share cancels at once */
+static void run_looks(struct sim *sim, const struct sim_action *action)
+{
+	sim->checks_until = sim->now + action->span;
+	sim->cancel_share = atof(action->name);
+}
+
+/* ---- nodes ---- */
+
+/* The node that an action names; NULL: it is to be the leader, and nobody leads. */
+static struct sim_node *named_node(struct sim *sim, const struct sim_action *action)
+{
+	int index = sim_node_named(sim, action->name);
+
+	if (index < 0) {
+		sim_fail(sim, "nobody leads");
+		return NULL;
+	}
+	return &sim->nodes[index];
+}
+
+/* crash NODE|leader|all [for=S] */
+static void run_crash(struct sim *sim, const struct sim_action *action)
+{
+	bool all = !strcmp(action->name, "all");
+
+	if (all)
+		sim_cold_start_all_stopped(sim);
+	/* "leader" is looked up each time: without the first, another one may think it leads */
+	for (int i = 0; i < sim->node_count; i++)
+		if (all || i == sim_node_named(sim, action->name))
+			sim_node_crash(sim, i, action->span);
+}
+
+/* upgrade NODE|leader [for=S]: it ends, and is back with this version */
+static void run_upgrade(struct sim *sim, const struct sim_action *action)
+{
+	const struct sim_node *node = named_node(sim, action);
+
+	if (!node)
+		return;
+	sim_node_crash(sim, (int)(node - sim->nodes), action->span);
+	sim_node_upgrade(sim, (int)(node - sim->nodes));
+}
+
+/* resign NODE|leader */
+static void run_resign(struct sim *sim, const struct sim_action *action)
+{
+	int index = sim_node_named(sim, action->name);
+	struct sim_node *node = &sim->nodes[index < 0 ? 0 : index];
+
+	if (index >= 0)
+		node->version->resign(node->core, sim_node_time(sim, node));
+}
+
+/* cut NODE|leader [all] [state] [workers] [peers] [for=S] */
+static void run_cut(struct sim *sim, const struct sim_action *action)
+{
+	struct sim_node *node = named_node(sim, action);
+	bool all = sim_flag(action->text, "all");
+
+	if (!node)
+		return;
+	if (all || sim_flag(action->text, "state"))
+		node->cut_store_until = sim->now + action->span;
+	if (all || sim_flag(action->text, "workers"))
+		node->cut_workers_until = sim->now + action->span;
+	if (all || sim_flag(action->text, "peers"))
+		node->cut_peers_until = sim->now + action->span;
+}
+
+/* refuse NODE|leader [for=S]: the store answers it with errors */
+static void run_refuse(struct sim *sim, const struct sim_action *action)
+{
+	struct sim_node *node = named_node(sim, action);
+
+	if (node)
+		node->refused_until = sim->now + action->span;
+}
+
+/* blind NODE|leader [for=S]: its watches wait, all else is served */
+static void run_blind(struct sim *sim, const struct sim_action *action)
+{
+	struct sim_node *node = named_node(sim, action);
+
+	if (node)
+		node->blind_until = sim->now + action->span;
+}
+
+/* freeze NODE|leader [for=S]: it stands still, what reaches it waits */
+static void run_freeze(struct sim *sim, const struct sim_action *action)
+{
+	struct sim_node *node = named_node(sim, action);
+
+	if (node)
+		node->frozen_until = sim->now + action->span;
+}
+
+/* crash-on txn|orders|rent|return [after] [skip=N] [for=S] */
+static void run_crash_on(struct sim *sim, const struct sim_action *action)
+{
+	if (!strcmp(action->name, "txn"))
+		sim->crash_kind = WS_CALL_TRANSACTION;
+	else if (!strcmp(action->name, "orders"))
+		sim->crash_kind = WS_CALL_COMMANDS;
+	else if (!strcmp(action->name, "rent"))
+		sim->crash_kind = WS_CALL_SCALE_OUT;
+	else
+		sim->crash_kind = WS_CALL_SCALE_IN;
+	sim->crash = sim_flag(action->text, "after") ? SIM_CRASH_AFTER : SIM_CRASH_BEFORE;
+	sim->crash_skip = (int)sim_option(action->text, "skip", 0);
+	sim->crash_down_s = action->span;
+}
+
+/* ---- store and cloud ---- */
+
+/* state-outage [for=S] */
+static void run_state_outage(struct sim *sim, const struct sim_action *action)
+{
+	sim->store_down_until = sim->now + action->span;
+}
+
+/* slow-state MAX_S [for=S] */
+static void run_slow_state(struct sim *sim, const struct sim_action *action)
+{
+	sim->store_slow_until = sim->now + action->span;
+	sim->store_slow_by_s = atof(action->name);
+}
+
+/* late-watches MAX_S [for=S] */
+static void run_late_watches(struct sim *sim, const struct sim_action *action)
+{
+	sim->late_watches_until = sim->now + action->span;
+	sim->late_watches_max_s = atof(action->name);
+}
+
+/* late-writes SHARE [for=S] [most=S] [at-once] */
+static void run_late_writes(struct sim *sim, const struct sim_action *action)
+{
+	sim->late_writes_until = sim->now + action->span;
+	sim->late_writes_share = atof(action->name);
+	sim->late_writes_max_s = sim_option(action->text, "most", 12);
+	sim->late_writes_at_once = sim_flag(action->text, "at-once");
+}
+
+/* lower-limits [KIB] [ops=N]: by what the settings told, or by more */
+static void run_lower_limits(struct sim *sim, const struct sim_action *action)
+{
+	sim->limits_lowered = true;
+	if (action->name[0]) {
+		sim->next_value_kb = atof(action->name);
+		sim->next_txn_ops = (int)sim_option(action->text, "ops", 12);
+	}
+	sim->value_kb = sim->next_value_kb;
+	sim->txn_ops = sim->next_txn_ops;
+}
+
+/* garble KEY: a record that nobody can read */
+static void run_garble(struct sim *sim, const struct sim_action *action)
+{
+	json_t *value = json_pack("{s:i}", "x", 1);
+
+	sim->revision++;
+	sim_store_put(sim, action->name, value, 0);
+	json_decref(value);
+}
+
+/* cloud-outage [for=S] */
+static void run_cloud_outage(struct sim *sim, const struct sim_action *action)
+{
+	sim->cloud_down_until = sim->now + action->span;
+}
+
+/* ---- network ---- */
+
+/* zone-cut [for=S] */
+static void run_zone_cut(struct sim *sim, const struct sim_action *action)
+{
+	sim->zone_cut_until = sim->now + action->span;
+}
+
+/* lose-answer rent|txn|orders [times=N] */
+static void run_lose_answer(struct sim *sim, const struct sim_action *action)
+{
+	int times = (int)sim_option(action->text, "times", 1);
+
+	if (!strcmp(action->name, "rent"))
+		sim->lost_scale_outs = times;
+	else if (!strcmp(action->name, "txn"))
+		sim->lost_txns = times;
+	else
+		sim->lost_commands = times;
+}
+
+/* late txn|orders [times=N] [by=S] */
+static void run_late(struct sim *sim, const struct sim_action *action)
+{
+	int times = (int)sim_option(action->text, "times", 1);
+	double late_s = sim_option(action->text, "by", DEFAULT_LATE_S);
+
+	if (!strcmp(action->name, "txn")) {
+		sim->late_txns = times;
+		sim->late_txns_by_s = late_s;
+	} else {
+		sim->late_command_count = times;
+		sim->late_commands_by_s = late_s;
+	}
+}
+
+/* slow-orders SECONDS */
+static void run_slow_orders(struct sim *sim, const struct sim_action *action)
+{
+	sim->slow_commands_s = atof(action->name);
+}
+
+/* copies MAX_S [for=S] [share=X] [for-next]: of heartbeats */
+static void run_copies(struct sim *sim, const struct sim_action *action)
+{
+	sim->duplicates_max_s = atof(action->name);
+	sim->duplicates_until = sim->now + action->span;
+	sim->duplicates_share = sim_option(action->text, "share", 1);
+	sim->duplicates_for_next_leader = sim_flag(action->text, "for-next");
+}
+
+/* stutter: heartbeats name every task twice */
+static void run_stutter(struct sim *sim, const struct sim_action *action)
+{
+	(void)action;
+	sim->heartbeats_name_tasks_twice = true;
+}
+
+/* ---- the table ---- */
+
+/* once-returned SECONDS ACTION ...: so long after the first scale-in */
+static void run_once_returned(struct sim *sim, const struct sim_action *action)
+{
+	sim->follow_up_after_s = atof(action->name);
+	snprintf(sim->follow_up, sizeof(sim->follow_up), "%s", action->rest);
+}
+
+static const struct sim_action_word cluster_actions[] = {
+    {"abort", run_abort},
+    {"abort-at-end", run_abort_at_end},
+    {"abort-many", run_abort_many},
+    {"ask", run_ask},
+    {"blind", run_blind},
+    {"cloud-outage", run_cloud_outage},
+    {"copies", run_copies},
+    {"crash", run_crash},
+    {"crash-on", run_crash_on},
+    {"cut", run_cut},
+    {"freeze", run_freeze},
+    {"garble", run_garble},
+    {"late", run_late},
+    {"late-watches", run_late_watches},
+    {"late-writes", run_late_writes},
+    {"look", run_look},
+    {"looks", run_looks},
+    {"lose-answer", run_lose_answer},
+    {"lower-limits", run_lower_limits},
+    {"once-returned", run_once_returned},
+    {"refuse", run_refuse},
+    {"resign", run_resign},
+    {"slow-orders", run_slow_orders},
+    {"slow-state", run_slow_state},
+    {"state-outage", run_state_outage},
+    {"stutter", run_stutter},
+    {"submit", run_submit},
+    {"submit-many", run_submit_many},
+    {"upgrade", run_upgrade},
+    {"zone-cut", run_zone_cut},
+    {NULL, NULL},
+};
+
+static const struct sim_action_word *action_word(const char *word)
+{
+	static const struct sim_action_word *const tables[] = {
+	    cluster_actions, sim_machine_actions, sim_cold_start_actions, sim_domains_actions};
+
+	for (size_t i = 0; i < sizeof(tables) / sizeof(tables[0]); i++)
+		for (const struct sim_action_word *entry = tables[i]; entry->word; entry++)
+			if (!strcmp(entry->word, word))
+				return entry;
+	return NULL;
+}
+
+void sim_act(struct sim *sim, const struct sim_timed_line *timed_line)
+{
+	char text[SIM_LINE_MAX];
+	struct sim_action action = {.rest = text, .text = timed_line->text};
+	const struct sim_action_word *entry;
+
+	snprintf(text, sizeof(text), "%s", timed_line->text);
+	action.word = sim_next_word(&action.rest);
+	if (!action.word[0])
+		return;
+	if (!strcmp(action.word, "expect")) {
+		sim_expect(sim, action.rest);
+		return;
+	}
+	sim_log(WS_LOG_INFO, timed_line->text);
+	action.name = sim_next_word(&action.rest);
+	action.span = sim_option(action.text, "for", DEFAULT_SPAN_S);
+	entry = action_word(action.word);
+	if (entry)
+		entry->run(sim, &action);
+	else
+		sim_fail(sim, "line %d: %s?", timed_line->line, action.word);
+}
--- /dev/null
+++ b/tests/sim_calls.c
@@ -0,0 +1,484 @@
+/*
+ * Calls in flight, in the order in which they are due. A call is executed when it arrives, and its
+ * answer goes back as the same struct; faults delay it, lose its answer, or crash its sender.
+ */
+#include "sim_calls.h"
+#include "sim_cloud.h"
+#include "sim_nodes.h"
+#include "sim_store.h"
+#include "sim_workers.h"
+
+#define CALL_S 0.004
+#define CLOUD_CALL_S 0.2
+#define VOTE_ANSWER_S 0.002
+#define VOTE_TIMEOUT_S 0.5     /* for a peer that got the question and does not answer */
+#define VOTE_UNREACHABLE_S 0.3 /* until a peer turns out to be out of reach */
+#define STORE_TIMEOUT_S 1
+#define CLOUD_TIMEOUT_S 2
+#define LATE_WRITE_MIN_S 2
+
+static bool is_store_call(enum ws_call_kind kind)
+{
+	return kind <= WS_CALL_SESSION_CLOSE;
+}
+
+static bool is_cloud_call(enum ws_call_kind kind)
+{
+	return kind >= WS_CALL_MACHINE_TYPES && kind <= WS_CALL_SCALE_IN;
+}
+
+static void result_clear(struct ws_result *result)
+{
+	for (size_t i = 0; i < result->entry_count; i++)
+		json_decref(result->entries[i].value);
+	free(result->entries);
+	free(result->failed_keys);
+	free(result->types);
+	free(result->instances);
+	free(result->cancellations);
+	if (result->heartbeat)
+		free(result->heartbeat->tasks);
+	free(result->heartbeat);
+	memset(result, 0, sizeof(*result));
+}
+
+/* Puts it behind all that are due at the same time. */
+static void schedule(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	struct sim_call_in_flight **link = &sim->calls_in_flight;
+
+	while (*link && (*link)->due_at <= flight->due_at)
+		link = &(*link)->next;
+	flight->next = *link;
+	*link = flight;
+}
+
+static void schedule_answer(struct sim *sim, struct sim_call_in_flight *flight, double time)
+{
+	flight->stage = SIM_CALL_TO_ANSWER;
+	flight->due_at = time;
+	schedule(sim, flight);
+}
+
+/* It was executed, but its answer is lost: its sender gives up at this time. */
+static void lose_answer(struct sim *sim, struct sim_call_in_flight *flight, double time)
+{
+	result_clear(&flight->result);
+	schedule_answer(sim, flight, time);
+}
+
+/* Whether the sender is to crash on this call; each call that it could be counts. */
+static bool crashes_sender(struct sim *sim, int node, const struct ws_call *call)
+{
+	if (sim->crash == SIM_CRASH_NONE || call->kind != sim->crash_kind ||
+	    sim_leader(sim) != node)
+		return false;
+	if (call->kind == WS_CALL_TRANSACTION && !call->operation_count)
+		return false;
+	return sim->crash_skip-- <= 0;
+}
+
+static bool is_late_write(struct sim *sim, const struct ws_call *call)
+{
+	return call->kind == WS_CALL_TRANSACTION && call->operation_count &&
+	       sim->now < sim->late_writes_until && sim_random(sim) < sim->late_writes_share;
+}
+
+static struct sim_call_in_flight *flight_new(const struct sim *sim, int node, struct ws_call *call)
+{
+	struct sim_call_in_flight *flight = calloc(1, sizeof(*flight));
+
+	flight->node = node;
+	flight->restarts = sim->nodes[node].restarts;
+	flight->call = call;
+	flight->call_version = sim->nodes[node].version;
+	flight->due_at = sim->now + (is_cloud_call(call->kind) ? CLOUD_CALL_S : CALL_S);
+	return flight;
+}
+
+/* A transaction of its own that no core knows of, and that shares the values. */
+static struct ws_call *transaction_copy(const struct ws_call *call)
+{
+	struct ws_call *copy = calloc(1, sizeof(*copy));
+
+	*copy = *call;
+	copy->context = NULL;
+	copy->operations = calloc(call->operation_count + 1, sizeof(*call->operations));
+	copy->compares = calloc(call->compare_count + 1, sizeof(*call->compares));
+	if (call->operation_count)
+		memcpy(copy->operations, call->operations,
+		       call->operation_count * sizeof(*call->operations));
+	if (call->compare_count)
+		memcpy(copy->compares, call->compares,
+		       call->compare_count * sizeof(*call->compares));
+	for (size_t i = 0; i < call->operation_count; i++)
+		json_incref(call->operations[i].value);
+	return copy;
+}
+
+/* The sender gives up on a transaction, which is executed all the same some time later. */
+static void abandon_transaction(struct sim *sim, struct sim_call_in_flight *flight,
+				bool is_late_by_share)
+{
+	struct sim_call_in_flight *unanswered = flight_new(sim, flight->node, flight->call);
+
+	schedule_answer(sim, unanswered, sim->now + STORE_TIMEOUT_S);
+	flight->call = transaction_copy(flight->call);
+	flight->call_version = &sim_this_version;
+	flight->stage = SIM_CALL_ABANDONED;
+	if (!is_late_by_share) {
+		sim->late_txns--;
+		flight->due_at = sim->now + sim->late_txns_by_s;
+	} else if (sim->late_writes_at_once) {
+		flight->due_at = sim->now + CALL_S;
+	} else {
+		flight->due_at = sim->now + LATE_WRITE_MIN_S +
+				 (sim->late_writes_max_s - LATE_WRITE_MIN_S) * sim_random(sim);
+	}
+}
+
+/* What befalls a call to the store on its way there. */
+static void apply_store_faults(struct sim *sim, struct sim_call_in_flight *flight,
+			       bool is_late_by_share)
+{
+	const struct sim_node *node = &sim->nodes[flight->node];
+	const struct ws_call *call = flight->call;
+
+	if (sim->now < sim->store_slow_until)
+		flight->due_at += sim->store_slow_by_s * (0.2 + 0.8 * sim_random(sim));
+	if (sim->now < node->cut_store_until) {
+		flight->stage = SIM_CALL_TO_ANSWER;
+		flight->due_at = sim->now + STORE_TIMEOUT_S;
+	} else if (call->kind != WS_CALL_WATCH &&
+		   (sim->now < sim->store_down_until || sim->now < node->refused_until)) {
+		flight->stage = SIM_CALL_TO_ANSWER;
+		flight->result.status = 503;
+	} else if (call->kind == WS_CALL_TRANSACTION &&
+		   (is_late_by_share || (sim->late_txns > 0 && sim_leader(sim) == flight->node))) {
+		abandon_transaction(sim, flight, is_late_by_share);
+	}
+}
+
+void sim_call_start(struct sim *sim, int node, struct ws_call *call)
+{
+	bool crashes = crashes_sender(sim, node, call);
+	bool is_late_by_share = is_late_write(sim, call);
+	struct sim_call_in_flight *flight;
+
+	if (crashes && sim->crash == SIM_CRASH_BEFORE) {
+		sim->crash = SIM_CRASH_NONE;
+		sim->nodes[node].version->free_call(call);
+		sim_node_crash(sim, node, sim->crash_down_s);
+		return;
+	}
+	flight = flight_new(sim, node, call);
+	if (is_store_call(call->kind))
+		apply_store_faults(sim, flight, is_late_by_share);
+	schedule(sim, flight);
+	if (crashes) { /* it is executed, but its sender is gone */
+		sim->crash = SIM_CRASH_NONE;
+		sim_node_crash(sim, node, sim->crash_down_s);
+	}
+}
+
+/* The answer arrives, if the node that asked still runs. */
+static void deliver_answer(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	struct sim_node *node = &sim->nodes[flight->node];
+	bool is_awaited = node->is_up && node->restarts == flight->restarts;
+
+	if (is_awaited && sim->now < node->frozen_until) {
+		flight->due_at = node->frozen_until;
+		schedule(sim, flight);
+		return;
+	}
+	if (is_awaited) {
+		if (is_store_call(flight->call->kind) && sim->now < node->cut_store_until)
+			flight->result.status = 0;
+		node->version->complete(node->core, sim_node_time(sim, node), flight->call,
+					&flight->result);
+	} else {
+		flight->call_version->free_call(flight->call);
+	}
+	result_clear(&flight->result);
+	free(flight);
+}
+
+static void execute_abandoned(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	if (sim->now < sim->store_down_until) { /* waits for the service to be back */
+		flight->due_at = sim->store_down_until + 0.1;
+		schedule(sim, flight);
+		return;
+	}
+	sim_store_execute(sim, flight->call, &flight->result);
+	flight->call_version->free_call(flight->call);
+	result_clear(&flight->result);
+	free(flight);
+}
+
+/* What the leader has to read of what a watch brings. */
+static void count_watched(struct sim *sim, const struct ws_result *result)
+{
+	sim->watched_records += result->entry_count;
+	for (size_t i = 0; i < result->entry_count; i++)
+		if (result->entries[i].value)
+			sim->watched_bytes +=
+			    json_dumpb(result->entries[i].value, NULL, 0, JSON_COMPACT);
+}
+
+/* A watch stays open until there is something to tell, or its time is over. */
+static void execute_watch(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	struct ws_call *call = flight->call;
+	const struct sim_node *node = &sim->nodes[flight->node];
+	bool is_blind = sim->now < sim->store_down_until || sim->now < node->refused_until ||
+			sim->now < node->cut_store_until ||
+			(call->timeout_ms && sim->now < node->blind_until);
+
+	sim->store_requests += !call->timeout_ms;
+	if ((is_blind || !sim_store_watch(sim, call, &flight->result)) &&
+	    sim->now < call->created_at / (1 + node->skew) + call->timeout_ms / 1000.0 &&
+	    node->restarts == flight->restarts) {
+		result_clear(&flight->result);
+		flight->due_at = sim->now + SIM_STEP_S / 2;
+		schedule(sim, flight);
+		return;
+	}
+	if (is_blind) {
+		result_clear(&flight->result);
+		flight->result.status = sim->now < node->cut_store_until ? 0 : 503;
+	}
+	if (flight->node == sim_leader(sim))
+		count_watched(sim, &flight->result);
+	if (call->timeout_ms && sim->now < sim->late_watches_until)
+		/* one that is not left open overtakes it */
+		schedule_answer(sim, flight, sim->now + sim->late_watches_max_s * sim_random(sim));
+	else
+		schedule_answer(sim, flight, sim->now + CALL_S);
+}
+
+static void execute_store_call(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	sim_store_execute(sim, flight->call, &flight->result);
+	if (flight->call->kind == WS_CALL_TRANSACTION && sim->lost_txns > 0 &&
+	    sim_leader(sim) == flight->node) {
+		sim->lost_txns--;
+		lose_answer(sim, flight, sim->now + STORE_TIMEOUT_S);
+		return;
+	}
+	schedule_answer(sim, flight, sim->now + CALL_S);
+}
+
+static void execute_cloud_call(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	sim_cloud_execute(sim, flight->call, &flight->result);
+	if (flight->call->kind == WS_CALL_SCALE_OUT && sim->lost_scale_outs > 0) {
+		sim->lost_scale_outs--;
+		lose_answer(sim, flight, sim->now + CLOUD_TIMEOUT_S);
+		return;
+	}
+	schedule_answer(sim, flight, sim->now + CALL_S);
+}
+
+/* When commands that can't reach the worker now will; 0: they can. */
+static double commands_delayed_until(struct sim *sim, const struct sim_worker *worker,
+				     const struct sim_node *node)
+{
+	double machine_until = fmax(worker->cut_until, worker->hang_until);
+	double network_until =
+	    fmax(node->cut_workers_until, fmax(sim->zone_cut_until, worker->pin_until));
+
+	if (sim->late_command_count > 0) {
+		sim->late_command_count--;
+		return sim->now + sim->late_commands_by_s;
+	}
+	if (sim_worker_live(sim, worker) && !sim_is_partitioned(sim, worker, node))
+		return 0;
+	return fmax(machine_until, network_until) + 0.05;
+}
+
+static void delay_commands(struct sim *sim, const struct ws_call *call, int worker, double due_at)
+{
+	struct sim_late_command *late = calloc(1, sizeof(*late));
+
+	late->due_at = due_at;
+	late->worker = worker;
+	late->fencing_token = call->fencing_token;
+	late->incarnation = call->incarnation;
+	late->command_count = call->command_count;
+	late->commands = calloc(call->command_count + 1, sizeof(*late->commands));
+	if (call->command_count)
+		memcpy(late->commands, call->commands,
+		       call->command_count * sizeof(*late->commands));
+	late->next = sim->late_commands;
+	sim->late_commands = late;
+}
+
+static void execute_commands(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	const struct ws_call *call = flight->call;
+	int index = sim_worker_at(call->address);
+	struct sim_worker *worker = &sim->workers[index];
+	double delayed_until;
+
+	sim->commands++;
+	if (worker->dead || worker->deleted) { /* nobody answers the attempt to connect */
+		flight->result.status = -1;
+		schedule_answer(sim, flight, sim->now + fmin(sim->heartbeat_s, sim->lease_s / 16));
+		return;
+	}
+	if (sim->now < worker->deaf_until) { /* never arrives */
+		schedule_answer(sim, flight, sim->now + sim->heartbeat_s);
+		return;
+	}
+	delayed_until = commands_delayed_until(sim, worker, &sim->nodes[flight->node]);
+	if (delayed_until > 0) {
+		delay_commands(sim, call, index, delayed_until);
+		schedule_answer(sim, flight, sim->now + sim->heartbeat_s);
+		return;
+	}
+	flight->result.heartbeat = calloc(1, sizeof(*flight->result.heartbeat));
+	flight->result.status =
+	    sim_worker_command(sim, worker, call->fencing_token, call->incarnation, call->commands,
+			       call->command_count, flight->result.heartbeat);
+	if (sim->slow_commands_s > 0) {
+		schedule_answer(sim, flight, sim->now + sim->slow_commands_s);
+	} else if (sim->lost_commands > 0) {
+		sim->lost_commands--;
+		lose_answer(sim, flight, sim->now + sim->heartbeat_s);
+	} else {
+		schedule_answer(sim, flight, sim->now + CALL_S);
+	}
+}
+
+/* The node of this name, if it can be reached from another one. */
+static struct sim_node *reachable_peer(struct sim *sim, const struct sim_node *from,
+				       const char *name)
+{
+	for (int i = 0; i < sim->node_count; i++) {
+		struct sim_node *peer = &sim->nodes[i];
+
+		if (strcmp(peer->settings.node, name) != 0)
+			continue;
+		if (peer->is_up && sim->now >= from->cut_peers_until &&
+		    sim->now >= peer->cut_peers_until && sim->now >= peer->frozen_until)
+			return peer;
+		return NULL;
+	}
+	return NULL;
+}
+
+/* The answer comes back by its request id, see sim_call_vote_answered(). */
+static void execute_outage_vote(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	const struct ws_call *call = flight->call;
+	const struct sim_node *node = &sim->nodes[flight->node];
+	struct sim_node *peer = reachable_peer(sim, node, call->key);
+
+	if (!peer) {
+		schedule_answer(sim, flight, sim->now + VOTE_UNREACHABLE_S);
+		return;
+	}
+	flight->request_id =
+	    ++sim->last_request_id << SIM_TOKEN_SHIFT | (uint64_t)flight->node | SIM_ID_OUTAGE_VOTE;
+	schedule_answer(sim, flight, sim->now + VOTE_TIMEOUT_S);
+	/* the version in production knows of no lists of cancellations */
+	if (peer->version == &sim_this_version && node->version == &sim_this_version)
+		ws_core_outage_vote(peer->core, sim_node_time(sim, peer), flight->request_id,
+				    call->fencing_token, call->since_revision, call->after);
+	else
+		peer->version->outage_vote(peer->core, sim_node_time(sim, peer),
+					   flight->request_id);
+}
+
+void sim_call_vote_answered(struct sim *sim, const struct sim_node *node, struct ws_effect *effect)
+{
+	struct sim_call_in_flight **link = &sim->calls_in_flight, *flight;
+
+	while (*link && (*link)->request_id != effect->request_id)
+		link = &(*link)->next;
+	flight = *link;
+	if (!flight)
+		return;
+	*link = flight->next;
+	flight->due_at = sim->now + VOTE_ANSWER_S;
+	schedule(sim, flight);
+	flight->result.status = effect->status;
+	if (node->version != &sim_this_version ||
+	    sim->nodes[flight->node].version != &sim_this_version)
+		return;
+	flight->result.vote_granted = effect->vote_granted;
+	flight->result.has_more = effect->has_more;
+	flight->result.cancellation_count = effect->cancellation_count;
+	flight->result.cancellations = effect->cancellations;
+	effect->cancellations = NULL;
+}
+
+static void execute_call(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	enum ws_call_kind kind = flight->call->kind;
+
+	if (kind == WS_CALL_WATCH)
+		execute_watch(sim, flight);
+	else if (is_store_call(kind))
+		execute_store_call(sim, flight);
+	else if (is_cloud_call(kind))
+		execute_cloud_call(sim, flight);
+	else if (kind == WS_CALL_COMMANDS)
+		execute_commands(sim, flight);
+	else
+		execute_outage_vote(sim, flight);
+}
+
+void sim_call_advance(struct sim *sim, struct sim_call_in_flight *flight)
+{
+	switch (flight->stage) {
+	case SIM_CALL_TO_EXECUTE: execute_call(sim, flight); break;
+	case SIM_CALL_TO_ANSWER: deliver_answer(sim, flight); break;
+	case SIM_CALL_ABANDONED: execute_abandoned(sim, flight); break;
+	}
+}
+
+static void late_command_free(struct sim_late_command *late)
+{
+	free(late->commands);
+	free(late);
+}
+
+void sim_calls_deliver_late_commands(struct sim *sim)
+{
+	struct sim_late_command **link = &sim->late_commands, *late;
+
+	while ((late = *link)) {
+		struct sim_worker *worker = &sim->workers[late->worker];
+
+		if (late->due_at > sim->now) {
+			link = &late->next;
+			continue;
+		}
+		*link = late->next;
+		if (sim_worker_live(sim, worker))
+			sim_worker_command(sim, worker, late->fencing_token, late->incarnation,
+					   late->commands, late->command_count, NULL);
+		late_command_free(late);
+	}
+}
+
+void sim_calls_free(struct sim *sim)
+{
+	while (sim->calls_in_flight) {
+		struct sim_call_in_flight *flight = sim->calls_in_flight;
+
+		sim->calls_in_flight = flight->next;
+		flight->call_version->free_call(flight->call);
+		result_clear(&flight->result);
+		free(flight);
+	}
+	while (sim->late_commands) {
+		struct sim_late_command *late = sim->late_commands;
+
+		sim->late_commands = late->next;
+		late_command_free(late);
+	}
+}
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -1,7 +1,10 @@
-/* The cloud: machines for rent. */
-#include "sim_parts.h"
+/* The cloud: instances that come and go. */
+#include "sim_cloud.h"
 
-int sim_add_worker(struct sim *sim, int type, const char *zone, bool spot, bool owned)
+/* A dead machine is listed as running for so much longer, as the protocol has it. */
+#define DEAD_LISTED_S 30
+
+int sim_add_worker(struct sim *sim, int type, const char *zone, bool preemptible, bool owned)
 {
 	struct sim_worker *worker;
 
@@ -14,107 +17,151 @@
 	snprintf(worker->name, sizeof(worker->name), "n-%06d", sim->worker_count);
 	worker->type = type;
 	snprintf(worker->zone, sizeof(worker->zone), "%s", zone);
-	worker->preemptible = spot;
+	worker->preemptible = preemptible;
 	worker->owned = owned;
-	worker->rented = sim->now;
-	worker->boots = owned || sim->instant_boot
-			    ? sim->now
-			    : sim->now + sim->types[type].type.boot_s * (0.8 + 0.4 * sim_rnd(sim));
-	if (!owned && sim->no_boot > 0) {
-		sim->no_boot--;
-		worker->never = true;
+	worker->scaled_out_at = sim->now;
+	worker->boots_at = owned || sim->instant_boot
+			       ? sim->now
+			       : sim->now + sim->types[type].boot_s * (0.8 + 0.4 * sim_random(sim));
+	if (!owned && sim->boot_failures > 0) {
+		sim->boot_failures--;
+		worker->never_boots = true;
 	}
 	return sim->worker_count++;
 }
 
-void sim_cloud_do(struct sim *sim, struct ws_call *call, struct ws_result *result)
+int sim_type_index(const struct sim *sim, const char *name)
 {
-	int n = 0, b;
+	int index = 0;
 
-	result->status = 200;
-	if (sim->now < sim->cloud_down) {
+	while (index < sim->type_count && strcmp(sim->types[index].name, name) != 0)
+		index++;
+	return index;
+}
+
+static void list_types(const struct sim *sim, struct ws_result *result)
+{
+	result->types = calloc((size_t)sim->type_count, sizeof(*result->types));
+	for (int i = 0; i < sim->type_count; i++)
+		result->types[result->type_count++] = sim->types[i];
+}
+
+/* The list lags: what is new is not in it yet, and what is gone still is. */
+static bool is_listed(const struct sim *sim, const struct sim_worker *worker)
+{
+	if (worker->deleted && sim->now > worker->deleted_at + sim->list_lag_s)
+		return false;
+	return worker->owned || sim->now >= worker->scaled_out_at + sim->list_lag_s;
+}
+
+static enum ws_instance_phase instance_phase(const struct sim *sim, const struct sim_worker *worker)
+{
+	if (worker->dead && sim->now > worker->died_at + DEAD_LISTED_S)
+		return WS_INSTANCE_FAILED;
+	return worker->is_up ? WS_INSTANCE_RUNNING : WS_INSTANCE_STARTING;
+}
+
+static void list_instances(const struct sim *sim, const struct ws_call *call,
+			   struct ws_result *result)
+{
+	result->instances = calloc((size_t)sim->worker_count + 1, sizeof(*result->instances));
+	for (int i = 0; i < sim->worker_count; i++) {
+		const struct sim_worker *worker = &sim->workers[i];
+		struct ws_instance *instance = &result->instances[result->instance_count];
+
+		if (!is_listed(sim, worker) || strcmp(worker->name, call->after) <= 0)
+			continue;
+		snprintf(instance->name, sizeof(instance->name), "%s", worker->name);
+		snprintf(instance->type, sizeof(instance->type), "%s",
+			 sim->types[worker->type].name);
+		snprintf(instance->zone, sizeof(instance->zone), "%s", worker->zone);
+		instance->preemptible = worker->preemptible;
+		instance->age_s = sim->now - worker->scaled_out_at;
+		instance->phase = instance_phase(sim, worker);
+		result->instance_count++;
+	}
+}
+
+static struct sim_scale_out *scale_out_find(struct sim *sim, const char *key)
+{
+	for (int i = 0; i < sim->scale_out_count; i++)
+		if (!strcmp(sim->scale_outs[i].key, key))
+			return &sim->scale_outs[i];
+	return NULL;
+}
+
+/* Adds as many instances as there is capacity for; NULL: there is none at all. */
+static struct sim_scale_out *scale_out_grant(struct sim *sim, const struct ws_call *call)
+{
+	struct sim_scale_out *scale_out;
+	int type = sim_type_index(sim, call->type), instances = 0;
+
+	for (int i = 0; i < sim->worker_count; i++)
+		instances += !sim->workers[i].deleted && !sim->workers[i].owned;
+	if (type == sim->type_count || instances >= sim->instance_limit)
+		return NULL;
+	scale_out = &sim->scale_outs[sim->scale_out_count++];
+	snprintf(scale_out->key, sizeof(scale_out->key), "%.*s", WS_NAME_MAX - 1, call->key);
+	scale_out->first_worker = sim->worker_count;
+	for (uint32_t i = 0; i < call->count && instances < sim->instance_limit; i++) {
+		sim_add_worker(sim, type, call->zone, call->preemptible, false);
+		scale_out->count++;
+		sim->scaled_out++;
+		instances++;
+	}
+	return scale_out;
+}
+
+static void scale_out(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	const struct sim_scale_out *granted = scale_out_find(sim, call->key);
+
+	if (!granted)
+		granted = scale_out_grant(sim, call);
+	if (!granted) {
 		result->status = 503;
+		result->no_capacity = true;
 		return;
 	}
+	result->instances = calloc((size_t)granted->count + 1, sizeof(*result->instances));
+	for (int i = 0; i < granted->count; i++)
+		snprintf(result->instances[result->instance_count++].name, WS_NAME_MAX, "%s",
+			 sim->workers[granted->first_worker + i].name);
+}
+
+static void delete_instance(struct sim *sim, struct sim_worker *worker)
+{
+	if (worker->owned)
+		sim_fail(sim, "owned machine %s returned", worker->name);
+	if (!sim->scaled_in_at)
+		sim->scaled_in_at = sim->now;
+	if (worker->deleted)
+		return;
+	sim->scaled_in++;
+	worker->deleted_at = sim->now;
+	worker->deleted = true;
+}
+
+static void scale_in(struct sim *sim, const struct ws_call *call)
+{
+	for (size_t i = 0; i < call->machine_count; i++)
+		for (int k = 0; k < sim->worker_count; k++)
+			if (!strcmp(sim->workers[k].name, call->machine_names[i]))
+				delete_instance(sim, &sim->workers[k]);
+}
+
+void sim_cloud_execute(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	if (sim->now < sim->cloud_down_until) {
+		result->status = 503;
+		return;
+	}
+	result->status = 200;
 	switch (call->kind) {
-	case WS_CALL_MACHINE_TYPES:
-		result->types = calloc((size_t)sim->type_count, sizeof(*result->types));
-		for (int i = 0; i < sim->type_count; i++)
-			result->types[result->type_count++] = sim->types[i].type;
-		break;
-	case WS_CALL_INSTANCES:
-		result->instances =
-		    calloc((size_t)sim->worker_count + 1, sizeof(*result->instances));
-		for (int i = 0; i < sim->worker_count; i++) {
-			struct sim_worker *worker = &sim->workers[i];
-			struct ws_instance *instance = &result->instances[result->instance_count];
-
-			/* what is gone is listed for another lag */
-			if ((worker->deleted && sim->now > worker->deleted_at + sim->lag) ||
-			    (!worker->owned && sim->now < worker->rented + sim->lag) ||
-			    strcmp(worker->name, call->after) <= 0)
-				continue;
-			strcpy(instance->name, worker->name);
-			strcpy(instance->type, sim->types[worker->type].type.name);
-			strcpy(instance->zone, worker->zone);
-			instance->preemptible = worker->preemptible;
-			instance->age_s = sim->now - worker->rented;
-			/* the protocol: listed as running for about 30 s longer */
-			instance->phase = worker->dead && sim->now > worker->died_at + 30
-					      ? WS_INSTANCE_FAILED
-					  : worker->is_up ? WS_INSTANCE_RUNNING
-							  : WS_INSTANCE_STARTING;
-			result->instance_count++;
-		}
-		break;
-	case WS_CALL_SCALE_OUT:
-		for (b = 0; b < sim->request_count && strcmp(sim->booked[b].name, call->key); b++)
-			;
-		if (b == sim->request_count) {
-			int t;
-
-			for (t = 0;
-			     t < sim->type_count && strcmp(sim->types[t].type.name, call->type);
-			     t++)
-				;
-			for (int i = 0; i < sim->worker_count; i++)
-				n += !sim->workers[i].deleted && !sim->workers[i].owned;
-			if (t == sim->type_count || n >= sim->cap_limit) {
-				result->status = 503;
-				result->no_capacity = true;
-				return;
-			}
-			snprintf(sim->booked[b].name, WS_NAME_MAX, "%.*s", WS_NAME_MAX - 1,
-				 call->key);
-			sim->booked[b].first = sim->worker_count;
-			for (uint32_t i = 0; i < call->count && n < sim->cap_limit; i++, n++) {
-				sim_add_worker(sim, t, call->zone, call->preemptible, false);
-				sim->booked[b].n++;
-				sim->rented++;
-			}
-			sim->request_count++;
-		}
-		result->instances =
-		    calloc((size_t)sim->booked[b].n + 1, sizeof(*result->instances));
-		for (int i = 0; i < sim->booked[b].n; i++)
-			strcpy(result->instances[result->instance_count++].name,
-			       sim->workers[sim->booked[b].first + i].name);
-		break;
-	case WS_CALL_SCALE_IN:
-		for (size_t i = 0; i < call->machine_count; i++)
-			for (int k = 0; k < sim->worker_count; k++)
-				if (!strcmp(sim->workers[k].name, call->machine_names[i])) {
-					if (sim->workers[k].owned)
-						sim_fail(sim, "owned machine %s returned",
-							 call->machine_names[i]);
-					sim->returned += !sim->workers[k].deleted;
-					if (!sim->returned_at)
-						sim->returned_at = sim->now;
-					if (!sim->workers[k].deleted)
-						sim->workers[k].deleted_at = sim->now;
-					sim->workers[k].deleted = true;
-				}
-		break;
+	case WS_CALL_MACHINE_TYPES: list_types(sim, result); break;
+	case WS_CALL_INSTANCES: list_instances(sim, call, result); break;
+	case WS_CALL_SCALE_OUT: scale_out(sim, call, result); break;
+	case WS_CALL_SCALE_IN: scale_in(sim, call); break;
 	default: break;
 	}
 }
--- a/tests/sim_cold_start.c
+++ b/tests/sim_cold_start.c
@@ -1,45 +1,47 @@
 /* Stops of all controllers, records that the store loses, and what scenarios expect of a start. */
-#include "sim_parts.h"
+#include "sim_nodes.h"
+#include "sim_store.h"
+#include "sim_subsystems.h"
+#include "sim_workers.h"
 
-static void coldstart_log(const char *text)
+#define UNBOUNDED_S 1e6
+
+static void log_line(const char *text)
 {
 	sim_log(WS_LOG_INFO, text);
 }
 
 void sim_cold_start_attach(struct sim *sim, struct sim_node *node)
 {
-	const char *names[8];
+	const char *names[SIM_ZONES];
 	struct ws_cluster_limits limits;
 
-	if (!sim->coldstart_on || node->version != &sim_this_version)
+	if (!sim->cold_start_on || node->version != &sim_this_version)
 		return;
 	sim_cluster_limits(sim, node, names, &limits);
-	node->coldstart = ws_cold_start_new(&sim->coldstart_settings, &limits, coldstart_log);
-	ws_core_attach(node->core, &ws_cold_start_ops, node->coldstart);
+	node->cold_start = ws_cold_start_new(&sim->cold_start_settings, &limits, log_line);
+	ws_core_attach(node->core, &ws_cold_start_ops, node->cold_start);
 }
 
-/* subsystem coldstart [keep=S] [share=X] */
-bool sim_cold_start_line(struct sim *sim, const char *word, const char *full)
+void sim_cold_start_configure(struct sim *sim, const char *text)
 {
-	if (strcmp(word, "subsystem") != 0 || !strstr(full, " coldstart"))
-		return false;
-	sim->coldstart_on = true;
-	sim->coldstart_settings.keep_s = sim_option(full, "keep", sim->coldstart_settings.keep_s);
-	sim->coldstart_settings.heard_share =
-	    sim_option(full, "share", sim->coldstart_settings.heard_share);
-	return true;
+	struct ws_cold_start_settings *settings = &sim->cold_start_settings;
+
+	sim->cold_start_on = true;
+	settings->keep_s = sim_option(text, "keep", settings->keep_s);
+	settings->heard_share = sim_option(text, "share", settings->heard_share);
 }
 
 /* ---- what befalls the cluster ---- */
 
-void sim_cold_start_stopped(struct sim *sim)
+void sim_cold_start_all_stopped(struct sim *sim)
 {
 	sim->stop = (struct sim_stop){
 	    .stopped_at = sim->now,
 	    .run_commands = sim->run_commands,
 	    .stop_commands = sim->stop_commands,
 	    .changes = sim->changes,
-	    .rented = (uint64_t)sim->rented,
+	    .scaled_out = (uint64_t)sim->scaled_out,
 	};
 }
 
@@ -55,25 +57,38 @@
 		sim->stop.led_at = sim->now;
 }
 
-/* All end, and come back one by one: the first after FIRST, the others EVERY apart. */
-static void crash_in_turn(struct sim *sim, const char *full)
+/* crash-in-turn [first=S] [every=S]: all end, and come back one by one */
+static void run_crash_in_turn(struct sim *sim, const struct sim_action *action)
 {
-	double back = sim_option(full, "first", 5);
+	double down_s = sim_option(action->text, "first", 5);
 
-	sim_cold_start_stopped(sim);
+	sim_cold_start_all_stopped(sim);
 	for (int i = 0; i < sim->node_count; i++) {
-		sim_node_crash(sim, i, back);
-		back += sim_option(full, "every", 5);
+		sim_node_crash(sim, i, down_s);
+		down_s += sim_option(action->text, "every", 5);
 	}
 }
 
-/* Machines lose what they run, and are back after a while with a new incarnation. */
-static void power_loss(struct sim *sim, const char *full)
+/* A machine loses what it runs, and is back after a while with a new incarnation. */
+static void lose_power(struct sim *sim, struct sim_worker *worker, double span)
 {
-	double share = sim_option(full, "share", 1), part = 0;
+	sim_cold_start_killed(sim, worker);
+	worker->task_count = 0;
+	worker->image_count = 0;
+	worker->incarnation++;
+	worker->heartbeat_pending = false;
+	worker->hang_until = sim->now + span;
+	worker->answered_sent = worker->hang_until;
+	worker->next_heartbeat_at = worker->hang_until;
+}
+
+/* power-loss [for=S] [share=X] [zone=Z] */
+static void run_power_loss(struct sim *sim, const struct sim_action *action)
+{
+	double share = sim_option(action->text, "share", 1), part = 0;
 	char zone[32] = "";
 
-	sim_option_text(full, "zone", zone, sizeof(zone));
+	sim_option_text(action->text, "zone", zone, sizeof(zone));
 	for (int i = 0; i < sim->worker_count; i++) {
 		struct sim_worker *worker = &sim->workers[i];
 
@@ -84,101 +99,113 @@
 		if (part < 1 - 1e-9)
 			continue;
 		part -= 1;
-		sim_cold_start_killed(sim, worker);
-		worker->task_count = worker->image_count = 0;
-		worker->incarnation++;
-		worker->waiting = false;
-		worker->hang_until = sim->now + sim_option(full, "for", 5);
-		worker->answered_sent = worker->next_heartbeat_at = worker->hang_until;
+		lose_power(sim, worker, action->span);
 	}
 }
 
-/* A record is as it was so many versions ago; without one, it is gone. */
-static void record_back(struct sim *sim, const char *key, int versions)
+/* old-record KEY [back=N]: as it was so many versions ago; without one, it is gone */
+static void run_old_record(struct sim *sim, const struct sim_action *action)
 {
+	int skip = (int)sim_option(action->text, "back", 1);
 	json_t *value = NULL;
-	int skip = versions;
 
 	for (size_t i = sim->history_count; i-- > 0 && skip >= 0;)
-		if (!strcmp(sim->history[i].key, key) && skip-- == 0)
+		if (!strcmp(sim->history[i].key, action->name) && skip-- == 0)
 			value = json_incref(sim->history[i].value);
 	sim->revision++;
-	sim_kv_put(sim, key, value, 0);
+	sim_store_put(sim, action->name, value, 0);
 	json_decref(value);
 }
 
-/* The store has never heard of a job: its user waits for nothing until it is sent again. */
-static void record_lost(struct sim *sim, const char *key)
+/* lose-record KEY: of a job, its user waits for nothing until it is sent again */
+static void run_lose_record(struct sim *sim, const struct sim_action *action)
 {
-	struct sim_job *job = strncmp(key, "job/", 4) ? NULL : sim_job_of(sim, key + 4);
+	static const char prefix[] = "job/";
+	const char *key = action->name;
+	struct sim_job *job = strncmp(key, prefix, strlen(prefix)) != 0
+				  ? NULL
+				  : sim_job_of(sim, key + strlen(prefix));
 
 	sim->revision++;
-	sim_kv_put(sim, key, NULL, 0);
+	sim_store_put(sim, key, NULL, 0);
 	if (!job)
 		return;
 	job->accepted = false;
 	job->pending_request = 0;
-	job->next_try = INFINITY;
+	job->next_try_at = INFINITY;
 }
 
-/* The task that a worker has, as if another one had it too; its attempt's number differs by N. */
-static void twin(struct sim *sim, const char *from, const char *target, int64_t by)
+/* resubmit JOB */
+static void run_resubmit(struct sim *sim, const struct sim_action *action)
 {
-	struct sim_worker *a = NULL, *b = NULL;
+	struct sim_job *job = sim_job_of(sim, action->name);
+
+	if (job)
+		job->next_try_at = sim->now;
+}
+
+/* The worker of this name, or the "busiest" one, the first of equals. */
+static struct sim_worker *worker_named(struct sim *sim, const char *name)
+{
+	bool is_busiest = !strcmp(name, "busiest");
+	struct sim_worker *found = NULL;
 
 	for (int i = 0; i < sim->worker_count; i++) {
-		if (strcmp(from, "busiest") ? !strcmp(sim->workers[i].name, from)
-					    : !a || sim->workers[i].task_count > a->task_count)
-			a = &sim->workers[i];
-		if (!strcmp(sim->workers[i].name, target))
-			b = &sim->workers[i];
-	}
-	if (!a || !b || !a->task_count || b->task_count == SIM_TASKS) {
-		sim_fail(sim, "no task of %s for %s", from, target);
-		return;
+		struct sim_worker *worker = &sim->workers[i];
+
+		if (is_busiest ? !found || worker->task_count > found->task_count
+			       : !strcmp(worker->name, name))
+			found = worker;
 	}
-	b->tasks[b->task_count] = a->tasks[0];
-	b->tasks[b->task_count].attempt += (uint64_t)by;
-	b->tasks[b->task_count].state = WS_TASK_FETCHING;
-	b->tasks[b->task_count++].seconds_left = 1e6;
-	sim_worker_changed(b, sim->now);
+	return found;
 }
 
 /*
- * crash-in-turn first=S every=S | power-loss for=S [share=X] [zone=Z] | lose-record KEY | resubmit
- * JOB | old-record KEY [back=N] | twin FROM to=MACHINE [by=N] | coldstart-format KEY
+ * twin FROM to=MACHINE [by=N]: the first task that a worker has, as if another one had it too; the
+ * number of its attempt differs by N
  */
-bool sim_cold_start_act(struct sim *sim, const char *verb, const char *name, const char *full)
-{
-	char to[WS_NAME_MAX] = "";
-
-	if (!strcmp(verb, "crash-in-turn")) {
-		crash_in_turn(sim, full);
-	} else if (!strcmp(verb, "power-loss")) {
-		power_loss(sim, full);
-	} else if (!strcmp(verb, "lose-record")) {
-		record_lost(sim, name);
-	} else if (!strcmp(verb, "resubmit")) {
-		if (sim_job_of(sim, name))
-			sim_job_of(sim, name)->next_try = sim->now;
-	} else if (!strcmp(verb, "old-record")) {
-		record_back(sim, name, (int)sim_option(full, "back", 1));
-	} else if (!strcmp(verb, "twin")) {
-		sim_option_text(full, "to", to, sizeof(to));
-		twin(sim, name, to, (int64_t)sim_option(full, "by", 0));
-	} else if (!strcmp(verb, "coldstart-format")) { /* a later version's record */
-		json_t *value = json_pack("{s:i,s:s}", "v", 9, "phase", "observing");
-
-		sim->revision++;
-		sim_kv_put(sim, name, value, 0);
-		json_decref(value);
-	} else {
-		return false;
+static void run_twin(struct sim *sim, const struct sim_action *action)
+{
+	char target_name[WS_NAME_MAX] = "";
+	struct sim_worker *from = worker_named(sim, action->name), *target;
+	struct sim_task *task;
+
+	sim_option_text(action->text, "to", target_name, sizeof(target_name));
+	target = from ? worker_named(sim, target_name) : NULL;
+	if (!target || !from->task_count || target->task_count == SIM_TASKS) {
+		sim_fail(sim, "no task of %s for %s", action->name, target_name);
+		return;
 	}
-	return true;
+	task = &target->tasks[target->task_count++];
+	*task = from->tasks[0];
+	task->attempt += (uint64_t)(int64_t)sim_option(action->text, "by", 0);
+	task->state = WS_TASK_FETCHING;
+	task->seconds_left = UNBOUNDED_S;
+	sim_worker_changed(target, sim->now);
 }
 
-/* ---- orders, and what they do to healthy work ---- */
+/* coldstart-format KEY: a record of a later version */
+static void run_later_format(struct sim *sim, const struct sim_action *action)
+{
+	json_t *value = json_pack("{s:i,s:s}", "v", 9, "phase", "observing");
+
+	sim->revision++;
+	sim_store_put(sim, action->name, value, 0);
+	json_decref(value);
+}
+
+const struct sim_action_word sim_cold_start_actions[] = {
+    {"coldstart-format", run_later_format},
+    {"crash-in-turn", run_crash_in_turn},
+    {"lose-record", run_lose_record},
+    {"old-record", run_old_record},
+    {"power-loss", run_power_loss},
+    {"resubmit", run_resubmit},
+    {"twin", run_twin},
+    {NULL, NULL},
+};
+
+/* ---- commands, and what they do to healthy work ---- */
 
 /* Whether a worker has a task that would go on by itself: its lease runs and its machine is there.
  */
@@ -186,21 +213,22 @@
 		       const struct sim_task *task)
 {
 	return task->state != WS_TASK_EXITED && !worker->dead && !worker->deleted &&
-	       worker->is_up && sim->now - worker->answered_sent <= sim->lease;
+	       worker->is_up && sim->now - worker->answered_sent <= sim->lease_s;
 }
 
-static int tasks_alive(const struct sim *sim, const char *job)
+/* Tasks of a job on machines, fetching ones included. */
+static double count_alive(struct sim *sim, const char *job)
 {
-	int n = 0;
+	int count = 0;
 
 	for (int i = 0; i < sim->worker_count; i++)
 		for (int k = 0; k < sim->workers[i].task_count; k++)
-			n += !strcmp(sim->workers[i].tasks[k].job, job) &&
-			     task_alive(sim, &sim->workers[i], &sim->workers[i].tasks[k]);
-	return n;
+			count += !strcmp(sim->workers[i].tasks[k].job, job) &&
+				 task_alive(sim, &sim->workers[i], &sim->workers[i].tasks[k]);
+	return count;
 }
 
-/* The rule of every scenario: no order starts anew what is alive somewhere. */
+/* The rule of every scenario: no command starts anew what is alive somewhere. */
 static void check_restart(struct sim *sim, const struct sim_worker *taker,
 			  const struct ws_command *command)
 {
@@ -218,8 +246,8 @@
 	}
 }
 
-void sim_cold_start_order(struct sim *sim, const struct sim_worker *worker,
-			  const struct ws_command *command, const struct sim_task *task)
+void sim_cold_start_command(struct sim *sim, const struct sim_worker *worker,
+			    const struct ws_command *command, const struct sim_task *task)
 {
 	const struct sim_job *job = sim_job_of(sim, command->job);
 
@@ -232,7 +260,7 @@
 	case WS_COMMAND_STOP:
 		sim->stop_commands++;
 		if (task && task->state != WS_TASK_EXITED && job && !job->cancelled &&
-		    job->abort_at <= 0 && worker->preemption_notice_at <= 0)
+		    job->cancel_at <= 0 && worker->preemption_notice_at <= 0)
 			sim->healthy_stops++;
 		break;
 	case WS_COMMAND_REAP: sim->reap_commands++; break;
@@ -281,7 +309,7 @@
 }
 
 /* A count of the account: of a reconciliation result, or one of its own. */
-static double account(struct sim *sim, const char *name)
+static double count_account(struct sim *sim, const char *name)
 {
 	json_t *findings = record_field(sim, "coldstart/account", "findings");
 	json_t *count = json_object_get(findings, name);
@@ -290,10 +318,10 @@
 }
 
 /* How many cold starts were begun, each by a leader of its own. */
-static int cold_starts(struct sim *sim)
+static double count_cold_starts(struct sim *sim)
 {
 	json_int_t last = 0;
-	int n = 0;
+	int count = 0;
 
 	for (size_t i = 0; i < sim->history_count; i++) {
 		json_int_t began;
@@ -301,132 +329,140 @@
 		if (strcmp(sim->history[i].key, "coldstart/phase") != 0 || !sim->history[i].value)
 			continue;
 		began = json_integer_value(json_object_get(sim->history[i].value, "began"));
-		n += began != last;
+		count += began != last;
 		last = began;
 	}
-	return n;
+	return count;
 }
 
-/* How many workers that are there were answered since the last stop; when the last of them was. */
-static int answered(const struct sim *sim, int *live, double *first, double *last)
+/* Workers that are there, and those of them that were answered since the last stop. */
+struct answered_workers {
+	int live, answered;
+	double first, last; /* when the first and the last one were */
+};
+
+static struct answered_workers find_answered(const struct sim *sim)
 {
-	int n = 0;
+	struct answered_workers found = {.first = INFINITY};
 
-	*live = 0;
-	*first = 1e18;
-	*last = 0;
 	for (int i = 0; i < sim->worker_count; i++) {
 		const struct sim_worker *worker = &sim->workers[i];
 
 		if (!sim_worker_live(sim, worker))
 			continue;
-		(*live)++;
+		found.live++;
 		if (worker->answered_since <= sim->stop.stopped_at)
 			continue;
-		n++;
-		*first = fmin(*first, worker->answered_since);
-		*last = fmax(*last, worker->answered_since);
+		found.answered++;
+		found.first = fmin(found.first, worker->answered_since);
+		found.last = fmax(found.last, worker->answered_since);
 	}
-	return n;
+	return found;
+}
+
+static double count_killed(struct sim *sim)
+{
+	return sim->killed;
+}
+
+static double count_healthy_stops(struct sim *sim)
+{
+	return (double)sim->healthy_stops;
+}
+
+static double count_run_commands_since(struct sim *sim)
+{
+	return (double)(sim->run_commands - sim->stop.run_commands);
+}
+
+static double count_scaled_out_since(struct sim *sim)
+{
+	return (double)((uint64_t)sim->scaled_out - sim->stop.scaled_out);
+}
+
+/* Seconds after the stop: when the last task that had been killed ran again. */
+static double last_restart(struct sim *sim)
+{
+	return sim->restart_last - sim->stop.stopped_at;
 }
 
 /* What a measurement by hand takes down, with -v: see docs/measurements.md. */
-static void measured(struct sim *sim)
+static void print_measured(struct sim *sim)
 {
-	int live, n;
-	double first, last;
+	struct answered_workers found = find_answered(sim);
 
-	n = answered(sim, &live, &first, &last);
 	fprintf(stderr,
 		"measured: stopped at %.1f, first back after %.1f s, leading %.2f s later; %d of "
 		"%d workers answered since\n",
 		sim->stop.stopped_at, sim->stop.up_at - sim->stop.stopped_at,
-		sim->stop.led_at - sim->stop.up_at, n, live);
+		sim->stop.led_at - sim->stop.up_at, found.answered, found.live);
 	fprintf(stderr,
-		"measured: since the stop %llu run orders, %llu stop orders, %llu changes, %llu "
-		"rented\n",
-		(unsigned long long)(sim->run_commands - sim->stop.run_commands),
+		"measured: since the stop %.0f run commands, %llu stop commands, %llu changes, "
+		"%.0f scaled out\n",
+		count_run_commands_since(sim),
 		(unsigned long long)(sim->stop_commands - sim->stop.stop_commands),
 		(unsigned long long)(sim->changes - sim->stop.changes),
-		(unsigned long long)((uint64_t)sim->rented - sim->stop.rented));
+		count_scaled_out_since(sim));
 	fprintf(stderr,
 		"measured: %d killed by their lease, %d of them ran again after %.2f s on average, "
 		"the last %.1f s after the stop; %llu stops of healthy work\n",
 		sim->killed, sim->restarted, sim->restarted ? sim->restart_sum / sim->restarted : 0,
-		sim->restart_last - sim->stop.stopped_at, (unsigned long long)sim->healthy_stops);
+		last_restart(sim), (unsigned long long)sim->healthy_stops);
+}
+
+/* cold-measured: prints what a measurement takes down */
+static void check_measured(struct sim *sim, const struct sim_expectation *expectation)
+{
+	(void)expectation;
+	if (sim_verbose)
+		print_measured(sim);
+}
+
+/* phase NAME */
+static void check_phase(struct sim *sim, const struct sim_expectation *expectation)
+{
+	if (strcmp(phase(sim), expectation->first) != 0)
+		sim_fail(sim, "the phase is %s", phase(sim));
 }
 
 /* answered-within S: every worker that is there, so long after the first controller was back */
-static void expect_answered(struct sim *sim, const char *within)
+static void check_answered(struct sim *sim, const struct sim_expectation *expectation)
 {
-	int live;
-	double first, last;
-	int n = answered(sim, &live, &first, &last);
+	struct answered_workers found = find_answered(sim);
+	double last = found.last - sim->stop.up_at;
 
 	if (sim_verbose)
-		fprintf(stderr, "answered: %d of %d, first %.2f, last %.2f s\n", n, live,
-			first - sim->stop.up_at, last - sim->stop.up_at);
-	if (n < live || last - sim->stop.up_at > atof(within))
-		sim_fail(sim, "%d of %d workers were answered, the last after %.2f s", n, live,
-			 last - sim->stop.up_at);
+		fprintf(stderr, "answered: %d of %d, first %.2f, last %.2f s\n", found.answered,
+			found.live, found.first - sim->stop.up_at, last);
+	if (found.answered < found.live || last > atof(expectation->first))
+		sim_fail(sim, "%d of %d workers were answered, the last after %.2f s",
+			 found.answered, found.live, last);
 }
 
-bool sim_cold_start_expect(struct sim *sim, const char *what, const char *first, const char *second,
-			   const char *third)
+/* coldstart-steps NUMBER: of the leader, for each heartbeat that was sent */
+static void check_steps(struct sim *sim, const struct sim_expectation *expectation)
 {
-	double n;
+	int leader = sim_leader(sim);
+	double steps = leader < 0 ? INFINITY
+				  : (double)ws_cold_start_steps(sim->nodes[leader].cold_start) /
+					(double)sim->heartbeats;
 
-	if (!strcmp(what, "phase")) {
-		if (strcmp(phase(sim), first) != 0)
-			sim_fail(sim, "the phase is %s", phase(sim));
-		return true;
-	}
-	if (!strcmp(what, "cold-measured")) {
-		if (sim_verbose)
-			measured(sim);
-		return true;
-	}
-	if (!strcmp(what, "answered-within")) {
-		expect_answered(sim, first);
-		return true;
-	}
-	if (!strcmp(what, "coldstart-steps")) { /* of the leader, for each report it was sent */
-		int leader = sim_leader(sim);
-
-		n = leader < 0 ? INFINITY
-			       : (double)ws_cold_start_steps(sim->nodes[leader].coldstart) /
-				     (double)sim->reports;
-		if (n > atof(first))
-			sim_fail(sim, "%.2f steps a report", n);
-		return true;
-	}
-	if (!strcmp(what, "alive")) { /* tasks of a job on machines, fetching ones included */
-		n = tasks_alive(sim, first);
-		if (!sim_compare(n, second, third))
-			sim_fail(sim, "alive %s: %.0f", first, n);
-		return true;
-	}
-	if (!strcmp(what, "account")) {
-		n = account(sim, first);
-		if (!sim_compare(n, second, third))
-			sim_fail(sim, "account %s: %.0f", first, n);
-		return true;
-	}
-	if (!strcmp(what, "cold-starts")) { /* how many were begun */
-		n = cold_starts(sim);
-	} else if (!strcmp(what, "killed"))
-		n = sim->killed;
-	else if (!strcmp(what, "healthy-stops"))
-		n = (double)sim->healthy_stops;
-	else if (!strcmp(what, "run-orders-since"))
-		n = (double)(sim->run_commands - sim->stop.run_commands);
-	else if (!strcmp(what, "rented-since"))
-		n = (double)((uint64_t)sim->rented - sim->stop.rented);
-	else if (!strcmp(what, "restarts-within")) /* of the stop: when the last one ran again */
-		n = sim->restart_last - sim->stop.stopped_at;
-	else
-		return false;
-	if (!sim_compare(n, first, second))
-		sim_fail(sim, "%s: %.1f", what, n);
-	return true;
+	if (steps > atof(expectation->first))
+		sim_fail(sim, "%.2f steps a heartbeat", steps);
 }
+
+const struct sim_expect_word sim_cold_start_expectations[] = {
+    {"account", 3, .count_of = count_account},
+    {"alive", 3, .count_of = count_alive},
+    {"answered-within", 1, .check = check_answered},
+    {"cold-measured", 0, .check = check_measured},
+    {"cold-starts", 2, .count = count_cold_starts},
+    {"coldstart-steps", 1, .check = check_steps},
+    {"healthy-stops", 2, .count = count_healthy_stops},
+    {"killed", 2, .count = count_killed},
+    {"phase", 1, .check = check_phase},
+    {"rented-since", 2, .count = count_scaled_out_since},
+    {"restarts-within", 2, .count = last_restart},
+    {"run-orders-since", 2, .count = count_run_commands_since},
+    {NULL},
+};
--- a/tests/sim_digest.c
+++ b/tests/sim_digest.c
@@ -7,7 +7,7 @@
  * Two versions of the sources with equal digests behaved alike to the last byte. The words of the
  * lines are this file's own, so that they outlive the renaming of what they tell of.
  */
-#include "sim_parts.h"
+#include "sim_digest.h"
 
 #define FNV_OFFSET 14695981039346656037ULL
 #define FNV_PRIME 1099511628211ULL
--- /dev/null
+++ b/tests/sim_expect.c
@@ -0,0 +1,396 @@
+/* What scenarios expect of the cluster. */
+#include "sim_checks.h"
+#include "sim_scenario.h"
+
+/* The leader's core, to be looked into: one of this version; else NULL, and the play fails. */
+static const struct ws_core *leading_core(struct sim *sim)
+{
+	int leader = sim_leader(sim);
+
+	if (leader < 0) {
+		sim_fail(sim, "nobody leads");
+		return NULL;
+	}
+	if (sim->nodes[leader].version != &sim_this_version) {
+		sim_fail(sim, "node %d leads, which is of the version in production", leader);
+		return NULL;
+	}
+	return sim->nodes[leader].core;
+}
+
+/* ---- jobs ---- */
+
+/* done JOB */
+static void check_done(struct sim *sim, const struct sim_expectation *expectation)
+{
+	const struct sim_job *job = sim_job_of(sim, expectation->first);
+
+	if (!job || !job->done)
+		sim_fail(sim, "%s is not done (%u tasks are)", expectation->first,
+			 job ? job->completed : 0);
+}
+
+/* cancelled JOB */
+static void check_cancelled(struct sim *sim, const struct sim_expectation *expectation)
+{
+	const struct sim_job *job = sim_job_of(sim, expectation->first);
+	int running = sim_running(sim, expectation->first);
+
+	if (!job || !job->cancelled || running)
+		sim_fail(sim, "%s is not cancelled, %d run", expectation->first, running);
+}
+
+/* status JOB CODE: of the last answer to its submission */
+static void check_status(struct sim *sim, const struct sim_expectation *expectation)
+{
+	const struct sim_job *job = sim_job_of(sim, expectation->first);
+
+	if (!job || job->status != atoi(expectation->second))
+		sim_fail(sim, "%s was answered %d", expectation->first, job ? job->status : 0);
+}
+
+/* started-within JOB SECONDS */
+static void check_started_within(struct sim *sim, const struct sim_expectation *expectation)
+{
+	const struct sim_job *job = sim_job_of(sim, expectation->first);
+	bool has_started = job && job->started_at != 0;
+
+	if (!has_started || job->started_at - job->submit_at > atof(expectation->second))
+		sim_fail(sim, "%s began after %.1f s", expectation->first,
+			 has_started ? job->started_at - job->submit_at : -1.0);
+}
+
+static void check_all_done(struct sim *sim, const struct sim_expectation *expectation)
+{
+	(void)expectation;
+	for (int i = 0; i < sim->job_count; i++)
+		if (!sim->jobs[i].done)
+			sim_fail(sim, "%s is not done", sim->jobs[i].spec.id);
+}
+
+/* all-finished: all but services are done */
+static void check_all_finished(struct sim *sim, const struct sim_expectation *expectation)
+{
+	(void)expectation;
+	for (int i = 0; i < sim->job_count; i++)
+		if (!sim->jobs[i].done && !sim->jobs[i].spec.service)
+			sim_fail(sim, "%s is not done", sim->jobs[i].spec.id);
+}
+
+/* all-answered SECONDS: the last answer about each job is not older */
+static void check_all_answered(struct sim *sim, const struct sim_expectation *expectation)
+{
+	for (int i = 0; i < sim->job_count; i++) {
+		const struct sim_job *job = &sim->jobs[i];
+
+		if (job->accepted && sim->now - job->answered_at > atof(expectation->first))
+			sim_fail(sim, "forgotten: no answer about %s for %.0f s", job->spec.id,
+				 sim->now - job->answered_at);
+	}
+}
+
+static double count_running(struct sim *sim, const char *subject)
+{
+	return sim_running(sim, subject);
+}
+
+static double count_finishes(struct sim *sim, const char *subject)
+{
+	const struct sim_job *job = sim_job_of(sim, subject);
+
+	return job ? job->finishes : 0;
+}
+
+/* ---- machines ---- */
+
+/* gone MACHINE */
+static void check_gone(struct sim *sim, const struct sim_expectation *expectation)
+{
+	for (int i = 0; i < sim->worker_count; i++)
+		if (!strcmp(sim->workers[i].name, expectation->first) && !sim->workers[i].deleted)
+			sim_fail(sim, "%s is still there", expectation->first);
+}
+
+/* lost MACHINES: at most so many were killed by their lease */
+static void check_lost(struct sim *sim, const struct sim_expectation *expectation)
+{
+	int lost = 0;
+
+	for (int i = 0; i < sim->worker_count; i++)
+		lost += sim->workers[i].is_up && sim->workers[i].incarnation > 1;
+	if (lost > atoi(expectation->first))
+		sim_fail(sim, "%d machines lost their lease", lost);
+}
+
+static double count_scaled_out(struct sim *sim)
+{
+	return sim->scaled_out;
+}
+
+static double count_scaled_in(struct sim *sim)
+{
+	return sim->scaled_in;
+}
+
+/* Instances of the cloud that are there. */
+static double count_instances(struct sim *sim)
+{
+	int count = 0;
+
+	for (int i = 0; i < sim->worker_count; i++)
+		count += !sim->workers[i].owned && !sim->workers[i].deleted;
+	return count;
+}
+
+static double count_failures(struct sim *sim)
+{
+	return sim->failures;
+}
+
+static double count_incomplete_exits(struct sim *sim)
+{
+	return sim->incomplete_exits;
+}
+
+static double count_member_lost_exits(struct sim *sim)
+{
+	return sim->member_lost_exits;
+}
+
+static double count_saved_attempts(struct sim *sim)
+{
+	return sim->saved_attempts;
+}
+
+static double count_gang_runs(struct sim *sim)
+{
+	return sim->gang_runs;
+}
+
+/* ---- nodes and store ---- */
+
+static void check_leader(struct sim *sim, const struct sim_expectation *expectation)
+{
+	(void)expectation;
+	if (sim_leader(sim) < 0)
+		sim_fail(sim, "nobody leads");
+}
+
+static void check_no_leader(struct sim *sim, const struct sim_expectation *expectation)
+{
+	(void)expectation;
+	if (sim_leader(sim) >= 0)
+		sim_fail(sim, "node %d leads", sim_leader(sim));
+}
+
+/* leader-version new|old */
+static void check_leader_version(struct sim *sim, const struct sim_expectation *expectation)
+{
+	int leader = sim_leader(sim);
+	bool expects_new = !strcmp(expectation->first, "new");
+
+	if (leader < 0 || (sim->nodes[leader].version == &sim_this_version) != expects_new)
+		sim_fail(sim, "node %d leads", leader);
+}
+
+static bool is_healthy(const struct sim_node *node)
+{
+	return node->is_up && node->version->is_ready(node->core);
+}
+
+/* healthy-nodes COUNT */
+static void check_healthy_nodes(struct sim *sim, const struct sim_expectation *expectation)
+{
+	int healthy = 0;
+
+	for (int i = 0; i < sim->node_count; i++)
+		healthy += is_healthy(&sim->nodes[i]);
+	if (healthy != atoi(expectation->first))
+		sim_fail(sim, "%d healthy nodes", healthy);
+}
+
+/* healthy NODE | unhealthy NODE: the node runs, and says so of itself */
+static void check_node_health(struct sim *sim, const struct sim_expectation *expectation)
+{
+	int index = atoi(expectation->first) % sim->node_count;
+	const struct sim_node *node = &sim->nodes[index];
+
+	if (!node->is_up || is_healthy(node) != !strcmp(expectation->word, "healthy"))
+		sim_fail(sim, "node %d: not %s", index, expectation->word);
+}
+
+/* elections COUNT: so often the leader's key was written */
+static void check_elections(struct sim *sim, const struct sim_expectation *expectation)
+{
+	int elections = 0;
+
+	for (size_t i = 0; i < sim->history_count; i++)
+		elections += !strcmp(sim->history[i].key, "leader") && sim->history[i].value;
+	if (elections != atoi(expectation->first))
+		sim_fail(sim, "%d elections", elections);
+}
+
+static double count_refused_writes(struct sim *sim)
+{
+	return sim->refused_writes;
+}
+
+/* Bytes of a key's value; 0: there is none. */
+static double count_value_bytes(struct sim *sim, const char *subject)
+{
+	struct sim_entry *entry;
+
+	HASH_FIND_STR(sim->entries, subject, entry);
+	return entry ? (double)json_dumpb(entry->value, NULL, 0, JSON_COMPACT) : 0;
+}
+
+/* ---- costs ---- */
+
+/* live-jobs COUNT: the leader keeps at most so many in memory */
+static void check_live_jobs(struct sim *sim, const struct sim_expectation *expectation)
+{
+	const struct ws_core *core = leading_core(sim);
+	int jobs = core ? (int)HASH_COUNT(core->jobs) : -1;
+
+	if (jobs < 0 || jobs > atoi(expectation->first))
+		sim_fail(sim, "the leader keeps %d jobs", jobs);
+}
+
+/* per-pass steps COUNT: the longest pass of this leader has at most so many */
+static void check_per_pass(struct sim *sim, const struct sim_expectation *expectation)
+{
+	const struct ws_core *core = leading_core(sim);
+
+	if (core && core->steps_most > (uint64_t)atoll(expectation->second))
+		sim_fail(sim, "a pass took %llu steps", (unsigned long long)core->steps_most);
+}
+
+/* A count of the cluster or, by any other name, of its leader; false: nobody can tell. */
+static bool find_cost(struct sim *sim, const char *name, double *cost)
+{
+	const struct {
+		const char *name;
+		uint64_t value;
+	} costs[] = {{"requests", sim->store_requests},	    {"changes", sim->changes},
+		     {"commands", sim->commands},	    {"watched", sim->watched_records},
+		     {"bytes-watched", sim->watched_bytes}, {"bytes-written", sim->written_bytes}};
+	const struct ws_core *core;
+
+	for (size_t i = 0; i < sizeof(costs) / sizeof(costs[0]); i++)
+		if (!strcmp(costs[i].name, name)) {
+			*cost = (double)costs[i].value;
+			return true;
+		}
+	core = leading_core(sim);
+	if (!core)
+		return false;
+	if (!strcmp(name, "idle-looks"))
+		*cost = (double)core->flush_idle;
+	else if (!strcmp(name, "machines"))
+		*cost = (double)core->sweep_steps;
+	else
+		*cost = (double)core->steps;
+	return true;
+}
+
+/* per-start COST NUMBER | per-poll COST NUMBER: on average at most so much */
+static void check_ratio(struct sim *sim, const struct sim_expectation *expectation)
+{
+	bool per_poll = !strcmp(expectation->word, "per-poll");
+	double base = per_poll ? (double)sim->status_queries : (double)sim->starts, cost;
+
+	if (!find_cost(sim, expectation->first, &cost))
+		return; /* said there */
+	if (!base || cost / base > atof(expectation->second))
+		sim_fail(sim, "%.3f %s %s", base ? cost / base : -1, expectation->first,
+			 expectation->word);
+}
+
+/* ---- the table ---- */
+
+static const struct sim_expect_word cluster_expectations[] = {
+    {"all-answered", 1, .check = check_all_answered},
+    {"all-done", 0, .check = check_all_done},
+    {"all-finished", 0, .check = check_all_finished},
+    {"alone", 2, .count = count_incomplete_exits},
+    {"cancelled", 1, .check = check_cancelled},
+    {"done", 1, .check = check_done},
+    {"elections", 1, .check = check_elections},
+    {"failures", 2, .count = count_failures},
+    {"finishes", 3, .count_of = count_finishes},
+    {"gang-runs", 2, .count = count_gang_runs},
+    {"gone", 1, .check = check_gone},
+    {"healthy", 1, .check = check_node_health},
+    {"healthy-nodes", 1, .check = check_healthy_nodes},
+    {"held", 2, .count = count_instances},
+    {"leader", 0, .check = check_leader},
+    {"leader-version", 1, .check = check_leader_version},
+    {"live-jobs", 1, .check = check_live_jobs},
+    {"lost", 1, .check = check_lost},
+    {"mates", 2, .count = count_member_lost_exits},
+    {"no-leader", 0, .check = check_no_leader},
+    {"per-pass", 2, .check = check_per_pass},
+    {"per-poll", 2, .check = check_ratio},
+    {"per-start", 2, .check = check_ratio},
+    {"refused", 2, .count = count_refused_writes},
+    {"rented", 2, .count = count_scaled_out},
+    {"returned", 2, .count = count_scaled_in},
+    {"running", 3, .count_of = count_running},
+    {"saved", 2, .count = count_saved_attempts},
+    {"started-within", 2, .check = check_started_within},
+    {"status", 2, .check = check_status},
+    {"unhealthy", 1, .check = check_node_health},
+    {"value-of", 3, .count_of = count_value_bytes},
+    {NULL},
+};
+
+static const struct sim_expect_word *expect_word(const char *word)
+{
+	static const struct sim_expect_word *const tables[] = {
+	    cluster_expectations, sim_domains_expectations, sim_cold_start_expectations};
+
+	for (size_t i = 0; i < sizeof(tables) / sizeof(tables[0]); i++)
+		for (const struct sim_expect_word *entry = tables[i]; entry->word; entry++)
+			if (!strcmp(entry->word, word))
+				return entry;
+	return NULL;
+}
+
+static void check_count(struct sim *sim, const struct sim_expectation *expectation, double count)
+{
+	if (!sim_compare(count, expectation->first, expectation->second))
+		sim_fail(sim, "%s: %g, not %s %s", expectation->word, count, expectation->first,
+			 expectation->second);
+}
+
+static void check_count_of(struct sim *sim, const struct sim_expectation *expectation, double count)
+{
+	if (!sim_compare(count, expectation->second, expectation->third))
+		sim_fail(sim, "%s %s: %g, not %s %s", expectation->word, expectation->first, count,
+			 expectation->second, expectation->third);
+}
+
+void sim_expect(struct sim *sim, char *text)
+{
+	int operands = sim_count_words(text) - 1;
+	struct sim_expectation expectation = {.word = sim_next_word(&text)};
+	const struct sim_expect_word *entry = expect_word(expectation.word);
+
+	if (!entry) {
+		sim_fail(sim, "expect %s?", expectation.word);
+		return;
+	}
+	if (operands < entry->operands) {
+		sim_fail(sim, "expect %s: words are missing", expectation.word);
+		return;
+	}
+	expectation.first = sim_next_word(&text);
+	expectation.second = sim_next_word(&text);
+	expectation.third = sim_next_word(&text);
+	if (entry->check)
+		entry->check(sim, &expectation);
+	else if (entry->count)
+		check_count(sim, &expectation, entry->count(sim));
+	else
+		check_count_of(sim, &expectation, entry->count_of(sim, expectation.first));
+}
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -1,7 +1,13 @@
 /* Zones that go dark, the subsystem that deals with them, and what scenarios expect of it. */
-#include "sim_parts.h"
+#include "sim_checks.h"
+#include "sim_nodes.h"
+#include "sim_store.h"
+#include "sim_subsystems.h"
 
-static void zones_log(const char *text)
+/* Nodes that must not lead stay down for so long. */
+#define OTHER_VERSION_DOWN_S 8
+
+static void log_line(const char *text)
 {
 	sim_log(WS_LOG_INFO, text);
 }
@@ -10,8 +16,8 @@
 			struct ws_cluster_limits *limits)
 {
 	*limits = (struct ws_cluster_limits){
-	    .report_s = sim->report,
-	    .lease_s = sim->lease,
+	    .report_s = sim->heartbeat_s,
+	    .lease_s = sim->lease_s,
 	    .state_write_rps = node->settings.state_write_rps,
 	    .value_bytes = (size_t)(node->settings.value_kb * 1024),
 	    .cancel_s = sim->cancel_s,
@@ -25,22 +31,22 @@
 
 void sim_domains_attach(struct sim *sim, struct sim_node *node)
 {
-	const char *names[8];
+	const char *names[SIM_ZONES];
 	struct ws_domains_error error;
 	struct ws_cluster_limits limits;
-	struct ws_failure_domains *zones;
+	struct ws_failure_domains *domains;
 
-	if (!sim->zones_on || node->version != &sim_this_version)
+	if (!sim->domains_on || node->version != &sim_this_version)
 		return;
 	sim_cluster_limits(sim, node, names, &limits);
-	zones = ws_domains_new(&sim->zones_settings, &limits, zones_log, &error);
-	if (!zones) {
+	domains = ws_domains_new(&sim->domains_settings, &limits, log_line, &error);
+	if (!domains) {
 		sim_fail(sim, "domain %s, %s: %s", error.domain, error.network,
 			 ws_domains_error_text(error.code));
 		return;
 	}
-	node->zones = zones;
-	ws_core_attach(node->core, &ws_domains_ops, zones);
+	node->domains = domains;
+	ws_core_attach(node->core, &ws_domains_ops, domains);
 }
 
 static struct ws_domains_declared *declared_get(struct ws_domains_settings *settings,
@@ -59,34 +65,50 @@
 	return declared;
 }
 
-/* subsystem zones [stable=S] [ramp=S] [half-life=S] | network NAME CIDR | move-first CLASS */
-bool sim_domains_line(struct sim *sim, const char *word, char *rest, const char *full)
+void sim_domains_configure(struct sim *sim, const char *text)
 {
-	struct ws_domains_settings *settings = &sim->zones_settings;
-
-	if (!strcmp(word, "subsystem")) {
-		sim->zones_on = true;
-		settings->stable_s = sim_option(full, "stable", settings->stable_s);
-		settings->ramp_s = sim_option(full, "ramp", settings->ramp_s);
-		settings->half_life_s = sim_option(full, "half-life", settings->half_life_s);
-	} else if (!strcmp(word, "network")) {
-		struct ws_domains_declared *declared = declared_get(settings, sim_word(&rest));
-		size_t n = ++declared->network_count;
-
-		declared->networks = realloc(declared->networks, n * sizeof(*declared->networks));
-		snprintf(declared->networks[n - 1], WS_DOMAINS_NETWORK_MAX, "%s", sim_word(&rest));
-	} else if (!strcmp(word, "move-first")) {
-		size_t n = ++settings->class_count;
-
-		settings->class_order =
-		    realloc(settings->class_order, n * sizeof(*settings->class_order));
-		snprintf(settings->class_order[n - 1], WS_DOMAINS_NAME_MAX, "%s", sim_word(&rest));
-	} else {
-		return false;
-	}
-	return true;
+	struct ws_domains_settings *settings = &sim->domains_settings;
+
+	sim->domains_on = true;
+	settings->stable_s = sim_option(text, "stable", settings->stable_s);
+	settings->ramp_s = sim_option(text, "ramp", settings->ramp_s);
+	settings->half_life_s = sim_option(text, "half-life", settings->half_life_s);
+}
+
+/* network NAME CIDR */
+static const char *take_network(struct sim *sim, struct sim_setting *setting)
+{
+	struct ws_domains_declared *declared =
+	    declared_get(&sim->domains_settings, sim_next_word(&setting->rest));
+	size_t count = ++declared->network_count;
+
+	declared->networks = realloc(declared->networks, count * sizeof(*declared->networks));
+	snprintf(declared->networks[count - 1], WS_DOMAINS_NETWORK_MAX, "%s",
+		 sim_next_word(&setting->rest));
+	return NULL;
+}
+
+/* move-first CLASS */
+static const char *take_move_first(struct sim *sim, struct sim_setting *setting)
+{
+	struct ws_domains_settings *settings = &sim->domains_settings;
+	size_t count = ++settings->class_count;
+
+	settings->class_order =
+	    realloc(settings->class_order, count * sizeof(*settings->class_order));
+	snprintf(settings->class_order[count - 1], WS_DOMAINS_NAME_MAX, "%s",
+		 sim_next_word(&setting->rest));
+	return NULL;
 }
 
+const struct sim_setting_word sim_domains_settings_words[] = {
+    {"move-first", 1, take_move_first},
+    {"network", 2, take_network},
+    {NULL, 0, NULL},
+};
+
+/* ---- what befalls zones ---- */
+
 /* What was on a machine that went dark, or died, is to run elsewhere: measured from now on. */
 static void displace(struct sim *sim, const struct sim_worker *worker)
 {
@@ -101,7 +123,6 @@
 	}
 }
 
-/* A task starts: how long after its machine went dark. */
 void sim_domains_started(struct sim *sim, struct sim_job *job, uint32_t task)
 {
 	struct sim_moves *moves = NULL;
@@ -111,11 +132,11 @@
 		return;
 	span = sim->now - job->displaced_at[task];
 	job->displaced_at[task] = 0;
-	for (int i = 0; i < sim->nmoves; i++)
+	for (int i = 0; i < sim->move_count; i++)
 		if (!strcmp(sim->moves[i].job_class, job->spec.job_class))
 			moves = &sim->moves[i];
-	if (!moves && sim->nmoves < SIM_CLASSES) {
-		moves = &sim->moves[sim->nmoves++];
+	if (!moves && sim->move_count < SIM_CLASSES) {
+		moves = &sim->moves[sim->move_count++];
 		snprintf(moves->job_class, sizeof(moves->job_class), "%s", job->spec.job_class);
 		moves->first = span;
 	}
@@ -127,93 +148,115 @@
 	moves->sum += span;
 }
 
-static void zone_trouble(struct sim *sim, struct sim_worker *worker, const char *verb,
-			 const char *kind, double span)
+/* What a zone's fault does to one of its machines. */
+static void apply_zone_fault(struct sim *sim, struct sim_worker *worker,
+			     const struct sim_action *action)
 {
-	if (!strcmp(verb, "kill-zone")) {
+	char kind[16] = "";
+
+	sim_option_text(action->text, "only", kind, sizeof(kind));
+	if (!strcmp(action->word, "kill-zone")) {
 		worker->dead = true;
 		worker->died_at = sim->now;
-	} else if (!strcmp(verb, "take-zone")) {
+	} else if (!strcmp(action->word, "take-zone")) {
 		worker->deleted = true;
 		worker->deleted_at = sim->now;
 	} else if (!strcmp(kind, "reports")) {
-		worker->mute_until = sim->now + span;
+		worker->mute_until = sim->now + action->span;
 	} else if (!strcmp(kind, "answers")) {
-		worker->deaf_until = sim->now + span;
+		worker->deaf_until = sim->now + action->span;
 	} else {
-		worker->cut_until = sim->now + span;
+		worker->cut_until = sim->now + action->span;
 	}
 }
 
-/* Nodes of the other version end, so that one of the version named leads. */
-static void lead_by(struct sim *sim, bool new_version)
-{
-	for (int i = 0; i < sim->node_count; i++)
-		if ((sim->nodes[i].version == &sim_this_version) != new_version)
-			sim_node_crash(sim, i, 8);
-}
-
-/* Whether a trouble of zones consecutive_failures a machine in this zone. */
-static bool consecutive_failures(struct sim *sim, const char *verb, const char *name,
-				 const char *zone)
+/* Whether a fault concerns machines in this zone. */
+static bool concerns_zone(struct sim *sim, const struct sim_action *action, const char *zone)
 {
 	int leader = sim_leader(sim);
 
-	if (!strcmp(verb, "dark-but-leader"))
+	if (!strcmp(action->word, "dark-but-leader"))
 		return leader >= 0 && strcmp(sim->nodes[leader].settings.zone, zone) != 0;
-	return !strcmp(name, zone);
+	return !strcmp(action->name, zone);
 }
 
-/* dark ZONE for=S [only=reports|answers] [share=X] | kill-zone, take-zone ZONE
- * | dark-but-leader for=S | hold-domain, release-domain, later-format NAME | lead-by old|new */
-bool sim_domains_act(struct sim *sim, const char *verb, const char *name, const char *full)
+/*
+ * dark ZONE for=S [only=reports|answers] [share=X] | kill-zone ZONE | take-zone ZONE
+ * | dark-but-leader for=S: to that share of the machines
+ */
+static void run_zone_fault(struct sim *sim, const struct sim_action *action)
 {
-	char kind[16] = "";
-	char key[WS_KEY_MAX];
-	double share = sim_option(full, "share", 1), part = 0;
-
-	if (!strcmp(verb, "hold-domain") || !strcmp(verb, "release-domain")) {
-		json_t *value = verb[0] == 'h' ? json_pack("{s:i}", "v", 1) : NULL;
+	double share = sim_option(action->text, "share", 1), part = 0;
 
-		snprintf(key, sizeof(key), "zones/hold/%s", name);
-		sim->revision++;
-		sim_kv_put(sim, key, value, 0);
-		json_decref(value);
-		return true;
-	}
-	if (!strcmp(verb, "later-format")) { /* of a domain's record */
-		json_t *value = json_pack("{s:i,s:s}", "v", 9, "state", "dark");
-
-		snprintf(key, sizeof(key), "zones/domain/%s", name);
-		sim->revision++;
-		sim_kv_put(sim, key, value, 0);
-		json_decref(value);
-		return true;
-	}
-	if (!strcmp(verb, "lead-by")) {
-		lead_by(sim, !strcmp(name, "new"));
-		return true;
-	}
-	if (strcmp(verb, "dark") != 0 && strcmp(verb, "kill-zone") != 0 &&
-	    strcmp(verb, "take-zone") != 0 && strcmp(verb, "dark-but-leader") != 0)
-		return false;
-	sim_option_text(full, "only", kind, sizeof(kind));
 	for (int i = 0; i < sim->worker_count; i++) {
 		struct sim_worker *worker = &sim->workers[i];
 
-		if (!consecutive_failures(sim, verb, name, worker->zone) || worker->deleted ||
-		    worker->dead || !worker->is_up)
+		if (!concerns_zone(sim, action, worker->zone) || worker->deleted || worker->dead ||
+		    !worker->is_up)
 			continue;
 		part += share;
 		if (part < 1 - 1e-9)
 			continue;
 		part -= 1;
 		displace(sim, worker);
-		zone_trouble(sim, worker, verb, kind, sim_option(full, "for", 5));
+		apply_zone_fault(sim, worker, action);
 	}
-	return true;
 }
 
+/* Writes a record of the subsystem, or deletes it when the value is NULL. Drops the value. */
+static void put_record(struct sim *sim, const char *prefix, const char *name, json_t *value)
+{
+	char key[WS_KEY_MAX];
+
+	snprintf(key, sizeof(key), "%s%s", prefix, name);
+	sim->revision++;
+	sim_store_put(sim, key, value, 0);
+	json_decref(value);
+}
+
+/* hold-domain NAME: an operator keeps it in use */
+static void run_hold_domain(struct sim *sim, const struct sim_action *action)
+{
+	put_record(sim, "zones/hold/", action->name, json_pack("{s:i}", "v", 1));
+}
+
+/* release-domain NAME */
+static void run_release_domain(struct sim *sim, const struct sim_action *action)
+{
+	put_record(sim, "zones/hold/", action->name, NULL);
+}
+
+/* later-format NAME: the domain's record is of a later version */
+static void run_later_format(struct sim *sim, const struct sim_action *action)
+{
+	put_record(sim, "zones/domain/", action->name,
+		   json_pack("{s:i,s:s}", "v", 9, "state", "dark"));
+}
+
+/* lead-by old|new: nodes of the other version end, so that one of this version leads */
+static void run_lead_by(struct sim *sim, const struct sim_action *action)
+{
+	bool is_new = !strcmp(action->name, "new");
+
+	for (int i = 0; i < sim->node_count; i++)
+		if ((sim->nodes[i].version == &sim_this_version) != is_new)
+			sim_node_crash(sim, i, OTHER_VERSION_DOWN_S);
+}
+
+const struct sim_action_word sim_domains_actions[] = {
+    {"dark", run_zone_fault},
+    {"dark-but-leader", run_zone_fault},
+    {"hold-domain", run_hold_domain},
+    {"kill-zone", run_zone_fault},
+    {"later-format", run_later_format},
+    {"lead-by", run_lead_by},
+    {"release-domain", run_release_domain},
+    {"take-zone", run_zone_fault},
+    {NULL, NULL},
+};
+
+/* ---- what scenarios expect ---- */
+
 static const char *domain_state(struct sim *sim, const char *name)
 {
 	char key[WS_KEY_MAX];
@@ -227,29 +270,42 @@
 	return state ? state : "healthy";
 }
 
-static int keys_under(struct sim *sim, const char *prefix)
+/* Keys that begin with this. */
+static double count_keys(struct sim *sim, const char *prefix)
 {
 	struct sim_entry *entry, *next_entry;
-	int n = 0;
+	int count = 0;
 
 	HASH_ITER (hh, sim->entries, entry, next_entry)
-		n += !strncmp(entry->key, prefix, strlen(prefix));
-	return n;
+		count += !strncmp(entry->key, prefix, strlen(prefix));
+	return count;
 }
 
-static int running_in(struct sim *sim, const char *zone)
+/* Tasks that run in a zone. */
+static double count_running_in(struct sim *sim, const char *zone)
 {
-	int n = 0;
+	int count = 0;
+
+	for (int i = 0; i < sim->worker_count; i++) {
+		const struct sim_worker *worker = &sim->workers[i];
 
-	for (int i = 0; i < sim->worker_count; i++)
-		for (int k = 0; k < sim->workers[i].task_count; k++)
-			n += !strcmp(sim->workers[i].zone, zone) && !sim->workers[i].dead &&
-			     !sim->workers[i].deleted && sim_on_machine(&sim->workers[i].tasks[k]);
-	return n;
+		if (strcmp(worker->zone, zone) != 0 || worker->dead || worker->deleted)
+			continue;
+		for (int k = 0; k < worker->task_count; k++)
+			count += sim_on_machine(&worker->tasks[k]);
+	}
+	return count;
+}
+
+static void print_moves(const struct sim_moves *moves)
+{
+	fprintf(stderr, "measured: %s: %d moved, first %.1f, mean %.1f, last %.1f s\n",
+		moves->job_class, moves->count, moves->first, moves->sum / moves->count,
+		moves->last);
 }
 
 /* What a measurement by hand takes down, with -v: see docs/measurements.md. */
-static void measured(struct sim *sim)
+static void print_measured(const struct sim *sim)
 {
 	int finishes = 0, done = 0, due = 0, kept = 0;
 	double price = 0;
@@ -261,93 +317,102 @@
 		finishes += job->finishes;
 		done += job->done;
 		due += has;
-		kept += has && job->done && job->told_done <= job->submit_at + job->spec.deadline_s;
+		kept +=
+		    has && job->done && job->told_done_at <= job->submit_at + job->spec.deadline_s;
 	}
 	for (int i = 0; i < sim->worker_count; i++) {
 		const struct sim_worker *worker = &sim->workers[i];
 		double hours =
-		    ((worker->deleted ? worker->deleted_at : sim->now) - worker->rented) / 3600;
+		    ((worker->deleted ? worker->deleted_at : sim->now) - worker->scaled_out_at) /
+		    3600;
 
 		if (!worker->owned)
-			price += hours * sim->types[worker->type].type.price;
+			price += hours * sim->types[worker->type].price;
 	}
 	fprintf(stderr, "measured: %d of %d deadlines kept, rentals cost %.2f\n", kept, due, price);
 	fprintf(stderr,
 		"measured: %llu starts, %d finishes, %d jobs done, %d rented, %d returned, "
 		"%llu changes\n",
-		(unsigned long long)sim->starts, finishes, done, sim->rented, sim->returned,
+		(unsigned long long)sim->starts, finishes, done, sim->scaled_out, sim->scaled_in,
 		(unsigned long long)sim->changes);
-	for (int i = 0; i < sim->nmoves; i++)
-		fprintf(stderr, "measured: %s: %d moved, first %.1f, mean %.1f, last %.1f s\n",
-			sim->moves[i].job_class, sim->moves[i].count, sim->moves[i].first,
-			sim->moves[i].sum / sim->moves[i].count, sim->moves[i].last);
+	for (int i = 0; i < sim->move_count; i++)
+		print_moves(&sim->moves[i]);
+}
+
+/* measured: prints what a measurement takes down */
+static void check_measured(struct sim *sim, const struct sim_expectation *expectation)
+{
+	(void)expectation;
+	if (sim_verbose)
+		print_measured(sim);
+}
+
+static const struct sim_moves *moves_of(const struct sim *sim, const char *job_class)
+{
+	for (int i = 0; i < sim->move_count; i++)
+		if (!strcmp(sim->moves[i].job_class, job_class))
+			return &sim->moves[i];
+	return NULL;
 }
 
 /* moved CLASS COUNT SECONDS: so many displaced tasks of a class run elsewhere, the last within */
-static void expect_moved(struct sim *sim, const char *job_class, const char *count,
-			 const char *within)
+static void check_moved(struct sim *sim, const struct sim_expectation *expectation)
 {
-	for (int i = 0; i < sim->nmoves; i++) {
-		const struct sim_moves *moves = &sim->moves[i];
+	const struct sim_moves *moves = moves_of(sim, expectation->first);
+	int count = atoi(expectation->second);
 
-		if (strcmp(moves->job_class, job_class) != 0)
-			continue;
-		if (sim_verbose)
-			fprintf(stderr, "%s: %d moved, first %.1f, mean %.1f, last %.1f s\n",
-				job_class, moves->count, moves->first, moves->sum / moves->count,
-				moves->last);
-		if (moves->count < atoi(count) || moves->last > atof(within))
-			sim_fail(sim, "%s: %d moved, the last after %.1f s", job_class,
-				 moves->count, moves->last);
+	if (!moves) {
+		if (count > 0)
+			sim_fail(sim, "%s: none moved", expectation->first);
 		return;
 	}
-	if (atoi(count) > 0)
-		sim_fail(sim, "%s: none moved", job_class);
+	if (sim_verbose)
+		print_moves(moves);
+	if (moves->count < count || moves->last > atof(expectation->third))
+		sim_fail(sim, "%s: %d moved, the last after %.1f s", moves->job_class, moves->count,
+			 moves->last);
 }
 
-bool sim_domains_expect(struct sim *sim, const char *what, const char *first, const char *second,
-			const char *third)
+/* domain NAME STATE */
+static void check_domain(struct sim *sim, const struct sim_expectation *expectation)
 {
-	int n;
+	const char *state = domain_state(sim, expectation->first);
 
-	if (!strcmp(what, "domain")) {
-		if (strcmp(domain_state(sim, first), second) != 0)
-			sim_fail(sim, "domain %s is %s", first, domain_state(sim, first));
-		return true;
-	}
-	if (!strcmp(what, "measured")) {
-		if (sim_verbose)
-			measured(sim);
-		return true;
-	}
-	if (!strcmp(what, "moved")) {
-		expect_moved(sim, first, second, third);
-		return true;
-	}
-	if (!strcmp(what, "zone-steps")) { /* of the leader, for each report it was sent */
-		double steps = (double)ws_domains_steps(sim->nodes[sim_leader(sim)].zones);
-
-		if (sim_verbose)
-			fprintf(stderr, "%.2f steps a report\n", steps / (double)sim->reports);
-		if (steps / (double)sim->reports > atof(first))
-			sim_fail(sim, "%.2f steps a report", steps / (double)sim->reports);
-		return true;
-	}
-	if (!strcmp(what, "dark-domains")) {
-		n = 0;
-		for (int i = 0; i < sim->zone_count; i++)
-			n += !strcmp(domain_state(sim, sim->zones[i]), "dark");
-		if (n != atoi(first))
-			sim_fail(sim, "%d domains are dark", n);
-		return true;
+	if (strcmp(state, expectation->second) != 0)
+		sim_fail(sim, "domain %s is %s", expectation->first, state);
+}
+
+/* dark-domains COUNT */
+static void check_dark_domains(struct sim *sim, const struct sim_expectation *expectation)
+{
+	int dark = 0;
+
+	for (int i = 0; i < sim->zone_count; i++)
+		dark += !strcmp(domain_state(sim, sim->zones[i]), "dark");
+	if (dark != atoi(expectation->first))
+		sim_fail(sim, "%d domains are dark", dark);
+}
+
+/* zone-steps NUMBER: of the leader, for each heartbeat that was sent */
+static void check_steps(struct sim *sim, const struct sim_expectation *expectation)
+{
+	int leader = sim_leader(sim);
+	double steps;
+
+	if (leader < 0) {
+		sim_fail(sim, "nobody leads");
+		return;
 	}
-	if (!strcmp(what, "in-zone"))
-		n = running_in(sim, first);
-	else if (!strcmp(what, "keys"))
-		n = keys_under(sim, first);
-	else
-		return false;
-	if (!sim_compare(n, second, third))
-		sim_fail(sim, "%s %s: %d", what, first, n);
-	return true;
+	steps = (double)ws_domains_steps(sim->nodes[leader].domains) / (double)sim->heartbeats;
+	if (sim_verbose)
+		fprintf(stderr, "%.2f steps a heartbeat\n", steps);
+	if (steps > atof(expectation->first))
+		sim_fail(sim, "%.2f steps a heartbeat", steps);
 }
+
+const struct sim_expect_word sim_domains_expectations[] = {
+    {"dark-domains", 1, .check = check_dark_domains}, {"domain", 2, .check = check_domain},
+    {"in-zone", 3, .count_of = count_running_in},     {"keys", 3, .count_of = count_keys},
+    {"measured", 0, .check = check_measured},	      {"moved", 3, .check = check_moved},
+    {"zone-steps", 1, .check = check_steps},	      {NULL},
+};
--- /dev/null
+++ b/tests/sim_gangs.c
@@ -0,0 +1,192 @@
+/*
+ * Gangs, after the operators' page: the tasks of an attempt wait for each other, run together, save
+ * together when all are told in time, and end when one is gone.
+ */
+#include "sim_workers.h"
+
+/* Workers notice the loss of a member after this share of the time that they are allowed. */
+#define LOSS_NOTICED_SHARE 0.8
+
+struct member {
+	struct sim_worker *worker;
+	struct sim_task *task;
+};
+
+/* The tasks of an attempt that have not exited. */
+struct gang_members {
+	struct member members[SIM_TASKS];
+	uint32_t count;
+	uint32_t waiting, running, saving; /* running: saving ones too */
+	double first_stopped_at, last_stopped_at;
+	bool is_hung; /* the machine of one hangs */
+};
+
+static void add_member(const struct sim *sim, struct gang_members *gang_members,
+		       struct sim_worker *worker, struct sim_task *task)
+{
+	gang_members->members[gang_members->count++] = (struct member){worker, task};
+	gang_members->is_hung |= sim->now < worker->hang_until;
+	gang_members->waiting += task->state == WS_TASK_WAITING;
+	gang_members->running += task->state == WS_TASK_RUNNING || task->state == WS_TASK_SAVING;
+	if (task->state != WS_TASK_SAVING)
+		return;
+	gang_members->saving++;
+	gang_members->first_stopped_at = fmin(gang_members->first_stopped_at, task->stopped_at);
+	gang_members->last_stopped_at = fmax(gang_members->last_stopped_at, task->stopped_at);
+}
+
+static void find_members(struct sim *sim, const struct sim_job *job, const struct sim_gang *gang,
+			 struct gang_members *found)
+{
+	found->count = 0;
+	found->waiting = found->running = found->saving = 0;
+	found->first_stopped_at = INFINITY;
+	found->last_stopped_at = 0;
+	found->is_hung = false;
+	for (int i = 0; i < sim->worker_count; i++) {
+		struct sim_worker *worker = &sim->workers[i];
+
+		if (worker->dead || worker->deleted || !worker->is_up)
+			continue;
+		for (int k = 0; k < worker->task_count; k++) {
+			struct sim_task *task = &worker->tasks[k];
+
+			if (task->attempt == gang->attempt && task->state != WS_TASK_EXITED &&
+			    !strcmp(task->job, job->spec.id) && found->count < SIM_TASKS)
+				add_member(sim, found, worker, task);
+		}
+	}
+}
+
+static void member_exit(struct sim *sim, const struct member *member, enum ws_exit_reason reason)
+{
+	member->task->state = WS_TASK_EXITED;
+	member->task->exit_reason = reason;
+	sim->incomplete_exits += reason == WS_EXIT_GANG_INCOMPLETE;
+	sim->member_lost_exits += reason == WS_EXIT_MEMBER_LOST;
+	sim_worker_changed(member->worker, sim->now);
+}
+
+static void gang_run(struct sim *sim, const struct sim_job *job, struct sim_gang *gang,
+		     const struct gang_members *found)
+{
+	gang->running = true;
+	gang->progress = job->progress_saved;
+	sim->gang_runs++;
+	for (uint32_t i = 0; i < found->count; i++) {
+		found->members[i].task->state = WS_TASK_RUNNING;
+		sim_worker_changed(found->members[i].worker, sim->now);
+	}
+}
+
+/* Tasks wait only so long for the others. */
+static void exit_incomplete(struct sim *sim, const struct gang_members *found)
+{
+	for (uint32_t i = 0; i < found->count; i++) {
+		const struct member *member = &found->members[i];
+
+		if (member->task->state == WS_TASK_WAITING &&
+		    sim->now >= member->worker->hang_until &&
+		    sim->now - member->task->waiting_since > sim->gang_wait_s)
+			member_exit(sim, member, WS_EXIT_GANG_INCOMPLETE);
+	}
+}
+
+/* Progress stops with the first stop, with a loss and with a hang. */
+static void gang_progress(const struct sim *sim, const struct sim_job *job, struct sim_gang *gang,
+			  const struct gang_members *found)
+{
+	if (found->running >= job->spec.tasks && !found->is_hung)
+		gang->lost_at = 0;
+	else if (!gang->lost_at)
+		gang->lost_at = sim->now;
+	if (!found->saving && !gang->lost_at)
+		gang->progress += SIM_STEP_S;
+}
+
+/* How the attempt ends in this step; WS_EXIT_NONE: it goes on. */
+static enum ws_exit_reason gang_end(const struct sim *sim, const struct sim_job *job,
+				    const struct sim_gang *gang, const struct gang_members *found)
+{
+	if (!found->saving && !gang->lost_at && gang->progress >= job->run_s)
+		return WS_EXIT_DONE;
+	if (found->saving == job->spec.tasks && !found->is_hung &&
+	    sim->now >= found->last_stopped_at + job->spec.save_s)
+		return WS_EXIT_STOPPED;
+	if (gang->lost_at && sim->now > gang->lost_at + sim->gang_peer_s * LOSS_NOTICED_SHARE)
+		return WS_EXIT_MEMBER_LOST;
+	if (found->saving && found->saving < found->running &&
+	    sim->now > found->first_stopped_at + sim->gang_peer_s)
+		return WS_EXIT_MEMBER_LOST;
+	return WS_EXIT_NONE;
+}
+
+/* What the next attempt begins with. */
+static void save_progress(struct sim *sim, struct sim_job *job, const struct sim_gang *gang,
+			  enum ws_exit_reason reason)
+{
+	double interval = job->spec.checkpoint_s;
+
+	if (reason == WS_EXIT_STOPPED) { /* safe with the first that exits */
+		job->progress_saved = gang->progress;
+		sim->saved_attempts++;
+	} else if (interval > 0) {
+		job->progress_saved =
+		    fmax(job->progress_saved, floor(gang->progress / interval) * interval);
+	}
+}
+
+static void gang_exit(struct sim *sim, struct sim_job *job, const struct gang_members *found,
+		      enum ws_exit_reason reason)
+{
+	for (uint32_t i = 0; i < found->count; i++) {
+		const struct member *member = &found->members[i];
+
+		if (sim->now < member->worker->hang_until ||
+		    member->task->state == WS_TASK_WAITING ||
+		    member->task->state == WS_TASK_FETCHING)
+			continue;
+		if (reason == WS_EXIT_DONE)
+			sim_task_finished(sim, job, member->task);
+		member_exit(sim, member, reason);
+	}
+}
+
+static void gang_step(struct sim *sim, struct sim_job *job, struct sim_gang *gang)
+{
+	struct gang_members found;
+	enum ws_exit_reason reason;
+
+	find_members(sim, job, gang, &found);
+	if (!gang->running && found.waiting == job->spec.tasks && !found.is_hung) {
+		gang_run(sim, job, gang, &found);
+		return;
+	}
+	exit_incomplete(sim, &found);
+	if (!gang->running || !found.running)
+		return;
+	gang_progress(sim, job, gang, &found);
+	reason = gang_end(sim, job, gang, &found);
+	if (reason == WS_EXIT_NONE)
+		return;
+	save_progress(sim, job, gang, reason);
+	gang_exit(sim, job, &found, reason);
+}
+
+void sim_gangs_step(struct sim *sim)
+{
+	for (int i = 0; i < sim->job_count; i++)
+		for (int k = 0; k < sim->jobs[i].gang_count; k++)
+			gang_step(sim, &sim->jobs[i], &sim->jobs[i].gangs[k]);
+}
+
+void sim_gang_follow(struct sim *sim, struct sim_job *job, uint64_t attempt)
+{
+	for (int i = 0; i < job->gang_count; i++)
+		if (job->gangs[i].attempt == attempt)
+			return;
+	if (job->gang_count == SIM_GANGS)
+		sim_fail(sim, "%s began too often", job->spec.id);
+	else
+		job->gangs[job->gang_count++].attempt = attempt;
+}
--- a/tests/sim_production.c
+++ b/tests/sim_production.c
@@ -486,12 +486,12 @@
 	api->resign(production_of(core), now);
 }
 
-static bool ready(const struct ws_core *core)
+static bool is_ready(const struct ws_core *core)
 {
 	return api->ready(production_of_const(core));
 }
 
-static bool leading(const struct ws_core *core)
+static bool is_leader(const struct ws_core *core)
 {
 	return api->leading(production_of_const(core));
 }
@@ -505,14 +505,14 @@
 	api->submit(production_of(core), now, wall, request_id, &neutral, forwarded);
 }
 
-static void poll_job(struct ws_core *core, double now, uint64_t request_id, const char *job,
-		     bool forwarded)
+static void query_status(struct ws_core *core, double now, uint64_t request_id, const char *job,
+			 bool forwarded)
 {
 	api->poll(production_of(core), now, request_id, job, forwarded);
 }
 
-static void abort_job(struct ws_core *core, double now, uint64_t request_id, const char *job,
-		      bool forwarded)
+static void cancel(struct ws_core *core, double now, uint64_t request_id, const char *job,
+		   bool forwarded)
 {
 	api->abort(production_of(core), now, request_id, job, forwarded);
 }
@@ -553,17 +553,17 @@
 	    .create = create,
 	    .destroy = destroy,
 	    .tick = tick,
-	    .pop = next_effect,
+	    .next_effect = next_effect,
 	    .complete = complete,
 	    .resign = resign,
-	    .ready = ready,
-	    .leading = leading,
+	    .is_ready = is_ready,
+	    .is_leader = is_leader,
 	    .submit = submit,
-	    .poll = poll_job,
-	    .abort = abort_job,
-	    .report = take_heartbeat,
-	    .testify = outage_vote,
-	    .free_action = ws_effect_free,
+	    .query_status = query_status,
+	    .cancel = cancel,
+	    .heartbeat = take_heartbeat,
+	    .outage_vote = outage_vote,
+	    .free_effect = ws_effect_free,
 	    .free_call = free_call,
 	};
 
--- /dev/null
+++ b/tests/sim_scenario.c
@@ -0,0 +1,310 @@
+/* Scenarios: words and options, and the lines with settings. */
+#include "sim_cloud.h"
+#include "sim_scenario.h"
+#include "sim_subsystems.h"
+
+#define OPTION_NAME_MAX 64
+#define SETTING_LINE_MAX 300
+#define FETCH_GB_PER_S 0.5
+
+const char *sim_next_word(char **text)
+{
+	char *word = *text + strspn(*text, " \t");
+
+	*text = word + strcspn(word, " \t");
+	if (**text)
+		*(*text)++ = 0;
+	return word;
+}
+
+int sim_count_words(const char *text)
+{
+	int count = 0;
+
+	for (text += strspn(text, " \t"); *text; text += strspn(text, " \t")) {
+		text += strcspn(text, " \t");
+		count++;
+	}
+	return count;
+}
+
+/* Behind the equals sign of an option; NULL: it is not there. */
+static const char *option_value(const char *text, const char *name)
+{
+	char key[OPTION_NAME_MAX];
+	const char *found;
+
+	snprintf(key, sizeof(key), " %s=", name);
+	found = strstr(text, key);
+	return found ? found + strlen(key) : NULL;
+}
+
+double sim_option(const char *text, const char *name, double otherwise)
+{
+	const char *value = option_value(text, name);
+
+	return value ? atof(value) : otherwise;
+}
+
+bool sim_option_text(const char *text, const char *name, char *target, size_t size)
+{
+	const char *value = option_value(text, name);
+
+	if (!value)
+		return false;
+	snprintf(target, size, "%.*s", (int)strcspn(value, " "), value);
+	return true;
+}
+
+bool sim_flag(const char *text, const char *name)
+{
+	char key[OPTION_NAME_MAX];
+	size_t length = (size_t)snprintf(key, sizeof(key), " %s", name);
+
+	for (const char *found = text; (found = strstr(found, key)); found += length)
+		if (found[length] == 0 || found[length] == ' ')
+			return true;
+	return false;
+}
+
+int sim_node_named(struct sim *sim, const char *name)
+{
+	if (!strcmp(name, "leader"))
+		return sim_leader(sim);
+	return atoi(name) % sim->node_count;
+}
+
+bool sim_compare(double number, const char *operator, const char * text)
+{
+	if (!operator[0] || !text[0])
+		return false;
+	if (!strcmp(operator, "="))
+		return number == atof(text);
+	if (!strcmp(operator, ">="))
+		return number >= atof(text);
+	return number <= atof(text);
+}
+
+/* ---- settings lines ---- */
+
+static double next_number(struct sim_setting *setting)
+{
+	return atof(sim_next_word(&setting->rest));
+}
+
+static int next_integer(struct sim_setting *setting)
+{
+	return atoi(sim_next_word(&setting->rest));
+}
+
+static void next_text(struct sim_setting *setting, char *target, size_t size)
+{
+	snprintf(target, size, "%s", sim_next_word(&setting->rest));
+}
+
+/* at TIME ACTION ... */
+static const char *take_timed_line(struct sim *sim, struct sim_setting *setting)
+{
+	struct sim_timed_line *timed_line = &sim->timed_lines[sim->timed_line_count];
+
+	if (sim->timed_line_count == SIM_TIMED_LINES)
+		return "too many timed lines";
+	timed_line->time = next_number(setting);
+	timed_line->line = sim->line;
+	snprintf(timed_line->text, sizeof(timed_line->text), "%s", setting->rest);
+	if (sim->timed_line_count &&
+	    timed_line->time < sim->timed_lines[sim->timed_line_count - 1].time)
+		return "times must not fall";
+	sim->timed_line_count++;
+	sim->end_at = fmax(sim->end_at, timed_line->time);
+	return NULL;
+}
+
+static const char *take_nodes(struct sim *sim, struct sim_setting *setting)
+{
+	sim->node_count = next_integer(setting);
+	return sim->node_count > 0 && sim->node_count <= SIM_NODES ? NULL : "out of range";
+}
+
+static const char *take_lease(struct sim *sim, struct sim_setting *setting)
+{
+	sim->lease_s = next_number(setting);
+	return NULL;
+}
+
+static const char *take_heartbeat(struct sim *sim, struct sim_setting *setting)
+{
+	sim->heartbeat_s = next_number(setting);
+	return NULL;
+}
+
+static const char *take_gang_wait(struct sim *sim, struct sim_setting *setting)
+{
+	sim->gang_wait_s = next_number(setting);
+	return NULL;
+}
+
+static const char *take_gang_peer(struct sim *sim, struct sim_setting *setting)
+{
+	sim->gang_peer_s = next_number(setting);
+	return NULL;
+}
+
+/* old N: so many nodes run the version in production at first */
+static const char *take_production_nodes(struct sim *sim, struct sim_setting *setting)
+{
+	sim->production_nodes = next_integer(setting);
+	return sim_production_version() ? NULL : "the version in production was not built";
+}
+
+/* next-limits KIB OPERATIONS: of a value, and of a transaction */
+static const char *take_next_limits(struct sim *sim, struct sim_setting *setting)
+{
+	sim->next_value_kb = next_number(setting);
+	sim->next_txn_ops = next_integer(setting);
+	return NULL;
+}
+
+static const char *take_cancel(struct sim *sim, struct sim_setting *setting)
+{
+	sim->cancel_s = next_number(setting);
+	return NULL;
+}
+
+static const char *take_seed(struct sim *sim, struct sim_setting *setting)
+{
+	sim->random_state = (uint64_t)next_integer(setting);
+	return NULL;
+}
+
+/* capacity N: of the cloud, in instances */
+static const char *take_capacity(struct sim *sim, struct sim_setting *setting)
+{
+	sim->instance_limit = next_integer(setting);
+	return NULL;
+}
+
+static const char *take_zone(struct sim *sim, struct sim_setting *setting)
+{
+	next_text(setting, sim->zones[sim->zone_count++], sizeof(sim->zones[0]));
+	return NULL;
+}
+
+/* team NAME CPUS CPUS_MAX */
+static const char *take_team(struct sim *sim, struct sim_setting *setting)
+{
+	struct ws_team_setting *team = &sim->teams[sim->team_count++];
+
+	next_text(setting, team->name, sizeof(team->name));
+	team->cpus = next_number(setting);
+	team->cpus_max = next_number(setting);
+	return NULL;
+}
+
+/* type NAME CPUS MEMORY_GB PRICE BOOT_S ZONE ... */
+static const char *take_type(struct sim *sim, struct sim_setting *setting)
+{
+	struct ws_machine_type *type = &sim->types[sim->type_count++];
+
+	next_text(setting, type->name, sizeof(type->name));
+	type->cpus = next_number(setting);
+	type->mem_gb = next_number(setting);
+	type->price = next_number(setting);
+	type->preemptible_price = type->price / 2;
+	type->fetch_gb_s = FETCH_GB_PER_S;
+	type->boot_s = next_number(setting);
+	while (sim_count_words(setting->rest))
+		next_text(setting, type->zones[type->zone_count++], WS_NAME_MAX);
+	return NULL;
+}
+
+/* objective KIND CLASS SECONDS */
+static const char *take_objective(struct sim *sim, struct sim_setting *setting)
+{
+	struct ws_objective *objective = &sim->objectives[sim->objective_count++];
+
+	next_text(setting, objective->kind, sizeof(objective->kind));
+	next_text(setting, objective->job_class, sizeof(objective->job_class));
+	objective->within_s = next_number(setting);
+	return NULL;
+}
+
+/* owned TYPE ZONE [COUNT] */
+static const char *take_owned(struct sim *sim, struct sim_setting *setting)
+{
+	int type = sim_type_index(sim, sim_next_word(&setting->rest));
+	const char *zone = sim_next_word(&setting->rest);
+	int count = sim_count_words(setting->rest) ? next_integer(setting) : 1;
+
+	for (int i = 0; i < count && type < sim->type_count; i++)
+		sim_add_worker(sim, type, zone, false, true);
+	return NULL;
+}
+
+/* subsystem NAME [OPTION=NUMBER ...] */
+static const char *take_subsystem(struct sim *sim, struct sim_setting *setting)
+{
+	if (strstr(setting->text, " coldstart"))
+		sim_cold_start_configure(sim, setting->text);
+	else
+		sim_domains_configure(sim, setting->text);
+	return NULL;
+}
+
+static const struct sim_setting_word cluster_settings_words[] = {
+    {"at", 1, take_timed_line},
+    {"cancel", 1, take_cancel},
+    {"capacity", 1, take_capacity},
+    {"gang-peer", 1, take_gang_peer},
+    {"gang-wait", 1, take_gang_wait},
+    {"lease", 1, take_lease},
+    {"next-limits", 2, take_next_limits},
+    {"nodes", 1, take_nodes},
+    {"objective", 3, take_objective},
+    {"old", 1, take_production_nodes},
+    {"owned", 2, take_owned},
+    {"report", 1, take_heartbeat},
+    {"seed", 1, take_seed},
+    {"subsystem", 0, take_subsystem},
+    {"team", 3, take_team},
+    {"type", 5, take_type},
+    {"zone", 1, take_zone},
+    {NULL, 0, NULL},
+};
+
+static const struct sim_setting_word *setting_word(const char *word)
+{
+	static const struct sim_setting_word *const tables[] = {cluster_settings_words,
+								sim_domains_settings_words};
+
+	for (size_t i = 0; i < sizeof(tables) / sizeof(tables[0]); i++)
+		for (const struct sim_setting_word *entry = tables[i]; entry->word; entry++)
+			if (!strcmp(entry->word, word))
+				return entry;
+	return NULL;
+}
+
+bool sim_line(struct sim *sim, char *line, char *error, size_t size)
+{
+	char copy[SETTING_LINE_MAX];
+	struct sim_setting setting = {.rest = copy, .text = line};
+	const struct sim_setting_word *entry;
+	const char *word, *problem;
+
+	sim->line++;
+	line[strcspn(line, "#\r\n")] = 0;
+	snprintf(copy, sizeof(copy), "%s", line);
+	word = sim_next_word(&setting.rest);
+	if (!word[0])
+		return true;
+	entry = setting_word(word);
+	if (!entry)
+		problem = "an unknown word";
+	else if (sim_count_words(setting.rest) < entry->operands)
+		problem = "words are missing";
+	else
+		problem = entry->take(sim, &setting);
+	if (problem)
+		snprintf(error, size, "line %d: %s: %s", sim->line, word, problem);
+	return !problem;
+}
--- /dev/null
+++ b/tests/sim_store.c
@@ -0,0 +1,285 @@
+/* The store: keys, sessions and watches. */
+#include "sim_store.h"
+
+/* Small pages, so that paging is at work. */
+#define LIST_PAGE 7
+/* Sessions end a little after their time is over. */
+#define SESSION_GRACE_S 0.05
+
+/* ---- keys ---- */
+
+static void history_add(struct sim *sim, const char *key, json_t *value)
+{
+	struct sim_change *change;
+
+	if (sim->history_count == sim->history_capacity) {
+		sim->history_capacity = sim->history_capacity ? 2 * sim->history_capacity : 256;
+		sim->history = realloc(sim->history, sim->history_capacity * sizeof(*sim->history));
+	}
+	change = &sim->history[sim->history_count++];
+	snprintf(change->key, sizeof(change->key), "%s", key);
+	change->value = json_incref(value);
+	change->revision = sim->revision;
+}
+
+static void entry_delete(struct sim *sim, struct sim_entry *entry)
+{
+	history_add(sim, entry->key, NULL);
+	HASH_DEL(sim->entries, entry);
+	json_decref(entry->value);
+	free(entry);
+}
+
+void sim_store_put(struct sim *sim, const char *key, json_t *value, uint64_t session)
+{
+	struct sim_entry *entry;
+
+	HASH_FIND_STR(sim->entries, key, entry);
+	if (!value) {
+		if (entry)
+			entry_delete(sim, entry);
+		return;
+	}
+	if (!entry) {
+		entry = calloc(1, sizeof(*entry));
+		snprintf(entry->key, sizeof(entry->key), "%s", key);
+		HASH_ADD_STR(sim->entries, key, entry);
+	} else {
+		json_decref(entry->value);
+	}
+	entry->value = json_deep_copy(value);
+	entry->revision = sim->revision;
+	entry->session = session;
+	history_add(sim, key, entry->value);
+}
+
+static int by_key(const struct sim_entry *entry, const struct sim_entry *other_entry)
+{
+	return strcmp(entry->key, other_entry->key);
+}
+
+static void copy_entry(struct ws_result *result, const char *key, json_t *value, uint64_t revision)
+{
+	result->entries =
+	    realloc(result->entries, (result->entry_count + 1) * sizeof(*result->entries));
+	snprintf(result->entries[result->entry_count].key, WS_KEY_MAX, "%s", key);
+	result->entries[result->entry_count].value = value ? json_deep_copy(value) : NULL;
+	result->entries[result->entry_count++].revision = revision;
+}
+
+static void get(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	struct sim_entry *entry;
+
+	HASH_FIND_STR(sim->entries, call->key, entry);
+	if (entry)
+		copy_entry(result, entry->key, entry->value, entry->revision);
+	else
+		result->status = 404;
+}
+
+static void list(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	struct sim_entry *entry, *next_entry;
+
+	HASH_SORT(sim->entries, by_key);
+	result->revision = sim->revision;
+	HASH_ITER (hh, sim->entries, entry, next_entry) {
+		if (strncmp(entry->key, call->key, strlen(call->key)) != 0 ||
+		    strcmp(entry->key, call->after) <= 0)
+			continue;
+		if (result->entry_count == LIST_PAGE) {
+			result->has_more = true;
+			return;
+		}
+		copy_entry(result, entry->key, entry->value, entry->revision);
+	}
+}
+
+bool sim_store_watch(const struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	result->revision = sim->revision;
+	for (size_t i = 0; i < sim->history_count; i++) {
+		const struct sim_change *change = &sim->history[i];
+
+		if (change->revision > call->since_revision &&
+		    !strncmp(change->key, call->key, strlen(call->key)))
+			copy_entry(result, change->key, change->value, change->revision);
+	}
+	result->status = 200;
+	return result->entry_count > 0;
+}
+
+/* ---- sessions ---- */
+
+static struct sim_session *session_find(struct sim *sim, uint64_t id)
+{
+	return id && id <= (uint64_t)sim->session_count && sim->sessions[id - 1].live
+		   ? &sim->sessions[id - 1]
+		   : NULL;
+}
+
+static void session_end(struct sim *sim, struct sim_session *session)
+{
+	struct sim_entry *entry, *next_entry;
+
+	session->live = false;
+	HASH_ITER (hh, sim->entries, entry, next_entry)
+		if (entry->session == session->id) {
+			sim->revision++;
+			sim_store_put(sim, entry->key, NULL, 0);
+		}
+}
+
+static void session_open(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	struct sim_session *session = &sim->sessions[sim->session_count];
+
+	if (sim->session_count == (int)(sizeof(sim->sessions) / sizeof(sim->sessions[0]))) {
+		sim_fail(sim, "too many sessions");
+		return;
+	}
+	session->id = (uint64_t)++sim->session_count;
+	session->ttl_s = call->timeout_ms / 1000.0;
+	session->until = sim->now + session->ttl_s;
+	session->live = true;
+	result->session = session->id;
+}
+
+static void session_renew(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	struct sim_session *session = session_find(sim, call->session);
+
+	if (session)
+		session->until = sim->now + session->ttl_s;
+	else
+		result->status = 404;
+}
+
+static void session_close(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	struct sim_session *session = session_find(sim, call->session);
+
+	if (session)
+		session_end(sim, session);
+	else
+		result->status = 404;
+}
+
+void sim_sessions_extend_after_outage(struct sim *sim)
+{
+	if (!sim->store_was_down || sim->now < sim->store_down_until)
+		return;
+	for (int i = 0; i < sim->session_count; i++)
+		if (sim->sessions[i].live)
+			sim->sessions[i].until = sim->now + sim->sessions[i].ttl_s;
+}
+
+void sim_sessions_expire(struct sim *sim)
+{
+	for (int i = 0; i < sim->session_count; i++)
+		if (sim->sessions[i].live && sim->now >= sim->store_down_until &&
+		    sim->now > sim->sessions[i].until + SESSION_GRACE_S)
+			session_end(sim, &sim->sessions[i]);
+}
+
+/* ---- transactions ---- */
+
+/* Counts the bytes that an operation writes, and whether it is within the limits. */
+static bool operation_fits(struct sim *sim, const struct ws_call *call, size_t index)
+{
+	const struct ws_operation *operation = &call->operations[index];
+	size_t bytes = operation->value ? json_dumpb(operation->value, NULL, 0, JSON_COMPACT) : 0;
+
+	sim->written_bytes += call->self_paced ? bytes : 0;
+	if (call->operation_count <= (size_t)sim->txn_ops && (double)bytes <= sim->value_kb * 1024)
+		return true;
+	sim->refused_writes++;
+	if (!sim->limits_lowered)
+		sim_fail(sim, "a transaction of %zu changes, %zu bytes under %s",
+			 call->operation_count, bytes, operation->key);
+	return false;
+}
+
+static bool transaction_fits(struct sim *sim, const struct ws_call *call)
+{
+	for (size_t i = 0; i < call->operation_count; i++)
+		if (!operation_fits(sim, call, i))
+			return false;
+	return true;
+}
+
+static void compare(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	result->failed_keys = calloc(call->compare_count + 1, sizeof(*result->failed_keys));
+	for (size_t i = 0; i < call->compare_count; i++) {
+		struct sim_entry *entry;
+
+		HASH_FIND_STR(sim->entries, call->compares[i].key, entry);
+		if ((entry ? entry->revision : 0) != call->compares[i].revision)
+			snprintf(result->failed_keys[result->failed_count++], WS_KEY_MAX, "%s",
+				 call->compares[i].key);
+	}
+}
+
+static bool has_ended_session(struct sim *sim, const struct ws_call *call)
+{
+	for (size_t i = 0; i < call->operation_count; i++)
+		if (call->operations[i].session && !session_find(sim, call->operations[i].session))
+			return true;
+	return false;
+}
+
+static void transact(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	sim->changes += call->self_paced ? call->operation_count : 0;
+	if (!transaction_fits(sim, call)) {
+		result->status = 400;
+		return;
+	}
+	compare(sim, call, result);
+	if (has_ended_session(sim, call)) {
+		result->status = 400;
+		return;
+	}
+	if (result->failed_count) {
+		result->status = 409;
+		return;
+	}
+	if (call->operation_count)
+		sim->revision++;
+	for (size_t i = 0; i < call->operation_count; i++)
+		sim_store_put(sim, call->operations[i].key, call->operations[i].value,
+			      call->operations[i].session);
+	result->revision = sim->revision;
+}
+
+void sim_store_execute(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+{
+	result->status = 200;
+	sim->store_requests += call->kind == WS_CALL_GET;
+	switch (call->kind) {
+	case WS_CALL_GET: get(sim, call, result); break;
+	case WS_CALL_LIST: list(sim, call, result); break;
+	case WS_CALL_TRANSACTION: transact(sim, call, result); break;
+	case WS_CALL_SESSION_OPEN: session_open(sim, call, result); break;
+	case WS_CALL_SESSION_RENEW: session_renew(sim, call, result); break;
+	case WS_CALL_SESSION_CLOSE: session_close(sim, call, result); break;
+	default: break;
+	}
+}
+
+void sim_store_free(struct sim *sim)
+{
+	struct sim_entry *entry = sim->entries, *next_entry;
+
+	HASH_CLEAR(hh, sim->entries); /* leaves the entries and their order as they are */
+	for (; entry; entry = next_entry) {
+		next_entry = entry->hh.next;
+		json_decref(entry->value);
+		free(entry);
+	}
+	for (size_t i = 0; i < sim->history_count; i++)
+		json_decref(sim->history[i].value);
+	free(sim->history);
+}
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -1,189 +1,280 @@
-/* Users: what they ask, and the rules for the answers. */
-#include "sim_parts.h"
+/* Users: what they ask of the nodes, and the rules for the answers. */
+#include "sim_users.h"
+#include "sim_nodes.h"
 
-void sim_ask(struct sim *sim, int node, struct sim_job *job, int kind, uint64_t request_id,
-	     bool forwarded)
+#define ANSWER_TIMEOUT_S 5
+#define RETRY_S 1
+#define POLL_S 2
+#define SUBMIT_PATIENCE_S 1e9
+
+/* What a user had been told of a job before a request. */
+struct knowledge {
+	int kind; /* of the request */
+	bool accepted, done, cancelled;
+};
+
+/* ---- requests ---- */
+
+void sim_user_request(struct sim *sim, int node, const struct sim_job *job, int kind,
+		      uint64_t request_id, bool forwarded)
 {
-	struct sim_node *other_node = &sim->nodes[node];
-	double t = sim->now * (1 + other_node->skew);
+	struct sim_node *target = &sim->nodes[node];
+	double now = sim_node_time(sim, target);
 
-	if (kind == ASK_SUBMIT)
-		other_node->version->submit(other_node->core, t, sim->now + 1e9, request_id,
-					    &job->spec, forwarded);
-	else if (kind == ASK_POLL)
-		other_node->version->poll(other_node->core, t, request_id, job->spec.id, forwarded);
+	if (kind == SIM_REQUEST_SUBMIT)
+		target->version->submit(target->core, now, sim->now + SUBMIT_PATIENCE_S, request_id,
+					&job->spec, forwarded);
+	else if (kind == SIM_REQUEST_POLL)
+		target->version->query_status(target->core, now, request_id, job->spec.id,
+					      forwarded);
 	else
-		other_node->version->abort(other_node->core, t, request_id, job->spec.id,
-					   forwarded);
+		target->version->cancel(target->core, now, request_id, job->spec.id, forwarded);
 }
 
-/* What a user still waits for under this token, if anything. */
-int sim_user_asked(struct sim *sim, uint64_t request_id)
+int sim_user_pending_kind(const struct sim *sim, uint64_t request_id)
 {
-	struct sim_job *job = &sim->jobs[request_id & (SIM_JOBS - 1)];
+	const struct sim_job *job = &sim->jobs[request_id & (SIM_JOBS - 1)];
 
 	if (request_id == job->pending_request)
 		return job->pending_kind;
-	for (size_t i = 0; i < SIM_LOOKS; i++)
-		if (sim->checks[i].token == request_id)
+	for (size_t i = 0; i < SIM_CONSISTENCY_CHECKS; i++)
+		if (sim->checks[i].request_id == request_id)
 			return sim->checks[i].kind;
 	return 0;
 }
 
-/* A look at a job, of one node: the answer must not be older than what was told before it began. */
-static void look(struct sim *sim, int node, struct sim_job *job, int kind)
+static uint64_t new_request_id(struct sim *sim, const struct sim_job *job)
 {
-	struct sim_consistency_check *l = &sim->checks[sim->check_count++ % SIM_LOOKS];
+	return (++sim->last_request_id << SIM_TOKEN_SHIFT) | (uint64_t)(job - sim->jobs);
+}
 
-	l->token =
-	    (++sim->next_token << SIM_TOKEN_SHIFT) | (uint64_t)(job - sim->jobs) | 1ULL << 59;
-	l->kind = kind;
-	l->accepted = job->accepted;
-	l->done = job->done;
-	l->cancelled = job->cancelled;
-	sim->polls += kind == ASK_POLL;
-	sim_ask(sim, node, job, kind, l->token, false);
+/* Asks one node: the answer must not be older than what was told before it was asked. */
+static void check_node(struct sim *sim, int node, struct sim_job *job, int kind)
+{
+	struct sim_consistency_check *check =
+	    &sim->checks[sim->check_count++ % SIM_CONSISTENCY_CHECKS];
+
+	check->request_id = new_request_id(sim, job) | SIM_ID_CONSISTENCY_CHECK;
+	check->kind = kind;
+	check->accepted = job->accepted;
+	check->done = job->done;
+	check->cancelled = job->cancelled;
+	sim->status_queries += kind == SIM_REQUEST_POLL;
+	sim_user_request(sim, node, job, kind, check->request_id, false);
+}
+
+static bool is_reachable(const struct sim *sim, const struct sim_node *node)
+{
+	return node->is_up && sim->now >= node->frozen_until;
 }
 
-/* Users who were just told something ask all nodes, and send the job again. */
-void sim_look(struct sim *sim, struct sim_job *job)
+void sim_user_check_all_nodes(struct sim *sim, struct sim_job *job)
 {
 	for (int i = 0; i < sim->node_count; i++)
-		if (sim->nodes[i].is_up && sim->now >= sim->nodes[i].frozen) {
-			look(sim, i, job, ASK_POLL);
-			look(sim, i, job, ASK_SUBMIT);
+		if (is_reachable(sim, &sim->nodes[i])) {
+			check_node(sim, i, job, SIM_REQUEST_POLL);
+			check_node(sim, i, job, SIM_REQUEST_SUBMIT);
 		}
 }
 
-static void user_send(struct sim *sim, struct sim_job *job, int kind)
+/* Sends a request to the next node in turn that can be reached. */
+static void send_request(struct sim *sim, struct sim_job *job, int kind)
 {
-	struct sim_node *node;
 	int tries = 0;
 
 	do
 		job->node = (job->node + 1) % sim->node_count;
-	while ((!sim->nodes[job->node].is_up || sim->now < sim->nodes[job->node].frozen) &&
-	       ++tries < sim->node_count);
-	node = &sim->nodes[job->node];
-	if (!node->is_up || sim->now < node->frozen)
+	while (!is_reachable(sim, &sim->nodes[job->node]) && ++tries < sim->node_count);
+	if (!is_reachable(sim, &sim->nodes[job->node]))
 		return;
-	job->pending_request = (++sim->next_token << SIM_TOKEN_SHIFT) | (uint64_t)(job - sim->jobs);
+	job->pending_request = new_request_id(sim, job);
 	job->pending_kind = kind;
 	job->pending_at = sim->now;
-	if (kind == ASK_SUBMIT)
+	if (kind == SIM_REQUEST_SUBMIT)
 		job->submitted = true;
-	sim->polls += kind == ASK_POLL;
-	sim_ask(sim, job->node, job, kind, job->pending_request, false);
+	sim->status_queries += kind == SIM_REQUEST_POLL;
+	sim_user_request(sim, job->node, job, kind, job->pending_request, false);
 }
 
-void sim_user_answer(struct sim *sim, const struct ws_effect *effect)
+/* ---- answers ---- */
+
+/* Takes the request off the list of those that wait; false: nobody waits for its answer. */
+static bool take_pending(struct sim *sim, struct sim_job *job, uint64_t request_id,
+			 struct knowledge *known)
 {
-	struct sim_job *job = &sim->jobs[effect->request_id & (SIM_JOBS - 1)];
-	struct sim_consistency_check known = {.token = effect->request_id,
-					      job->pending_kind,
-					      job->accepted,
-					      job->done,
-					      job->cancelled},
-				     *l = NULL;
-	bool news = false;
-
-	if (effect->request_id == job->pending_request) {
-		l = &known;
+	if (request_id == job->pending_request) {
+		*known =
+		    (struct knowledge){job->pending_kind, job->accepted, job->done, job->cancelled};
 		job->pending_request = 0;
+		return true;
 	}
-	for (size_t i = 0; i < SIM_LOOKS && !l; i++)
-		if (sim->checks[i].token == effect->request_id) {
-			known = sim->checks[i];
-			l = &known;
-			sim->checks[i].token = 0;
-		}
-	if (!l)
-		return;
-	if (effect->status == 503 && effect->retry_after < 1)
-		sim_fail(sim, "%s: a 503 without Retry-After", job->spec.id);
-	if (l->kind == ASK_SUBMIT) {
-		if (job->refused && (effect->status == 200 || effect->status == 201))
-			sim_fail(sim, "%s was refused, and is accepted", job->spec.id);
-		job->refused |= effect->status == 400 || effect->status == 422;
-		job->status = effect->status;
-	}
-	if (l->kind == ASK_SUBMIT && (effect->status == 200 || effect->status == 201)) {
-		news = !job->accepted;
-		job->accepted = true;
+	for (size_t i = 0; i < SIM_CONSISTENCY_CHECKS; i++) {
+		struct sim_consistency_check *check = &sim->checks[i];
+
+		if (check->request_id != request_id)
+			continue;
+		*known =
+		    (struct knowledge){check->kind, check->accepted, check->done, check->cancelled};
+		check->request_id = 0;
+		return true;
 	}
-	if (effect->status == 404 && l->accepted)
+	return false;
+}
+
+static bool is_success(const struct ws_effect *answer)
+{
+	return answer->status == 200 || answer->status == 201;
+}
+
+static bool is_refusal(const struct ws_effect *answer)
+{
+	return answer->status == 400 || answer->status == 422;
+}
+
+/* Takes down what a submission was answered; whether it was accepted only now. */
+static bool take_submit_answer(struct sim *sim, struct sim_job *job, const struct ws_effect *answer)
+{
+	bool is_news;
+
+	if (job->refused && is_success(answer))
+		sim_fail(sim, "%s was refused, and is accepted", job->spec.id);
+	job->refused |= is_refusal(answer);
+	job->status = answer->status;
+	if (!is_success(answer))
+		return false;
+	is_news = !job->accepted;
+	job->accepted = true;
+	return is_news;
+}
+
+/* The rules for all answers. */
+static void check_answer(struct sim *sim, const struct sim_job *job, const struct ws_effect *answer,
+			 const struct knowledge *known)
+{
+	if (answer->status == 404 && known->accepted)
 		sim_fail(sim, "forgotten: %s", job->spec.id);
-	if ((effect->status == 422 || effect->status == 400) && job->accepted)
+	if (is_refusal(answer) && job->accepted)
 		sim_fail(sim, "forgotten: %s submitted again gets %d", job->spec.id,
-			 effect->status);
-	if (effect->status == 200 && !job->submitted)
+			 answer->status);
+	if (answer->status == 200 && !job->submitted)
 		sim_fail(sim, "invented: %s", job->spec.id);
-	if (effect->status != 200 && effect->status != 201)
-		return;
-	job->answered_at = sim->now;
-	if (strcmp(effect->name, job->spec.id))
-		sim_fail(sim, "%s is answered for %s", effect->name, job->spec.id);
-	if (effect->phase == WS_JOB_DONE && job->completed < job->spec.tasks)
+}
+
+/* The rules for the phase that a job is said to be in. */
+static void check_phase(struct sim *sim, const struct sim_job *job, const struct ws_effect *answer,
+			const struct knowledge *known)
+{
+	bool is_done = answer->phase == WS_JOB_DONE;
+	bool is_cancelled = answer->phase == WS_JOB_CANCELLED;
+
+	if (strcmp(answer->name, job->spec.id) != 0)
+		sim_fail(sim, "%s is answered for %s", answer->name, job->spec.id);
+	if (is_done && job->completed < job->spec.tasks)
 		sim_fail(sim, "not_done: %s is called done with %u of %u", job->spec.id,
 			 job->completed, job->spec.tasks);
-	if (l->done && effect->phase != WS_JOB_DONE)
+	if (known->done && !is_done)
 		sim_fail(sim, "went_back: %s was done", job->spec.id);
-	if (l->cancelled && effect->phase != WS_JOB_CANCELLED)
-		sim_fail(sim, "went_back: %s was cancelled, now %d", job->spec.id, effect->phase);
-	if ((effect->phase == WS_JOB_DONE && job->cancelled) ||
-	    (effect->phase == WS_JOB_CANCELLED && job->done))
+	if (known->cancelled && !is_cancelled)
+		sim_fail(sim, "went_back: %s was cancelled, now %d", job->spec.id, answer->phase);
+	if ((is_done && job->cancelled) || (is_cancelled && job->done))
 		sim_fail(sim, "went_back: %s is called done and cancelled", job->spec.id);
-	if (effect->phase == WS_JOB_CANCELLED && !job->abort_sent)
+	if (is_cancelled && !job->cancel_sent)
 		sim_fail(sim, "went_back: nobody cancelled %s", job->spec.id);
-	if (effect->phase == WS_JOB_DONE && !job->done) {
+}
+
+/* Takes down that a job is done or cancelled; whether that is news. */
+static bool take_phase(struct sim *sim, struct sim_job *job, const struct ws_effect *answer)
+{
+	if (answer->phase == WS_JOB_DONE && !job->done) {
 		job->done = true;
-		job->told_done = sim->now;
-		news = true;
+		job->told_done_at = sim->now;
+		return true;
 	}
-	if (effect->phase == WS_JOB_CANCELLED && !job->cancelled) {
+	if (answer->phase == WS_JOB_CANCELLED && !job->cancelled) {
 		job->cancelled = true;
-		job->told_cancelled = sim->now;
-		news = true;
+		job->told_cancelled_at = sim->now;
+		return true;
 	}
-	if (news && sim->now < sim->looks_until) {
-		sim_look(sim, job);
-		/* some call it off at once */
-		if (!job->done && !job->cancelled && !job->abort_at &&
-		    sim_rnd(sim) < sim->abort_share)
-			job->abort_at = sim->now;
+	return false;
+}
+
+/* After news a user asks all nodes, and some cancel at once. */
+static void react_to_news(struct sim *sim, struct sim_job *job)
+{
+	if (sim->now >= sim->checks_until)
+		return;
+	sim_user_check_all_nodes(sim, job);
+	if (!job->done && !job->cancelled && !job->cancel_at && sim_random(sim) < sim->cancel_share)
+		job->cancel_at = sim->now;
+}
+
+void sim_user_answer(struct sim *sim, const struct ws_effect *effect)
+{
+	struct sim_job *job = &sim->jobs[effect->request_id & (SIM_JOBS - 1)];
+	struct knowledge known;
+	bool is_news = false;
+
+	if (!take_pending(sim, job, effect->request_id, &known))
+		return;
+	if (effect->status == 503 && effect->retry_after < 1)
+		sim_fail(sim, "%s: a 503 without Retry-After", job->spec.id);
+	if (known.kind == SIM_REQUEST_SUBMIT)
+		is_news = take_submit_answer(sim, job, effect);
+	check_answer(sim, job, effect, &known);
+	if (!is_success(effect))
+		return;
+	job->answered_at = sim->now;
+	check_phase(sim, job, effect, &known);
+	is_news |= take_phase(sim, job, effect);
+	if (is_news)
+		react_to_news(sim, job);
+}
+
+void sim_user_job_ended(struct sim *sim, struct sim_job *job)
+{
+	if (sim->now < sim->cancel_at_end_until && !job->cancel_at &&
+	    sim_random(sim) < sim->cancel_at_end_share) {
+		job->cancel_at = sim->now;
+		job->next_try_at = 0;
 	}
 }
 
-/* The last task of a job has just ended: a share of the users call it off in that moment. */
-void sim_user_end(struct sim *sim, struct sim_job *job)
+/* ---- the course of time ---- */
+
+static void user_step(struct sim *sim, struct sim_job *job)
 {
-	if (sim->now < sim->end_until && !job->abort_at && sim_rnd(sim) < sim->end_share) {
-		job->abort_at = sim->now;
-		job->next_try = 0;
+	if (job->pending_request && sim->now - job->pending_at > ANSWER_TIMEOUT_S)
+		job->pending_request = 0;
+	if (job->pending_request || sim->now < job->next_try_at)
+		return;
+	if (job->submit_at >= 0 && sim->now >= job->submit_at && !job->accepted &&
+	    job->status != 422) {
+		send_request(sim, job, SIM_REQUEST_SUBMIT);
+		job->next_try_at = sim->now + RETRY_S;
+	} else if (job->cancel_at > 0 && sim->now >= job->cancel_at && !job->cancelled &&
+		   !job->done) {
+		job->cancel_sent = true;
+		send_request(sim, job, SIM_REQUEST_CANCEL);
+		job->next_try_at = sim->now + RETRY_S;
+	} else if ((job->accepted || job->submit_at < 0) && sim->now >= job->next_poll_at) {
+		send_request(sim, job, SIM_REQUEST_POLL);
+		job->next_poll_at = sim->now + POLL_S;
 	}
 }
 
 void sim_users_step(struct sim *sim)
 {
-	for (int i = 0; i < sim->job_count; i++) {
-		struct sim_job *job = &sim->jobs[i];
+	for (int i = 0; i < sim->job_count; i++)
+		user_step(sim, &sim->jobs[i]);
+}
 
-		if (job->pending_request && sim->now - job->pending_at > 5)
-			job->pending_request = 0;
-		if (job->pending_request || sim->now < job->next_try)
-			continue;
-		if (job->submit_at >= 0 && sim->now >= job->submit_at && !job->accepted &&
-		    job->status != 422) {
-			user_send(sim, job, ASK_SUBMIT);
-			job->next_try = sim->now + 1;
-		} else if (job->abort_at > 0 && sim->now >= job->abort_at && !job->cancelled &&
-			   !job->done) {
-			job->abort_sent = true;
-			user_send(sim, job, ASK_ABORT);
-			job->next_try = sim->now + 1;
-		} else if ((job->accepted || job->submit_at < 0) && sim->now >= job->next_poll) {
-			user_send(sim, job, ASK_POLL);
-			job->next_poll = sim->now + 2;
-		}
+void sim_jobs_free(struct sim *sim)
+{
+	HASH_CLEAR(hh, sim->jobs_by_id);
+	for (int i = 0; i < sim->job_count; i++) {
+		free(sim->jobs[i].task_done);
+		free(sim->jobs[i].displaced_at);
+		free(sim->jobs[i].killed_at);
 	}
+	free(sim->jobs);
 }
--- /dev/null
+++ b/tests/sim_worker_tasks.c
@@ -0,0 +1,221 @@
+/* Tasks of a worker: the commands that start and end them, and how they go on. */
+#include "sim_checks.h"
+#include "sim_subsystems.h"
+#include "sim_users.h"
+#include "sim_workers.h"
+
+#define FETCH_GB_PER_S 0.5
+#define CAPACITY_TOLERANCE 1e-9
+
+/* What a worker has of the task that a command names. */
+struct named_tasks {
+	struct sim_task *task;	/* the attempt itself; NULL: it has none */
+	bool has_other_attempt; /* that has not exited */
+};
+
+static struct named_tasks find_named(struct sim_worker *worker, const struct ws_command *command)
+{
+	struct named_tasks found = {NULL, false};
+
+	for (int i = 0; i < worker->task_count; i++) {
+		struct sim_task *task = &worker->tasks[i];
+
+		if (strcmp(task->job, command->job) != 0 || task->task != command->task)
+			continue;
+		if (task->attempt == command->attempt)
+			found.task = task;
+		else if (task->state != WS_TASK_EXITED)
+			found.has_other_attempt = true;
+	}
+	return found;
+}
+
+static bool has_room(struct sim *sim, const struct sim_worker *worker,
+		     const struct ws_job_spec *spec)
+{
+	const struct ws_machine_type *type = &sim->types[worker->type];
+	double cpus = spec->cpus, mem_gb = spec->mem_gb, used_cpus = 0, used_mem_gb = 0;
+
+	for (int i = 0; i < worker->task_count; i++) {
+		const struct sim_job *job = sim_job_of(sim, worker->tasks[i].job);
+
+		if (worker->tasks[i].state == WS_TASK_EXITED || !job)
+			continue;
+		used_cpus += job->spec.cpus;
+		used_mem_gb += job->spec.mem_gb;
+	}
+	return used_cpus + cpus <= type->cpus + CAPACITY_TOLERANCE &&
+	       used_mem_gb + mem_gb <= type->mem_gb + CAPACITY_TOLERANCE;
+}
+
+static bool has_image(const struct sim_worker *worker, const char *image)
+{
+	for (int i = 0; i < worker->image_count; i++)
+		if (!strcmp(worker->images[i], image))
+			return true;
+	return false;
+}
+
+/* Why a task can't be started; WS_EXIT_NONE: it can. */
+static enum ws_exit_reason start_refusal(struct sim *sim, const struct sim_worker *worker,
+					 const struct sim_job *job, bool has_other_attempt)
+{
+	if (!job || !job->submitted)
+		return WS_EXIT_UNKNOWN;
+	if (has_other_attempt)
+		return WS_EXIT_BUSY;
+	if (!has_room(sim, worker, &job->spec))
+		return WS_EXIT_FULL;
+	return WS_EXIT_NONE;
+}
+
+/* Starts a task, which exits at once if it can't be; false: the play has failed. */
+static bool start_task(struct sim *sim, struct sim_worker *worker, const struct ws_command *command,
+		       bool has_other_attempt)
+{
+	const struct sim_job *job = sim_job_of(sim, command->job);
+	enum ws_exit_reason refusal = start_refusal(sim, worker, job, has_other_attempt);
+	struct sim_task *task;
+
+	if (worker->task_count == SIM_TASKS) {
+		sim_fail(sim, "%s has too many tasks", worker->name);
+		return false;
+	}
+	task = &worker->tasks[worker->task_count++];
+	memset(task, 0, sizeof(*task));
+	snprintf(task->job, sizeof(task->job), "%s", command->job);
+	task->task = command->task;
+	task->attempt = command->attempt;
+	task->exit_reason = refusal;
+	task->state = refusal == WS_EXIT_NONE ? WS_TASK_FETCHING : WS_TASK_EXITED;
+	if (job && refusal == WS_EXIT_NONE)
+		task->seconds_left =
+		    has_image(worker, job->spec.image) ? 0 : job->spec.image_gb / FETCH_GB_PER_S;
+	sim_worker_changed(worker, sim->now);
+	return true;
+}
+
+/* Whether a task is to save its state before it stops, and has the time to. */
+static bool saves_before_stop(const struct sim_job *job, const struct sim_task *task,
+			      const struct ws_command *command)
+{
+	return job && job->spec.gang &&
+	       (task->state == WS_TASK_RUNNING || task->state == WS_TASK_SAVING) &&
+	       command->grace_s >= job->spec.save_s && job->spec.checkpoint_s > 0;
+}
+
+static void stop_task(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
+		      const struct ws_command *command)
+{
+	if (saves_before_stop(sim_job_of(sim, task->job), task, command)) {
+		if (task->state == WS_TASK_RUNNING)
+			task->stopped_at = sim->now;
+		task->state = WS_TASK_SAVING;
+	} else if (task->state != WS_TASK_EXITED) {
+		task->state = WS_TASK_EXITED;
+		task->exit_reason = WS_EXIT_STOPPED;
+	} else {
+		return;
+	}
+	sim_worker_changed(worker, sim->now);
+}
+
+static void reap_task(struct sim *sim, struct sim_worker *worker, struct sim_task *task)
+{
+	if (task->state != WS_TASK_EXITED)
+		return;
+	*task = worker->tasks[--worker->task_count];
+	sim_worker_changed(worker, sim->now);
+}
+
+/* False: the play has failed. */
+static bool take_command(struct sim *sim, struct sim_worker *worker,
+			 const struct ws_command *command)
+{
+	struct named_tasks found = find_named(worker, command);
+
+	sim_cold_start_command(sim, worker, command, found.task);
+	switch (command->kind) {
+	case WS_COMMAND_RUN:
+		return found.task || start_task(sim, worker, command, found.has_other_attempt);
+	case WS_COMMAND_STOP:
+		if (found.task)
+			stop_task(sim, worker, found.task, command);
+		return true;
+	case WS_COMMAND_REAP:
+		if (found.task)
+			reap_task(sim, worker, found.task);
+		return true;
+	}
+	return true;
+}
+
+void sim_worker_take_commands(struct sim *sim, struct sim_worker *worker,
+			      const struct ws_command *commands, size_t count)
+{
+	for (size_t i = 0; i < count; i++)
+		if (!take_command(sim, worker, &commands[i]))
+			return;
+}
+
+void sim_task_finished(struct sim *sim, struct sim_job *job, const struct sim_task *task)
+{
+	job->finishes++;
+	if (job->task_done[task->task])
+		return;
+	job->task_done[task->task] = true;
+	if (++job->completed == job->spec.tasks)
+		sim_user_job_ended(sim, job);
+}
+
+static void fetch_step(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
+		       struct sim_job *job)
+{
+	task->seconds_left -= SIM_STEP_S;
+	if (task->seconds_left > 0)
+		return;
+	task->state = job->spec.gang ? WS_TASK_WAITING : WS_TASK_RUNNING;
+	task->waiting_since = sim->now;
+	if (job->spec.gang)
+		sim_gang_follow(sim, job, task->attempt);
+	task->seconds_left = job->run_s;
+	if (worker->image_count < SIM_IMAGES)
+		snprintf(worker->images[worker->image_count++], sizeof(worker->images[0]), "%s",
+			 job->spec.image);
+	sim_check_start(sim, worker, task);
+	sim_worker_changed(worker, sim->now);
+}
+
+static void run_step(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
+		     struct sim_job *job)
+{
+	bool fails = worker->failing || job->bad;
+
+	if (job->spec.gang && !fails) /* see sim_gangs.c */
+		return;
+	task->seconds_left -= SIM_STEP_S;
+	if (fails) {
+		task->state = WS_TASK_EXITED;
+		task->exit_reason = WS_EXIT_ERROR;
+		sim->failures++;
+		sim_worker_changed(worker, sim->now);
+	} else if (!job->spec.service && task->seconds_left <= 0) {
+		task->state = WS_TASK_EXITED;
+		task->exit_reason = WS_EXIT_DONE;
+		sim_task_finished(sim, job, task);
+		sim_worker_changed(worker, sim->now);
+	}
+}
+
+void sim_worker_tasks_step(struct sim *sim, struct sim_worker *worker)
+{
+	for (int i = 0; i < worker->task_count; i++) {
+		struct sim_task *task = &worker->tasks[i];
+		struct sim_job *job = sim_job_of(sim, task->job);
+
+		if (task->state == WS_TASK_FETCHING)
+			fetch_step(sim, worker, task, job);
+		else if (task->state == WS_TASK_RUNNING)
+			run_step(sim, worker, task, job);
+	}
+}
