--- a/tests/sizing_test.c
+++ b/tests/sizing_test.c
@@ -4,132 +4,257 @@
  */
 #include "../src/core/internal.h"
 
-static int bad;
+#define SERVICE_RATE (1 / 60.0)
+#define BOOT_RATE (1 / 35.0)
+#define TOLERANCE 1e-6
 
-static void dense(double l, double m, double a, int n0, int machines, int kmax,
-		  struct ws_queue_solution *solution)
+static int good, bad;
+
+/* The queue's parameters, in the order of ws_queue_solve(). */
+struct queue {
+	double arrival_rate, service_rate, boot_rate;
+	int owned, instances_max, units_max;
+};
+
+/* So many instances run, with so many units in the system. */
+struct state {
+	int instances, units;
+};
+
+struct transition {
+	struct state target;
+	double rate;
+};
+
+/* Equations in rows, the right side in the last column. */
+struct matrix {
+	double *cells;
+	int size;
+};
+
+static double *cell(const struct matrix *matrix, int row, int column)
 {
-	int n = 0, (*st)[2] = calloc((size_t)(machines + 1) * (size_t)(kmax + 1), sizeof(*st));
-	double *g, total = 0, jobs = 0;
+	return &matrix->cells[(size_t)row * (size_t)(matrix->size + 1) + (size_t)column];
+}
 
-	for (int i = 0; i <= machines; i++)
-		for (int j = i ? n0 + i : 0; j <= kmax; j++, n++) {
-			st[n][0] = i;
-			st[n][1] = j;
-		}
-	g = calloc((size_t)n * (size_t)(n + 1), sizeof(*g));
-#define G(r, c) g[(size_t)(r) * (size_t)(n + 1) + (size_t)(c)]
-	for (int s = 0; s < n; s++) {
-		int i = st[s][0], j = st[s][1], ni = n0 + i;
-		struct {
-			int i, j;
-			double rate;
-		} to[3] = {{i, j + 1, j < kmax ? l : 0},
-			   /* a departure; a rented machine without a job is off at once */
-			   {i && j == ni ? i - 1 : i, j - 1, j ? fmin(j, ni) * m : 0},
-			   {i + 1, j, i < machines && j > ni ? fmin(j - ni, machines - i) * a : 0}};
-
-		for (int x = 0; x < 3; x++) {
-			if (to[x].rate <= 0)
-				continue;
-			for (int t = 0; t < n; t++)
-				if (st[t][0] == to[x].i && st[t][1] == to[x].j) {
-					G(t, s) += to[x].rate;
-					G(s, s) -= to[x].rate;
-				}
-		}
+/* Lists all states that the queue can be in; the caller frees them. */
+static struct state *list_states(const struct queue *queue, int *count)
+{
+	size_t most = (size_t)(queue->instances_max + 1) * (size_t)(queue->units_max + 1);
+	struct state *states = calloc(most, sizeof(*states));
+
+	*count = 0;
+	for (int i = 0; i <= queue->instances_max; i++)
+		for (int k = i ? queue->owned + i : 0; k <= queue->units_max; k++)
+			states[(*count)++] = (struct state){i, k};
+	return states;
+}
+
+/* Instances that are booting: one for each unit that waits, as far as there may be. */
+static double booting(const struct queue *queue, const struct state *state)
+{
+	int machines = queue->owned + state->instances;
+
+	if (state->units <= machines)
+		return 0;
+	return fmin(state->units - machines, queue->instances_max - state->instances);
+}
+
+/* An arrival, a departure and the end of a boot; a rate of 0: it can't be. */
+static void list_transitions(const struct queue *queue, const struct state *state,
+			     struct transition transitions[3])
+{
+	int machines = queue->owned + state->instances;
+	/* an instance without work is off at once */
+	bool is_scaled_in = state->instances && state->units == machines;
+
+	transitions[0] = (struct transition){
+	    {state->instances, state->units + 1},
+	    state->units < queue->units_max ? queue->arrival_rate : 0,
+	};
+	transitions[1] = (struct transition){
+	    {is_scaled_in ? state->instances - 1 : state->instances, state->units - 1},
+	    fmin(state->units, machines) * queue->service_rate,
+	};
+	transitions[2] = (struct transition){
+	    {state->instances + 1, state->units},
+	    booting(queue, state) * queue->boot_rate,
+	};
+}
+
+static void add_transition(struct matrix *matrix, const struct state *states, int from,
+			   const struct transition *transition)
+{
+	if (transition->rate <= 0)
+		return;
+	for (int i = 0; i < matrix->size; i++) {
+		if (states[i].instances != transition->target.instances ||
+		    states[i].units != transition->target.units)
+			continue;
+		*cell(matrix, i, from) += transition->rate;
+		*cell(matrix, from, from) -= transition->rate;
 	}
-	for (int s = 0; s <= n; s++)
-		G(n - 1, s) = 1; /* one equation is redundant: normalise instead */
-	for (int c = 0; c < n; c++) {
-		int p = c;
-
-		for (int r = c + 1; r < n; r++)
-			if (fabs(G(r, c)) > fabs(G(p, c)))
-				p = r;
-		for (int x = 0; x <= n; x++) {
-			double t = G(c, x);
-			G(c, x) = G(p, x);
-			G(p, x) = t;
-		}
-		for (int r = 0; r < n; r++) {
-			double f = r == c ? 0 : G(r, c) / G(c, c);
+}
 
-			for (int x = c; f != 0 && x <= n; x++)
-				G(r, x) -= f * G(c, x);
+/* The balance of each state, and that all probabilities add up to 1. */
+static struct matrix write_equations(const struct queue *queue, const struct state *states,
+				     int count)
+{
+	struct matrix matrix = {
+	    .cells = calloc((size_t)count * (size_t)(count + 1), sizeof(*matrix.cells)),
+	    .size = count,
+	};
+
+	for (int i = 0; i < count; i++) {
+		struct transition transitions[3];
+
+		list_transitions(queue, &states[i], transitions);
+		for (int k = 0; k < 3; k++)
+			add_transition(&matrix, states, i, &transitions[k]);
+	}
+	for (int i = 0; i <= count; i++)
+		*cell(&matrix, count - 1, i) = 1; /* one equation is redundant: normalise instead */
+	return matrix;
+}
+
+static void swap_rows(struct matrix *matrix, int row, int other_row)
+{
+	for (int i = 0; i <= matrix->size; i++) {
+		double value = *cell(matrix, row, i);
+
+		*cell(matrix, row, i) = *cell(matrix, other_row, i);
+		*cell(matrix, other_row, i) = value;
+	}
+}
+
+/* Gauss and Jordan, with the largest pivot of each column. */
+static void eliminate(struct matrix *matrix)
+{
+	for (int column = 0; column < matrix->size; column++) {
+		int pivot = column;
+
+		for (int row = column + 1; row < matrix->size; row++)
+			if (fabs(*cell(matrix, row, column)) > fabs(*cell(matrix, pivot, column)))
+				pivot = row;
+		swap_rows(matrix, column, pivot);
+		for (int row = 0; row < matrix->size; row++) {
+			double factor = row == column ? 0
+						      : *cell(matrix, row, column) /
+							    *cell(matrix, column, column);
+
+			for (int i = column; factor != 0 && i <= matrix->size; i++)
+				*cell(matrix, row, i) -= factor * *cell(matrix, column, i);
 		}
 	}
+}
+
+static void solve_dense(const struct queue *queue, struct ws_queue_solution *solution)
+{
+	int count;
+	struct state *states = list_states(queue, &count);
+	struct matrix matrix = write_equations(queue, states, count);
+	double total = 0, units = 0;
+
+	eliminate(&matrix);
 	memset(solution, 0, sizeof(*solution));
-	for (int s = 0; s < n; s++) {
-		double p = G(s, n) / G(s, s);
-		int i = st[s][0], j = st[s][1];
+	for (int i = 0; i < count; i++) {
+		double probability = *cell(&matrix, i, count) / *cell(&matrix, i, i);
 
-		total += p;
-		jobs += p * j;
+		total += probability;
+		units += probability * states[i].units;
 		solution->mean_scaled_out +=
-		    p * (i + (j > n0 + i ? fmin(j - n0 - i, machines - i) : 0));
-		solution->blocking_probability += j == kmax ? p : 0;
+		    probability * (states[i].instances + booting(queue, &states[i]));
+		if (states[i].units == queue->units_max)
+			solution->blocking_probability += probability;
 	}
-	solution->mean_wait_s = jobs / (l * (1 - solution->blocking_probability)) - 1 / m;
-	if (fabs(total - 1) > 1e-6)
+	solution->mean_wait_s =
+	    units / (queue->arrival_rate * (1 - solution->blocking_probability)) -
+	    1 / queue->service_rate;
+	if (fabs(total - 1) > TOLERANCE)
 		bad++;
-	free(g);
-	free(st);
+	free(matrix.cells);
+	free(states);
 }
 
 static void near_to(const char *what, double actual, double expected)
 {
-	if (!(fabs(actual - expected) <= 1e-6 * (1 + fabs(expected)))) {
+	if (!(fabs(actual - expected) <= TOLERANCE * (1 + fabs(expected)))) {
 		printf("FAIL %s: %.9g, should be %.9g\n", what, actual, expected);
 		bad++;
 	}
 }
 
-int main(void)
+static bool solve(const struct queue *queue, struct ws_queue_solution *solution)
 {
-	int good = 0;
-
-	for (int n0 = 0; n0 <= 6; n0 += 2)
-		for (int k = n0 ? 0 : 1; k <= 5; k++)
-			for (int load = 1; load <= 4; load++) {
-				struct ws_queue_solution a = {0}, b;
-				double mu = 1 / 60.0, l = mu * (n0 + k) * load * 0.4;
-
-				if (!ws_queue_solve(l, mu, 1 / 35.0, n0, k, n0 + k + 6, &a)) {
-					printf("FAIL no solution for %d %d %d\n", n0, k, load);
-					bad++;
-					continue;
-				}
-				dense(l, mu, 1 / 35.0, n0, k, n0 + k + 6, &b);
-				near_to("S", a.mean_scaled_out, b.mean_scaled_out);
-				near_to("Wq", a.mean_wait_s, b.mean_wait_s);
-				near_to("Pb", a.blocking_probability, b.blocking_probability);
-				good++;
-			}
-	/* sizes of the deployments and far beyond: finite, and Wq falls as k rises */
-	for (int n0 = 1; n0 <= 200; n0 = n0 * 2 + 1) {
-		double last = 1e300;
-
-		for (int k = 0; k <= 100; k += 5) {
-			struct ws_queue_solution a = {0};
-
-			if (!ws_queue_solve(0.02 * (n0 + 40), 1 / 60.0, 1 / 35.0, n0, k, n0 + 200,
-					    &a) ||
-			    a.mean_wait_s > last * (1 + 1e-9) + 1e-9 ||
-			    a.mean_scaled_out > k + 1e-9 || a.blocking_probability < 0 ||
-			    a.blocking_probability > 1) {
-				printf("FAIL n0 %d k %d: Wq %g S %g\n", n0, k, a.mean_wait_s,
-				       a.mean_scaled_out);
+	return ws_queue_solve(queue->arrival_rate, queue->service_rate, queue->boot_rate,
+			      queue->owned, queue->instances_max, queue->units_max, solution);
+}
+
+static void compare_with_dense(int owned, int instances, int demand)
+{
+	struct queue queue = {
+	    .arrival_rate = SERVICE_RATE * (owned + instances) * demand * 0.4,
+	    .service_rate = SERVICE_RATE,
+	    .boot_rate = BOOT_RATE,
+	    .owned = owned,
+	    .instances_max = instances,
+	    .units_max = owned + instances + 6,
+	};
+	struct ws_queue_solution actual = {0}, expected;
+
+	if (!solve(&queue, &actual)) {
+		printf("FAIL no solution for %d %d %d\n", owned, instances, demand);
+		bad++;
+		return;
+	}
+	solve_dense(&queue, &expected);
+	near_to("instances", actual.mean_scaled_out, expected.mean_scaled_out);
+	near_to("wait", actual.mean_wait_s, expected.mean_wait_s);
+	near_to("blocking", actual.blocking_probability, expected.blocking_probability);
+	good++;
+}
+
+static void test_small_queues(void)
+{
+	for (int owned = 0; owned <= 6; owned += 2)
+		for (int instances = owned ? 0 : 1; instances <= 5; instances++)
+			for (int demand = 1; demand <= 4; demand++)
+				compare_with_dense(owned, instances, demand);
+}
+
+/* Sizes of the deployments and far beyond: finite, and the wait falls as instances are added. */
+static void test_large_queues(void)
+{
+	for (int owned = 1; owned <= 200; owned = owned * 2 + 1) {
+		double last_wait_s = 1e300;
+
+		for (int instances = 0; instances <= 100; instances += 5) {
+			struct queue queue = {0.02 * (owned + 40), SERVICE_RATE, BOOT_RATE, owned,
+					      instances,	   owned + 200};
+			struct ws_queue_solution solution = {0};
+
+			if (!solve(&queue, &solution) ||
+			    solution.mean_wait_s > last_wait_s * (1 + 1e-9) + 1e-9 ||
+			    solution.mean_scaled_out > instances + 1e-9 ||
+			    solution.blocking_probability < 0 ||
+			    solution.blocking_probability > 1) {
+				printf("FAIL owned %d instances %d: wait %g mean %g\n", owned,
+				       instances, solution.mean_wait_s, solution.mean_scaled_out);
 				bad++;
 			}
-			last = a.mean_wait_s;
+			last_wait_s = solution.mean_wait_s;
 		}
 		good++;
 	}
+}
+
+/* Over the bound the number rises on, and the ceiling ends it. */
+static void test_sizing(void)
+{
 	struct ws_queue_solution solution;
 	struct ws_queue_measurement measurement = {.arrival_rate = 0.2,
-						   .service_rate = 1 / 60.0,
-						   .boot_rate = 1 / 35.0,
+						   .service_rate = SERVICE_RATE,
+						   .boot_rate = BOOT_RATE,
 						   .owned = 6,
 						   .ceiling = 20,
 						   .waiting_units = 10,
@@ -137,17 +262,16 @@
 						   .rentals_max = 20,
 						   .wait_max_s = 10,
 						   .bound_s = 5};
-	int k = ws_sizing_run(&measurement, &solution), tight;
+	int instances = ws_sizing_run(&measurement, &solution), tight;
 
-	/* over the bound k rises on, and the ceiling ends it */
-	if (k < 1 || k > 20 || (k < 20 && solution.mean_wait_s > 5)) {
-		printf("FAIL k %d at Wq %g\n", k, solution.mean_wait_s);
+	if (instances < 1 || instances > 20 || (instances < 20 && solution.mean_wait_s > 5)) {
+		printf("FAIL %d instances at a wait of %g\n", instances, solution.mean_wait_s);
 		bad++;
 	}
 	measurement.bound_s = 0.5;
 	tight = ws_sizing_run(&measurement, &solution);
-	if (tight < k) {
-		printf("FAIL a tighter bound gives %d < %d\n", tight, k);
+	if (tight < instances) {
+		printf("FAIL a tighter bound gives %d < %d\n", tight, instances);
 		bad++;
 	}
 	measurement.arrival_rate = 100;
@@ -155,13 +279,28 @@
 		printf("FAIL the ceiling does not hold\n");
 		bad++;
 	}
+	good += 3;
+}
+
+static void test_no_solution(void)
+{
+	struct ws_queue_solution solution;
+
 	if (ws_queue_solve(0, 1, 1, 1, 1, 3, &solution) ||
 	    ws_queue_solve(NAN, 1, 1, 1, 1, 3, &solution) ||
 	    ws_queue_solve(1, 1, 1, 4, 1, 3, &solution)) {
 		printf("FAIL what has no solution is solved\n");
 		bad++;
 	}
-	good += 4;
+	good++;
+}
+
+int main(void)
+{
+	test_small_queues();
+	test_large_queues();
+	test_sizing();
+	test_no_solution();
 	printf("%d passed, %d failed\n", good, bad);
 	return bad != 0;
 }
