--- a/tests/loopback_parts.h
+++ b/tests/loopback_parts.h
@@ -53,8 +53,12 @@
 struct ws_http_server *loopback_state_open(struct ev_loop *loop,
 					   const struct ws_http_server_options *options);
 void loopback_state_close(void);
-/* Ends holds that were not renewed, answers watches. */
+/* Ends sessions that were not renewed, answers watches. */
 void loopback_state_step(void);
+/* Answers watches that have something to tell or are over. */
+void loopback_state_wake_watches(void);
+/* How many watches were open at once, at most. */
+unsigned loopback_state_most_watches(void);
 /* The value on record; NULL: there is none. */
 json_t *loopback_record(const char *key);
 
--- a/tests/loopback_state.c
+++ b/tests/loopback_state.c
@@ -1,34 +1,35 @@
-/* The loopback cluster's store: records, holds, watches. */
+/* The loopback cluster's store: records, sessions, watches. */
 #include "loopback_parts.h"
 #include "../src/core/core.h"
 
 #define WATCHES 32
-#define HOLDS 256
+#define SESSIONS 256
 
 static struct ws_http_server *state;
 static json_t *records, *removed;
 static json_int_t revision = 1;
 static struct {
-	uint64_t token;
+	uint64_t request_id; /* 0: a free place */
 	json_int_t since;
 	double until;
 	char prefix[64];
 } watches[WATCHES];
+static unsigned most_watches; /* that were open at once */
 static struct {
-	double ttl, until;
+	double ttl_s, until;
 	bool live;
-} holds[HOLDS];
-static unsigned hold_count;
+} sessions[SESSIONS];
+static unsigned session_count;
 
-static void record_put(const char *key, json_t *value, json_int_t hold)
+static void record_put(const char *key, json_t *value, json_int_t session)
 {
 	char name[WS_KEY_MAX]; /* the key may be the record's own, which goes with it */
 
 	snprintf(name, sizeof(name), "%s", key);
 	if (value) {
-		json_object_set_new(
-		    records, name,
-		    json_pack("{s:O,s:I,s:I}", "value", value, "stamp", revision, "hold", hold));
+		json_object_set_new(records, name,
+				    json_pack("{s:O,s:I,s:I}", "value", value, "stamp", revision,
+					      "session", session));
 		json_object_del(removed, name);
 	} else if (!json_object_del(records, name)) {
 		json_object_set_new(removed, name, json_integer(revision));
@@ -41,13 +42,13 @@
 	const char *key;
 
 	json_object_foreach (records, key, record) {
-		json_int_t stamp = json_integer_value(json_object_get(record, "stamp"));
+		json_int_t written = json_integer_value(json_object_get(record, "stamp"));
 
-		if (strncmp(key, prefix, strlen(prefix)) != 0 || stamp <= since)
+		if (strncmp(key, prefix, strlen(prefix)) != 0 || written <= since)
 			continue;
 		json_array_append_new(list, json_pack("{s:s,s:O,s:I}", events ? "write" : "k", key,
 						      "value", json_object_get(record, "value"),
-						      "stamp", stamp));
+						      "stamp", written));
 	}
 	if (!events)
 		return list;
@@ -58,42 +59,54 @@
 	return list;
 }
 
-static void watches_wake(void)
+void loopback_state_wake_watches(void)
 {
 	for (int i = 0; i < WATCHES; i++) {
 		json_t *news;
 
-		if (!watches[i].token)
+		if (!watches[i].request_id)
 			continue;
 		news = record_list(watches[i].prefix, watches[i].since, true);
 		if (!json_array_size(news) && ws_now() < watches[i].until) {
 			json_decref(news);
 			continue;
 		}
-		loopback_answer(state, watches[i].token, 200,
+		loopback_answer(state, watches[i].request_id, 200,
 				json_pack("{s:I,s:o}", "ledgerRev", revision, "news", news));
-		watches[i].token = 0;
+		watches[i].request_id = 0;
 	}
 }
 
+/* Of the watches that are open, this one included. */
+static void count_watches(void)
+{
+	unsigned count = 0;
+
+	for (int i = 0; i < WATCHES; i++)
+		count += watches[i].request_id != 0;
+	if (count > most_watches)
+		most_watches = count;
+}
+
 static void on_watch(uint64_t request_id, const char *path, const char *prefix)
 {
 	for (int i = 0; i < WATCHES; i++) {
-		if (watches[i].token)
+		if (watches[i].request_id)
 			continue;
-		watches[i].token = request_id;
+		watches[i].request_id = request_id;
 		watches[i].since = atoll(strstr(path, "since=") + 6);
 		watches[i].until = ws_now() + atof(strstr(path, "holdMs=") + 7) / 1000;
 		snprintf(watches[i].prefix, sizeof(watches[i].prefix), "%s", prefix);
-		watches_wake();
+		count_watches();
+		loopback_state_wake_watches();
 		return;
 	}
 	loopback_answer(state, request_id, 503, json_object());
 }
 
-static bool hold_live(json_int_t id)
+static bool session_is_live(json_int_t id)
 {
-	return id > 0 && id <= (json_int_t)hold_count && holds[id - 1].live;
+	return id > 0 && id <= (json_int_t)session_count && sessions[id - 1].live;
 }
 
 static void on_transaction(uint64_t request_id, json_t *body)
@@ -126,41 +139,42 @@
 			record_put(json_string_value(json_object_get(entry, "delete")), NULL, 0);
 	}
 	loopback_answer(state, request_id, 200, json_pack("{s:I}", "ledgerRev", revision));
-	watches_wake();
+	loopback_state_wake_watches();
 }
 
-static void hold_end(json_int_t id)
+static void session_end(json_int_t id)
 {
 	json_t *record;
 	const char *key;
 	void *next;
 
-	holds[id - 1].live = false;
+	sessions[id - 1].live = false;
 	json_object_foreach_safe(records, next, key, record)
 	{
-		if (json_integer_value(json_object_get(record, "hold")) != id)
+		if (json_integer_value(json_object_get(record, "session")) != id)
 			continue;
 		revision++;
 		record_put(key, NULL, 0);
 	}
-	watches_wake();
+	loopback_state_wake_watches();
 }
 
-static void on_hold(uint64_t request_id, const char *method, const char *path, json_t *body)
+static void on_session(uint64_t request_id, const char *method, const char *path, json_t *body)
 {
 	json_int_t id = atoll(path + strcspn(path + 1, "/") + 2);
 
 	if (!strcmp(path, "/holds")) {
-		holds[hold_count].ttl = json_number_value(json_object_get(body, "ttlMs")) / 1000;
-		id = ++hold_count % HOLDS;
-		holds[id - 1].live = true;
-	} else if (!hold_live(id)) {
+		sessions[session_count].ttl_s =
+		    json_number_value(json_object_get(body, "ttlMs")) / 1000;
+		id = ++session_count % SESSIONS;
+		sessions[id - 1].live = true;
+	} else if (!session_is_live(id)) {
 		loopback_answer(state, request_id, 404, json_object());
 		return;
 	} else if (!strcmp(method, "DELETE")) {
-		hold_end(id);
+		session_end(id);
 	}
-	holds[id - 1].until = ws_now() + holds[id - 1].ttl;
+	sessions[id - 1].until = ws_now() + sessions[id - 1].ttl_s;
 	loopback_answer(state, request_id, 200, json_pack("{s:I}", "permit", id));
 }
 
@@ -190,7 +204,7 @@
 	} else if (!strcmp(path, "/multi")) {
 		on_transaction(request_id, request);
 	} else {
-		on_hold(request_id, method, path, request);
+		on_session(request_id, method, path, request);
 	}
 	json_decref(request);
 }
@@ -215,10 +229,15 @@
 
 void loopback_state_step(void)
 {
-	for (unsigned i = 0; i < hold_count; i++)
-		if (holds[i].live && ws_now() > holds[i].until)
-			hold_end((json_int_t)i + 1);
-	watches_wake();
+	for (unsigned i = 0; i < session_count; i++)
+		if (sessions[i].live && ws_now() > sessions[i].until)
+			session_end((json_int_t)i + 1);
+	loopback_state_wake_watches();
+}
+
+unsigned loopback_state_most_watches(void)
+{
+	return most_watches;
 }
 
 json_t *loopback_record(const char *key)
@@ -230,16 +249,16 @@
 {
 	const char *key;
 	json_t *record;
-	unsigned n = 0;
+	unsigned count = 0;
 
 	json_object_foreach (records, key, record)
-		n += !strncmp(key, prefix, strlen(prefix));
-	return n;
+		count += !strncmp(key, prefix, strlen(prefix));
+	return count;
 }
 
 void loopback_lose_record(const char *key)
 {
 	revision++;
 	record_put(key, NULL, 0);
-	watches_wake();
+	loopback_state_wake_watches();
 }
