--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -8,6 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+#define MANGLED_INPUTS 40000
+
 static const char base[] =
     "{\"nameId\":\"job-000412\",\"jobclass\":\"train\",\"owner\":\"vision\",\"shape\":\"sweep\","
     "\"tier\":\"urgent\",\"shards\":16,\"vcpus\":8.0,\"accelerators\":1.0,\"memGb\":64.0,"
@@ -166,12 +168,36 @@
 	ws_result_free(&kept);
 }
 
-int main(void)
+/* ---- jobs ---- */
+
+static void job_example(void)
+{
+	struct ws_job_spec spec;
+
+	check("the protocol's example", ws_decode_job(base, strlen(base), &spec) == 0);
+	check("its fields", !strcmp(spec.id, "job-000412") && spec.tasks == 16 && spec.cpus == 8 &&
+				spec.one_zone && spec.allows_preemptible && !spec.spread &&
+				spec.priority == WS_PRIORITY_URGENT && spec.type_count == 1 &&
+				spec.deadline_s == 900);
+	check("unknown fields", with("colour", "\"red\"") == 0);
+	check("no deadline", with("dueS", "") == 0 && with("dueS", "null") == 0);
+	check("no types", with("flavours", "") == 0 && with("flavours", "null") == 0);
+	check("a gang", with("shape", "\"gang\"") == 0);
+}
+
+static void job_without_field(void)
 {
-	static const char *const need[] = {
+	static const char *const needed[] = {
 	    "nameId", "jobclass",     "owner",	   "shape",	     "tier",	 "shards",
 	    "vcpus",  "accelerators", "memGb",	   "bundle",	     "sizeGb",	 "samePlace",
 	    "spread", "reclaimable",  "expectedS", "snapshotEveryS", "snapshotS"};
+
+	for (size_t i = 0; i < sizeof(needed) / sizeof(needed[0]); i++)
+		check(needed[i], with(needed[i], "") == 400);
+}
+
+static void job_with_wrong_value(void)
+{
 	static const char *const wrong[][2] = {{"nameId", "\"job-\""},
 					       {"nameId", "\"task-1\""},
 					       {"nameId", "7"},
@@ -198,33 +224,37 @@
 					       {"dueS", "\"x\""},
 					       {"expectedS", "-1"},
 					       {"vcpus", "1e300"}};
-	struct ws_job_spec spec;
-	struct ws_heartbeat heartbeat;
-	struct ws_result res;
-	struct ws_call call = {.kind = WS_CALL_GET};
 
-	check("the protocol's example", ws_decode_job(base, strlen(base), &spec) == 0);
-	check("its fields", !strcmp(spec.id, "job-000412") && spec.tasks == 16 && spec.cpus == 8 &&
-				spec.one_zone && spec.allows_preemptible && !spec.spread &&
-				spec.priority == WS_PRIORITY_URGENT && spec.type_count == 1 &&
-				spec.deadline_s == 900);
-	check("unknown fields", with("colour", "\"red\"") == 0);
-	check("no deadline", with("dueS", "") == 0 && with("dueS", "null") == 0);
-	check("no types", with("flavours", "") == 0 && with("flavours", "null") == 0);
-	for (size_t i = 0; i < sizeof(need) / sizeof(need[0]); i++)
-		check(need[i], with(need[i], "") == 400);
 	for (size_t i = 0; i < sizeof(wrong) / sizeof(wrong[0]); i++)
 		check(wrong[i][0], with(wrong[i][0], wrong[i][1]) == 400);
+}
+
+static void no_job(void)
+{
+	struct ws_job_spec spec;
+
 	check("no JSON", ws_decode_job("{", 1, &spec) == 400 && ws_decode_job("", 0, &spec) == 400);
 	check("no object",
 	      ws_decode_job("[]", 2, &spec) == 400 && ws_decode_job("3", 1, &spec) == 400);
 	check("not finite", ws_decode_job("{\"vcpus\":1e999}", 15, &spec) == 400);
+}
+
+/* ---- heartbeats ---- */
+
+static void heartbeat_example(void)
+{
+	struct ws_heartbeat heartbeat;
 
 	check("a report", ws_decode_heartbeat(report, strlen(report), &heartbeat));
 	check("its tasks", heartbeat.task_count == 2 && heartbeat.tasks[0].task == 3 &&
 			       heartbeat.tasks[1].exit_reason == WS_EXIT_DONE &&
 			       heartbeat.preemption_notice_s < 0 && heartbeat.port == 9000);
 	ws_heartbeat_free(&heartbeat);
+	check("no report", !ws_decode_heartbeat("{}", 2, &heartbeat));
+}
+
+static void heartbeat_of_gang(void)
+{
 	static const char gang[] =
 	    "{\"host\":\"n-1\",\"address\":\"10.1.0.2:9000\",\"flavour\":\"g8\",\"hall\":\"a\","
 	    "\"reclaimable\":false,\"tenure\":1,\"counter\":8,\"epoch\":4,\"shards\":["
@@ -233,6 +263,8 @@
 	    "{\"shard\":\"job-1/2\",\"tryNo\":2,\"phase\":\"exited\",\"cause\":\"incomplete\"},"
 	    "{\"shard\":\"job-1/3\",\"tryNo\":2,\"phase\":\"dreaming\"},"
 	    "{\"shard\":\"job-1/4\",\"tryNo\":2,\"phase\":\"exited\",\"cause\":\"boredom\"}]}";
+	struct ws_heartbeat heartbeat;
+
 	check("a gang's words",
 	      ws_decode_heartbeat(gang, strlen(gang), &heartbeat) && heartbeat.task_count == 5);
 	check("waiting", heartbeat.tasks[0].state == WS_TASK_WAITING);
@@ -241,62 +273,113 @@
 	check("an unknown state is alive", heartbeat.tasks[3].state == WS_TASK_FETCHING);
 	check("an unknown cause blames nobody", heartbeat.tasks[4].exit_reason == WS_EXIT_STOPPED);
 	ws_heartbeat_free(&heartbeat);
-	check("a gang", with("shape", "\"gang\"") == 0);
-	check("no report", !ws_decode_heartbeat("{}", 2, &heartbeat));
+}
 
-	strcpy(call.key, "job/job-1");
-	ws_decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &res);
-	check("another key's answer is none", res.status == 0);
-	ws_result_free(&res);
-	ws_decode_reply(&call, 200, "garbage", 7, &res);
-	check("garbage is no answer", res.status == 0);
-	ws_result_free(&res);
+/* ---- answers of store and cloud ---- */
+
+static void replies(void)
+{
+	struct ws_call call = {.kind = WS_CALL_GET, .key = "job/job-1"};
+	struct ws_result result;
+
+	ws_decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &result);
+	check("another key's answer is none", result.status == 0);
+	ws_result_free(&result);
+	ws_decode_reply(&call, 200, "garbage", 7, &result);
+	check("garbage is no answer", result.status == 0);
+	ws_result_free(&result);
 	call.kind = WS_CALL_SCALE_OUT;
-	ws_decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &res);
-	check("trouble is no refusal", res.status == 503 && !res.no_capacity);
-	ws_result_free(&res);
-	ws_decode_reply(&call, 503, "{\"error\":\"no capacity\"}", 23, &res);
-	check("no capacity is one", res.no_capacity);
-	ws_result_free(&res);
-
-	/* mangled: nothing may crash, and what is accepted must be within bounds */
-	for (int i = 0; i < 40000; i++) {
+	ws_decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &result);
+	check("trouble is no refusal", result.status == 503 && !result.no_capacity);
+	ws_result_free(&result);
+	ws_decode_reply(&call, 503, "{\"error\":\"no capacity\"}", 23, &result);
+	check("no capacity is one", result.no_capacity);
+	ws_result_free(&result);
+}
+
+/* ---- mangled input ---- */
+
+/* Changes, cuts out or cuts off at a few places; the new length. */
+static size_t mangle(char *text, size_t length)
+{
+	static const char characters[] = "\"{}[]:,-+0e9.\\ntruefalse\x00\x80\xff";
+
+	for (unsigned i = 0; i <= rnd(4); i++) {
+		unsigned at = rnd((unsigned)length);
+
+		switch (rnd(3)) {
+		case 0: text[at] = characters[rnd(sizeof(characters) - 1)]; break;
+		case 1:
+			memmove(text + at, text + at + 1, length - at);
+			length--;
+			break;
+		default: length = at + 1; break;
+		}
+		if (length < 2)
+			break;
+	}
+	return length;
+}
+
+static void read_mangled_job(const char *text, size_t length)
+{
+	struct ws_job_spec spec;
+
+	if (!ws_decode_job(text, length, &spec) && (spec.tasks < 1 || spec.tasks > WS_MAX_TASKS ||
+						    !(spec.cpus >= 0) || !ws_job_id_ok(spec.id)))
+		check("a mangled job out of bounds is accepted", false);
+}
+
+static void read_mangled_heartbeat(const char *text, size_t length)
+{
+	struct ws_heartbeat heartbeat;
+
+	if (!ws_decode_heartbeat(text, length, &heartbeat))
+		return;
+	if (heartbeat.incarnation < 1 || !heartbeat.machine[0])
+		check("a mangled report out of bounds is accepted", false);
+	ws_heartbeat_free(&heartbeat);
+}
+
+static void read_mangled_replies(const char *text, size_t length)
+{
+	struct ws_call call = {.key = "job/job-1"};
+	struct ws_result result;
+
+	for (int kind = WS_CALL_GET; kind <= WS_CALL_COMMANDS; kind++) {
+		call.kind = (enum ws_call_kind)kind;
+		ws_decode_reply(&call, rnd(4) ? 200 : 409, text, length, &result);
+		ws_result_free(&result);
+	}
+}
+
+/* Nothing may crash, and what is accepted must be within bounds. */
+static void mangled(void)
+{
+	for (int i = 0; i < MANGLED_INPUTS; i++) {
 		const char *from = i & 1 ? base : report;
 		char text[1200];
-		size_t n = strlen(from);
-		static const char chars[] = "\"{}[]:,-+0e9.\\ntruefalse\x00\x80\xff";
-
-		memcpy(text, from, n + 1);
-		for (unsigned k = 0; k <= rnd(4); k++) {
-			unsigned at = rnd((unsigned)n);
-
-			switch (rnd(3)) {
-			case 0: text[at] = chars[rnd(sizeof(chars) - 1)]; break;
-			case 1:
-				memmove(text + at, text + at + 1, n - at);
-				n--;
-				break;
-			default: n = at + 1; break;
-			}
-			if (n < 2)
-				break;
-		}
-		if (!ws_decode_job(text, n, &spec) &&
-		    (spec.tasks < 1 || spec.tasks > WS_MAX_TASKS || !(spec.cpus >= 0) ||
-		     !ws_job_id_ok(spec.id)))
-			check("a mangled job out of bounds is accepted", false);
-		if (ws_decode_heartbeat(text, n, &heartbeat)) {
-			if (heartbeat.incarnation < 1 || !heartbeat.machine[0])
-				check("a mangled report out of bounds is accepted", false);
-			ws_heartbeat_free(&heartbeat);
-		}
-		for (int k = WS_CALL_GET; k <= WS_CALL_COMMANDS; k++) {
-			call.kind = (enum ws_call_kind)k;
-			ws_decode_reply(&call, rnd(4) ? 200 : 409, text, n, &res);
-			ws_result_free(&res);
-		}
+		size_t length = strlen(from);
+
+		memcpy(text, from, length + 1);
+		length = mangle(text, length);
+		read_mangled_job(text, length);
+		read_mangled_heartbeat(text, length);
+		read_mangled_replies(text, length);
 	}
 	good++;
+}
+
+int main(void)
+{
+	job_example();
+	job_without_field();
+	job_with_wrong_value();
+	no_job();
+	heartbeat_example();
+	heartbeat_of_gang();
+	replies();
+	mangled();
 	malformed();
 	pool();
 	printf("%d passed, %d failed\n", good, bad);
