--- a/tests/cold_start_loopback_test.c
+++ b/tests/cold_start_loopback_test.c
@@ -70,9 +70,9 @@
 	char what[100];
 
 	snprintf(what, sizeof(what), "%s: no order to run", when);
-	check(what, now->run_orders == before.run_orders);
+	check(what, now->run_commands == before.run_commands);
 	snprintf(what, sizeof(what), "%s: no order to stop", when);
-	check(what, now->stop_orders == before.stop_orders);
+	check(what, now->stop_commands == before.stop_commands);
 	snprintf(what, sizeof(what), "%s: nothing is lost", when);
 	check(what, now->lost == before.lost);
 	snprintf(what, sizeof(what), "%s: all work runs", when);
@@ -126,8 +126,9 @@
 	check("all is lost", running() == 0);
 	loopback_start_all();
 	check("all runs again", loopback_until(all_run, 2 * LOOPBACK_LEASE_S));
-	check("with one order a task", loopback_counts()->run_orders == before.run_orders + ALL);
-	check("and none to stop", loopback_counts()->stop_orders == before.stop_orders);
+	check("with one order a task",
+	      loopback_counts()->run_commands == before.run_commands + ALL);
+	check("and none to stop", loopback_counts()->stop_commands == before.stop_commands);
 	check("its phase ends", loopback_until(ended, 2 * LOOPBACK_LEASE_S));
 }
 
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -33,21 +33,21 @@
 	loopback_users_step();
 }
 
-static void settings_write(int count)
+static void settings_write(int index)
 {
-	struct loopback_node *node = &loopback_nodes[count];
-	FILE *f;
+	struct loopback_node *node = &loopback_nodes[index];
+	FILE *file;
 
-	strcpy(node->file, "/tmp/waystep-loopback-XXXXXX");
-	f = fdopen(mkstemp(node->file), "w");
-	fprintf(f, "node='node-%d'\nzone='%s'\nbind='127.0.0.1:%d'\npeer_bind='127.0.0.1:%d'\n",
-		count, loopback_zones[count], node->port, node->peer_port);
+	snprintf(node->file, sizeof(node->file), "/tmp/waystep-loopback-XXXXXX");
+	file = fdopen(mkstemp(node->file), "w");
+	fprintf(file, "node='node-%d'\nzone='%s'\nbind='127.0.0.1:%d'\npeer_bind='127.0.0.1:%d'\n",
+		index, loopback_zones[index], node->port, node->peer_port);
 	for (int i = 0; i < LOOPBACK_NODES; i++)
-		if (i != count)
-			fprintf(f,
+		if (i != index)
+			fprintf(file,
 				"[[seeds]]\nnode='node-%d'\nzone='%s'\nendpoint='127.0.0.1:%d'\n",
 				i, loopback_zones[i], loopback_nodes[i].peer_port);
-	fprintf(f,
+	fprintf(file,
 		"[services]\ncloud='127.0.0.1:%d'\nstate='127.0.0.1:%d'\n"
 		"[settings]\nzones=['a','b','c']\n"
 		"[[settings.teams]]\nname='t'\ncpus=200.0\ncpus_max=400.0\n"
@@ -55,44 +55,45 @@
 		"[settings.state]\nrps=400.0\nwrite_rps=100.0\nvalue_kb=4.0\ntxn_ops=12\n"
 		"[settings.cloud]\nrps=5.0\nlist_lag_s=1.0\n"
 		"[settings.machine_limits]\ncore_share=1.0\nram_mb=64.0\nmax_sockets=200\n",
-		ws_server_port(cloud), ws_server_port(state), LOOPBACK_REPORT_S, LOOPBACK_LEASE_S);
-	fclose(f);
+		ws_server_port(cloud), ws_server_port(state), LOOPBACK_HEARTBEAT_S,
+		LOOPBACK_LEASE_S);
+	fclose(file);
 }
 
-void loopback_start_node(int count)
+void loopback_start_node(int index)
 {
-	loopback_nodes[count].pid = fork();
-	if (loopback_nodes[count].pid)
+	loopback_nodes[index].pid = fork();
+	if (loopback_nodes[index].pid)
 		return;
 	if (!getenv("LOG_LEVEL"))
 		(void)!freopen("/dev/null", "w", stderr);
 	if (subsystems)
 		execl(program, program, "--subsystems", subsystems, "--config",
-		      loopback_nodes[count].file, (char *)NULL);
+		      loopback_nodes[index].file, (char *)NULL);
 	else
-		execl(program, program, "--config", loopback_nodes[count].file, (char *)NULL);
+		execl(program, program, "--config", loopback_nodes[index].file, (char *)NULL);
 	_exit(99);
 }
 
-void loopback_kill_node(int count)
+void loopback_kill_node(int index)
 {
-	if (loopback_nodes[count].pid <= 0)
+	if (loopback_nodes[index].pid <= 0)
 		return;
-	kill(loopback_nodes[count].pid, SIGKILL);
-	waitpid(loopback_nodes[count].pid, NULL, 0);
-	loopback_nodes[count].pid = 0;
+	kill(loopback_nodes[index].pid, SIGKILL);
+	waitpid(loopback_nodes[index].pid, NULL, 0);
+	loopback_nodes[index].pid = 0;
 }
 
 void loopback_kill_all(void)
 {
-	for (int n = 0; n < LOOPBACK_NODES; n++)
-		loopback_kill_node(n);
+	for (int i = 0; i < LOOPBACK_NODES; i++)
+		loopback_kill_node(i);
 }
 
 void loopback_start_all(void)
 {
-	for (int n = 0; n < LOOPBACK_NODES; n++)
-		loopback_start_node(n);
+	for (int i = 0; i < LOOPBACK_NODES; i++)
+		loopback_start_node(i);
 }
 
 void loopback_start(const char *binary, const char *switches)
@@ -108,17 +109,17 @@
 	loop = ev_default_loop(0);
 	state = loopback_state_open(loop, &options);
 	cloud = loopback_cloud_open(loop, &options);
-	for (int n = 0; n < LOOPBACK_NODES; n++) {
-		loopback_nodes[n].port = free_port();
-		loopback_nodes[n].peer_port = free_port();
-		loopback_nodes[n].client =
-		    ws_client_new(loop, "127.0.0.1", loopback_nodes[n].port, &users);
+	for (int i = 0; i < LOOPBACK_NODES; i++) {
+		loopback_nodes[i].port = free_port();
+		loopback_nodes[i].peer_port = free_port();
+		loopback_nodes[i].client =
+		    ws_client_new(loop, "127.0.0.1", loopback_nodes[i].port, &users);
 	}
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
 		loopback_worker_open(loop, i, &options);
-	for (int n = 0; n < LOOPBACK_NODES; n++) {
-		settings_write(n);
-		loopback_start_node(n);
+	for (int i = 0; i < LOOPBACK_NODES; i++) {
+		settings_write(i);
+		loopback_start_node(i);
 	}
 	ev_timer_init(&ticker, on_tick, TICK_S, TICK_S);
 	ev_timer_start(loop, &ticker);
@@ -130,8 +131,8 @@
 	(void)watcher;
 	(void)events;
 	loopback_kill_all();
-	for (int n = 0; n < LOOPBACK_NODES; n++)
-		unlink(loopback_nodes[n].file);
+	for (int i = 0; i < LOOPBACK_NODES; i++)
+		unlink(loopback_nodes[i].file);
 	exit(130);
 }
 
@@ -148,10 +149,10 @@
 void loopback_stop(void)
 {
 	ev_timer_stop(loop, &ticker);
-	for (int n = 0; n < LOOPBACK_NODES; n++) {
-		loopback_kill_node(n);
-		unlink(loopback_nodes[n].file);
-		ws_client_free(loopback_nodes[n].client);
+	for (int i = 0; i < LOOPBACK_NODES; i++) {
+		loopback_kill_node(i);
+		unlink(loopback_nodes[i].file);
+		ws_client_free(loopback_nodes[i].client);
 	}
 	loopback_workers_close();
 	loopback_state_close();
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -12,7 +12,7 @@
 #define LOOPBACK_JOBS 64
 
 /* Figures of the settings that the controllers are started with. */
-#define LOOPBACK_REPORT_S 0.5
+#define LOOPBACK_HEARTBEAT_S 0.5
 #define LOOPBACK_LEASE_S 6.0
 
 struct loopback_job {
@@ -29,7 +29,7 @@
 /* What was seen, over the whole run. */
 struct loopback_counts {
 	unsigned starts, finishes, lost, twice; /* twice: started while on another machine */
-	unsigned run_orders, stop_orders, reap_orders;
+	unsigned run_commands, stop_commands, reap_commands;
 };
 
 /* Starts the stand-ins and the controllers, with a file of switches; NULL: none. */
--- a/tests/loopback_parts.h
+++ b/tests/loopback_parts.h
@@ -27,9 +27,9 @@
 	int zone, port, node;
 	struct ws_http_server *server;
 	struct ws_http_client *clients[LOOPBACK_NODES];
-	uint64_t tenure, counter, epoch, report;
-	double answered_sent, sent_at, next_report;
-	bool waiting, dark;
+	uint64_t incarnation, sequence, fencing_token;
+	double answered_sent, sent_at, next_heartbeat_at;
+	bool heartbeat_pending, dark;
 	struct loopback_task tasks[LOOPBACK_TASKS];
 	unsigned count;
 };
--- a/tests/loopback_workers.c
+++ b/tests/loopback_workers.c
@@ -1,4 +1,5 @@
-/* The loopback cluster's workers: reports, commands, leases; the count of all that they are told.
+/* The loopback cluster's workers: heartbeats, commands, leases; the count of all that they are
+ * told.
  */
 #include "loopback_parts.h"
 
@@ -18,7 +19,7 @@
 		}
 }
 
-static json_t *report(struct loopback_worker *worker)
+static json_t *heartbeat(struct loopback_worker *worker)
 {
 	static const char *const names[] = {"pulling", "running", "exited"};
 	json_t *tasks = json_array();
@@ -39,18 +40,18 @@
 	snprintf(address, sizeof(address), "127.0.0.1:%d", worker->port);
 	return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:n,s:o}", "host", worker->name,
 			 "address", address, "flavour", "std", "hall", loopback_zones[worker->zone],
-			 "reclaimable", 0, "tenure", (json_int_t)worker->tenure, "counter",
-			 (json_int_t)++worker->counter, "epoch", (json_int_t)worker->epoch,
+			 "reclaimable", 0, "tenure", (json_int_t)worker->incarnation, "counter",
+			 (json_int_t)++worker->sequence, "epoch", (json_int_t)worker->fencing_token,
 			 "warningS", "shards", tasks);
 }
 
 static void changed(struct loopback_worker *worker)
 {
-	if (worker->next_report > ws_now() + 0.1)
-		worker->next_report = ws_now() + 0.1;
+	if (worker->next_heartbeat_at > ws_now() + 0.1)
+		worker->next_heartbeat_at = ws_now() + 0.1;
 }
 
-static void order(struct loopback_worker *worker, json_t *object)
+static void take_command(struct loopback_worker *worker, json_t *object)
 {
 	const char *verb = json_string_value(json_object_get(object, "verb"));
 	const char *shard = json_string_value(json_object_get(object, "shard"));
@@ -65,36 +66,36 @@
 		    !strcmp(worker->tasks[i].job, job))
 			task = &worker->tasks[i];
 	if (!strcmp(verb, "run") && !task && worker->count < LOOPBACK_TASKS) {
-		loopback_count.run_orders++;
+		loopback_count.run_commands++;
 		task = &worker->tasks[worker->count++];
 		*task = (struct loopback_task){
 		    .number = number, .attempt = attempt, .until = ws_now() + 0.1};
 		snprintf(task->job, sizeof(task->job), "%s", job);
 	} else if (!strcmp(verb, "stop") && task && task->state != LOOPBACK_EXITED) {
-		loopback_count.stop_orders++;
+		loopback_count.stop_commands++;
 		task->state = LOOPBACK_EXITED;
 		task->cause = "stopped";
 	} else if (!strcmp(verb, "reap") && task && task->state == LOOPBACK_EXITED) {
-		loopback_count.reap_orders++;
+		loopback_count.reap_commands++;
 		*task = worker->tasks[--worker->count];
 	}
 	changed(worker);
 }
 
-/* Orders with a token; false if it is too low. */
-static bool orders(struct loopback_worker *worker, json_t *message)
+/* Commands with a fencing token; false if it is too low. */
+static bool take_commands(struct loopback_worker *worker, json_t *message)
 {
-	uint64_t epoch = (uint64_t)json_integer_value(json_object_get(message, "epoch"));
+	uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(message, "epoch"));
 	json_t *object;
 	size_t i;
 
-	if (epoch < worker->epoch)
+	if (fencing_token < worker->fencing_token)
 		return false;
-	if (epoch > worker->epoch)
+	if (fencing_token > worker->fencing_token)
 		changed(worker);
-	worker->epoch = epoch;
+	worker->fencing_token = fencing_token;
 	json_array_foreach (json_object_get(message, "orders"), i, object)
-		order(worker, object);
+		take_command(worker, object);
 	return true;
 }
 
@@ -111,9 +112,10 @@
 		json_decref(message);
 		return;
 	}
-	ok = json_integer_value(json_object_get(message, "tenure")) == (json_int_t)worker->tenure &&
-	     orders(worker, message);
-	loopback_answer(worker->server, request_id, ok ? 200 : 409, report(worker));
+	ok = json_integer_value(json_object_get(message, "tenure")) ==
+		 (json_int_t)worker->incarnation &&
+	     take_commands(worker, message);
+	loopback_answer(worker->server, request_id, ok ? 200 : 409, heartbeat(worker));
 	json_decref(message);
 }
 
@@ -123,19 +125,19 @@
 	json_t *message;
 	const char *leader;
 
-	worker->waiting = false;
+	worker->heartbeat_pending = false;
 	if (worker->dark)
 		return;
 	message = json_loadb(body, length, 0, NULL);
 	leader = json_string_value(json_object_get(message, "supervisor"));
-	if (status == 200 && orders(worker, message)) {
+	if (status == 200 && take_commands(worker, message)) {
 		worker->answered_sent = worker->sent_at;
 	} else if (status == 421 && leader && atoi(leader + 5) != worker->node) {
 		worker->node = atoi(leader + 5);
-		worker->next_report = ws_now() + 0.1;
+		worker->next_heartbeat_at = ws_now() + 0.1;
 	} else {
 		worker->node = (worker->node + 1) % LOOPBACK_NODES;
-		worker->next_report = ws_now() + 1;
+		worker->next_heartbeat_at = ws_now() + 1;
 	}
 	json_decref(message);
 }
@@ -168,20 +170,21 @@
 		for (unsigned i = 0; i < worker->count; i++)
 			loopback_count.lost += worker->tasks[i].state != LOOPBACK_EXITED;
 		worker->count = 0;
-		worker->tenure++;
+		worker->incarnation++;
 		worker->answered_sent = ws_now();
 	}
 	for (unsigned i = 0; i < worker->count; i++)
 		task_step(worker, &worker->tasks[i]);
-	if (worker->dark || worker->waiting || ws_now() < worker->next_report)
+	if (worker->dark || worker->heartbeat_pending || ws_now() < worker->next_heartbeat_at)
 		return;
-	body = report(worker);
+	body = heartbeat(worker);
 	text = json_dumps(body, 0);
 	json_decref(body);
 	worker->sent_at = ws_now();
-	worker->next_report = ws_now() + LOOPBACK_REPORT_S;
-	worker->waiting = ws_client_send(worker->clients[worker->node], "POST", "/checkin", text,
-					 strlen(text), 4, false, on_answer, worker);
+	worker->next_heartbeat_at = ws_now() + LOOPBACK_HEARTBEAT_S;
+	worker->heartbeat_pending =
+	    ws_client_send(worker->clients[worker->node], "POST", "/checkin", text, strlen(text), 4,
+			   false, on_answer, worker);
 	free(text);
 }
 
@@ -197,18 +200,18 @@
 	worker->server =
 	    ws_server_new(loop, "127.0.0.1", 0, options, on_command, worker, error, sizeof(error));
 	worker->port = ws_server_port(worker->server);
-	worker->tenure = 1;
+	worker->incarnation = 1;
 	worker->answered_sent = ws_now();
-	for (int n = 0; n < LOOPBACK_NODES; n++)
-		worker->clients[n] =
-		    ws_client_new(loop, "127.0.0.1", loopback_nodes[n].port, &client);
+	for (int i = 0; i < LOOPBACK_NODES; i++)
+		worker->clients[i] =
+		    ws_client_new(loop, "127.0.0.1", loopback_nodes[i].port, &client);
 }
 
 void loopback_workers_close(void)
 {
 	for (int i = 0; i < LOOPBACK_WORKERS; i++) {
-		for (int n = 0; n < LOOPBACK_NODES; n++)
-			ws_client_free(loopback_workers[i].clients[n]);
+		for (int k = 0; k < LOOPBACK_NODES; k++)
+			ws_client_free(loopback_workers[i].clients[k]);
 		ws_server_free(loopback_workers[i].server);
 	}
 }
@@ -228,13 +231,13 @@
 
 unsigned loopback_running_on(int worker, const char *job)
 {
-	const struct loopback_worker *other_worker = &loopback_workers[worker];
-	unsigned n = 0;
+	const struct loopback_worker *machine = &loopback_workers[worker];
+	unsigned count = 0;
 
-	for (unsigned i = 0; i < other_worker->count; i++)
-		n += other_worker->tasks[i].state == LOOPBACK_RUNNING &&
-		     !strcmp(other_worker->tasks[i].job, job);
-	return n;
+	for (unsigned i = 0; i < machine->count; i++)
+		count += machine->tasks[i].state == LOOPBACK_RUNNING &&
+			 !strcmp(machine->tasks[i].job, job);
+	return count;
 }
 
 const char *loopback_worker_name(int worker)
@@ -244,13 +247,13 @@
 
 unsigned loopback_running(int zone)
 {
-	unsigned n = 0;
+	unsigned count = 0;
 
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
 		for (unsigned k = 0;
 		     loopback_workers[i].zone == zone && k < loopback_workers[i].count; k++)
-			n += loopback_workers[i].tasks[k].state == LOOPBACK_RUNNING;
-	return n;
+			count += loopback_workers[i].tasks[k].state == LOOPBACK_RUNNING;
+	return count;
 }
 
 const struct loopback_counts *loopback_counts(void)
--- a/tests/ports.h
+++ b/tests/ports.h
@@ -8,15 +8,15 @@
 
 static int free_port(void)
 {
-	struct sockaddr_in a = {.sin_family = AF_INET};
-	socklen_t n = sizeof(a);
+	struct sockaddr_in address = {.sin_family = AF_INET};
+	socklen_t length = sizeof(address);
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
-	inet_pton(AF_INET, "127.0.0.1", &a.sin_addr);
-	if (bind(fd, (struct sockaddr *)&a, sizeof(a)))
+	inet_pton(AF_INET, "127.0.0.1", &address.sin_addr);
+	if (bind(fd, (struct sockaddr *)&address, sizeof(address)))
 		abort();
-	getsockname(fd, (struct sockaddr *)&a, &n);
+	getsockname(fd, (struct sockaddr *)&address, &length);
 	close(fd);
-	return ntohs(a.sin_port);
+	return ntohs(address.sin_port);
 }
 #endif
--- a/tests/random_cold_start.c
+++ b/tests/random_cold_start.c
@@ -1,8 +1,8 @@
 /*
  * Scenarios drawn at random: all controllers stop, once or several times, and return together or
  * one by one; machines lose power, zones are late, the store is out or slow, late messages
- * come, and the store may lose records. No order may start anew what is alive, and in the end every
- * job is answered for.
+ * come, and the store may lose records. No command may start anew what is alive, and in the end
+ * every job is answered for.
  */
 #include "random_parts.h"
 
--- a/tests/random_parts.c
+++ b/tests/random_parts.c
@@ -1,3 +1,5 @@
+/* Scenarios drawn at random: the generator of numbers, the common parts of a cluster, and the play.
+ */
 #include "random_parts.h"
 #include <stdarg.h>
 
@@ -43,20 +45,20 @@
 
 void random_event(double time, const char *format, ...)
 {
-	struct event *e = &events[event_count++];
+	struct event *event = &events[event_count++];
 	va_list arguments;
 
-	e->time = time;
+	event->time = time;
 	va_start(arguments, format);
-	vsnprintf(e->text, sizeof(e->text), format, arguments);
+	vsnprintf(event->text, sizeof(event->text), format, arguments);
 	va_end(arguments);
 }
 
 static int by_time(const void *left, const void *right)
 {
-	const struct event *x = left, *y = right;
+	const struct event *first = left, *second = right;
 
-	return (x->time > y->time) - (x->time < y->time);
+	return (first->time > second->time) - (first->time < second->time);
 }
 
 void random_cluster(unsigned zones)
@@ -67,14 +69,14 @@
 	random_line("lease %d", long_lease ? 45 : 16);
 	random_line("report %d", long_lease ? 3 : 2);
 	random_line("cancel %d", long_lease ? 75 : 46);
-	for (unsigned z = 0; z < zones; z++)
-		random_line("zone %c", 'a' + (int)z);
+	for (unsigned i = 0; i < zones; i++)
+		random_line("zone %c", 'a' + (int)i);
 	random_line("type std 16 128 1.0 %d %s", random_chance(50) ? 10 : 30,
 		    zones == 2	 ? "a b"
 		    : zones == 3 ? "a b c"
 				 : "a b c d");
-	for (unsigned z = 0; z < zones; z++)
-		random_line("owned std %c %u", 'a' + (int)z, 1 + random_draw(4));
+	for (unsigned i = 0; i < zones; i++)
+		random_line("owned std %c %u", 'a' + (int)i, 1 + random_draw(4));
 	random_line("capacity 30");
 	if (random_chance(30))
 		random_line("network rack 10.1.0.0/30");
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -38,7 +38,8 @@
 					   "c:f",  "g:f",  "m:f",  "im:s", "gb:f", "ty:a", "z:s",
 					   "fl:i", "e:f",  "ck:f", "sa:f", "dl:f"};
 	static const char *const phases = " queued running done withdrawn ";
-	json_t *element, *p = json_object_get(value, "p"), *d = json_object_get(value, "d");
+	json_t *element, *attempts = json_object_get(value, "p"),
+			 *done = json_object_get(value, "d");
 	char name[8], phase[32];
 	size_t i;
 
@@ -55,46 +56,48 @@
 			return false;
 	}
 	snprintf(phase, sizeof(phase), " %s ", json_string_value(json_object_get(value, "ph")));
-	if (!strstr(phases, phase) || (d && !json_is_string(d)) || (p && !json_is_array(p)))
+	if (!strstr(phases, phase) || (done && !json_is_string(done)) ||
+	    (attempts && !json_is_array(attempts)))
 		return false;
 	json_array_foreach (
-	    p, i, element) { /* [term, zone, shared, "rest[/incarnation][#number]=1-3,5;..."] */
-		const char *t = json_string_value(json_array_get(element, 3));
+	    attempts, i,
+	    element) { /* [term, zone, shared, "rest[/incarnation][#number]=1-3,5;..."] */
+		const char *tasks = json_string_value(json_array_get(element, 3));
 		bool named = false;
 
 		if (json_array_size(element) != 4 || !json_is_integer(json_array_get(element, 0)) ||
 		    !json_is_string(json_array_get(element, 1)) ||
-		    !json_is_string(json_array_get(element, 2)) || !t || !*t)
+		    !json_is_string(json_array_get(element, 2)) || !tasks || !*tasks)
 			return false;
-		for (const char *q = t; *q;) {
-			size_t n = strcspn(q, "/#=;");
+		for (const char *rest = tasks; *rest;) {
+			size_t length = strcspn(rest, "/#=;");
 
-			if (!n)
+			if (!length)
 				return false;
-			q += n;
-			if (*q == '/')
-				q += 1 + strspn(q + 1, "0123456789");
-			if (*q == '#') {
+			rest += length;
+			if (*rest == '/')
+				rest += 1 + strspn(rest + 1, "0123456789");
+			if (*rest == '#') {
 				named = true;
-				q += 1 + strspn(q + 1, "0123456789");
+				rest += 1 + strspn(rest + 1, "0123456789");
 			}
-			if (*q != '=' || !named || !strspn(q + 1, "0123456789"))
+			if (*rest != '=' || !named || !strspn(rest + 1, "0123456789"))
 				return false;
-			q += 1 + strspn(q + 1, "0123456789-,");
-			if (*q && *q != ';')
+			rest += 1 + strspn(rest + 1, "0123456789-,");
+			if (*rest && *rest != ';')
 				return false;
-			q += *q == ';';
+			rest += *rest == ';';
 		}
 	}
 	return true;
 }
 
 static bool assigned(const struct ws_recorded_attempt *recorded, size_t count, const char *machine,
-		     uint32_t task, uint64_t attempt, uint64_t tenure)
+		     uint32_t task, uint64_t attempt, uint64_t incarnation)
 {
 	for (size_t i = 0; i < count; i++)
 		if (!strcmp(recorded[i].machine, machine) && recorded[i].task == task &&
-		    recorded[i].incarnation == tenure && recorded[i].number == attempt)
+		    recorded[i].incarnation == incarnation && recorded[i].number == attempt)
 			return true;
 	return false;
 }
@@ -104,7 +107,7 @@
 	json_t *value = json_loads(array_job, 0, NULL);
 	struct ws_job *job = ws_record_read_job("job-000001", value);
 	struct ws_recorded_attempt *recorded;
-	size_t n;
+	size_t count;
 
 	check("the statement holds for production's own", old_reads_job(value));
 	check("an array's record reads",
@@ -112,14 +115,14 @@
 		  job->done_count == 21 && job->tasks[33].recorded && !job->tasks[20].done &&
 		  job->spec.allows_preemptible && !job->spec.gang && job->spec.type_count == 2 &&
 		  job->spec.deadline_s == 133);
-	n = ws_record_read_attempts(value, &recorded);
-	check("all its attempts", n == 12);
-	check("a range", assigned(recorded, n, "n-000031", 21, (41ULL << 24) + 5, 1));
-	check("a list", assigned(recorded, n, "n-000031", 30, (41ULL << 24) + 5, 1));
+	count = ws_record_read_attempts(value, &recorded);
+	check("all its attempts", count == 12);
+	check("a range", assigned(recorded, count, "n-000031", 21, (41ULL << 24) + 5, 1));
+	check("a list", assigned(recorded, count, "n-000031", 30, (41ULL << 24) + 5, 1));
 	check("the number of the one before",
-	      assigned(recorded, n, "n-000032", 23, (41ULL << 24) + 5, 1));
-	check("a tenure", assigned(recorded, n, "n-000040", 24, (41ULL << 24) + 9, 2));
-	check("another term", assigned(recorded, n, "n-000091", 31, (57ULL << 24) + 1, 1));
+	      assigned(recorded, count, "n-000032", 23, (41ULL << 24) + 5, 1));
+	check("a tenure", assigned(recorded, count, "n-000040", 24, (41ULL << 24) + 9, 2));
+	check("another term", assigned(recorded, count, "n-000091", 31, (57ULL << 24) + 1, 1));
 	free(recorded);
 	check("withdrawn, and still readable for it", ws_record_cancel(value) &&
 							  old_reads_job(value) &&
@@ -152,7 +155,7 @@
 {
 	json_t *value = json_loads(array_job, 0, NULL), *pieces[8];
 	char text[8192];
-	size_t len = 0, n, total;
+	size_t len = 0, count, total;
 	struct ws_recorded_attempt *recorded;
 
 	for (int i = 0; i < 400; i++)
@@ -164,22 +167,23 @@
 	      ws_record_read_attempts(value, &recorded) == 400);
 	free(recorded);
 	ws_record_cancel(value);
-	ws_record_split_attempts(value, 2000, pieces, 7, &n);
-	check("it is split", n >= 1 && n <= 3 && ws_record_continuation_count(value) == n);
+	ws_record_split_attempts(value, 2000, pieces, 7, &count);
+	check("it is split",
+	      count >= 1 && count <= 3 && ws_record_continuation_count(value) == count);
 	check("its own record fits and reads",
 	      ws_record_size(value) <= 2000 && old_reads_job(value));
 	total = ws_record_read_attempts(value, &recorded);
 	check("the first attempt is in it",
 	      assigned(recorded, total, "n-000000", 0, (41ULL << 24) + 7, 1));
 	free(recorded);
-	for (size_t i = 0; i < n; i++) {
-		size_t k = ws_record_read_attempts(pieces[i], &recorded);
+	for (size_t i = 0; i < count; i++) {
+		size_t found = ws_record_read_attempts(pieces[i], &recorded);
 
 		check("a piece fits", ws_record_size(pieces[i]) <= 2000);
-		if (i + 1 == n)
+		if (i + 1 == count)
 			check("the last attempt is in the last",
-			      assigned(recorded, k, "n-000399", 399, (41ULL << 24) + 7, 1));
-		total += k;
+			      assigned(recorded, found, "n-000399", 399, (41ULL << 24) + 7, 1));
+		total += found;
 		free(recorded);
 		json_decref(pieces[i]);
 	}
@@ -204,24 +208,24 @@
 	struct ws_machine_type type[WS_MAX_TYPES];
 	struct ws_core *core;
 	struct ws_machine *machine;
-	json_t *value = json_loads(old_rental, 0, NULL), *w;
+	json_t *value = json_loads(old_rental, 0, NULL), *written;
 
 	check("a rental reads", ws_record_read_scale_out(value, &request) &&
 				    request.instance_count == 3 && request.preemptible &&
 				    request.state == WS_SCALE_OUT_GRANTED &&
 				    !strcmp(request.instances[2], "n-000102"));
-	w = ws_record_scale_out(&request);
-	check("and is written alike", json_equal(value, w));
+	written = ws_record_scale_out(&request);
+	check("and is written alike", json_equal(value, written));
 	json_decref(value);
-	json_decref(w);
+	json_decref(written);
 	free(request.instances);
 	value = json_loads(old_types, 0, NULL);
 	check("types read", ws_record_read_types(value, type) == 1 && type[0].cpus == 16 &&
 				!strcmp(type[0].zones[0], "huye"));
-	w = ws_record_types(type, 1);
-	check("and are written alike", json_equal(value, w));
+	written = ws_record_types(type, 1);
+	check("and are written alike", json_equal(value, written));
 	json_decref(value);
-	json_decref(w);
+	json_decref(written);
 	ws_policy_defaults(&policy);
 	core = ws_core_new(&settings, &policy, NULL, 1, 1);
 	value = json_loads(old_chunk, 0, NULL);
@@ -229,12 +233,12 @@
 	machine = ws_machine_find(core, "n-000002");
 	check("the fleet reads", machine && machine->port == 9000 && machine->incarnation == 3 &&
 				     machine->preemptible && machine->image_cache_count == 1);
-	w = ws_record_machine_shard(core, 0);
+	written = ws_record_machine_shard(core, 0);
 	check("and is written in its form",
-	      json_array_size(json_object_get(w, "m")) == 2 &&
-		  json_array_size(json_array_get(json_object_get(w, "m"), 1)) == 8);
+	      json_array_size(json_object_get(written, "m")) == 2 &&
+		  json_array_size(json_array_get(json_object_get(written, "m"), 1)) == 8);
 	json_decref(value);
-	json_decref(w);
+	json_decref(written);
 	ws_core_free(core);
 }
 
@@ -264,8 +268,8 @@
 	ws__peer_frame__free_unpacked(frame, NULL);
 }
 
-/* Testimony there and back; what production sends, or what makes no sense, is none. */
-static void testimony(void)
+/* An outage vote there and back; what production sends, or what makes no sense, is none. */
+static void outage_votes(void)
 {
 	struct ws_cancellation list[] = {{"job-000007", 41}, {"job-000003", 43}};
 	struct ws_effect effect = {
@@ -275,11 +279,11 @@
 	Ws__OutageVote vote = WS__OUTAGE_VOTE__INIT;
 	struct ws_result result;
 	uint8_t out[256];
-	size_t n;
+	size_t length;
 
 	ws_vote_set_question(&frame, &vote, &call);
-	n = ws__peer_frame__pack(&frame, out);
-	got = ws__peer_frame__unpack(NULL, n, out);
+	length = ws__peer_frame__pack(&frame, out);
+	got = ws__peer_frame__unpack(NULL, length, out);
 	check("a question", got && got->kind == WS__PEER_FRAME__KIND__OUTAGE_VOTE &&
 				got->vote->leader_revision == 12 &&
 				got->vote->since_revision == 40 &&
@@ -290,9 +294,9 @@
 	ws__peer_frame__init(&frame);
 	ws__outage_vote__init(&vote);
 	ws_vote_set_answer(&frame, &vote, &effect);
-	n = ws__peer_frame__pack(&frame, out);
+	length = ws__peer_frame__pack(&frame, out);
 	ws_vote_free(&vote);
-	got = ws__peer_frame__unpack(NULL, n, out);
+	got = ws__peer_frame__unpack(NULL, length, out);
 	check("an answer", got && ws_vote_read(got, &result) && result.status == 503 &&
 			       result.vote_granted && result.has_more &&
 			       result.cancellation_count == 2 &&
@@ -324,7 +328,7 @@
 	split();
 	others();
 	frames();
-	testimony();
+	outage_votes();
 	printf("%d passed, %d failed\n", good, bad);
 	return bad != 0;
 }
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -13,8 +13,8 @@
 
 	for (int i = 1; i < argc; i++) {
 		struct sim *sim;
-		FILE *f;
-		char line[300], err[512] = "";
+		FILE *file;
+		char line[300], error[512] = "";
 		bool ok = true;
 
 		if (!strcmp(argv[i], "-v")) {
@@ -33,17 +33,17 @@
 			sim_trace = stderr;
 			continue;
 		}
-		f = fopen(argv[i], "r");
-		if (!f) {
+		file = fopen(argv[i], "r");
+		if (!file) {
 			perror(argv[i]);
 			return 2;
 		}
 		sim = sim_new();
-		while (ok && fgets(line, sizeof(line), f))
-			ok = sim_line(sim, line, err, sizeof(err));
-		fclose(f);
-		ok = ok && sim_play(sim, err, sizeof(err));
-		printf("%s %s%s%s\n", ok ? "ok  " : "FAIL", argv[i], ok ? "" : ": ", err);
+		while (ok && fgets(line, sizeof(line), file))
+			ok = sim_line(sim, line, error, sizeof(error));
+		fclose(file);
+		ok = ok && sim_play(sim, error, sizeof(error));
+		printf("%s %s%s%s\n", ok ? "ok  " : "FAIL", argv[i], ok ? "" : ": ", error);
 		if (digests)
 			sim_print_digest(sim, strrchr(argv[i], '/') ? strrchr(argv[i], '/') + 1
 								    : argv[i]);
--- a/tests/settings_test.c
+++ b/tests/settings_test.c
@@ -26,54 +26,56 @@
     {"settings.machine_limits", "ram_mb", "72.0", "7.0", false},
     {"settings.machine_limits", "max_sockets", "900", "40", false},
 };
-#define N (sizeof(figures) / sizeof(figures[0]))
+#define FIGURE_COUNT (sizeof(figures) / sizeof(figures[0]))
 
 /* Settings with one figure replaced; an empty value leaves it out. */
-static bool read_with(size_t which, const char *value, char *err, size_t size)
+static bool read_with(size_t which, const char *value, char *error, size_t size)
 {
 	static struct ws_settings settings;
-	char file[] = "/tmp/waystep-settings-XXXXXX";
-	FILE *f = fdopen(mkstemp(file), "w");
+	char path[] = "/tmp/waystep-settings-XXXXXX";
+	FILE *file = fdopen(mkstemp(path), "w");
 	const char *table = "";
 	bool ok;
 
-	fprintf(f, "node='n'\nzone='a'\nbind='127.0.0.1:1'\npeer_bind='127.0.0.1:2'\n"
-		   "[[seeds]]\nnode='m'\nzone='b'\nendpoint='127.0.0.1:3'\n"
-		   "[services]\ncloud='127.0.0.1:4'\nstate='127.0.0.1:5'\n"
-		   "[settings]\nzones=['a','b']\n"
-		   "[[settings.teams]]\nname='t'\ncpus=4.0\ncpus_max=8.0\n");
-	for (size_t i = 0; i < N; i++) {
+	fprintf(file, "node='n'\nzone='a'\nbind='127.0.0.1:1'\npeer_bind='127.0.0.1:2'\n"
+		      "[[seeds]]\nnode='m'\nzone='b'\nendpoint='127.0.0.1:3'\n"
+		      "[services]\ncloud='127.0.0.1:4'\nstate='127.0.0.1:5'\n"
+		      "[settings]\nzones=['a','b']\n"
+		      "[[settings.teams]]\nname='t'\ncpus=4.0\ncpus_max=8.0\n");
+	for (size_t i = 0; i < FIGURE_COUNT; i++) {
 		if (strcmp(table, figures[i].table))
-			fprintf(f, "[%s]\n", table = figures[i].table);
+			fprintf(file, "[%s]\n", table = figures[i].table);
 		if (i != which)
-			fprintf(f, "%s = %s\n", figures[i].name, figures[i].fine);
+			fprintf(file, "%s = %s\n", figures[i].name, figures[i].fine);
 		else if (value[0])
-			fprintf(f, "%s = %s\n", figures[i].name, value);
+			fprintf(file, "%s = %s\n", figures[i].name, value);
 	}
-	fclose(f);
-	err[0] = 0;
-	ok = ws_config_settings(file, &settings, err, size);
-	unlink(file);
+	fclose(file);
+	error[0] = 0;
+	ok = ws_config_settings(path, &settings, error, size);
+	unlink(path);
 	return ok;
 }
 
 int main(void)
 {
-	char err[512], what[128];
+	char error[512], what[128];
 
-	check("all as the platform's page has it", read_with(N, "", err, sizeof(err)));
-	for (size_t i = 0; i < N; i++) {
-		const struct figure *g = &figures[i];
+	check("all as the platform's page has it",
+	      read_with(FIGURE_COUNT, "", error, sizeof(error)));
+	for (size_t i = 0; i < FIGURE_COUNT; i++) {
+		const struct figure *figure = &figures[i];
 		const char *const bad[] = {
-		    "", "-1", "'some'", "nan", g->zero_means_none ? NULL : "0", g->small};
+		    "", "-1", "'some'", "nan", figure->zero_means_none ? NULL : "0", figure->small};
 
 		for (size_t k = 0; k < sizeof(bad) / sizeof(bad[0]); k++) {
 			if (!bad[k])
 				continue;
-			snprintf(what, sizeof(what), "%s = %s is refused by name", g->name,
+			snprintf(what, sizeof(what), "%s = %s is refused by name", figure->name,
 				 bad[k][0] ? bad[k] : "(missing)");
-			check(what, !read_with(i, bad[k], err, sizeof(err)) &&
-					strstr(err, g->table) && strstr(err, g->name));
+			check(what, !read_with(i, bad[k], error, sizeof(error)) &&
+					strstr(error, figure->table) &&
+					strstr(error, figure->name));
 		}
 	}
 	printf("%d passed, %d failed\n", good, bad);
--- a/tests/sim_digest.c
+++ b/tests/sim_digest.c
@@ -1,5 +1,5 @@
 /*
- * A digest of all that leaves the cores in a scenario: calls with their conditions and record
+ * A digest of all that leaves the cores in a scenario: calls with their compares and record
  * bytes, answers, commands and frames to peers, in the order in which they leave. Log lines are not
  * in it. Each effect is one line of text; the digest is the 64-bit FNV-1a hash of these lines,
  * which sim_trace prints.
@@ -22,26 +22,26 @@
 		fwrite(text, 1, length, sim_trace);
 }
 
-static void say(struct sim *sim, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-static void say(struct sim *sim, const char *fmt, ...)
+static void say(struct sim *sim, const char *format, ...) __attribute__((format(printf, 2, 3)));
+static void say(struct sim *sim, const char *format, ...)
 {
 	char text[1024];
-	va_list ap;
-	int n;
+	va_list arguments;
+	int length;
 
-	va_start(ap, fmt);
-	n = vsnprintf(text, sizeof(text), fmt, ap);
-	va_end(ap);
-	put(sim, text, (size_t)n < sizeof(text) ? (size_t)n : sizeof(text) - 1);
+	va_start(arguments, format);
+	length = vsnprintf(text, sizeof(text), format, arguments);
+	va_end(arguments);
+	put(sim, text, (size_t)length < sizeof(text) ? (size_t)length : sizeof(text) - 1);
 }
 
-static void say_commands(struct sim *sim, const struct ws_command *orders, size_t count)
+static void say_commands(struct sim *sim, const struct ws_command *commands, size_t count)
 {
 	static const char *const words[] = {"run", "stop", "reap"};
 
 	for (size_t i = 0; i < count; i++)
-		say(sim, " (%s %s/%u %llu %.17g)", words[orders[i].kind], orders[i].job,
-		    orders[i].task, (unsigned long long)orders[i].attempt, orders[i].grace_s);
+		say(sim, " (%s %s/%u %llu %.17g)", words[commands[i].kind], commands[i].job,
+		    commands[i].task, (unsigned long long)commands[i].attempt, commands[i].grace_s);
 }
 
 static void say_transaction(struct sim *sim, const struct ws_call *call)
--- a/tests/subsystem_text.h
+++ b/tests/subsystem_text.h
@@ -9,16 +9,16 @@
 static bool read_text(const char *text, struct ws_subsystem_settings *settings, char *error,
 		      size_t size)
 {
-	char file[] = "/tmp/waystep-switches-XXXXXX";
-	FILE *f = fdopen(mkstemp(file), "w");
+	char path[] = "/tmp/waystep-switches-XXXXXX";
+	FILE *file = fdopen(mkstemp(path), "w");
 	bool ok;
 
-	fputs(text, f);
-	fclose(f);
+	fputs(text, file);
+	fclose(file);
 	error[0] = 0;
 	ws_subsystem_defaults(settings);
-	ok = ws_subsystem_read(file, settings, error, size);
-	unlink(file);
+	ok = ws_subsystem_read(path, settings, error, size);
+	unlink(path);
 	return ok;
 }
 #endif
--- a/tests/try.c
+++ b/tests/try.c
@@ -95,7 +95,7 @@
 	}
 	printf("All jobs run:\n");
 	tell_what_runs();
-	loopback_run(2 * LOOPBACK_REPORT_S);
+	loopback_run(2 * LOOPBACK_HEARTBEAT_S);
 	return true;
 }
 
@@ -103,7 +103,7 @@
 static bool cold_start(void)
 {
 	const struct loopback_counts before = *loopback_counts(), *now = loopback_counts();
-	unsigned run_orders, stop_orders;
+	unsigned run_commands, stop_commands;
 
 	printf(
 	    "All controllers are killed, and started again %.0f s later (the lease is %.0f s):\n",
@@ -113,16 +113,16 @@
 	loopback_run(DOWN_S);
 	loopback_start_all();
 	loopback_until(phase_told, 2 * LOOPBACK_LEASE_S);
-	loopback_run(LOOPBACK_REPORT_S);
+	loopback_run(LOOPBACK_HEARTBEAT_S);
 	printf("What waystep --cold-start shows:\n");
 	tell_account();
-	run_orders = now->run_orders - before.run_orders;
-	stop_orders = now->stop_orders - before.stop_orders;
+	run_commands = now->run_commands - before.run_commands;
+	stop_commands = now->stop_commands - before.stop_commands;
 	printf("Orders since the kill: %u to run, %u to stop, %u to reap; tasks lost: %u\n",
-	       run_orders, stop_orders, now->reap_orders - before.reap_orders,
+	       run_commands, stop_commands, now->reap_commands - before.reap_commands,
 	       now->lost - before.lost);
 	tell_what_runs();
-	return !run_orders && !stop_orders && now->lost == before.lost && all_run();
+	return !run_commands && !stop_commands && now->lost == before.lost && all_run();
 }
 
 int main(int argc, char **argv)
