--- a/tests/codec_digest.h
+++ b/tests/codec_digest.h
@@ -88,7 +88,10 @@
 /* ws_decode_job(), with its outcome in the digest. */
 static int decode_job(const char *body, size_t length, struct ws_job_spec *spec)
 {
-	int status = ws_decode_job(body, length, spec);
+	int status;
+
+	memset(spec, 0, sizeof(*spec)); /* bytes that the decoder does not set are not its result */
+	status = ws_decode_job(body, length, spec);
 
 	jobs.messages++;
 	digest_bytes(&jobs, &status, sizeof(status));
@@ -100,7 +103,10 @@
 /* ws_decode_heartbeat(), with its outcome in the digest. */
 static bool decode_report(const char *body, size_t length, struct ws_heartbeat *report)
 {
-	bool ok = ws_decode_heartbeat(body, length, report);
+	bool ok;
+
+	memset(report, 0, sizeof(*report));
+	ok = ws_decode_heartbeat(body, length, report);
 
 	reports.messages++;
 	digest_bytes(&reports, &ok, sizeof(ok));
--- a/tests/loopback_parts.h
+++ b/tests/loopback_parts.h
@@ -29,9 +29,9 @@
 	int zone, port, node;
 	struct ws_http_server *server;
 	struct ws_http_client *clients[LOOPBACK_NODES];
-	uint64_t tenure, counter, epoch, report;
-	double answered_sent, sent_at, next_report;
-	bool waiting, dark;
+	uint64_t incarnation, sequence, fencing_token;
+	double answered_sent, sent_at, next_heartbeat_at;
+	bool heartbeat_pending, dark;
 	struct loopback_task tasks[LOOPBACK_TASKS];
 	unsigned count;
 };
@@ -55,8 +55,12 @@
 struct ws_http_server *loopback_state_open(struct ev_loop *loop,
 					   const struct ws_http_server_options *options);
 void loopback_state_close(void);
-/* Ends holds that were not renewed, answers watches. */
+/* Ends sessions that were not renewed, answers watches. */
 void loopback_state_step(void);
+/* Answers watches that have something to tell or are over. */
+void loopback_state_wake_watches(void);
+/* How many watches were open at once, at most. */
+unsigned loopback_state_most_watches(void);
 /* The value on record; NULL: there is none. */
 json_t *loopback_record(const char *key);
 
--- a/tests/subsystem_text.h
+++ b/tests/subsystem_text.h
@@ -31,15 +31,15 @@
 static bool read_text(const char *text, struct ws_subsystem_settings *settings, char *error,
 		      size_t size)
 {
-	char file[] = "/tmp/waystep-switches-XXXXXX";
-	FILE *f = fdopen(mkstemp(file), "w");
+	char path[] = "/tmp/waystep-switches-XXXXXX";
+	FILE *file = fdopen(mkstemp(path), "w");
 	bool ok;
 
-	fputs(text, f);
-	fclose(f);
+	fputs(text, file);
+	fclose(file);
 	ws_subsystem_defaults(settings);
-	ok = read_file(file, settings, error, size);
-	unlink(file);
+	ok = read_file(path, settings, error, size);
+	unlink(path);
 	return ok;
 }
 #endif
