--- a/src/core/autoscaler/queue_model.c
+++ b/src/core/autoscaler/queue_model.c
@@ -4,9 +4,10 @@
  * one before it (Lemmas 1 and 2); rows are joined by the cut equations (10) and (23). Only positive
  * numbers are added and multiplied; rows are rescaled so that nothing overflows.
  *
- * The paper's den = lambda + setup + ni mu - ni mu b(j+1) subtracts after all: under overload its
- * error grows with every step. Writing den = d + ni mu turns (9), (13) and (26) into
- * d(j) = setup(j) + lambda d(j+1) / (d(j+1) + ni mu), d(K) = setup(K), without a difference.
+ * The paper's denominator = lambda + setup + n_i mu - n_i mu b(j+1) subtracts after all: under
+ * overload its error grows with every step. Writing denominator = d + n_i mu turns (9), (13) and
+ * (26) into d(j) = setup(j) + lambda d(j+1) / (d(j+1) + n_i mu), d(K) = setup(K), without a
+ * difference.
  *
  * Two misprints of the paper are put right here: (10) must read min(j - n0, N - n0), as its
  * sibling (23) does, and in (4) the case j = n0 belongs to (5).
@@ -21,162 +22,300 @@
 	return left < right ? left : right;
 }
 
-/* Only ratios matter: what grows too large is scaled down, and all that goes with it. */
-static void ws_rescale(double *cur, double *a, int j, int kmax, double *sums)
+/* Probabilities that grow above this are scaled down. */
+#define WS_RESCALE_ABOVE 1e120
+
+struct ws_queue {
+	double arrival_rate; /* lambda */
+	double service_rate; /* mu, of one machine */
+	double boot_rate;    /* alpha: 1 / mean boot time */
+	int owned;	     /* n0 */
+	int machines;	     /* N: owned, and rented ones up to k */
+	int capacity;	     /* K: jobs in the system at most */
+};
+
+/* Row i of the states; the arrays are indexed by j, the jobs in the system, from 0 to K. */
+struct ws_queue_row {
+	int scaled_out;		/* i: rented machines that are active */
+	int active;		/* n_i = n0 + i: machines that are active */
+	double *previous;	/* probabilities of row i - 1 */
+	double *probabilities;	/* of this row, not normalized */
+	double *constant_terms; /* a(j) of p(j) = a(j) + b(j) p(j - 1) */
+	double *factors;	/* b(j) */
+};
+
+/* Sums over all states so far, weighted with their probabilities. */
+struct ws_queue_sums {
+	double probability;
+	double jobs;
+	double scaled_out;  /* rented machines, active or booting */
+	double full_system; /* probability of the states with K jobs */
+};
+
+static void ws_sums_scale_down(struct ws_queue_sums *sums, double divisor)
+{
+	sums->probability /= divisor;
+	sums->jobs /= divisor;
+	sums->scaled_out /= divisor;
+	sums->full_system /= divisor;
+}
+
+/* Only ratios matter: scales all down by p(jobs) if that grew too large. */
+static void ws_row_rescale(const struct ws_queue *queue, struct ws_queue_row *row, int jobs,
+			   struct ws_queue_sums *sums)
 {
-	double f = cur[j];
+	double divisor = row->probabilities[jobs];
 
-	if (!(f > 1e120))
+	if (!(divisor > WS_RESCALE_ABOVE))
 		return;
-	for (int t = 0; t <= j; t++)
-		cur[t] /= f;
-	for (int t = j + 1; t <= kmax; t++)
-		a[t] /= f;
-	for (int x = 0; x < 4; x++)
-		sums[x] /= f;
+	for (int j = 0; j <= jobs; j++)
+		row->probabilities[j] /= divisor;
+	for (int j = jobs + 1; j <= queue->capacity; j++)
+		row->constant_terms[j] /= divisor;
+	ws_sums_scale_down(sums, divisor);
+}
+
+/* The rate at which row i - 1 with this number of jobs turns into row i: one machine has booted. */
+static double ws_rate_into_row(const struct ws_queue *queue, const struct ws_queue_row *row,
+			       int jobs)
+{
+	return ws_min(jobs - row->active + 1, queue->machines - row->active + 1) * queue->boot_rate;
+}
+
+/* Makes the row empty and number i. */
+static void ws_row_begin(const struct ws_queue *queue, struct ws_queue_row *row, int scaled_out)
+{
+	size_t bytes = ((size_t)queue->capacity + 2) * sizeof(double);
+
+	row->scaled_out = scaled_out;
+	row->active = queue->owned + scaled_out;
+	memset(row->probabilities, 0, bytes);
+	memset(row->constant_terms, 0, bytes);
+	memset(row->factors, 0, bytes);
 }
 
-bool ws_queue_solve(double lambda, double service_rate, double alpha, int owned, int machines,
-		    int kmax, struct ws_queue_solution *solution)
+/* a(j) and b(j) after (9), (13) and (26), from K downwards. False: a denominator is not positive.
+ */
+static bool ws_row_coefficients(const struct ws_queue *queue, struct ws_queue_row *row)
+{
+	const double active_service_rate = row->active * queue->service_rate; /* n_i mu */
+	double reduced = 0; /* d(j): the denominator less n_i mu, see the head of this file */
+
+	for (int j = queue->capacity; j > row->active; j--) {
+		double setup =
+		    ws_min(j - row->active, queue->machines - row->active) * queue->boot_rate;
+		double inflow =
+		    row->scaled_out ? ws_rate_into_row(queue, row, j) * row->previous[j] : 0;
+		double next_term = j < queue->capacity ? row->constant_terms[j + 1] : 0;
+		double denominator;
+
+		reduced =
+		    setup + (j < queue->capacity && reduced > 0
+				 ? queue->arrival_rate * reduced / (reduced + active_service_rate)
+				 : 0);
+		denominator = reduced + active_service_rate;
+		if (!(denominator > 0))
+			return false;
+		row->constant_terms[j] = (active_service_rate * next_term + inflow) / denominator;
+		row->factors[j] = queue->arrival_rate / denominator;
+	}
+	return true;
+}
+
+/* The probabilities of row 0, in multiples of that of the empty system. */
+static void ws_row_fill_first(const struct ws_queue *queue, struct ws_queue_row *row,
+			      struct ws_queue_sums *sums)
 {
-	if (!(lambda > 0) || !(service_rate > 0) || !(alpha > 0) || owned < 0 || machines < 0 ||
-	    kmax < owned + machines || kmax < 1 || !isfinite(lambda + service_rate + alpha))
+	double *probabilities = row->probabilities;
+
+	probabilities[0] = 1;
+	for (int j = 1; j <= queue->capacity; j++) {
+		probabilities[j] =
+		    probabilities[j - 1] * (j <= queue->owned
+						? queue->arrival_rate / (j * queue->service_rate)
+						: row->factors[j]);
+		ws_row_rescale(queue, row, j, sums);
+	}
+}
+
+/* The probabilities of a row above 0: its first by the cut equations (10) and (23). */
+static void ws_row_fill(const struct ws_queue *queue, struct ws_queue_row *row,
+			struct ws_queue_sums *sums)
+{
+	double *probabilities = row->probabilities;
+	double inflow = 0; /* from row i - 1 */
+
+	for (int j = row->active; j <= queue->capacity; j++)
+		inflow += ws_rate_into_row(queue, row, j) * row->previous[j];
+	probabilities[row->active] = inflow / (row->active * queue->service_rate);
+	for (int j = row->active + 1; j <= queue->capacity; j++) {
+		probabilities[j] = row->constant_terms[j] + row->factors[j] * probabilities[j - 1];
+		ws_row_rescale(queue, row, j, sums);
+	}
+}
+
+/* Adds the row to the sums. Scales it and them down to its largest value, if that is above 1.
+ * False: that value is not finite. */
+static bool ws_row_add_to_sums(const struct ws_queue *queue, struct ws_queue_row *row,
+			       struct ws_queue_sums *sums)
+{
+	double *probabilities = row->probabilities;
+	double largest = 0;
+
+	for (int j = 0; j <= queue->capacity; j++)
+		largest = probabilities[j] > largest ? probabilities[j] : largest;
+	if (!isfinite(largest))
 		return false;
-	int n = owned + machines;
-	size_t w = (size_t)kmax + 2;
-	double *prev = calloc(w, sizeof(double)), *cur = calloc(w, sizeof(double));
-	double *a = calloc(w, sizeof(double)), *b = calloc(w, sizeof(double));
-	bool ok = prev && cur && a && b;
-	double sums[4] = {0}; /* probability, jobs, rented machines, and what is full */
-
-	for (int i = 0; ok && i <= machines; i++) {
-		int ni = owned + i;
-		double up = 0; /* flow from row i - 1 into this one */
-
-		memset(cur, 0, w * sizeof(double));
-		memset(a, 0, w * sizeof(double));
-		memset(b, 0, w * sizeof(double));
-		double d = 0; /* den less ni mu: quarantined, see above */
-		for (int j = kmax; j > ni; j--) {
-			double setup = ws_min(j - ni, n - ni) * alpha;
-			double in = i ? ws_min(j - ni + 1, n - ni + 1) * alpha * prev[j] : 0;
-			double next_a = j < kmax ? a[j + 1] : 0;
-			double den;
-
-			d = setup + (j < kmax && d > 0 ? lambda * d / (d + ni * service_rate) : 0);
-			den = d + ni * service_rate;
-			if (!(den > 0)) {
-				ok = false;
-				break;
-			}
-			a[j] = (ni * service_rate * next_a + in) / den;
-			b[j] = lambda / den;
-		}
-		if (!ok)
-			break;
-		if (i == 0) {
-			cur[0] = 1;
-			for (int j = 1; j <= kmax; j++) {
-				cur[j] =
-				    cur[j - 1] * (j <= owned ? lambda / (j * service_rate) : b[j]);
-				ws_rescale(cur, a, j, kmax, sums);
-			}
-		} else {
-			for (int j = ni; j <= kmax; j++)
-				up += ws_min(j - ni + 1, n - ni + 1) * alpha * prev[j];
-			cur[ni] = up / (ni * service_rate);
-			for (int j = ni + 1; j <= kmax; j++) {
-				cur[j] = a[j] + b[j] * cur[j - 1];
-				ws_rescale(cur, a, j, kmax, sums);
-			}
-		}
-		double peak = 0;
-		for (int j = 0; j <= kmax; j++)
-			peak = cur[j] > peak ? cur[j] : peak;
-		if (!isfinite(peak)) {
-			ok = false;
-			break;
-		}
-		for (int j = 0; j <= kmax; j++) {
-			if (cur[j] == 0)
-				continue;
-			sums[0] += cur[j];
-			sums[1] += cur[j] * j;
-			sums[2] += cur[j] * i;
-			if (j > ni)
-				sums[2] += cur[j] * ws_min(j - ni, n - ni);
-		}
-		sums[3] += cur[kmax];
-		if (peak > 1) {
-			for (int j = 0; j <= kmax; j++)
-				cur[j] /= peak;
-			for (int x = 0; x < 4; x++)
-				sums[x] /= peak;
-		}
-		double *t = prev;
-		prev = cur;
-		cur = t;
+	for (int j = 0; j <= queue->capacity; j++) {
+		if (probabilities[j] == 0)
+			continue;
+		sums->probability += probabilities[j];
+		sums->jobs += probabilities[j] * j;
+		sums->scaled_out += probabilities[j] * row->scaled_out;
+		if (j > row->active)
+			sums->scaled_out += probabilities[j] *
+					    ws_min(j - row->active, queue->machines - row->active);
+	}
+	sums->full_system += probabilities[queue->capacity];
+	if (largest > 1) {
+		for (int j = 0; j <= queue->capacity; j++)
+			probabilities[j] /= largest;
+		ws_sums_scale_down(sums, largest);
+	}
+	return true;
+}
+
+/* Sums over all rows. False: the recursion broke down. */
+static bool ws_queue_sum_rows(const struct ws_queue *queue, struct ws_queue_row *row,
+			      struct ws_queue_sums *sums)
+{
+	for (int i = 0; i <= queue->machines - queue->owned; i++) {
+		double *finished;
+
+		ws_row_begin(queue, row, i);
+		if (!ws_row_coefficients(queue, row))
+			return false;
+		if (i == 0)
+			ws_row_fill_first(queue, row, sums);
+		else
+			ws_row_fill(queue, row, sums);
+		if (!ws_row_add_to_sums(queue, row, sums))
+			return false;
+		finished = row->probabilities;
+		row->probabilities = row->previous;
+		row->previous = finished;
 	}
-	free(prev);
-	free(cur);
-	free(a);
-	free(b);
-	if (!ok || !(sums[0] > 0) || !isfinite(sums[0]))
+	return true;
+}
+
+/* The means after (35) to (38). False: the sums give none. */
+static bool ws_queue_means(const struct ws_queue *queue, const struct ws_queue_sums *sums,
+			   struct ws_queue_solution *solution)
+{
+	double accepted_rate;
+
+	if (!(sums->probability > 0) || !isfinite(sums->probability))
 		return false;
-	solution->blocking_probability = sums[3] / sums[0];
-	solution->mean_scaled_out = sums[2] / sums[0];
-	double taken = lambda * (1 - solution->blocking_probability);
-	if (!(taken > 0))
+	solution->blocking_probability = sums->full_system / sums->probability;
+	solution->mean_scaled_out = sums->scaled_out / sums->probability;
+	accepted_rate = queue->arrival_rate * (1 - solution->blocking_probability);
+	if (!(accepted_rate > 0))
 		return false;
-	solution->mean_wait_s = sums[1] / sums[0] / taken - 1 / service_rate;
+	solution->mean_wait_s =
+	    sums->jobs / sums->probability / accepted_rate - 1 / queue->service_rate;
 	if (solution->mean_wait_s < 0)
 		solution->mean_wait_s = 0;
 	return isfinite(solution->mean_wait_s) && isfinite(solution->mean_scaled_out);
 }
 
-/* Whether Algorithm 1 stops at k: 1 yes, 0 not yet, -1 the queue can't be solved. */
-static int ws_sizing_stops(const struct ws_queue_measurement *measurement, int machines, int unit,
-			   struct ws_queue_solution *solution)
+bool ws_queue_solve(double arrival_rate, double service_rate, double boot_rate, int owned,
+		    int scale_out_limit, int capacity, struct ws_queue_solution *solution)
 {
-	int cap = measurement->owned + measurement->ceiling + measurement->waiting_units;
+	const struct ws_queue queue = {.arrival_rate = arrival_rate,
+				       .service_rate = service_rate,
+				       .boot_rate = boot_rate,
+				       .owned = owned,
+				       .machines = owned + scale_out_limit,
+				       .capacity = capacity};
+	struct ws_queue_row row = {0};
+	struct ws_queue_sums sums = {0};
+	size_t length;
+	bool is_solved;
+
+	if (!(arrival_rate > 0) || !(service_rate > 0) || !(boot_rate > 0) || owned < 0 ||
+	    scale_out_limit < 0 || capacity < owned + scale_out_limit || capacity < 1 ||
+	    !isfinite(arrival_rate + service_rate + boot_rate))
+		return false;
+	length = (size_t)capacity + 2;
+	row.previous = calloc(length, sizeof(double));
+	row.probabilities = calloc(length, sizeof(double));
+	row.constant_terms = calloc(length, sizeof(double));
+	row.factors = calloc(length, sizeof(double));
+	is_solved = row.previous && row.probabilities && row.constant_terms && row.factors &&
+		    ws_queue_sum_rows(&queue, &row, &sums) &&
+		    ws_queue_means(&queue, &sums, solution);
+	free(row.previous);
+	free(row.probabilities);
+	free(row.constant_terms);
+	free(row.factors);
+	return is_solved;
+}
+
+/* The paper's K: jobs in the system at most, in demand units. */
+static int ws_measured_capacity(const struct ws_queue_measurement *measurement)
+{
+	return measurement->owned + measurement->ceiling + measurement->waiting_units;
+}
+
+/* Whether Algorithm 1 stops at a k. */
+enum ws_stop_decision { WS_STOP_UNSOLVABLE, WS_STOP_NOT_YET, WS_STOP_HERE };
+
+static enum ws_stop_decision ws_sizing_stops(const struct ws_queue_measurement *measurement,
+					     int scale_out_limit, int unit,
+					     struct ws_queue_solution *solution)
+{
+	int capacity = ws_measured_capacity(measurement);
+	double load_ratio, wait_ratio;
 
 	if (!ws_queue_solve(measurement->arrival_rate / unit, measurement->service_rate,
-			    measurement->boot_rate, measurement->owned / unit, machines,
-			    (cap + unit - 1) / unit, solution))
-		return -1;
+			    measurement->boot_rate, measurement->owned / unit, scale_out_limit,
+			    (capacity + unit - 1) / unit, solution))
+		return WS_STOP_UNSOLVABLE;
 	solution->mean_scaled_out *= unit;
 	if (measurement->bound_s > 0 && solution->mean_wait_s > measurement->bound_s)
-		return 0;
-	return solution->mean_wait_s <= 0 ||
-	       (solution->mean_scaled_out / measurement->rentals_max) /
-		       (solution->mean_wait_s / measurement->wait_max_s) >=
-		   measurement->delta;
+		return WS_STOP_NOT_YET;
+	if (solution->mean_wait_s <= 0)
+		return WS_STOP_HERE;
+	load_ratio = solution->mean_scaled_out / measurement->rentals_max; /* S' */
+	wait_ratio = solution->mean_wait_s / measurement->wait_max_s;	   /* W'q */
+	return load_ratio / wait_ratio >= measurement->delta ? WS_STOP_HERE : WS_STOP_NOT_YET;
 }
 
 /*
  * Algorithm 1 raises k from 0 until it stops. As k rises S does and Wq falls, so the first k at
- * which it stops is found by halving. Its cost grows with the cube of the machines: hundreds are
- * counted in units of several, which wait a little longer than as many single ones.
+ * which it stops is found by binary search. Its cost grows with the cube of the machines: hundreds
+ * are counted in units of several, which wait a little longer than as many single ones.
  */
 int ws_sizing_run(const struct ws_queue_measurement *measurement,
 		  struct ws_queue_solution *solution)
 {
-	int cap = measurement->owned + measurement->ceiling + measurement->waiting_units;
-	int unit = cap / WS_SIZING_STATES + 1, low = 0,
-	    high = (measurement->ceiling + unit - 1) / unit;
+	int unit = ws_measured_capacity(measurement) / WS_SIZING_STATES + 1;
+	int low = 0;
+	int high = (measurement->ceiling + unit - 1) / unit;
 
 	while (low < high) {
-		int mid = low + (high - low) / 2,
-		    stops = ws_sizing_stops(measurement, mid, unit, solution);
+		int middle = low + (high - low) / 2;
+		enum ws_stop_decision decision =
+		    ws_sizing_stops(measurement, middle, unit, solution);
 
-		if (stops < 0)
+		if (decision == WS_STOP_UNSOLVABLE)
 			return -1;
-		if (stops)
-			high = mid;
+		if (decision == WS_STOP_HERE)
+			high = middle;
 		else
-			low = mid + 1;
+			low = middle + 1;
 	}
-	if (ws_sizing_stops(measurement, low, unit, solution) < 0)
+	if (ws_sizing_stops(measurement, low, unit, solution) == WS_STOP_UNSOLVABLE)
 		return -1;
 	return low * unit < measurement->ceiling ? low * unit : measurement->ceiling;
 }
