--- /dev/null
+++ b/src/core/autoscaler/demand_packing.c
@@ -0,0 +1,135 @@
+/*
+ * Packs unmet demand into machines by first fit. Machines that are alike and equally full share a
+ * bin, so that the work grows with the number of different machines rather than with all.
+ */
+#include "autoscaler_internal.h"
+
+#define INITIAL_BIN_CAPACITY 64
+/* Rounding errors of sums of CPUs are below this. */
+#define CPU_TOLERANCE 1e-9
+
+void ws_packing_add_bin(struct ws_packing *packing, const struct ws_bin *bin)
+{
+	const struct ws_bin added = *bin; /* which may be one of the bins that move */
+
+	if (packing->bin_count == packing->bin_capacity) {
+		packing->bin_capacity =
+		    packing->bin_capacity ? 2 * packing->bin_capacity : INITIAL_BIN_CAPACITY;
+		packing->bins =
+		    realloc(packing->bins, (size_t)packing->bin_capacity * sizeof(*packing->bins));
+		if (!packing->bins)
+			abort();
+	}
+	packing->bins[packing->bin_count++] = added;
+}
+
+struct ws_bin ws_bin_of_empty(const struct ws_machine_kind *kind, uint32_t machine_count)
+{
+	return (struct ws_bin){.kind = *kind,
+			       .machine_count = machine_count,
+			       .free_cpus = kind->type->cpus,
+			       .free_gpus = kind->type->gpus,
+			       .free_mem_gb = kind->type->mem_gb};
+}
+
+static bool ws_kinds_are_equal(const struct ws_machine_kind *left,
+			       const struct ws_machine_kind *right)
+{
+	return left->type == right->type && left->zone_index == right->zone_index &&
+	       left->preemptible == right->preemptible;
+}
+
+void ws_packing_add_machines(struct ws_core *core, struct ws_packing *packing,
+			     const struct ws_machine_kind *kind, uint32_t machine_count)
+{
+	struct ws_bin bin;
+
+	if (kind->zone_index >= 0)
+		packing->machine_counts[kind->type - core->catalog.types][kind->zone_index] +=
+		    machine_count;
+	for (int i = 0; i < packing->bin_count; i++)
+		if (ws_kinds_are_equal(&packing->bins[i].kind, kind)) {
+			packing->bins[i].machine_count += machine_count;
+			return;
+		}
+	bin = ws_bin_of_empty(kind, machine_count);
+	ws_packing_add_bin(packing, &bin);
+}
+
+uint32_t ws_bin_tasks_fit(const struct ws_core *core, const struct ws_bin *bin,
+			  const struct ws_unmet_demand *demand)
+{
+	const struct ws_job_spec *spec = &demand->job->spec;
+	const struct ws_machine_kind *kind = &bin->kind;
+
+	if (!bin->machine_count || bin->free_cpus + CPU_TOLERANCE < spec->cpus)
+		return 0;
+	if (kind->preemptible && !spec->allows_preemptible)
+		return 0;
+	if (kind->zone_index < 0 || !(demand->zones >> kind->zone_index & 1))
+		return 0;
+	if (!(demand->job->eligible_types >> (kind->type - core->catalog.types) & 1))
+		return 0;
+	return ws_tasks_fit(spec, bin->free_cpus, bin->free_gpus, bin->free_mem_gb, demand->tasks);
+}
+
+/* Places tasks on some machines of a bin; unless these are all, they become a bin of their own. */
+static uint32_t ws_packing_fill(struct ws_packing *packing, int index,
+				const struct ws_job_spec *spec, uint32_t machine_count,
+				uint32_t tasks_each)
+{
+	struct ws_bin *bin = &packing->bins[index];
+
+	if (machine_count < bin->machine_count) {
+		struct ws_bin part = *bin;
+
+		part.machine_count = machine_count;
+		bin->machine_count -= machine_count;
+		ws_packing_add_bin(packing, &part);
+		bin = &packing->bins[packing->bin_count - 1];
+	}
+	bin->free_cpus -= tasks_each * spec->cpus;
+	bin->free_gpus -= tasks_each * spec->gpus;
+	bin->free_mem_gb -= tasks_each * spec->mem_gb;
+	return machine_count * tasks_each;
+}
+
+uint32_t ws_packing_place(const struct ws_core *core, struct ws_packing *packing, int index,
+			  const struct ws_unmet_demand *demand, uint32_t tasks)
+{
+	const struct ws_job_spec *spec = &demand->job->spec;
+	const uint32_t machine_count = packing->bins[index].machine_count;
+	const uint32_t fit = ws_bin_tasks_fit(core, &packing->bins[index], demand);
+	uint32_t filled, placed = 0;
+
+	if (!fit)
+		return 0;
+	filled = tasks / fit < machine_count ? tasks / fit : machine_count;
+	if (filled)
+		placed = ws_packing_fill(packing, index, spec, filled, fit);
+	/* what is left is less than one machine takes, unless all are filled */
+	if (filled < machine_count && placed < tasks)
+		placed += ws_packing_fill(packing, index, spec, 1, tasks - placed);
+	return placed;
+}
+
+void ws_packing_drop_full(struct ws_packing *packing)
+{
+	int left = 0;
+
+	for (int i = 0; i < packing->bin_count; i++) {
+		const struct ws_bin *bin = &packing->bins[i];
+
+		if (bin->machine_count &&
+		    bin->free_cpus + CPU_TOLERANCE >= packing->smallest_task_cpus)
+			packing->bins[left++] = *bin;
+	}
+	packing->bin_count = left;
+}
+
+void ws_packing_clear(struct ws_packing *packing)
+{
+	free(packing->bins);
+	packing->bins = NULL;
+	packing->bin_count = packing->bin_capacity = 0;
+}
--- /dev/null
+++ b/src/core/autoscaler/instance_list.c
@@ -0,0 +1,126 @@
+/*
+ * The cloud's list of instances, read page by page. It tells which machines were there before any
+ * scale-out (owned machines), and which machines are gone.
+ */
+#include "autoscaler_internal.h"
+
+/*
+ * The first list ever read, to its last page, names the machines that are owned: none was rented
+ * yet. A list without any is believed only when the cloud's lag can't be the cause.
+ */
+static void ws_determine_owned_machines(struct ws_core *core, const struct ws_result *page)
+{
+	struct ws_fleet *fleet = &core->fleet;
+	struct ws_machine *machine, *next;
+	bool lag_is_over = core->now - core->leadership.elected_at > 2 * core->settings->list_lag_s;
+
+	if (fleet->owned_recorded || fleet->owned_determined)
+		return;
+	if (page->instance_count)
+		snprintf(fleet->last_owned_name, sizeof(fleet->last_owned_name), "%s",
+			 page->instances[page->instance_count - 1].name);
+	if (page->has_more || (!fleet->last_owned_name[0] && !lag_is_over))
+		return;
+	fleet->owned_determined = true;
+	fleet->first_fit_stale = true;
+	HASH_ITER (hh, fleet->machines, machine, next)
+		machine->owned = strcmp(machine->name, fleet->last_owned_name) <= 0;
+}
+
+/* Takes in the instances of a page, and marks their machines as listed. */
+static void ws_apply_page(struct ws_core *core, const struct ws_result *page)
+{
+	for (size_t i = 0; i < page->instance_count; i++) {
+		struct ws_machine *machine;
+
+		ws_machine_apply_instance(core, &page->instances[i]);
+		machine = ws_machine_find(core, page->instances[i].name);
+		if (machine)
+			machine->instance_list_mark = core->autoscaler.list_mark;
+	}
+}
+
+/* On record before this leader's election: lists newer than twice the lag should name it. */
+static bool ws_machine_should_be_listed(const struct ws_core *core,
+					const struct ws_machine *machine)
+{
+	return machine->recorded &&
+	       core->now - core->leadership.elected_at > 2 * core->settings->list_lag_s;
+}
+
+/* Whether a machine was, or should be, listed, is not in the list just read, and is silent. */
+static bool ws_machine_is_missing(const struct ws_core *core, const struct ws_machine *machine)
+{
+	const double silence_s = 2 * core->settings->report_s;
+
+	return !machine->owned &&
+	       (machine->in_instance_list || ws_machine_should_be_listed(core, machine)) &&
+	       machine->instance_list_mark != core->autoscaler.list_mark &&
+	       !machine->scale_in_requested && core->now - machine->last_heard_at > silence_s &&
+	       core->now - core->leadership.elected_at > silence_s && core->fleet.owned_recorded;
+}
+
+/* Returns machines that are missing, to have the cloud confirm that they are gone. */
+static void ws_scale_in_missing(struct ws_core *core)
+{
+	struct ws_machine *machine, *next;
+
+	HASH_ITER (hh, core->fleet.machines, machine, next) {
+		if (!ws_machine_is_missing(core, machine))
+			continue;
+		ws_log(core, WS_LOG_INFO, "machine %s is no longer listed", machine->name);
+		machine->scale_in_requested = true;
+	}
+}
+
+static void ws_instance_list_answered(struct ws_core *core, struct ws_call *call,
+				      const struct ws_result *result)
+{
+	struct ws_autoscaler *autoscaler = &core->autoscaler;
+
+	if (call->generation != core->generation)
+		return;
+	autoscaler->list_in_flight = false;
+	autoscaler->next_list_at = core->now + core->settings->list_lag_s;
+	if (result->status != 200) {
+		autoscaler->list_continues_after[0] = 0;
+		return;
+	}
+	ws_determine_owned_machines(core, result);
+	ws_apply_page(core, result);
+	if (result->has_more && result->instance_count) {
+		snprintf(autoscaler->list_continues_after, sizeof(autoscaler->list_continues_after),
+			 "%s", result->instances[result->instance_count - 1].name);
+		autoscaler->next_list_at = core->now;
+		return;
+	}
+	autoscaler->list_continues_after[0] = 0;
+	ws_scale_in_missing(core);
+}
+
+/* Other calls to the cloud go first while demand is unmet, unless the list gets too old. */
+static bool ws_instance_list_is_due(const struct ws_core *core)
+{
+	const struct ws_autoscaler *autoscaler = &core->autoscaler;
+
+	if (autoscaler->list_in_flight || core->now < autoscaler->next_list_at ||
+	    core->now < autoscaler->next_cloud_call_at)
+		return false;
+	return !autoscaler->units_waiting || !core->fleet.owned_recorded ||
+	       core->now >= autoscaler->next_list_at + core->settings->list_lag_s;
+}
+
+void ws_instance_list_tick(struct ws_core *core)
+{
+	struct ws_autoscaler *autoscaler = &core->autoscaler;
+	struct ws_call *call;
+
+	if (!ws_instance_list_is_due(core))
+		return;
+	call = ws_call_new(core, WS_CALL_INSTANCES, ws_instance_list_answered);
+	snprintf(call->after, sizeof(call->after), "%s", autoscaler->list_continues_after);
+	if (!autoscaler->list_continues_after[0])
+		autoscaler->list_mark++;
+	autoscaler->list_in_flight = true;
+	autoscaler->next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
+}
--- /dev/null
+++ b/src/core/autoscaler/scale_in.c
@@ -0,0 +1,265 @@
+/*
+ * Scale-in: which rented machines are returned to the cloud and why, the calls that return them,
+ * and the cloud's answers. A machine is marked first, never used again, and gone when the cloud
+ * says so.
+ */
+#include "autoscaler_internal.h"
+
+/* Machines of one call. */
+#define SCALE_IN_CALL_MAX 100
+/* A machine that fails tasks of so many different jobs in a row is returned. */
+#define CONSECUTIVE_FAILURES_MAX 3
+/* Heartbeat intervals of silence after which a preempted machine is taken to be gone. */
+#define PREEMPTED_SILENCE_INTERVALS 1.5
+
+enum ws_scale_in_reason {
+	WS_SCALE_IN_NONE,
+	WS_SCALE_IN_FAILED,
+	WS_SCALE_IN_BOOT_TIMEOUT,
+	WS_SCALE_IN_PREEMPTED,
+	WS_SCALE_IN_UNREACHABLE,
+	WS_SCALE_IN_SILENT,
+	WS_SCALE_IN_NOT_ECHOING,
+	WS_SCALE_IN_EMPTY,
+	WS_SCALE_IN_TASK_FAILURES,
+};
+
+/* As the log names them. */
+static const char *const scale_in_reason_names[] = {
+    [WS_SCALE_IN_NONE] = "none",
+    [WS_SCALE_IN_FAILED] = "failed",
+    [WS_SCALE_IN_BOOT_TIMEOUT] = "did not come up",
+    [WS_SCALE_IN_PREEMPTED] = "taken after its notice",
+    [WS_SCALE_IN_UNREACHABLE] = "silent, and no answer to a call",
+    [WS_SCALE_IN_SILENT] = "silent",
+    [WS_SCALE_IN_NOT_ECHOING] = "no answer reaches it",
+    [WS_SCALE_IN_EMPTY] = "empty",
+    [WS_SCALE_IN_TASK_FAILURES] = "fails its tasks",
+};
+
+/* How well the leader and the machines that are up hear each other. */
+struct ws_fleet_contact {
+	size_t up_count;
+	bool most_in_contact; /* else the network of the leader itself may be cut */
+};
+
+bool ws_boot_is_late(const struct ws_core *core, const struct ws_machine *machine)
+{
+	double boot_s = machine->type ? machine->type->boot_s : core->settings->lease_s;
+
+	return !machine->reported &&
+	       core->now - machine->first_seen > boot_s * core->policy.boot_patience;
+}
+
+/*
+ * While demand is unmet there is something to request every second, and preemptible machines are
+ * taken one by one all the time: machines to be returned are gathered, for at most a heartbeat
+ * interval.
+ */
+bool ws_scale_in_goes_first(const struct ws_core *core)
+{
+	const struct ws_autoscaler *autoscaler = &core->autoscaler;
+
+	return autoscaler->scale_ins_due >= WS_SCALE_OUT_MAX ||
+	       (autoscaler->scale_ins_due &&
+		core->now - autoscaler->scale_ins_due_since > core->settings->report_s);
+}
+
+static void ws_scale_in_answered(struct ws_core *core, struct ws_call *call,
+				 const struct ws_result *result)
+{
+	if (call->generation != core->generation)
+		return;
+	for (size_t i = 0; i < call->machine_count; i++) {
+		struct ws_machine *machine = ws_machine_find(core, call->machine_names[i]);
+
+		if (!machine)
+			continue;
+		machine->scale_in_in_flight = false;
+		machine->next_scale_in_at = ws_cloud_call_retry_at(core);
+		if (result->status == 200) {
+			ws_capacity_error_scaled_in(core, machine);
+			ws_machine_mark_gone(core, machine, "returned");
+		}
+	}
+}
+
+static void ws_machine_request_scale_in(struct ws_core *core, struct ws_machine *machine,
+					enum ws_scale_in_reason reason)
+{
+	ws_log(core, WS_LOG_INFO, "return machine %s: %s", machine->name,
+	       scale_in_reason_names[reason]);
+	machine->scale_in_requested = true;
+	core->scheduler.pass_wanted = true;
+}
+
+static bool ws_scale_in_is_due(const struct ws_core *core, const struct ws_machine *machine)
+{
+	return machine->scale_in_requested && !machine->gone && !machine->scale_in_in_flight &&
+	       !machine->owned && core->now >= machine->next_scale_in_at;
+}
+
+/*
+ * Whether it was up once: this leader heard it, the leader that recorded its incarnation did, or
+ * the cloud said so. A machine known from its scale-out request alone may still be booting.
+ */
+static bool ws_machine_was_up(const struct ws_machine *machine)
+{
+	return machine->reported || machine->incarnation || machine->listed_running_at > 0;
+}
+
+static struct ws_fleet_contact ws_fleet_contact_check(struct ws_core *core)
+{
+	struct ws_fleet_contact contact = {0};
+	struct ws_machine *machine, *next;
+	size_t in_contact_count = 0;
+
+	HASH_ITER (hh, core->fleet.machines, machine, next) {
+		if (!machine->reported || machine->gone || machine->failed)
+			continue;
+		contact.up_count++;
+		/* within a heartbeat interval: a cut of the leader's own network must not pass for
+		 * silence of theirs for as long as it takes to return them all */
+		in_contact_count += !ws_heartbeat_overdue(core, machine->last_heard_at) &&
+				    ws_machine_echoes_token(machine);
+	}
+	contact.most_in_contact = in_contact_count * 2 >= contact.up_count;
+	return contact;
+}
+
+static bool ws_machine_is_long_empty(const struct ws_core *core, const struct ws_machine *machine)
+{
+	const double wait_s = core->policy.empty_wait_s;
+	const double empty_s = core->now - machine->empty_since;
+
+	return machine->reported && !machine->attempt_count && !machine->preemption_noticed &&
+	       core->now >= machine->reserved_until && empty_s > wait_s &&
+	       core->now - machine->up_at > wait_s &&
+	       /* unmet demand had time to be placed on it */
+	       (!core->autoscaler.units_waiting || empty_s > 2 * wait_s);
+}
+
+/* Why a rented machine that is out of contact should be returned, if most others are in contact. */
+static enum ws_scale_in_reason ws_silence_reason(const struct ws_core *core,
+						 const struct ws_machine *machine, size_t up_count)
+{
+	const double elected_at = core->leadership.elected_at;
+	const double silent_since =
+	    fmax(machine->last_heard_at, fmax(elected_at, core->resumed_at));
+	const double silence_limit_s = core->settings->lease_s * core->policy.silent_ratio;
+
+	if (machine->preemption_noticed && core->now > machine->preempted_at &&
+	    core->now - machine->last_heard_at >
+		PREEMPTED_SILENCE_INTERVALS * core->settings->report_s)
+		return WS_SCALE_IN_PREEMPTED; /* to have it confirmed */
+	if (machine->unreachable && machine->reported && ws_heartbeat_overdue(core, silent_since))
+		return WS_SCALE_IN_UNREACHABLE;
+	if (ws_machine_was_up(machine) && up_count &&
+	    silence_limit_s < core->now - fmax(silent_since, machine->listed_running_at))
+		return WS_SCALE_IN_SILENT;
+	if (machine->reported && !ws_machine_echoes_token(machine) && up_count &&
+	    core->now - fmax(fmax(machine->fencing_token_since, machine->up_at), elected_at) >
+		silence_limit_s + core->settings->report_s)
+		return WS_SCALE_IN_NOT_ECHOING;
+	return WS_SCALE_IN_NONE;
+}
+
+/* Why a rented machine should be returned now. */
+static enum ws_scale_in_reason ws_scale_in_reason_of(const struct ws_core *core,
+						     const struct ws_machine *machine,
+						     const struct ws_fleet_contact *contact)
+{
+	enum ws_scale_in_reason silence = WS_SCALE_IN_NONE;
+
+	if (contact->most_in_contact)
+		silence = ws_silence_reason(core, machine, contact->up_count);
+	if (silence != WS_SCALE_IN_NONE &&
+	    ws_subsystems_defer(core, WS_DEFER_SCALE_IN_SILENT, machine->zone_index))
+		silence = WS_SCALE_IN_NONE;
+	if (machine->failed)
+		return WS_SCALE_IN_FAILED;
+	if (ws_boot_is_late(core, machine) &&
+	    core->now - core->leadership.elected_at > core->settings->lease_s)
+		return WS_SCALE_IN_BOOT_TIMEOUT;
+	if (silence != WS_SCALE_IN_NONE)
+		return silence;
+	if (ws_machine_is_long_empty(core, machine) &&
+	    !ws_subsystems_defer(core, WS_DEFER_SCALE_IN_EMPTY, machine->zone_index))
+		return WS_SCALE_IN_EMPTY;
+	if (machine->consecutive_failures >= CONSECUTIVE_FAILURES_MAX && !machine->attempt_count)
+		return WS_SCALE_IN_TASK_FAILURES;
+	return WS_SCALE_IN_NONE;
+}
+
+/* A call without machines yet. */
+static struct ws_call *ws_scale_in_call_new(struct ws_core *core)
+{
+	struct ws_call *call = ws_call_new(core, WS_CALL_SCALE_IN, ws_scale_in_answered);
+
+	call->machine_names = calloc(SCALE_IN_CALL_MAX, sizeof(*call->machine_names));
+	if (!call->machine_names)
+		abort();
+	core->autoscaler.next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
+	core->autoscaler.scaled_out_last = false;
+	core->autoscaler.scale_ins_due_since = core->now;
+	return call;
+}
+
+/* Asks the cloud to take machines back that are due, as many as one call takes. */
+static void ws_scale_in_send(struct ws_core *core)
+{
+	struct ws_machine *machine, *next;
+	struct ws_call *call = NULL;
+
+	HASH_ITER (hh, core->fleet.machines, machine, next) {
+		if (!ws_scale_in_is_due(core, machine))
+			continue;
+		if (!call)
+			call = ws_scale_in_call_new(core);
+		snprintf(call->machine_names[call->machine_count++], WS_NAME_MAX, "%s",
+			 machine->name);
+		machine->scale_in_in_flight = true;
+		core->autoscaler.scale_ins_due--;
+		if (call->machine_count == SCALE_IN_CALL_MAX)
+			break;
+	}
+}
+
+/* Marks the machines that should be returned. */
+static void ws_scale_in_mark(struct ws_core *core)
+{
+	const struct ws_fleet_contact contact = ws_fleet_contact_check(core);
+	struct ws_machine *machine, *next;
+
+	HASH_ITER (hh, core->fleet.machines, machine, next) {
+		enum ws_scale_in_reason reason;
+
+		if (machine->owned || machine->gone || machine->scale_in_requested)
+			continue;
+		reason = ws_scale_in_reason_of(core, machine, &contact);
+		if (reason != WS_SCALE_IN_NONE)
+			ws_machine_request_scale_in(core, machine, reason);
+	}
+}
+
+static int ws_scale_in_count_due(struct ws_core *core)
+{
+	struct ws_machine *machine, *next;
+	int count = 0;
+
+	HASH_ITER (hh, core->fleet.machines, machine, next)
+		count += ws_scale_in_is_due(core, machine);
+	return count;
+}
+
+void ws_scale_in_tick(struct ws_core *core)
+{
+	struct ws_autoscaler *autoscaler = &core->autoscaler;
+
+	ws_scale_in_mark(core);
+	autoscaler->scale_ins_due = ws_scale_in_count_due(core);
+	if (!autoscaler->scale_ins_due)
+		autoscaler->scale_ins_due_since = core->now;
+	if (core->now >= autoscaler->next_cloud_call_at)
+		ws_scale_in_send(core);
+}
--- a/src/core/autoscaler/scale_out_records.c
+++ b/src/core/autoscaler/scale_out_records.c
@@ -2,38 +2,38 @@
 #include "../core_state.h"
 #include "../record_sources.h"
 
-json_t *ws_record_scale_out(const struct ws_scale_out *rental)
+json_t *ws_record_scale_out(const struct ws_scale_out *request)
 {
 	struct ws_scale_out_record record = {
-	    .type = rental->type,
-	    .zone = rental->zone,
-	    .preemptible = rental->preemptible,
-	    .count = rental->count,
-	    .acquired = rental->state == WS_SCALE_OUT_GRANTED,
-	    .instance_count = rental->instance_count,
+	    .type = request->type,
+	    .zone = request->zone,
+	    .preemptible = request->preemptible,
+	    .count = request->count,
+	    .acquired = request->state == WS_SCALE_OUT_GRANTED,
+	    .instance_count = request->instance_count,
 	};
 
-	for (uint32_t i = 0; i < rental->instance_count; i++)
-		record.instances[i] = rental->instances[i];
+	for (uint32_t i = 0; i < request->instance_count; i++)
+		record.instances[i] = request->instances[i];
 	return ws_scale_out_record_encode(&record);
 }
 
-bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *rental)
+bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *request)
 {
 	struct ws_scale_out_record record;
 
 	if (ws_scale_out_record_decode(value, &record) != WS_RECORD_DECODED)
 		return false;
-	snprintf(rental->type, sizeof(rental->type), "%s", record.type);
-	snprintf(rental->zone, sizeof(rental->zone), "%s", record.zone);
-	rental->preemptible = record.preemptible;
-	rental->count = record.count;
-	rental->state = record.acquired ? WS_SCALE_OUT_GRANTED : WS_SCALE_OUT_RECORDED;
-	rental->instances = calloc(record.instance_count + 1, sizeof(*rental->instances));
-	if (!rental->instances)
+	snprintf(request->type, sizeof(request->type), "%s", record.type);
+	snprintf(request->zone, sizeof(request->zone), "%s", record.zone);
+	request->preemptible = record.preemptible;
+	request->count = record.count;
+	request->state = record.acquired ? WS_SCALE_OUT_GRANTED : WS_SCALE_OUT_RECORDED;
+	request->instances = calloc(record.instance_count + 1, sizeof(*request->instances));
+	if (!request->instances)
 		return false;
 	for (uint32_t i = 0; i < record.instance_count; i++)
-		snprintf(rental->instances[rental->instance_count++], WS_NAME_MAX, "%s",
+		snprintf(request->instances[request->instance_count++], WS_NAME_MAX, "%s",
 			 record.instances[i]);
 	return true;
 }
