--- a/src/cold_start/cold_start.c
+++ b/src/cold_start/cold_start.c
@@ -124,19 +124,16 @@
 	size_t expected = ws_cold_start_unheard(cold_start);
 
 	if (again)
-		ws_cold_start_logf(cold_start,
-				   "cold start: goes on, begun by the leader of term %llu: %zu "
-				   "machines expected",
+		ws_cold_start_logf(cold_start, "cold start: resumed began_term=%llu machines=%zu",
 				   (unsigned long long)cold_start->began_term, expected);
 	else if (isfinite(cold_start->unproven_s))
 		ws_cold_start_logf(cold_start,
-				   "cold start: no leader is known to have lived for %.1f s: %zu "
-				   "machines expected",
+				   "cold start: observing, no live leader known "
+				   "without_leader_s=%.1f machines=%zu",
 				   cold_start->unproven_s, expected);
 	else
 		ws_cold_start_logf(cold_start,
-				   "cold start: this process knows of no leader before it: %zu "
-				   "machines expected",
+				   "cold start: observing, no earlier leader known machines=%zu",
 				   expected);
 }
 
@@ -162,8 +159,8 @@
 		begin_log(cold_start, again);
 		phase_set(cold_start, WS_COLD_START_OBSERVING);
 	} else if (open) {
-		ws_cold_start_logf(cold_start, "cold start: another leader has taken over since, "
-					       "nothing is held");
+		ws_cold_start_logf(cold_start,
+				   "cold start: another leader took over since, nothing deferred");
 		cold_start->began_term = cold_start->recorded_began;
 		cold_start->phase = WS_COLD_START_ENDED;
 		cold_start->phase_due = true;
@@ -189,9 +186,9 @@
 	cold_start->counts_changed = true;
 	if (finding->result == WS_RECONCILED_TWO_MACHINES)
 		ws_cold_start_logf(cold_start,
-				   "cold start: machine %s reports %s/%u, an attempt on record for "
-				   "another machine: stopped",
-				   finding->machine, finding->job, finding->task);
+				   "cold start: duplicate attempt stopped job=%s task=%u "
+				   "machine=%s reason=\"recorded on another machine\"",
+				   finding->job, finding->task, finding->machine);
 	if (loses_work(finding->result))
 		ws_cold_start_lost_add(cold_start, finding->job);
 	if (finding->result == WS_RECONCILED_UNKNOWN_JOB)
@@ -240,9 +237,8 @@
 	const struct ws_cold_start_counts *counts = &cold_start->counts;
 
 	ws_cold_start_logf(cold_start,
-			   "cold start: ended after %.1f s: %zu attempts agreed, %zu lost, %zu "
-			   "jobs lost work, %zu of them run again; %zu jobs the store never heard "
-			   "of, %zu attempts adopted, %zu jobs unclaimed",
+			   "cold start: ended after_s=%.1f agreed=%zu lost=%zu lost_jobs=%zu "
+			   "recovered_jobs=%zu quarantined_jobs=%zu adopted=%zu unclaimed_jobs=%zu",
 			   now - cold_start->elected_at, counts->results[WS_RECONCILED_AGREED],
 			   counts->results[WS_RECONCILED_LEASE_LOST] +
 			       counts->results[WS_RECONCILED_LEASE_EXPIRED] +
--- a/src/cold_start/observation.c
+++ b/src/cold_start/observation.c
@@ -61,7 +61,7 @@
 		cold_start->counts.results[WS_RECONCILED_UNKNOWN_MACHINE]++;
 		cold_start->counts_changed = true;
 		ws_cold_start_logf(cold_start,
-				   "cold start: machine %s is neither on record nor listed",
+				   "cold start: machine neither recorded nor listed machine=%s",
 				   facts->name);
 	}
 	return machine;
@@ -156,12 +156,11 @@
 		if (zone->expected)
 			ws_cold_start_logf(
 			    cold_start,
-			    "cold start: zone %s: %zu of %zu machines answered "
-			    "within %.1f s%s",
+			    "cold start: zone observed zone=%s answered=%zu machines=%zu "
+			    "after_s=%.1f leases_expired=%s",
 			    zone->name, zone->heard, zone->expected, now - cold_start->elected_at,
-			    zone->heard < zone->expected && now >= cold_start->leases_out
-				? ", the leases of the others are out"
-				: "");
+			    zone->heard < zone->expected && now >= cold_start->leases_out ? "yes"
+											  : "no");
 	}
 	return all;
 }
--- a/src/cold_start/quarantine.c
+++ b/src/cold_start/quarantine.c
@@ -99,14 +99,12 @@
 	quarantined->record_due = true;
 	ws_cold_start_logf(
 	    cold_start,
-	    "cold start: machine %s reports job %s, of which the store has never "
-	    "heard: kept for %.0f s unless its user submits it again",
-	    quarantined->machine, job,
+	    "cold start: unrecorded job quarantined job=%s machine=%s quarantine_s=%.0f", job,
+	    quarantined->machine,
 	    fmax(0, cold_start->settings.keep_s - quarantined_for(quarantined, now)));
 	if (!cold_start->doubted)
-		ws_cold_start_logf(cold_start,
-				   "cold start: the store has lost records; first starts wait "
-				   "until all machines answered or their leases are out");
+		ws_cold_start_logf(cold_start, "cold start: store lost records, first starts wait "
+					       "for all machines or their leases");
 	cold_start->phase_due |= !cold_start->doubted;
 	cold_start->doubted = true;
 }
@@ -136,7 +134,7 @@
 	if (!quarantined || quarantined->ended)
 		return;
 	quarantined->ended = true; /* its record goes with the next tick */
-	ws_cold_start_logf(cold_start, "cold start: job %s is known: adopted", job);
+	ws_cold_start_logf(cold_start, "cold start: quarantined job adopted job=%s", job);
 }
 
 static void quarantine_end_one(struct ws_cold_start *cold_start,
@@ -207,8 +205,9 @@
 	if (quarantine_must_end(cold_start, quarantined, now)) {
 		cold_start->counts.over++;
 		ws_cold_start_logf(
-		    cold_start, "cold start: job %s is %s: stopped", quarantined->job,
-		    quarantined->looked_up ? "over on record" : "not to be looked up");
+		    cold_start, "cold start: quarantined job stopped job=%s reason=\"%s\"",
+		    quarantined->job,
+		    quarantined->looked_up ? "recorded as ended" : "record not readable");
 		quarantine_end_one(cold_start, quarantined, 0, out);
 		return;
 	}
@@ -216,10 +215,10 @@
 	    quarantined_for(quarantined, now) >= cold_start->settings.keep_s) {
 		cold_start->counts.unclaimed++;
 		ws_cold_start_logf(cold_start,
-				   "cold start: nobody submitted job %s again within %.0f s: "
-				   "stopped with time to save; it ran on machine %s",
-				   quarantined->job, cold_start->settings.keep_s,
-				   quarantined->machine);
+				   "cold start: quarantined job stopped job=%s machine=%s "
+				   "quarantine_s=%.0f reason=\"not submitted again\"",
+				   quarantined->job, quarantined->machine,
+				   cold_start->settings.keep_s);
 		quarantine_end_one(cold_start, quarantined, cold_start->limits.lease_s, out);
 		return;
 	}
--- a/src/cold_start/records.c
+++ b/src/cold_start/records.c
@@ -134,8 +134,8 @@
 	if (format > WS_COLD_START_FORMAT) {
 		if (!cold_start->later_format)
 			ws_cold_start_logf(cold_start,
-					   "cold start: record %s has format %lld, later than %d: "
-					   "records are left alone and nothing is held",
+					   "cold start: record of a later version, judging nothing "
+					   "record=%s format=%lld supported=%d",
 					   name, (long long)format, WS_COLD_START_FORMAT);
 		cold_start->later_format = true;
 		return;
--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -52,7 +52,7 @@
 	}
 	free(continuations);
 	ws_log(core, WS_LOG_INFO,
-	       "job %s: its record of %zu bytes was refused, withdrawn in %zu parts",
+	       "oversized record split by cancellation job=%s bytes=%zu records=%zu",
 	       call->context_name, bytes_before, continuation_count + 1);
 }
 
--- a/src/core/api/outage_votes.c
+++ b/src/core/api/outage_votes.c
@@ -115,7 +115,7 @@
 	/* while the store refuses us no watch tells that we were followed */
 	if ((core->leadership.role == WS_LEADER || core->leadership.role == WS_LOADING) &&
 	    leader > core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT)
-		ws_step_down(core, "one that leads since asks us");
+		ws_step_down(core, "outage vote requested by a later leader");
 	snprintf(question.after, sizeof(question.after), "%s", after);
 	ws_outage_vote_check(core, now, request_id, &question);
 }
--- a/src/core/api/submission.c
+++ b/src/core/api/submission.c
@@ -85,7 +85,7 @@
 		return;
 	}
 	if (result->status == 200) {
-		ws_log(core, WS_LOG_DEBUG, "job %s accepted", call->context_name);
+		ws_log(core, WS_LOG_DEBUG, "job accepted job=%s", call->context_name);
 		ws_user_answer(core, call->context_number, 201, call->context_name, WS_JOB_QUEUED);
 	} else if (result->status == 400) { /* a record over the limits: it can't be kept */
 		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -91,7 +91,7 @@
 
 	if (result->entry_count != 1 ||
 	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
-		ws_log(core, WS_LOG_ERROR, "record %s can't be read", call->key);
+		ws_log(core, WS_LOG_ERROR, "unreadable record key=%s", call->key);
 		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
 		return;
 	}
--- a/src/core/autoscaler/instance_list.c
+++ b/src/core/autoscaler/instance_list.c
@@ -68,7 +68,7 @@
 	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		if (!ws_machine_is_missing(core, machine))
 			continue;
-		ws_log(core, WS_LOG_INFO, "machine %s is no longer listed", machine->name);
+		ws_log(core, WS_LOG_INFO, "instance no longer listed machine=%s", machine->name);
 		machine->scale_in_requested = true;
 	}
 }
--- a/src/core/autoscaler/queue_measurements.c
+++ b/src/core/autoscaler/queue_measurements.c
@@ -142,8 +142,10 @@
 	if (limit < 0 || mean_wait_s <= 0)
 		return; /* without a wait, the limit stays */
 	if (limit != core->autoscaler.unit_limit)
-		ws_log(core, WS_LOG_INFO, "k %d -> %d (S %.2f, Wq %.2f s)",
-		       core->autoscaler.unit_limit, limit, mean_scaled_out, mean_wait_s);
+		ws_log(core, WS_LOG_INFO,
+		       "scale-out limit changed limit=%d previous=%d mean_rented=%.2f "
+		       "mean_wait_s=%.2f",
+		       limit, core->autoscaler.unit_limit, mean_scaled_out, mean_wait_s);
 	core->autoscaler.unit_limit = limit;
 	core->scheduler.pass_wanted = true;
 }
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -28,13 +28,13 @@
 static const char *const scale_in_reason_names[] = {
     [WS_SCALE_IN_NONE] = "none",
     [WS_SCALE_IN_FAILED] = "failed",
-    [WS_SCALE_IN_BOOT_TIMEOUT] = "did not come up",
-    [WS_SCALE_IN_PREEMPTED] = "taken after its notice",
-    [WS_SCALE_IN_UNREACHABLE] = "silent, and no answer to a call",
-    [WS_SCALE_IN_SILENT] = "silent",
-    [WS_SCALE_IN_NOT_ECHOING] = "no answer reaches it",
+    [WS_SCALE_IN_BOOT_TIMEOUT] = "boot timeout",
+    [WS_SCALE_IN_PREEMPTED] = "preempted",
+    [WS_SCALE_IN_UNREACHABLE] = "no heartbeats, commands unanswered",
+    [WS_SCALE_IN_SILENT] = "no heartbeats",
+    [WS_SCALE_IN_NOT_ECHOING] = "heartbeat answers do not arrive",
     [WS_SCALE_IN_EMPTY] = "empty",
-    [WS_SCALE_IN_TASK_FAILURES] = "fails its tasks",
+    [WS_SCALE_IN_TASK_FAILURES] = "repeated task failures",
 };
 
 /* How well the leader and the machines that are up hear each other. */
@@ -79,7 +79,7 @@
 		machine->next_scale_in_at = ws_cloud_call_retry_at(core);
 		if (result->status == 200) {
 			ws_capacity_error_scaled_in(core, machine);
-			ws_machine_mark_gone(core, machine, "returned");
+			ws_machine_mark_gone(core, machine, "scaled in");
 		}
 	}
 }
@@ -87,7 +87,7 @@
 static void ws_machine_request_scale_in(struct ws_core *core, struct ws_machine *machine,
 					enum ws_scale_in_reason reason)
 {
-	ws_log(core, WS_LOG_INFO, "return machine %s: %s", machine->name,
+	ws_log(core, WS_LOG_INFO, "scale-in machine=%s reason=\"%s\"", machine->name,
 	       scale_in_reason_names[reason]);
 	machine->scale_in_requested = true;
 	core->scheduler.pass_wanted = true;
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -113,8 +113,8 @@
 			ws_machine_set_kind(core, machine, request->type, request->zone,
 					    request->preemptible);
 	}
-	ws_log(core, WS_LOG_INFO, "booking %s: %u of %u machines", request->idempotency_key,
-	       request->instance_count, request->count);
+	ws_log(core, WS_LOG_INFO, "scale-out granted key=%s granted=%u count=%u",
+	       request->idempotency_key, request->instance_count, request->count);
 	if (request->instance_count < request->count)
 		ws_capacity_error_back_off(core, request);
 	else
@@ -144,12 +144,12 @@
 	if (result->status == 200) {
 		ws_scale_out_granted(core, request, result);
 	} else if (result->status == 503 && result->no_capacity) {
-		ws_log(core, WS_LOG_INFO, "booking %s: no capacity for %s in %s%s",
+		ws_log(core, WS_LOG_INFO, "capacity error key=%s type=%s zone=%s preemptible=%s",
 		       request->idempotency_key, request->type, request->zone,
-		       request->preemptible ? ", spot" : "");
+		       request->preemptible ? "yes" : "no");
 		ws_scale_out_refused(core, request);
 	} else if (result->status == 400) {
-		ws_log(core, WS_LOG_ERROR, "booking %s: the cloud calls it malformed",
+		ws_log(core, WS_LOG_ERROR, "scale-out rejected as malformed key=%s",
 		       request->idempotency_key);
 		ws_scale_out_refused(core, request);
 	} else { /* outage, rate limit or no answer: send it again with the same key */
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -290,10 +290,11 @@
 		needed = (uint32_t)allowed;
 	request = ws_scale_out_create(core, kind, needed);
 	ws_log(core, WS_LOG_INFO,
-	       "rent %u x %s in %s%s (%s): %d loads wait, %d rentals held, %d booting, k %d",
-	       request->count, request->type, request->zone, request->preemptible ? ", spot" : "",
-	       request->idempotency_key, core->autoscaler.units_waiting, plan->rented.machine_count,
-	       plan->rented.booting_count, core->autoscaler.unit_limit);
+	       "scale-out requested key=%s count=%u type=%s zone=%s preemptible=%s "
+	       "units_waiting=%d rented=%d booting=%d limit=%d",
+	       request->idempotency_key, request->count, request->type, request->zone,
+	       request->preemptible ? "yes" : "no", core->autoscaler.units_waiting,
+	       plan->rented.machine_count, plan->rented.booting_count, core->autoscaler.unit_limit);
 }
 
 void ws_autoscaler_plan(struct ws_core *core)
--- a/src/core/autoscaler/scale_out_records.c
+++ b/src/core/autoscaler/scale_out_records.c
@@ -62,7 +62,7 @@
 	request->revision = record->revision;
 	request->created_at = request->next_attempt_at = core->now;
 	if (!ws_record_read_scale_out(record->value, request)) {
-		ws_log(core, WS_LOG_ERROR, "%s can't be read, left alone", record->key);
+		ws_log(core, WS_LOG_ERROR, "unreadable record left alone key=%s", record->key);
 		free(request->instances);
 		free(request);
 		return;
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -58,8 +58,8 @@
 	leadership->replica_age_limit_s = ws_core_replica_age_limit(core->settings);
 	if (ws_core_replica_age_limit_is_short(core->settings, &core->policy))
 		ws_log(core, WS_LOG_ERROR,
-		       "cancel_s %.3g is short for lease_s %.3g: in outages of the state service "
-		       "reports are answered for %.3g s at most",
+		       "cancel_s is short for lease_s cancel_s=%.3g lease_s=%.3g "
+		       "outage_heartbeats_s=%.3g",
 		       core->settings->cancel_s, core->settings->lease_s,
 		       fmax(0, leadership->replica_age_limit_s));
 }
@@ -117,7 +117,7 @@
 	struct ws_leadership *leadership = &core->leadership;
 
 	if (reason && leadership->role != WS_FOLLOWER)
-		ws_log(core, WS_LOG_INFO, "no longer leading: %s", reason);
+		ws_log(core, WS_LOG_INFO, "stepped down: %s", reason);
 	core->generation++;
 	if (leadership->role == WS_LEADER &&
 	    core->now - leadership->elected_at > WS_PROOF_TTLS * leadership->session_ttl_s)
@@ -156,7 +156,7 @@
 	const char *node = value ? ws_record_leader_node(value) : NULL;
 
 	if (strcmp(core->leadership.leader_node, node ? node : ""))
-		ws_log(core, WS_LOG_INFO, "leader: %s", node ? node : "none");
+		ws_log(core, WS_LOG_INFO, "leader changed leader=%s", node ? node : "none");
 	snprintf(core->leadership.leader_node, sizeof(core->leadership.leader_node), "%s",
 		 node ? node : "");
 	core->leadership.leader_revision = node ? revision : 0;
@@ -208,7 +208,7 @@
 		/* lost, or unknown: the session is given up, so that a late write of ours ends with
 		 * it
 		 */
-		ws_step_down(core, "the election was lost");
+		ws_step_down(core, "election lost");
 		ws_become_follower(core,
 				   result->status == 409 ? 0 : core->leadership.session_ttl_s / 4);
 		return;
@@ -225,7 +225,7 @@
 	snprintf(core->leadership.leader_node, sizeof(core->leadership.leader_node), "%s",
 		 core->settings->node);
 	core->leadership.forwarded_only_since = 0;
-	ws_log(core, WS_LOG_INFO, "elected, epoch %llu",
+	ws_log(core, WS_LOG_INFO, "elected token=%llu",
 	       (unsigned long long)core->leadership.fencing_token);
 	ws_core_elected(core);
 }
@@ -316,7 +316,7 @@
 		if (until > core->leadership.entitled_until)
 			core->leadership.entitled_until = until;
 		if (core->leadership.in_outage) {
-			ws_log(core, WS_LOG_INFO, "the state service is back");
+			ws_log(core, WS_LOG_INFO, "store is available again");
 			core->leadership.store_served_at = core->now;
 		}
 		core->leadership.in_outage = core->leadership.paused = false;
@@ -325,7 +325,7 @@
 		    fmax(core->leadership.next_renewal_at,
 			 call->created_at + core->leadership.session_ttl_s / 4);
 	} else if (result->status == 404) {
-		ws_step_down(core, "the hold ended");
+		ws_step_down(core, "store session expired");
 	} else {
 		if (!core->leadership.renewals_in_flight)
 			core->leadership.next_renewal_at =
@@ -337,7 +337,7 @@
 			core->leadership.entitled_until) {
 			core->leadership.in_outage = true;
 			core->leadership.votes.next_round_at = core->now;
-			ws_log(core, WS_LOG_INFO, "the state service refuses us");
+			ws_log(core, WS_LOG_INFO, "store is unavailable to this node");
 		}
 	}
 }
@@ -381,22 +381,22 @@
 					       core->settings->lease_s * (1 - WS_DRIFT) -
 					       core->leadership.session_ttl_s;
 		ws_log(core, WS_LOG_INFO,
-		       "paused: the state service refuses us and not surely all");
+		       "paused: store unavailable, outage not confirmed by all peers");
 	}
 	if (core->leadership.role != WS_LEADER || core->now >= core->leadership.pause_until)
-		ws_step_down(core, "the state service refuses us and not surely all");
+		ws_step_down(core, "store unavailable, outage not confirmed by all peers");
 }
 
 /* Why leadership can't be kept; NULL: it can. */
 static const char *ws_leadership_lost_reason(const struct ws_core *core)
 {
 	if (core->now >= core->leadership.entitled_until && !core->leadership.in_outage)
-		return "the hold could not be renewed in time";
+		return "store session not renewed in time";
 	if (core->leadership.role == WS_LEADER && !core->leadership.in_outage &&
 	    core->now >=
 		fmax(core->job_watch.replica_current_at, core->leadership.store_served_at) +
 		    ws_replica_age_max(core))
-		return "the watch of the jobs brings nothing";
+		return "job watch is stalled";
 	return NULL;
 }
 
@@ -437,7 +437,7 @@
 		core->leadership.pause_until = core->leadership.entitled_until;
 	if (ws_workers_elsewhere(core)) {
 		core->leadership.campaign_after = core->now + core->settings->lease_s;
-		ws_step_down(core, "no worker reaches this node, but others do");
+		ws_step_down(core, "workers reach other nodes only");
 		return false;
 	}
 	return core->leadership.role == WS_LEADER;
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -49,7 +49,7 @@
 	if (!leadership->paused)
 		return;
 	leadership->paused = false;
-	ws_log(core, WS_LOG_INFO, "all peers are refused too: answering reports again");
+	ws_log(core, WS_LOG_INFO, "resumed: outage confirmed by all peers");
 	ws_core_outage_resumed(core);
 }
 
--- a/src/core/outage_replica.c
+++ b/src/core/outage_replica.c
@@ -9,8 +9,8 @@
 				  size_t count, const char *node)
 {
 	for (size_t i = 0; i < count; i++) {
-		ws_log(core, WS_LOG_DEBUG, "%s tells that job %s was withdrawn", node,
-		       cancellations[i].job);
+		ws_log(core, WS_LOG_DEBUG, "cancellation received from peer job=%s peer=%s",
+		       cancellations[i].job, node);
 		ws_job_apply_cancellation(core, &cancellations[i]);
 	}
 }
--- a/src/core/record_sources.c
+++ b/src/core/record_sources.c
@@ -69,7 +69,7 @@
 		if (load_order[i]->loaded)
 			load_order[i]->loaded(core);
 	ws_subsystems_loaded(core);
-	ws_log(core, WS_LOG_INFO, "leading: %u jobs, %u machines, %u rentals on record",
+	ws_log(core, WS_LOG_INFO, "leading jobs=%u machines=%u scale_outs=%u",
 	       HASH_COUNT(core->jobs.by_id), HASH_COUNT(core->fleet.machines),
 	       HASH_COUNT(core->autoscaler.requests));
 }
--- a/src/core/scheduler/array_placement.c
+++ b/src/core/scheduler/array_placement.c
@@ -143,9 +143,10 @@
 {
 	if (!ws_wait_log_is_due(core, job))
 		return;
-	ws_log(core, WS_LOG_INFO, "job %s: %u tasks wait for room (%s%s)", job->spec.id, tasks,
-	       job->guaranteed ? "guaranteed, " : "",
-	       job->spec.allows_preemptible ? "spot allowed" : "ordinary machines only");
+	ws_log(core, WS_LOG_INFO,
+	       "tasks waiting for capacity job=%s count=%u guaranteed=%s preemptible=%s",
+	       job->spec.id, tasks, job->guaranteed ? "yes" : "no",
+	       job->spec.allows_preemptible ? "allowed" : "no");
 }
 
 /* Tasks that found no free capacity wait for that of stopping tasks, or preempt others, or become
@@ -179,7 +180,7 @@
 	uint32_t tasks = ws_tasks_within_team_limit(job);
 
 	if (tasks < job->waiting)
-		ws_log_wait_reason(core, job, "its team is at its limit");
+		ws_log_wait_reason(core, job, "team limit reached");
 	if (job->placement_limit && tasks > job->placement_limit)
 		tasks = job->placement_limit;
 	return tasks;
--- a/src/core/scheduler/gang_placement.c
+++ b/src/core/scheduler/gang_placement.c
@@ -150,7 +150,7 @@
 		return true;
 	}
 	if (!record_bytes_left)
-		ws_log_wait_reason(core, job, "its record can't name so many machines");
+		ws_log_wait_reason(core, job, "record limit reached");
 	ws_gang_unplace(core, job);
 	return false;
 }
@@ -338,16 +338,16 @@
 	if (lacking)
 		ws_unmet_demand_add(core, job, lacking, zones);
 	snprintf(reason, sizeof(reason),
-		 "a gang, room for %u of %u tasks is there or comes, %u to be rented%s",
+		 "gang capacity for %u of %u tasks free or expected, %u missing%s",
 		 with_capacity < job->waiting ? with_capacity : job->waiting, job->waiting, lacking,
-		 takes_capacity ? ", and is held" : "");
+		 takes_capacity ? ", reserved" : "");
 	ws_log_wait_reason(core, job, reason);
 }
 
 /* Its team is at its limit: what it lacks of that is reserved for it. */
 static void ws_gang_at_team_limit(struct ws_core *core, struct ws_job *job, bool keeps_reservation)
 {
-	ws_log_wait_reason(core, job, "its team is at its limit");
+	ws_log_wait_reason(core, job, "team limit reached");
 	if (!keeps_reservation)
 		return;
 	job->team->reserved_cpus += job->waiting * job->spec.cpus;
--- a/src/core/scheduler/preemption.c
+++ b/src/core/scheduler/preemption.c
@@ -11,10 +11,10 @@
 #define WS_GUARANTEED_COST_FACTOR 4
 
 static const char *const stop_reason_names[WS_STOP_REASONS] = {
-    [WS_STOP_FOR_GUARANTEE] = "room for a guarantee",
-    [WS_STOP_FOR_PRODUCTION] = "room for production",
-    [WS_STOP_FOR_CONSOLIDATION] = "moved so that its rental can go back",
-    [WS_STOP_GANG_INCOMPLETE] = "no room for what it lost before it ran",
+    [WS_STOP_FOR_GUARANTEE] = "preempted for guaranteed work",
+    [WS_STOP_FOR_PRODUCTION] = "preempted for production work",
+    [WS_STOP_FOR_CONSOLIDATION] = "consolidation",
+    [WS_STOP_GANG_INCOMPLETE] = "lost gang members not replaced in time",
 };
 
 const char *ws_stop_reason_name(enum ws_stop_reason reason)
--- a/src/core/scheduler/scheduler.c
+++ b/src/core/scheduler/scheduler.c
@@ -153,7 +153,7 @@
 	if (!job->team)
 		return;
 	if (job->retry_not_before > pass->core->now)
-		ws_log_wait_reason(pass->core, job, "held back after failures");
+		ws_log_wait_reason(pass->core, job, "backing off after task failures");
 	else if (job->spec.gang)
 		ws_place_gang(pass, job, start_objective_s);
 	else
--- a/src/core/scheduler/task_placement.c
+++ b/src/core/scheduler/task_placement.c
@@ -66,8 +66,8 @@
 	attempt->starved = job->starved;
 	ws_planned_capacity_take(job, machine);
 	core->scheduler.steps++;
-	ws_log(core, WS_LOG_DEBUG, "place %s/%u attempt %llu on %s", job->spec.id, task,
-	       (unsigned long long)attempt_number, machine->name);
+	ws_log(core, WS_LOG_DEBUG, "task placed job=%s task=%u attempt=%llu machine=%s",
+	       job->spec.id, task, (unsigned long long)attempt_number, machine->name);
 	return true;
 }
 
@@ -99,5 +99,5 @@
 void ws_log_wait_reason(struct ws_core *core, struct ws_job *job, const char *reason)
 {
 	if (ws_wait_log_is_due(core, job))
-		ws_log(core, WS_LOG_INFO, "job %s waits: %s", job->spec.id, reason);
+		ws_log(core, WS_LOG_INFO, "job waiting job=%s reason=\"%s\"", job->spec.id, reason);
 }
--- a/src/core/store/job_watch.c
+++ b/src/core/store/job_watch.c
@@ -68,7 +68,7 @@
 		return;
 	watch->open = false;
 	if (result->status == 410) {
-		ws_step_down(core, "the watch fell too far behind");
+		ws_step_down(core, "job watch fell too far behind");
 		return;
 	}
 	if (result->status != 200) {
--- a/src/core/store/loader.c
+++ b/src/core/store/loader.c
@@ -55,7 +55,7 @@
 static void ws_loader_retry(struct ws_core *core, const struct ws_call *call)
 {
 	if (core->now > core->leadership.entitled_until)
-		ws_step_down(core, "the records could not be read in time");
+		ws_step_down(core, "records not loaded in time");
 	else
 		ws_loader_list(core, call->key, call->after);
 }
--- a/src/core/store/write_counts.c
+++ b/src/core/store/write_counts.c
@@ -18,8 +18,8 @@
 		sum += by_kind[kind];
 	if (sum)
 		ws_log(core, WS_LOG_INFO,
-		       "written since: %u starts, %u ends, %u jobs later, %u fleet, %u rentals; "
-		       "%.0f changes a second are ours",
+		       "store writes starts=%u ends=%u jobs_deferred=%u fleet=%u scale_outs=%u "
+		       "rate_limit=%.0f",
 		       by_kind[WS_WRITE_STARTS], by_kind[WS_WRITE_ENDS], by_kind[WS_WRITE_LATER],
 		       by_kind[WS_WRITE_FLEET], by_kind[WS_WRITE_SCALE_OUTS], core->writer.rate);
 	memset(counts->by_kind, 0, sizeof(counts->by_kind));
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -150,9 +150,8 @@
 		core->writer.value_bytes_max =
 		    fmax(VALUE_BYTES_FLOOR, (double)largest_bytes * 3 / 4);
 	ws_log(core, WS_LOG_ERROR,
-	       "a write of %zu records, %zu bytes, was refused; the largest is %s with %zu: from "
-	       "now on "
-	       "%d changes a transaction, values of %.0f bytes",
+	       "write batch rejected, limits lowered operations=%zu bytes=%zu largest_key=%s "
+	       "largest_bytes=%zu transaction_limit=%d value_limit_bytes=%.0f",
 	       call->operation_count, all_bytes, call->operations[largest].key, largest_bytes,
 	       writer->operations_max, core->writer.value_bytes_max);
 }
@@ -198,7 +197,7 @@
 		return;
 	}
 	if (result->status == 409 && ws_writer_lost_lead(result)) {
-		ws_step_down(core, "a write found another leader");
+		ws_step_down(core, "write rejected, another node leads");
 		return;
 	}
 	if (result->status == 400)
--- a/src/failure_domains/domains.c
+++ b/src/failure_domains/domains.c
@@ -268,17 +268,18 @@
 		if (!zone) /* the settings don't list it */
 			zone = ws_domains_add_zone(domains, facts->zone);
 		if (zone && !zone->is_zone) {
-			ws_domains_logf(domains,
-					"zones: zone %s of machine %s is named like a domain",
-					facts->zone, facts->name);
+			ws_domains_logf(
+			    domains,
+			    "zones: zone name collides with a declared domain machine=%s zone=%s",
+			    facts->name, facts->zone);
 			zone = NULL;
 		}
 	}
 	if (domains->networks.table && facts->address[0] &&
 	    !network_lookup(&domains->networks, facts->address, &declared))
 		ws_domains_logf(domains,
-				"zones: address %s of machine %s can't be read: by its zone",
-				facts->address, facts->name);
+				"zones: unreadable address, zone only machine=%s address=%s",
+				facts->name, facts->address);
 	member_add(machine, 0, zone);
 	member_add(machine, 1, declared);
 }
--- a/src/failure_domains/failure_domains.c
+++ b/src/failure_domains/failure_domains.c
@@ -168,8 +168,8 @@
 	for (struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next) {
 		if (domain->held != domain->held_read) {
-			ws_domains_logf(domains, "zones: domain %s is %s by operators",
-					domain->name, domain->held_read ? "held" : "released");
+			ws_domains_logf(domains, "zones: operator hold changed domain=%s held=%s",
+					domain->name, domain->held_read ? "yes" : "no");
 			domain->record_due = true;
 		}
 		domain->held = domain->held_read;
@@ -185,9 +185,9 @@
 	holds_read(domains);
 	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
 		if (domain->state != WS_DOMAINS_HEALTHY)
-			ws_domains_logf(domains, "zones: domain %s is %s on record, penalty %.2f",
-					domain->name, ws_domains_state_name(domain->state),
-					domain->penalty);
+			ws_domains_logf(
+			    domains, "zones: state loaded domain=%s state=%s penalty=%.2f",
+			    domain->name, ws_domains_state_name(domain->state), domain->penalty);
 }
 
 static void records_read(void *self, const char *name_prefix)
--- a/src/failure_domains/health.c
+++ b/src/failure_domains/health.c
@@ -186,12 +186,12 @@
 		  enum ws_domains_state state, enum ws_domains_evidence evidence, double now)
 {
 	ws_domains_logf(domains,
-			"zones: domain %s is %s (%s) after %.1f s %s: %zu live, %zu silent, "
-			"%zu of them left a command unanswered, %zu gone",
+			"zones: state changed domain=%s state=%s previous=%s after_s=%.1f live=%zu "
+			"silent=%zu unanswered=%zu gone=%zu evidence=\"%s\"",
 			domain->name, ws_domains_state_name(state),
-			ws_domains_evidence_name(evidence), now - domain->since,
-			ws_domains_state_name(domain->state), domain->live, domain->silent,
-			domain->unanswered, domain->removed);
+			ws_domains_state_name(domain->state), now - domain->since, domain->live,
+			domain->silent, domain->unanswered, domain->removed,
+			ws_domains_evidence_name(evidence));
 	domain->state = state;
 	domain->evidence = evidence;
 	domain->since = now;
--- a/src/failure_domains/plan.c
+++ b/src/failure_domains/plan.c
@@ -353,8 +353,8 @@
 	plan->told = progress;
 	plan->told_at = now;
 	ws_domains_logf(domains,
-			"zones: of %zu tasks planned %zu moved, %zu called off, %zu may be alive "
-			"still, %zu wait for room, %zu for their zone",
+			"zones: plan progress planned=%zu moved=%zu called_off=%zu moving=%zu "
+			"waiting=%zu pinned=%zu",
 			progress.planned, progress.moved, progress.called_off, progress.moving,
 			progress.waiting, progress.pinned);
 	ws_request_write(
@@ -437,7 +437,7 @@
 	for (const struct ws_domains_entry *entry = first; entry; entry = entry->hh.next)
 		jobs += entry->part < 0;
 	if (jobs)
-		ws_domains_logf(domains, "zones: %zu jobs more in the plan, first of all %s (%s)",
+		ws_domains_logf(domains, "zones: plan extended jobs=%zu first_job=%s reason=\"%s\"",
 				jobs, first->job, ws_domains_reason_name(first->reason));
 }
 
--- a/src/failure_domains/records.c
+++ b/src/failure_domains/records.c
@@ -101,8 +101,8 @@
 	if (format > WS_DOMAINS_FORMAT) {
 		if (!domains->later_format)
 			ws_domains_logf(domains,
-					"zones: record %s has format %lld, later than %d: records "
-					"are left alone and nothing is judged",
+					"zones: record of a later version, judging nothing "
+					"record=%s format=%lld supported=%d",
 					name, (long long)format, WS_DOMAINS_FORMAT);
 		domains->later_format = true;
 		return;
--- a/src/io/decode_worker.c
+++ b/src/io/decode_worker.c
@@ -26,7 +26,7 @@
 	if (i == UNKNOWN_WORDS)
 		return;
 	snprintf(logged[i], sizeof(logged[i]), "%s", text);
-	ws_logf(WS_LOG_ERROR, "a report has the unknown word \"%s\" as its %s", word, field);
+	ws_logf(WS_LOG_ERROR, "unknown value in heartbeat field=\"%s\" value=\"%s\"", field, word);
 }
 
 /* "JOB/TASK". */
--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -221,7 +221,7 @@
 	struct ws_pending_request *request;
 
 	if (frame->body.len > WS_BODY_MAX || strlen(frame->path) > PEER_PATH_MAX) {
-		ws_logf(WS_LOG_ERROR, "a frame of %s is too long: refused", frame->node);
+		ws_logf(WS_LOG_ERROR, "oversized request from peer refused peer=%s", frame->node);
 		return;
 	}
 	request = ws_pending_requests_add(&service->requests, request_id, kind_of_frame(frame));
@@ -238,8 +238,8 @@
 		handle_vote_request(service, request_id, frame->vote);
 		break;
 	default:
-		ws_logf(WS_LOG_ERROR, "a frame of kind %d of %s is refused", (int)frame->kind,
-			frame->node);
+		ws_logf(WS_LOG_ERROR, "peer frame of unknown kind refused peer=%s kind=%d",
+			frame->node, (int)frame->kind);
 		ws_router_answer_status(service, request_id, 400);
 	}
 }
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -98,9 +98,8 @@
 	ws_decode_reply(call, status, body, length, &result);
 	if (status > 0 && result.status == 0)
 		ws_logf(WS_LOG_ERROR,
-			"an answer (%d, %zu bytes) to a call of kind %d for %s can't be read: "
-			"taken for none",
-			status, length, call->kind, call->key[0] ? call->key : call->address);
+			"unreadable answer discarded kind=%d target=%s status=%d bytes=%zu",
+			call->kind, call->key[0] ? call->key : call->address, status, length);
 	if (result.status < 0 && call->kind != WS_CALL_COMMANDS)
 		result.status = 0;
 	complete(service, call, &result);
@@ -132,7 +131,7 @@
 	struct ws_result result = {0};
 
 	if (reply && !ws_vote_read(reply, &result))
-		ws_logf(WS_LOG_ERROR, "testimony of %s can't be read: taken for none",
+		ws_logf(WS_LOG_ERROR, "unreadable outage vote discarded peer=%s",
 			flight->call->key);
 	complete(flight->service, flight->call, &result);
 	free(flight);
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -242,7 +242,7 @@
 	memcpy(&length, connection->in, LENGTH_SIZE);
 	length = ntohl(length);
 	if (length > FRAME_MAX) {
-		ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes is refused", length);
+		ws_logf(WS_LOG_ERROR, "oversized peer frame refused bytes=%u", length);
 		close_connection(connection);
 		return false;
 	}
@@ -252,7 +252,7 @@
 	connection->in_length -= LENGTH_SIZE + length;
 	memmove(connection->in, connection->in + LENGTH_SIZE + length, connection->in_length);
 	if (!frame) { /* not ours, or garbled */
-		ws_logf(WS_LOG_ERROR, "a peer's frame of %u bytes can't be read", length);
+		ws_logf(WS_LOG_ERROR, "unreadable peer frame refused bytes=%u", length);
 		close_connection(connection);
 		return false;
 	}
--- a/src/io/request_router.c
+++ b/src/io/request_router.c
@@ -159,7 +159,7 @@
 	struct ws_heartbeat heartbeat;
 
 	if (!ws_decode_heartbeat(body, length, &heartbeat)) {
-		ws_logf(WS_LOG_ERROR, "a report of %zu bytes can't be read", length);
+		ws_logf(WS_LOG_ERROR, "unreadable heartbeat refused bytes=%zu", length);
 		ws_router_answer_status(service, request_id, 400);
 		return;
 	}
--- a/src/io/server.c
+++ b/src/io/server.c
@@ -21,8 +21,8 @@
 static void sweep(struct ws_service *service, double now)
 {
 	ws_logf(WS_LOG_INFO,
-		"connections: %d of workers, %d of users, %d others, %u to workers; "
-		"%d requests of users, %d reports passed on under way",
+		"connections from_workers=%d from_users=%d other=%d to_workers=%u "
+		"user_requests=%d forwarded_heartbeats=%d",
 		ws_server_conns(service->server, WS_CONN_WORKER),
 		ws_server_conns(service->server, WS_CONN_USER),
 		ws_server_conns(service->server, WS_CONN_NEW),
--- a/src/main.c
+++ b/src/main.c
@@ -118,7 +118,7 @@
 	limit.rlim_cur = limit.rlim_max < need ? limit.rlim_max : need;
 	if (setrlimit(RLIMIT_NOFILE, &limit) || limit.rlim_cur < need)
 		ws_logf(WS_LOG_ERROR,
-			"max_sockets is %d, but this process may open %llu descriptors only",
+			"descriptor limit is below max_sockets max_sockets=%d descriptors=%llu",
 			sockets, (unsigned long long)limit.rlim_cur);
 }
 
@@ -183,12 +183,12 @@
 		print_error(&error);
 		return EXIT_NOT_STARTED;
 	}
-	ws_logf(WS_LOG_INFO, "waystep %s on %s:%d, %zu peers", WS_VERSION, settings->bind.host,
-		settings->bind.port, settings->peer_count);
+	ws_logf(WS_LOG_INFO, "started version=%s address=%s:%d peers=%zu", WS_VERSION,
+		settings->bind.host, settings->bind.port, settings->peer_count);
 	ws_logf(WS_LOG_INFO,
-		"planned by: values of %g KiB, %d changes a transaction, %g changes a second",
+		"store limits value_kb=%g transaction_operations=%d writes_per_second=%g",
 		settings->value_kb, settings->txn_ops, settings->state_write_rps);
-	ws_logf(WS_LOG_INFO, "subsystems: zones %s, coldstart %s",
+	ws_logf(WS_LOG_INFO, "subsystems zones=%s coldstart=%s",
 		subsystems->zones_on ? "on" : "off", subsystems->coldstart_on ? "on" : "off");
 	ev_signal_init(&term, on_stop_signal, SIGTERM);
 	term.data = service;
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -69,7 +69,7 @@
 static size_t unreadable;
 static void log_text(const char *text)
 {
-	unreadable += strstr(text, "can't be read") != NULL;
+	unreadable += strstr(text, "unreadable address, zone only machine=m ") != NULL;
 }
 
 struct lookup {
