--- a/src/core/catalog/catalog.c
+++ b/src/core/catalog/catalog.c
@@ -1,23 +1,34 @@
-/* The catalog: machine types, zones and images by name and number. */
+/* Machine types, zones and images by name and number, and what fits the machines of a type. */
 #include "../core_state.h"
 
+/* Sums of resources may be off by this much. */
+#define ROUNDING_MARGIN 1e-9
+
+/* Adds an image under the next number. */
+static struct ws_image *ws_image_add(struct ws_catalog *catalog, const char *name)
+{
+	struct ws_image *image = calloc(1, sizeof(*image));
+	size_t new_count = (size_t)catalog->image_count + 1;
+
+	catalog->image_names =
+	    realloc(catalog->image_names, new_count * sizeof(*catalog->image_names));
+	if (!image || !catalog->image_names)
+		abort();
+	snprintf(image->name, sizeof(image->name), "%s", name);
+	image->id = catalog->image_count;
+	catalog->image_names[image->id] = image->name;
+	catalog->image_count++;
+	HASH_ADD_STR(catalog->images, name, image);
+	return image;
+}
+
 int ws_image_index(struct ws_core *core, const char *name)
 {
 	struct ws_image *image;
 
 	HASH_FIND_STR(core->catalog.images, name, image);
-	if (image)
-		return image->id;
-	image = calloc(1, sizeof(*image));
-	core->catalog.image_names =
-	    realloc(core->catalog.image_names,
-		    (size_t)(core->catalog.image_count + 1) * sizeof(*core->catalog.image_names));
-	if (!image || !core->catalog.image_names)
-		abort();
-	snprintf(image->name, sizeof(image->name), "%s", name);
-	core->catalog.image_names[core->catalog.image_count] = image->name;
-	image->id = core->catalog.image_count++;
-	HASH_ADD_STR(core->catalog.images, name, image);
+	if (!image)
+		image = ws_image_add(&core->catalog, name);
 	return image->id;
 }
 
@@ -34,22 +45,20 @@
 	return core->catalog.zone_count++;
 }
 
-/* CPUs of a machine of middling size; 0 while no type is known. */
 double ws_mean_machine_cpus(const struct ws_core *core)
 {
-	double size = 0;
+	double mean_cpus = 0;
 
 	for (size_t i = 0; i < core->catalog.type_count; i++)
-		size += core->catalog.types[i].cpus / (double)core->catalog.type_count;
-	return size;
+		mean_cpus += core->catalog.types[i].cpus / (double)core->catalog.type_count;
+	return mean_cpus;
 }
 
-/* A task as a share of one machine of middling size. */
 double ws_demand_units_of(const struct ws_core *core, const struct ws_job_spec *spec)
 {
-	double size = ws_mean_machine_cpus(core);
+	double mean_cpus = ws_mean_machine_cpus(core);
 
-	return size > 0 ? spec->cpus / size : 0;
+	return mean_cpus > 0 ? spec->cpus / mean_cpus : 0;
 }
 
 const struct ws_machine_type *ws_machine_type_find(const struct ws_core *core, const char *name)
@@ -60,16 +69,34 @@
 	return NULL;
 }
 
+/* Whether a job names a machine type, or leaves it open. */
+static bool ws_job_allows_type(const struct ws_job_spec *spec, const struct ws_machine_type *type)
+{
+	if (spec->type_count == 0)
+		return true;
+	for (size_t i = 0; i < spec->type_count; i++)
+		if (!strcmp(spec->types[i], type->name))
+			return true;
+	return false;
+}
+
+/* Whether machines of a type are to be had in the zone that a job names, if it names one. */
+static bool ws_machine_type_is_in_zone(const struct ws_machine_type *type, const char *zone)
+{
+	if (!zone[0])
+		return true;
+	for (size_t i = 0; i < type->zone_count; i++)
+		if (!strcmp(type->zones[i], zone))
+			return true;
+	return false;
+}
+
 bool ws_machine_type_fits(const struct ws_machine_type *type, const struct ws_job_spec *spec)
 {
-	bool ok = spec->type_count == 0, zone = !spec->zone[0];
-
-	for (size_t i = 0; i < spec->type_count && !ok; i++)
-		ok = !strcmp(spec->types[i], type->name);
-	for (size_t i = 0; i < type->zone_count && !zone; i++)
-		zone = !strcmp(type->zones[i], spec->zone);
-	return ok && zone && spec->cpus <= type->cpus + 1e-9 && spec->gpus <= type->gpus + 1e-9 &&
-	       spec->mem_gb <= type->mem_gb + 1e-9;
+	return ws_job_allows_type(spec, type) && ws_machine_type_is_in_zone(type, spec->zone) &&
+	       spec->cpus <= type->cpus + ROUNDING_MARGIN &&
+	       spec->gpus <= type->gpus + ROUNDING_MARGIN &&
+	       spec->mem_gb <= type->mem_gb + ROUNDING_MARGIN;
 }
 
 void ws_images_clear(struct ws_core *core)
@@ -86,17 +113,16 @@
 	core->catalog.image_count = 0;
 }
 
-/* How many such tasks a room takes, up to so many. */
-uint32_t ws_tasks_fit(const struct ws_job_spec *spec, double cpus, double gpus, double mem,
-		      uint32_t most)
+uint32_t ws_tasks_fit(const struct ws_job_spec *spec, double cpus, double gpus, double mem_gb,
+		      uint32_t limit)
 {
-	double fit = most;
+	double fit = limit;
 
 	if (spec->cpus > 0)
-		fit = fmin(fit, floor((cpus + 1e-9) / spec->cpus));
+		fit = fmin(fit, floor((cpus + ROUNDING_MARGIN) / spec->cpus));
 	if (spec->gpus > 0)
-		fit = fmin(fit, floor((gpus + 1e-9) / spec->gpus));
+		fit = fmin(fit, floor((gpus + ROUNDING_MARGIN) / spec->gpus));
 	if (spec->mem_gb > 0)
-		fit = fmin(fit, floor((mem + 1e-9) / spec->mem_gb));
+		fit = fmin(fit, floor((mem_gb + ROUNDING_MARGIN) / spec->mem_gb));
 	return fit > 0 ? (uint32_t)fit : 0;
 }
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -1,12 +1,18 @@
-/* Machine types: read from the cloud, or as an earlier leader wrote them down. */
+/* Reads the machine types: from the cloud, or from the record that an earlier leader wrote. */
 #include "../core_state.h"
 
-static void ws_types_record(struct ws_core *core, struct ws_call *call,
-			    const struct ws_result *result)
+/* Status code of a good answer. */
+#define HTTP_OK 200
+/* The leader asks again after this many leases: prices change. */
+#define REFRESH_LEASES 8
+
+/* The answer of the store, which has what an earlier leader wrote. */
+static void ws_types_record_read(struct ws_core *core, struct ws_call *call,
+				 const struct ws_result *result)
 {
 	(void)call;
 	core->catalog.request_in_flight = false;
-	if (result->status == 200 && result->entry_count == 1 && !core->catalog.type_count)
+	if (result->status == HTTP_OK && result->entry_count == 1 && !core->catalog.type_count)
 		core->catalog.type_count =
 		    ws_record_read_types(result->entries[0].value, core->catalog.types);
 	core->catalog.types_edition++;
@@ -14,46 +20,52 @@
 		core->catalog.next_request_at = core->now + core->settings->report_s / 2;
 }
 
-static void ws_types_cloud(struct ws_core *core, struct ws_call *call,
-			   const struct ws_result *result)
+/* Takes over a type as the cloud describes it. Pointers to known types stay valid. */
+static void ws_machine_type_update(struct ws_core *core, const struct ws_machine_type *type)
 {
+	struct ws_catalog *catalog = &core->catalog;
+	const struct ws_machine_type *known = ws_machine_type_find(core, type->name);
+
+	if (known)
+		catalog->types[known - catalog->types] = *type;
+	else if (catalog->type_count < WS_MAX_TYPES)
+		catalog->types[catalog->type_count++] = *type;
+	else
+		ws_log(core, WS_LOG_ERROR, "machine type %s is left out: %d are kept", type->name,
+		       WS_MAX_TYPES);
+}
+
+/* The cloud's answer. While the cloud is out and no type is known, the stored record is read. */
+static void ws_types_listed(struct ws_core *core, struct ws_call *call,
+			    const struct ws_result *result)
+{
+	struct ws_catalog *catalog = &core->catalog;
+
 	(void)call;
-	if (result->status == 200 && result->type_count) {
-		for (size_t i = 0; i < result->type_count; i++) {
-			const struct ws_machine_type *have =
-			    ws_machine_type_find(core, result->types[i].name);
-
-			if (have) /* prices move; pointers to types stay good */
-				core->catalog.types[have - core->catalog.types] = result->types[i];
-			else if (core->catalog.type_count < WS_MAX_TYPES)
-				core->catalog.types[core->catalog.type_count++] = result->types[i];
-			else
-				ws_log(core, WS_LOG_ERROR,
-				       "machine type %s is left out: %d are kept",
-				       result->types[i].name, WS_MAX_TYPES);
-		}
-		core->catalog.types_edition++;
-		core->catalog.request_in_flight = false;
-		core->catalog.next_request_at = core->now + core->settings->lease_s * 8;
+	if (result->status == HTTP_OK && result->type_count) {
+		for (size_t i = 0; i < result->type_count; i++)
+			ws_machine_type_update(core, &result->types[i]);
+		catalog->types_edition++;
+		catalog->request_in_flight = false;
+		catalog->next_request_at = core->now + core->settings->lease_s * REFRESH_LEASES;
 		core->scheduler.pass_wanted = true;
 		return;
 	}
-	if (!core->catalog.type_count) { /* the cloud is down: an earlier leader wrote them down */
-		struct ws_call *other_call = ws_call_new(core, WS_CALL_GET, ws_types_record);
+	if (!catalog->type_count) {
+		struct ws_call *record_call = ws_call_new(core, WS_CALL_GET, ws_types_record_read);
 
-		snprintf(other_call->key, sizeof(other_call->key), "types");
+		snprintf(record_call->key, sizeof(record_call->key), "%s", WS_KEY_MACHINE_TYPES);
 		return;
 	}
-	core->catalog.request_in_flight = false;
-	core->catalog.next_request_at = core->now + core->settings->lease_s;
+	catalog->request_in_flight = false;
+	catalog->next_request_at = core->now + core->settings->lease_s;
 }
 
-/* They are needed before anything can be decided. */
 void ws_machine_types_tick(struct ws_core *core)
 {
 	if (core->catalog.request_in_flight || core->now < core->catalog.next_request_at ||
 	    (core->catalog.type_count && core->leadership.role != WS_LEADER))
 		return;
 	core->catalog.request_in_flight = true;
-	ws_call_new(core, WS_CALL_MACHINE_TYPES, ws_types_cloud);
+	ws_call_new(core, WS_CALL_MACHINE_TYPES, ws_types_listed);
 }
--- /dev/null
+++ b/src/core/extension/subsystem_filters.c
@@ -0,0 +1,81 @@
+/*
+ * The subsystems' filters: which actions wait, and which machines and zones placement avoids. What
+ * several subsystems say is joined: an action waits if one of them defers it.
+ */
+#include "../core_state.h"
+
+/* The bit of a zone in a set of zones where -1, no known zone, has a bit as well. */
+static uint64_t ws_deferred_zone_bit(int zone)
+{
+	return 1ULL << (zone + 1);
+}
+
+/* The zones in which a subsystem defers actions of a kind. */
+static uint64_t ws_subsystem_deferred_zones(const struct ws_core *core,
+					    const struct ws_subsystem *subsystem,
+					    enum ws_deferrable_action kind)
+{
+	uint64_t zones = 0;
+
+	for (int zone = -1; zone < core->catalog.zone_count; zone++) {
+		const char *name = zone < 0 ? "" : core->catalog.zones[zone];
+
+		if (subsystem->ops->action_deferred(subsystem->self, core->now, kind, name))
+			zones |= ws_deferred_zone_bit(zone);
+	}
+	return zones;
+}
+
+void ws_subsystems_ask_deferred(struct ws_core *core)
+{
+	struct ws_subsystems *all = &core->subsystems;
+
+	memset(all->deferred, 0, sizeof(all->deferred));
+	for (size_t i = 0; i < all->count; i++) {
+		const struct ws_subsystem *subsystem = &all->list[i];
+
+		if (!subsystem->ops->action_deferred)
+			continue;
+		for (int kind = 0; kind < WS_DEFERRABLE_ACTIONS; kind++)
+			all->deferred[kind] |= ws_subsystem_deferred_zones(
+			    core, subsystem, (enum ws_deferrable_action)kind);
+	}
+}
+
+bool ws_subsystems_defer(const struct ws_core *core, enum ws_deferrable_action kind, int zone)
+{
+	return (core->subsystems.deferred[kind] & ws_deferred_zone_bit(zone)) != 0;
+}
+
+void ws_subsystems_begin_pass(struct ws_core *core)
+{
+	struct ws_subsystems *all = &core->subsystems;
+
+	all->zones_avoided = all->zones_closed = 0;
+	for (int zone = 0; zone < core->catalog.zone_count; zone++) {
+		const char *name = core->catalog.zones[zone];
+
+		for (size_t i = 0; i < all->count; i++) {
+			const struct ws_subsystem_ops *ops = all->list[i].ops;
+			void *self = all->list[i].self;
+
+			if (ops->zone_avoided && ops->zone_avoided(self, core->now, name))
+				all->zones_avoided |= 1u << zone;
+			if (ops->zone_closed && ops->zone_closed(self, core->now, name))
+				all->zones_closed |= 1u << zone;
+		}
+	}
+}
+
+bool ws_subsystems_avoided(struct ws_core *core, const struct ws_machine *machine)
+{
+	for (size_t i = 0; i < core->subsystems.count; i++) {
+		const struct ws_subsystem *subsystem = &core->subsystems.list[i];
+
+		if (machine->subsystem_handles[i] && subsystem->ops->machine_avoided &&
+		    subsystem->ops->machine_avoided(subsystem->self, core->now,
+						    machine->subsystem_handles[i]))
+			return true;
+	}
+	return false;
+}
--- a/src/core/extension/subsystem_records.c
+++ b/src/core/extension/subsystem_records.c
@@ -1,9 +1,9 @@
 /*
- * Records of the attached subsystems.
+ * The record source of the attached subsystems.
  *
- * They are written in the leader's own transactions: under the leader key's revision and under the
- * revision at which each record was last read or written. A record that somebody else changed is
- * read again and then written over, since only the leader owns it.
+ * Their records are written in the leader's own transactions: under the leader key's revision and
+ * under the revision at which each record was last read or written. A record that changed otherwise
+ * is read again and then written over, since only the leader owns it.
  */
 #include "../core_state.h"
 #include "../record_sources.h"
@@ -26,7 +26,8 @@
 	return record;
 }
 
-static struct ws_subsystem_record *ws_subsystem_record_get(struct ws_core *core, const char *key)
+static struct ws_subsystem_record *ws_subsystem_record_find_or_add(struct ws_core *core,
+								   const char *key)
 {
 	struct ws_subsystem_record *record = ws_subsystem_record_find(core, key);
 
@@ -48,14 +49,14 @@
 	free(record);
 }
 
-static void ws_subsystem_record_dirty(struct ws_core *core, struct ws_subsystem_record *record)
+static void ws_subsystem_record_mark_dirty(struct ws_core *core, struct ws_subsystem_record *record)
 {
 	core->subsystems.dirty_records += !record->dirty;
 	record->dirty = true;
 	ws_writer_wake(core);
 }
 
-static void ws_subsystem_record_clean(struct ws_core *core, struct ws_subsystem_record *record)
+static void ws_subsystem_record_mark_clean(struct ws_core *core, struct ws_subsystem_record *record)
 {
 	record->dirty = false;
 	core->subsystems.dirty_records--;
@@ -63,12 +64,12 @@
 
 void ws_subsystem_record_set(struct ws_core *core, const char *key, json_t *value, bool urgent)
 {
-	struct ws_subsystem_record *record = ws_subsystem_record_get(core, key);
+	struct ws_subsystem_record *record = ws_subsystem_record_find_or_add(core, key);
 
 	json_decref(record->value);
 	record->value = value;
 	record->urgent = urgent;
-	ws_subsystem_record_dirty(core, record);
+	ws_subsystem_record_mark_dirty(core, record);
 }
 
 void ws_subsystem_records_clear(struct ws_core *core)
@@ -97,24 +98,24 @@
 
 	if (!subsystem)
 		return;
-	ws_subsystem_record_get(core, record->key)->revision = record->revision;
+	ws_subsystem_record_find_or_add(core, record->key)->revision = record->revision;
 	if (subsystem->ops->record_loaded)
 		subsystem->ops->record_loaded(
 		    subsystem->self, record->key + strlen(subsystem->ops->prefix), record->value);
 }
 
-/* Adds a record that is due, under the revision that we know of it; or drops what need not or can't
- * be written. */
+/* Adds a record that is due, under its known revision; drops one that need not or can't be written.
+ */
 static void ws_subsystem_record_add(struct ws_core *core, struct ws_write_batch *batch,
 				    struct ws_subsystem_record *record)
 {
 	size_t size = record->value ? ws_record_size(record->value) : 0;
 
-	if (!record->value && !record->revision) { /* never written */
+	if (!record->value && !record->revision) { /* deleted before it was ever written */
 		ws_subsystem_record_free(core, record);
 		return;
 	}
-	ws_subsystem_record_clean(core, record);
+	ws_subsystem_record_mark_clean(core, record);
 	if ((double)size >= core->writer.value_bytes_max) {
 		ws_log(core, WS_LOG_ERROR, "%s has %zu bytes, too many for a value: left out",
 		       record->key, size);
@@ -125,8 +126,8 @@
 	record->write_in_flight = true;
 }
 
-static void ws_subsystem_records_collect_some(struct ws_core *core, struct ws_write_batch *batch,
-					      bool urgent)
+static void ws_subsystem_records_collect_by_urgency(struct ws_core *core,
+						    struct ws_write_batch *batch, bool urgent)
 {
 	struct ws_subsystem_record *record, *next;
 
@@ -142,12 +143,12 @@
 
 static void ws_subsystem_records_collect(struct ws_core *core, struct ws_write_batch *batch)
 {
-	ws_subsystem_records_collect_some(core, batch, false);
+	ws_subsystem_records_collect_by_urgency(core, batch, false);
 }
 
 static void ws_subsystem_records_collect_urgent(struct ws_core *core, struct ws_write_batch *batch)
 {
-	ws_subsystem_records_collect_some(core, batch, true);
+	ws_subsystem_records_collect_by_urgency(core, batch, true);
 }
 
 static void ws_subsystem_record_written(struct ws_core *core, const struct ws_operation *operation,
@@ -174,7 +175,7 @@
 	if (failed_compare)
 		return true;
 	record->write_in_flight = false;
-	ws_subsystem_record_dirty(core, record);
+	ws_subsystem_record_mark_dirty(core, record);
 	return false;
 }
 
@@ -188,7 +189,7 @@
 		return;
 	record->revision = revision;
 	record->write_in_flight = false;
-	ws_subsystem_record_dirty(core, record);
+	ws_subsystem_record_mark_dirty(core, record);
 }
 
 const struct ws_record_source ws_subsystem_records = {
@@ -200,7 +201,7 @@
     .read_again = ws_subsystem_record_read_again,
 };
 
-/* No key belongs to it: what follows a write is the other source's. */
+/* Owns no key: the outcome of a write goes to ws_subsystem_records. */
 const struct ws_record_source ws_urgent_subsystem_records = {
     .collect = ws_subsystem_records_collect_urgent,
 };
--- /dev/null
+++ b/src/core/extension/subsystem_requests.c
@@ -0,0 +1,301 @@
+/* The subsystems' ticks: the requests that they make in them, and how the core carries these out.
+ */
+#include "../core_state.h"
+#include "../record_sources.h"
+
+/* Status codes of the store's answers. */
+#define HTTP_OK 200
+#define HTTP_NOT_FOUND 404
+
+enum ws_request_kind {
+	WS_REQUEST_WRITE,
+	WS_REQUEST_DELETE,
+	WS_REQUEST_READ,
+	WS_REQUEST_SURVEY,
+	WS_REQUEST_MOVE,
+	WS_REQUEST_LOOK_UP,
+	WS_REQUEST_END_QUARANTINED,
+};
+
+struct ws_request {
+	enum ws_request_kind kind;
+	char name[WS_KEY_MAX]; /* of a record or a job, or a prefix of names */
+	json_t *value;
+	bool urgent;
+	struct ws_move move; /* its job is `name` */
+	double grace_s;
+	struct ws_request *next;
+};
+
+struct ws_request_queue {
+	struct ws_request *head, **tail;
+};
+
+/* ---- making requests ---- */
+
+static struct ws_request *ws_request_add(struct ws_request_queue *queue, enum ws_request_kind kind,
+					 const char *name)
+{
+	struct ws_request *request = calloc(1, sizeof(*request));
+
+	if (!request)
+		abort();
+	request->kind = kind;
+	snprintf(request->name, sizeof(request->name), "%s", name);
+	*queue->tail = request;
+	queue->tail = &request->next;
+	return request;
+}
+
+void ws_request_write(struct ws_request_queue *queue, const char *name, json_t *value, bool urgent)
+{
+	struct ws_request *request = ws_request_add(queue, WS_REQUEST_WRITE, name);
+
+	request->value = value;
+	request->urgent = urgent;
+}
+
+void ws_request_delete(struct ws_request_queue *queue, const char *name)
+{
+	ws_request_add(queue, WS_REQUEST_DELETE, name);
+}
+
+void ws_request_read(struct ws_request_queue *queue, const char *name_prefix)
+{
+	ws_request_add(queue, WS_REQUEST_READ, name_prefix);
+}
+
+void ws_request_survey(struct ws_request_queue *queue)
+{
+	ws_request_add(queue, WS_REQUEST_SURVEY, "");
+}
+
+void ws_request_move(struct ws_request_queue *queue, const struct ws_move *move)
+{
+	ws_request_add(queue, WS_REQUEST_MOVE, move->job)->move = *move;
+}
+
+void ws_request_look_up(struct ws_request_queue *queue, const char *job)
+{
+	ws_request_add(queue, WS_REQUEST_LOOK_UP, job);
+}
+
+void ws_request_end_quarantined(struct ws_request_queue *queue, const char *job, double grace_s)
+{
+	ws_request_add(queue, WS_REQUEST_END_QUARANTINED, job)->grace_s = grace_s;
+}
+
+/* ---- carrying out requests ---- */
+
+/* Tells a subsystem of a job: its description, and where its attempts are. */
+static void ws_survey_job(const struct ws_subsystem *subsystem, size_t index,
+			  const struct ws_job *job)
+{
+	const struct ws_job_spec *spec = &job->spec;
+	struct ws_job_facts facts = {
+	    .id = spec->id,
+	    .job_class = spec->job_class,
+	    .pinned_zone = spec->zone,
+	    .priority = (int)spec->priority,
+	    .guaranteed = job->guaranteed,
+	    .service = spec->service,
+	    .waiting = job->waiting,
+	    .latest_start = INFINITY,
+	};
+	const struct ws_attempt *attempt;
+
+	if (spec->deadline_s >= 0)
+		facts.latest_start = job->submitted_at_wall + spec->deadline_s - spec->estimate_s;
+	DL_FOREACH2 (job->attempts, attempt, job_next) {
+		void *machine = attempt->machine->subsystem_handles[index];
+
+		if (attempt->state == WS_ATTEMPT_GONE || attempt->unrecorded)
+			continue;
+		if (machine && subsystem->ops->attempt_surveyed(subsystem->self, machine))
+			facts.affected++;
+		else
+			facts.elsewhere++;
+	}
+	subsystem->ops->job_surveyed(subsystem->self, &facts);
+}
+
+/* Tells a subsystem of all live jobs. */
+static void ws_survey(struct ws_core *core, size_t index)
+{
+	const struct ws_subsystem *subsystem = &core->subsystems.list[index];
+	struct ws_job *job, *next;
+
+	HASH_ITER (hh, core->jobs.by_id, job, next)
+		if (!ws_job_is_over(job))
+			ws_survey_job(subsystem, index, job);
+	subsystem->ops->survey_done(subsystem->self, core->now);
+}
+
+static void ws_subsystem_read(struct ws_core *core, const char *prefix, const char *after);
+
+/* One page of the records that a subsystem asked for. */
+static void ws_subsystem_page_read(struct ws_core *core, struct ws_call *call,
+				   const struct ws_result *result)
+{
+	const struct ws_subsystem *subsystem = ws_subsystem_of(core, call->key);
+
+	if (call->generation != core->generation || core->leadership.role != WS_LEADER ||
+	    !subsystem || result->status != HTTP_OK)
+		return;
+	for (size_t i = 0; i < result->entry_count; i++)
+		ws_subsystem_record_load(core, &result->entries[i]);
+	if (result->has_more && result->entry_count)
+		ws_subsystem_read(core, call->key, result->entries[result->entry_count - 1].key);
+	else if (subsystem->ops->records_read)
+		subsystem->ops->records_read(subsystem->self,
+					     call->key + strlen(subsystem->ops->prefix));
+}
+
+static void ws_subsystem_read(struct ws_core *core, const char *prefix, const char *after)
+{
+	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_subsystem_page_read);
+
+	snprintf(call->key, sizeof(call->key), "%s", prefix);
+	snprintf(call->after, sizeof(call->after), "%s", after);
+}
+
+/* How a job is to be served, by the requests of all subsystems. */
+static void ws_job_moves_merge(struct ws_job *job)
+{
+	job->move_position = job->reserve_ahead = 0;
+	job->replicas_apart = false;
+	for (size_t i = 0; i < WS_SUBSYSTEMS_MAX; i++) {
+		const struct ws_job_move *move = &job->moves[i];
+
+		if (move->position && (!job->move_position || move->position < job->move_position))
+			job->move_position = move->position;
+		if (move->reserve_ahead > job->reserve_ahead)
+			job->reserve_ahead = move->reserve_ahead;
+		job->replicas_apart |= move->replicas_apart;
+	}
+}
+
+static void ws_subsystem_move(struct ws_core *core, size_t index, const struct ws_request *request)
+{
+	struct ws_job *job = ws_job_find(core, request->name);
+
+	if (!job)
+		return;
+	job->moves[index] = (struct ws_job_move){
+	    .position = request->move.position,
+	    .reserve_ahead = request->move.reserve_ahead,
+	    .replicas_apart = request->move.replicas_apart,
+	};
+	ws_job_moves_merge(job);
+	job->lost_recorded_attempts = false;
+	core->subsystems.moves = true;
+	core->scheduler.pass_wanted = true;
+}
+
+static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
+				   const struct ws_result *result);
+
+/* Asks for the record of a job under one of the two prefixes, for the i-th subsystem. */
+static void ws_subsystem_look_up(struct ws_core *core, size_t index, const char *prefix,
+				 const char *job)
+{
+	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_subsystem_looked_up);
+
+	snprintf(call->key, sizeof(call->key), "%s%.*s", prefix, WS_ID_MAX, job);
+	snprintf(call->context_name, sizeof(call->context_name), "%.*s", WS_ID_MAX, job);
+	call->context_number = index;
+}
+
+/* The store's answer to a look-up; of no live record, the archived one is asked for. */
+static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
+				   const struct ws_result *result)
+{
+	bool live = ws_key_has_prefix(call->key, WS_KEY_PREFIX_JOB);
+	enum ws_job_standing standing = WS_STANDING_UNREADABLE;
+	const struct ws_subsystem *subsystem = &core->subsystems.list[call->context_number];
+
+	if (call->generation != core->generation || core->leadership.role != WS_LEADER)
+		return;
+	if (result->status == HTTP_NOT_FOUND && live) {
+		/* a job moves to old/ in one transaction, never back */
+		ws_subsystem_look_up(core, call->context_number, WS_KEY_PREFIX_ARCHIVED_JOB,
+				     call->context_name);
+		return;
+	}
+	if (result->status == HTTP_NOT_FOUND)
+		standing = WS_STANDING_NEVER_HEARD;
+	else if (result->status == HTTP_OK)
+		standing = live ? WS_STANDING_LIVE : WS_STANDING_OVER;
+	if (subsystem->ops->job_looked_up)
+		subsystem->ops->job_looked_up(subsystem->self, core->now, call->context_name,
+					      standing);
+}
+
+/* Whether the name in a request is that of a record, or a prefix of such names. */
+static bool ws_request_names_record(const struct ws_request *request)
+{
+	return request->kind == WS_REQUEST_WRITE || request->kind == WS_REQUEST_DELETE ||
+	       request->kind == WS_REQUEST_READ;
+}
+
+static void ws_request_carry_out(struct ws_core *core, size_t index, struct ws_request *request)
+{
+	char key[2 * WS_KEY_MAX];
+
+	snprintf(key, sizeof(key), "%s%s", core->subsystems.list[index].ops->prefix, request->name);
+	if (ws_request_names_record(request) && strlen(key) >= WS_KEY_MAX) {
+		ws_log(core, WS_LOG_ERROR, "the key %s is too long: left out", key);
+		json_decref(request->value);
+		return;
+	}
+	switch (request->kind) {
+	case WS_REQUEST_WRITE:
+		ws_subsystem_record_set(core, key, request->value, request->urgent);
+		break;
+	case WS_REQUEST_DELETE: ws_subsystem_record_set(core, key, NULL, false); break;
+	case WS_REQUEST_READ: ws_subsystem_read(core, key, ""); break;
+	case WS_REQUEST_SURVEY: ws_survey(core, index); break;
+	case WS_REQUEST_MOVE: ws_subsystem_move(core, index, request); break;
+	case WS_REQUEST_LOOK_UP:
+		ws_subsystem_look_up(core, index, WS_KEY_PREFIX_JOB, request->name);
+		break;
+	case WS_REQUEST_END_QUARANTINED:
+		ws_core_end_quarantined(core, request->name, request->grace_s);
+		break;
+	}
+}
+
+/* ---- ticks ---- */
+
+/* Calls a subsystem's tick hook and carries out the requests that it makes, in their order. */
+static void ws_subsystem_tick(struct ws_core *core, size_t index, const struct ws_tick_facts *facts)
+{
+	const struct ws_subsystem *subsystem = &core->subsystems.list[index];
+	struct ws_request_queue queue = {.tail = &queue.head};
+
+	if (!subsystem->ops->tick)
+		return;
+	subsystem->ops->tick(subsystem->self, facts, &queue);
+	while (queue.head) {
+		struct ws_request *request = queue.head;
+
+		queue.head = request->next;
+		ws_request_carry_out(core, index, request);
+		free(request);
+	}
+}
+
+void ws_subsystems_tick(struct ws_core *core)
+{
+	const struct ws_tick_facts facts = {
+	    .now = core->now,
+	    .serving = ws_is_entitled(core) && !core->leadership.in_outage,
+	};
+
+	if (!ws_subsystems_active(core) || core->now < core->subsystems.tick_next)
+		return;
+	core->subsystems.tick_next = core->now + ws_sweep_interval(core);
+	for (size_t i = 0; i < core->subsystems.count; i++)
+		ws_subsystem_tick(core, i, &facts);
+	ws_subsystems_ask_deferred(core);
+}
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -1,44 +1,74 @@
-/* Commands to workers: in the answers to their heartbeats, and straight to their addresses. */
+/*
+ * Commands to workers: in the answers to their heartbeats, and in direct calls to their addresses.
+ *
+ * A direct call without an answer may still arrive later. Until the worker echoes a higher fencing
+ * token, which makes it refuse the call, no attempt on it is forgotten or placed anew.
+ */
 #include "../core_state.h"
 
-static bool ws_may_reap(struct ws_core *core, struct ws_machine *machine,
-			const struct ws_task_status *status)
+/* Size of the list of commands at first. */
+#define COMMANDS_CAPACITY_MIN 64
+/* A machine not heard for this many heartbeat intervals is sent no direct commands. */
+#define LISTENING_INTERVALS 1.5
+/* Probes in a sweep: this many, and one for so many machines. */
+#define PROBES_MIN 32
+#define MACHINES_PER_PROBE 8
+
+/* ---- which commands a machine is due ---- */
+
+/* Whether a machine has the attempt, in any state, that a status is of. */
+static bool ws_machine_has_attempt(const struct ws_machine *machine,
+				   const struct ws_task_status *status)
 {
-	struct ws_job *job;
+	const struct ws_attempt *attempt;
 
-	/* a direct run that is still on its way would start the attempt again */
-	if (machine->commands.late_token || machine->commands.in_flight)
-		return false;
-	for (struct ws_attempt *attempt = machine->attempts; attempt;
-	     attempt = attempt->machine_next)
+	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next)
 		if (attempt->number == status->attempt && attempt->task == status->task &&
 		    !strcmp(attempt->job_id, status->job))
-			return false; /* its job's record still names it */
-	job = ws_job_find(core, status->job);
-	if (job && status->exit_reason == WS_EXIT_DONE && !job->spec.service &&
-	    job->phase != WS_JOB_CANCELLED && status->task < job->spec.tasks &&
-	    !job->tasks[status->task].recorded)
-		return false; /* the result is not yet on record */
-	return true;
+			return true;
+	return false;
+}
+
+/* Whether a status tells of a completed task whose result is not recorded yet. */
+static bool ws_result_is_unrecorded(struct ws_core *core, const struct ws_task_status *status)
+{
+	const struct ws_job *job = ws_job_find(core, status->job);
+
+	return job && status->exit_reason == WS_EXIT_DONE && !job->spec.service &&
+	       job->phase != WS_JOB_CANCELLED && status->task < job->spec.tasks &&
+	       !job->tasks[status->task].recorded;
+}
+
+/* Whether a worker may forget an attempt that has exited. */
+static bool ws_may_reap(struct ws_core *core, const struct ws_machine *machine,
+			const struct ws_task_status *status)
+{
+	/* a run command that may still arrive would start the attempt again */
+	if (machine->commands.late_token || machine->commands.in_flight)
+		return false;
+	/* its job's record still names it */
+	if (ws_machine_has_attempt(machine, status))
+		return false;
+	return !ws_result_is_unrecorded(core, status);
 }
 
-/* One more command for a machine, in the core's scratch. */
-static struct ws_command *ws_command_add(struct ws_core *core, enum ws_command_kind verb,
+/* Adds a command to the scratch list. */
+static struct ws_command *ws_command_add(struct ws_core *core, enum ws_command_kind kind,
 					 const char *job, uint32_t task, uint64_t attempt)
 {
+	struct ws_fleet *fleet = &core->fleet;
 	struct ws_command *command;
 
-	if (core->fleet.command_count == core->fleet.command_capacity) {
-		core->fleet.command_capacity =
-		    core->fleet.command_capacity ? 2 * core->fleet.command_capacity : 64;
-		core->fleet.commands =
-		    realloc(core->fleet.commands,
-			    core->fleet.command_capacity * sizeof(*core->fleet.commands));
-		if (!core->fleet.commands)
+	if (fleet->command_count == fleet->command_capacity) {
+		fleet->command_capacity =
+		    fleet->command_capacity ? 2 * fleet->command_capacity : COMMANDS_CAPACITY_MIN;
+		fleet->commands =
+		    realloc(fleet->commands, fleet->command_capacity * sizeof(*fleet->commands));
+		if (!fleet->commands)
 			abort();
 	}
-	command = &core->fleet.commands[core->fleet.command_count++];
-	command->kind = verb;
+	command = &fleet->commands[fleet->command_count++];
+	command->kind = kind;
 	snprintf(command->job, sizeof(command->job), "%s", job);
 	command->task = task;
 	command->attempt = attempt;
@@ -46,30 +76,48 @@
 	return command;
 }
 
-/* What is to start or end on a machine, and what of a heartbeat may be forgotten there. */
+/* Whether an attempt is to be stopped and its worker may have it. */
+static bool ws_attempt_needs_stop(const struct ws_attempt *attempt)
+{
+	return attempt->stopping && attempt->state != WS_ATTEMPT_GONE &&
+	       attempt->incarnation == attempt->machine->incarnation &&
+	       (attempt->maybe_sent || attempt->reported);
+}
+
+/* Adds the command that an attempt is due, if any. A direct call does not repeat run commands. */
+static void ws_attempt_collect_command(struct ws_core *core, struct ws_attempt *attempt,
+				       bool direct)
+{
+	bool stop = ws_attempt_needs_stop(attempt);
+	struct ws_command *command;
+
+	if (!stop && !ws_attempt_is_runnable(core, attempt))
+		return;
+	if (!stop && direct && attempt->maybe_sent)
+		return;
+	command = ws_command_add(core, stop ? WS_COMMAND_STOP : WS_COMMAND_RUN, attempt->job_id,
+				 attempt->task, attempt->number);
+	command->grace_s = attempt->grace_s;
+	if (stop)
+		attempt->stop_command_sent = true;
+	else
+		attempt->maybe_sent = true;
+}
+
+/* Collects, in the scratch list, what is to start, stop or be forgotten on a machine. */
 static void ws_commands_collect(struct ws_core *core, struct ws_machine *machine,
 				const struct ws_heartbeat *heartbeat, size_t max, bool direct)
 {
-	core->fleet.command_count = 0;
-	for (struct ws_attempt *attempt = machine->attempts;
-	     attempt && core->fleet.command_count < max; attempt = attempt->machine_next) {
-		bool stop = attempt->stopping && attempt->state != WS_ATTEMPT_GONE &&
-			    attempt->incarnation == machine->incarnation &&
-			    (attempt->maybe_sent || attempt->reported);
+	struct ws_fleet *fleet = &core->fleet;
+	struct ws_attempt *attempt;
 
-		if (!stop &&
-		    !(ws_attempt_is_runnable(core, attempt) && (!direct || !attempt->maybe_sent)))
-			continue;
-		ws_command_add(core, stop ? WS_COMMAND_STOP : WS_COMMAND_RUN, attempt->job_id,
-			       attempt->task, attempt->number)
-		    ->grace_s = attempt->grace_s;
-		if (stop)
-			attempt->stop_command_sent = true;
-		else
-			attempt->maybe_sent = true;
-	}
-	for (size_t i = 0;
-	     heartbeat && i < heartbeat->task_count && core->fleet.command_count < max; i++) {
+	fleet->command_count = 0;
+	for (attempt = machine->attempts; attempt && fleet->command_count < max;
+	     attempt = attempt->machine_next)
+		ws_attempt_collect_command(core, attempt, direct);
+	if (!heartbeat)
+		return;
+	for (size_t i = 0; i < heartbeat->task_count && fleet->command_count < max; i++) {
 		const struct ws_task_status *status = &heartbeat->tasks[i];
 
 		if (status->state == WS_TASK_EXITED && ws_may_reap(core, machine, status))
@@ -78,7 +126,6 @@
 	}
 }
 
-/* The same, as a list of its own; NULL if there is nothing to say. */
 struct ws_command *ws_commands_for_machine(struct ws_core *core, struct ws_machine *machine,
 					   const struct ws_heartbeat *heartbeat, size_t max,
 					   bool direct, size_t *count)
@@ -96,10 +143,12 @@
 	return list;
 }
 
+/* ---- direct calls ---- */
+
 static void ws_commands_answered(struct ws_core *core, struct ws_call *call,
 				 const struct ws_result *result);
 
-/* A direct command to a machine, without orders as yet. */
+/* A direct call to a machine, without commands as yet. */
 static struct ws_call *ws_commands_call_new(struct ws_core *core, struct ws_machine *machine)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_COMMANDS, ws_commands_answered);
@@ -114,16 +163,16 @@
 }
 
 /*
- * A machine that did not show yet that it hears this leader is probed: the answer is the machine's
- * report, with the token in it, and ends what the last leader may still have on its way. Waiting
- * for its heartbeats instead costs a heartbeat interval and a worker's search for the leader. So is
- * one that has not reported for longer than it may take to.
+ * Probed are machines that have not proved yet that they hear this leader, and those whose
+ * heartbeat is overdue. The answer is the machine's state with the token in it, and a worker that
+ * answers refuses what the last leader may still have in flight. To wait for a heartbeat instead
+ * costs an interval, and the worker's search for the leader.
  */
 bool ws_machine_send_probe(struct ws_core *core, struct ws_machine *machine)
 {
-	if ((ws_machine_echoes_token(machine) &&
-	     !ws_heartbeat_overdue(core, machine->last_heard_at)) ||
-	    !machine->port || !machine->address[0] || machine->gone ||
+	if (ws_machine_echoes_token(machine) && !ws_heartbeat_overdue(core, machine->last_heard_at))
+		return false;
+	if (!machine->port || !machine->address[0] || machine->gone ||
 	    machine->scale_in_requested || machine->commands.in_flight ||
 	    core->now < machine->commands.next_probe_at)
 		return false;
@@ -132,7 +181,7 @@
 	return true;
 }
 
-/* To be stopped, and no command has said so yet: one was on its way when that was decided. */
+/* To be stopped, and no command has said so: one was in flight when that was decided. */
 static bool ws_attempt_stop_unsent(const struct ws_attempt *attempt)
 {
 	return attempt->stopping && !attempt->stop_command_sent &&
@@ -140,6 +189,54 @@
 	       attempt->incarnation == attempt->machine->incarnation;
 }
 
+/* A worker answered with its state, which counts unless a heartbeat has told more since. */
+static void ws_commands_acknowledged(struct ws_core *core, struct ws_machine *machine,
+				     const struct ws_heartbeat *heartbeat)
+{
+	bool newer = heartbeat->incarnation > machine->incarnation ||
+		     (heartbeat->incarnation == machine->incarnation &&
+		      heartbeat->sequence > machine->sequence) ||
+		     !machine->reported;
+
+	core->leadership.forwarded_only_since = 0; /* the machine can be reached from here */
+	machine->unreachable = false;
+	if (!newer)
+		return;
+	machine->last_heard_at = core->now;
+	ws_machine_apply_heartbeat(core, machine, heartbeat);
+}
+
+/* A call with commands got no answer: they may still arrive. */
+static void ws_commands_unanswered(struct ws_core *core, struct ws_machine *machine,
+				   const struct ws_call *call, int status)
+{
+	if (call->fencing_token > machine->commands.late_token)
+		machine->commands.late_token = call->fencing_token;
+	ws_machine_raise_fencing_token(core, machine, call->fencing_token);
+	ws_log(core, WS_LOG_INFO, "machine %s: a direct command got no answer (%d)", machine->name,
+	       status);
+}
+
+/* A call without commands got no answer. It can do no harm later, so the token stays as it is. */
+static void ws_probe_unanswered(const struct ws_core *core, struct ws_machine *machine)
+{
+	if (ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->resumed_at)))
+		machine->unreachable = true;
+}
+
+/* Sends what has become due while a call was in flight. */
+static void ws_machine_send_unsent_commands(struct ws_core *core, struct ws_machine *machine)
+{
+	const struct ws_attempt *attempt;
+
+	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next)
+		if ((ws_attempt_is_runnable(core, attempt) && !attempt->maybe_sent) ||
+		    ws_attempt_stop_unsent(attempt)) {
+			ws_machine_send_commands(core, machine);
+			return;
+		}
+}
+
 static void ws_commands_answered(struct ws_core *core, struct ws_call *call,
 				 const struct ws_result *result)
 {
@@ -152,73 +249,62 @@
 		return;
 	machine->commands.in_flight--;
 	if (result->status < 0)
-		return; /* never left us: the next reply carries it */
+		return; /* never sent: the next answer to a heartbeat carries the commands */
 	ws_subsystems_answered(core, machine, result->heartbeat != NULL);
 	if (result->heartbeat && !strcmp(result->heartbeat->machine, machine->name)) {
-		core->leadership.forwarded_only_since = 0; /* it can be reached from here */
-		machine->unreachable = false;
-		if (result->heartbeat->incarnation > machine->incarnation ||
-		    (result->heartbeat->incarnation == machine->incarnation &&
-		     result->heartbeat->sequence > machine->sequence) ||
-		    !machine->reported) {
-			machine->last_heard_at = core->now;
-			ws_machine_apply_heartbeat(core, machine, result->heartbeat);
-		}
-	} else if (!call->command_count) {
-		if (ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->resumed_at)))
-			machine->unreachable = true;
-		return; /* a greeting: nothing of it can do harm; its token may be met again */
+		ws_commands_acknowledged(core, machine, result->heartbeat);
+		ws_machine_send_unsent_commands(core, machine);
+	} else if (call->command_count) {
+		ws_commands_unanswered(core, machine, call, result->status);
 	} else {
-		/* it may arrive later: until the worker knows a higher fencing token, nothing of it
-		 * can be forgotten or moved */
-		if (call->fencing_token > machine->commands.late_token)
-			machine->commands.late_token = call->fencing_token;
-		ws_machine_raise_fencing_token(core, machine, call->fencing_token);
-		ws_log(core, WS_LOG_INFO, "machine %s: a direct command got no answer (%d)",
-		       machine->name, result->status);
-		return;
+		ws_probe_unanswered(core, machine);
 	}
-	for (struct ws_attempt *attempt = machine->attempts; attempt;
-	     attempt = attempt->machine_next)
-		if ((ws_attempt_is_runnable(core, attempt) && !attempt->maybe_sent) ||
-		    ws_attempt_stop_unsent(attempt)) {
-			ws_machine_send_commands(core, machine);
-			break;
-		}
 }
 
-/* Commands straight to a worker that is known to listen, for speed; replies carry them again. */
+/* Whether a direct call to a machine may be made now. */
+static bool ws_machine_takes_commands(const struct ws_core *core, const struct ws_machine *machine)
+{
+	return machine->reported && machine->port && !machine->commands.in_flight &&
+	       !machine->commands.late_token && !machine->gone && !machine->scale_in_requested &&
+	       ws_is_entitled(core) &&
+	       core->now - machine->last_heard_at <= LISTENING_INTERVALS * core->settings->report_s;
+}
+
+static bool ws_machine_has_unsent_stop(const struct ws_machine *machine)
+{
+	const struct ws_attempt *attempt;
+
+	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next)
+		if (ws_attempt_stop_unsent(attempt))
+			return true;
+	return false;
+}
+
 void ws_machine_send_commands(struct ws_core *core, struct ws_machine *machine)
 {
 	struct ws_call *call;
-	struct ws_attempt *attempt;
 
-	if (!machine->reported || !machine->port || machine->commands.in_flight ||
-	    machine->commands.late_token || machine->gone || machine->scale_in_requested ||
-	    !ws_is_entitled(core) ||
-	    core->now - machine->last_heard_at > 1.5 * core->settings->report_s)
+	if (!ws_machine_takes_commands(core, machine))
 		return;
-	/* while the store is out nothing is started, but what is cancelled ends */
-	for (attempt = machine->attempts;
-	     core->leadership.in_outage && attempt && !ws_attempt_stop_unsent(attempt);
-	     attempt = attempt->machine_next)
-		;
-	if (core->leadership.in_outage && !attempt)
+	/* in an outage of the store nothing is started, but what is cancelled ends */
+	if (core->leadership.in_outage && !ws_machine_has_unsent_stop(machine))
 		return;
 	call = ws_commands_call_new(core, machine);
 	call->commands =
 	    ws_commands_for_machine(core, machine, NULL, SIZE_MAX, true, &call->command_count);
 }
 
-/* So many at a time. */
 void ws_fleet_send_probes(struct ws_core *core)
 {
-	struct ws_machine *machine, *next_machine;
-	int most = 32 + (int)HASH_COUNT(core->fleet.machines) / 8;
+	struct ws_machine *machine, *next;
+	int remaining = PROBES_MIN + (int)HASH_COUNT(core->fleet.machines) / MACHINES_PER_PROBE;
 
-	HASH_ITER (hh, core->fleet.machines, machine, next_machine) {
+	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		core->fleet.sweep_steps++;
-		if (ws_machine_send_probe(core, machine) && --most <= 0)
+		if (!ws_machine_send_probe(core, machine))
+			continue;
+		remaining--;
+		if (remaining <= 0)
 			break;
 	}
 }
@@ -227,9 +313,12 @@
 {
 	struct ws_attempt *attempt;
 
-	DL_FOREACH2 (job->attempts, attempt, job_next)
-		if (attempt->machine->commands.pending) {
-			attempt->machine->commands.pending = false;
-			ws_machine_send_commands(core, attempt->machine);
-		}
+	DL_FOREACH2 (job->attempts, attempt, job_next) {
+		struct ws_machine *machine = attempt->machine;
+
+		if (!machine->commands.pending)
+			continue;
+		machine->commands.pending = false;
+		ws_machine_send_commands(core, machine);
+	}
 }
--- a/src/core/fleet/fleet.c
+++ b/src/core/fleet/fleet.c
@@ -4,7 +4,7 @@
  */
 #include "../core_state.h"
 
-/* Time of the last word of a machine that was never heard. */
+/* When a machine that was never heard was heard last. */
 #define NEVER_HEARD (-1e9)
 /* Characters that separate the fields of a job's record. */
 #define RECORD_SEPARATORS "/#=;,"
--- a/src/core/fleet/fleet.h
+++ b/src/core/fleet/fleet.h
@@ -308,7 +308,7 @@
  * Whether the current attempt of a gang has surely not begun to run and may be completed; if so,
  * its number and since when its first task waits.
  */
-bool ws_gang_is_assembling(const struct ws_job *job, uint64_t *attempt, double *since);
+bool ws_gang_is_assembling(const struct ws_job *job, uint64_t *number, double *since);
 /* Whether all tasks of a gang can be told something at once, as far as is known. */
 bool ws_gang_is_reachable(const struct ws_core *core, const struct ws_job *job);
 /* Stops all tasks of a gang at once; they have so many seconds to save. */
--- a/src/core/fleet/gang_attempts.c
+++ b/src/core/fleet/gang_attempts.c
@@ -1,75 +1,87 @@
 /*
  * Gangs: jobs whose tasks run all at once or not at all. The tasks of one start share an attempt
- * number and find each other by it on the workers. An attempt
+ * number, by which the workers let them find each other. The attempt of a gang
  *
- *  assembles: its tasks fetch, then wait. One that is refused or lost is replaced under the same
- *           number, once it is surely gone (scheduler); where that can't be had in time, all are
- *           stopped, so that no places idle;
- *  runs:    from the first word of a running task on. When one is gone now, the attempt is over:
- *           the others notice that within gang_peer_s and end by themselves;
- *  ends:    all are told to stop at once. The next attempt begins when the last task of this one
- *           is surely gone. When one is done, all are (ws_job_task_done).
+ *  assembles: its tasks fetch their image, then wait. A task that is refused or lost is placed
+ * again under the same number once it is surely gone (scheduler). If that can't be done in time,
+ *           all tasks are stopped, so that no capacity idles;
+ *  runs:    from the first heartbeat with a running task on. If a task is lost now, the attempt is
+ *           over: the others notice that within gang_peer_s and end by themselves;
+ *  ends:    all tasks are told to stop at once. The next attempt begins when the last task is
+ * surely gone. When one task completes, all have (ws_job_task_done).
  *
- * Nothing of this is on record but the attempts themselves: a new leader learns from heartbeats
- * what its gangs do, and replaces nothing before it has heard of every other task.
+ * Only the attempts themselves are on record: a new leader learns from heartbeats what its gangs
+ * do, and replaces no task before it has heard of all the others.
  */
 #include "../core_state.h"
 
-/* May be alive, and is of the job's own attempts. */
+/* A time later than any. */
+#define NEVER 1e18
+/* The share of gang_wait_s that a task may wait while a machine of the gang is silent. */
+#define SILENT_WAIT_SHARE 0.75
+/* Heartbeat intervals after which tasks of a broken gang that still run are told to stop. */
+#define BROKEN_INTERVALS 1.5
+
+/* Whether an attempt may be alive and is on its job's record. */
 static bool ws_gang_has_member(const struct ws_attempt *attempt)
 {
 	return attempt->state != WS_ATTEMPT_GONE && !attempt->unrecorded;
 }
 
-/* Whether the attempt under way has surely not begun to run and may be completed; since when. */
-bool ws_gang_is_assembling(const struct ws_job *job, uint64_t *attempt, double *since)
+/* Whether a task has surely not begun to run: not sent yet, or reported as fetching or waiting. */
+static bool ws_gang_task_is_assembling(const struct ws_attempt *attempt)
 {
-	const struct ws_attempt *other_attempt;
+	if (!attempt->maybe_sent)
+		return true;
+	return attempt->reported &&
+	       (attempt->task_state == WS_TASK_FETCHING || attempt->task_state == WS_TASK_WAITING);
+}
 
-	*attempt = 0;
-	*since = 1e18;
-	DL_FOREACH2 (job->attempts, other_attempt, job_next) {
-		if (other_attempt->state == WS_ATTEMPT_GONE)
+bool ws_gang_is_assembling(const struct ws_job *job, uint64_t *number, double *since)
+{
+	const struct ws_attempt *attempt;
+
+	*number = 0;
+	*since = NEVER;
+	DL_FOREACH2 (job->attempts, attempt, job_next) {
+		if (attempt->state == WS_ATTEMPT_GONE)
 			continue;
-		if (other_attempt->unrecorded || other_attempt->stopping ||
-		    other_attempt->number == job->gang_ended_attempt ||
-		    (*attempt && *attempt != other_attempt->number))
-			return false;
-		if (other_attempt->maybe_sent &&
-		    (!other_attempt->reported || (other_attempt->task_state != WS_TASK_FETCHING &&
-						  other_attempt->task_state != WS_TASK_WAITING)))
+		if (attempt->unrecorded || attempt->stopping ||
+		    attempt->number == job->gang_ended_attempt ||
+		    (*number && *number != attempt->number) || !ws_gang_task_is_assembling(attempt))
 			return false;
-		*attempt = other_attempt->number;
-		*since =
-		    fmin(*since, other_attempt->waiting_since > 0 ? other_attempt->waiting_since
-								  : other_attempt->planned_at);
+		*number = attempt->number;
+		*since = fmin(*since, attempt->waiting_since > 0 ? attempt->waiting_since
+								 : attempt->planned_at);
 	}
-	return *attempt != 0;
+	return *number != 0;
+}
+
+/* Whether a machine can be told something at once. */
+static bool ws_machine_is_reachable(const struct ws_core *core, const struct ws_machine *machine)
+{
+	return machine->reported && machine->port && !machine->commands.in_flight &&
+	       !machine->commands.late_token && !machine->gone && !machine->scale_in_requested &&
+	       !machine->unreachable && ws_machine_echoes_token(machine) &&
+	       !ws_heartbeat_overdue(core, machine->last_heard_at);
 }
 
-/* Whether all of its tasks can be told something at once, as far as we know. */
 bool ws_gang_is_reachable(const struct ws_core *core, const struct ws_job *job)
 {
 	const struct ws_attempt *attempt;
 
 	DL_FOREACH2 (job->attempts, attempt, job_next) {
-		const struct ws_machine *machine = attempt->machine;
-
 		if (attempt->state == WS_ATTEMPT_GONE ||
 		    (!attempt->maybe_sent && !attempt->reported))
 			continue;
-		if (attempt->unrecorded || !machine->reported || !machine->port ||
-		    machine->commands.in_flight || machine->commands.late_token || machine->gone ||
-		    machine->scale_in_requested || machine->unreachable ||
-		    !ws_machine_echoes_token(machine) ||
-		    ws_heartbeat_overdue(core, machine->last_heard_at))
+		if (attempt->unrecorded || !ws_machine_is_reachable(core, attempt->machine))
 			return false;
 	}
 	return true;
 }
 
-/* All of its tasks are told to stop, at once: reports alone may come too seldom for that. */
-void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace, const char *reason)
+/* Sent directly: the answers to heartbeats may come too late. */
+void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace_s, const char *reason)
 {
 	struct ws_attempt *attempt, *next_attempt;
 	uint32_t stopped = 0;
@@ -77,7 +89,7 @@
 	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
 		if (ws_gang_has_member(attempt) && !attempt->stopping) {
 			attempt->machine->commands.pending = true;
-			ws_attempt_stop(core, attempt, grace, NULL);
+			ws_attempt_stop(core, attempt, grace_s, NULL);
 			stopped++;
 		}
 	if (!stopped)
@@ -86,7 +98,6 @@
 	ws_job_send_commands(core, job);
 }
 
-/* A task is to stop in good order: if it is one of a gang, with the whole gang. */
 void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, const char *reason)
 {
 	const struct ws_job_spec *spec = &attempt->job->spec;
@@ -100,44 +111,70 @@
 	}
 }
 
-/* Looks after an attempt under way: one that can't become complete would wait in vain. */
-void ws_gang_check_progress(struct ws_core *core, struct ws_job *job)
+/* The state of a gang's current attempt. */
+struct gang_progress {
+	uint64_t number;
+	uint32_t members, stopping;
+	double waiting_since; /* of the task that has waited the longest */
+	double silent_until; /* a silent machine may keep its lease until then; 0: none is silent */
+};
+
+/* Whether a task may have been started on a machine of which nothing is heard. */
+static bool ws_gang_member_is_silent(const struct ws_core *core, const struct ws_attempt *attempt)
+{
+	const struct ws_machine *machine = attempt->machine;
+
+	return attempt->maybe_sent &&
+	       ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->resumed_at)) &&
+	       !ws_subsystems_defer(core, WS_DEFER_GANG_STOP, machine->zone_index);
+}
+
+static struct gang_progress ws_gang_progress(const struct ws_core *core, const struct ws_job *job)
 {
-	uint64_t attempt = 0;
-	double since = 1e18, silent_until = 0;
-	uint32_t members = 0, stopping = 0;
-	struct ws_attempt *other_attempt;
+	struct gang_progress progress = {.waiting_since = NEVER};
+	const struct ws_attempt *attempt;
 
-	DL_FOREACH2 (job->attempts, other_attempt, job_next) {
-		if (!ws_gang_has_member(other_attempt))
+	DL_FOREACH2 (job->attempts, attempt, job_next) {
+		if (!ws_gang_has_member(attempt))
 			continue;
-		members++;
-		stopping += other_attempt->stopping;
-		attempt = other_attempt->number > attempt ? other_attempt->number : attempt;
-		if (other_attempt->task_state == WS_TASK_WAITING &&
-		    other_attempt->waiting_since > 0)
-			since = fmin(since, other_attempt->waiting_since);
-		else if (other_attempt->maybe_sent &&
-			 ws_heartbeat_overdue(
-			     core, fmax(other_attempt->machine->last_heard_at, core->resumed_at)) &&
-			 !ws_subsystems_defer(core, WS_DEFER_GANG_STOP,
-					      other_attempt->machine->zone_index))
-			silent_until = fmax(silent_until, other_attempt->machine->lease.expires_at);
+		progress.members++;
+		progress.stopping += attempt->stopping;
+		if (attempt->number > progress.number)
+			progress.number = attempt->number;
+		if (attempt->task_state == WS_TASK_WAITING && attempt->waiting_since > 0)
+			progress.waiting_since =
+			    fmin(progress.waiting_since, attempt->waiting_since);
+		else if (ws_gang_member_is_silent(core, attempt))
+			progress.silent_until =
+			    fmax(progress.silent_until, attempt->machine->lease.expires_at);
 	}
-	if (stopping == members)
+	return progress;
+}
+
+/* A gang that ran has lost a task. The others end by themselves; those that did not are told. */
+static void ws_gang_stop_broken(struct ws_core *core, struct ws_job *job)
+{
+	if (!job->gang_broken_at)
+		job->gang_broken_at = core->now;
+	else if (core->now - job->gang_broken_at >
+		 core->settings->gang_peer_s + BROKEN_INTERVALS * core->settings->report_s)
+		ws_gang_stop(core, job, 0, "it lost a task");
+}
+
+void ws_gang_check_progress(struct ws_core *core, struct ws_job *job)
+{
+	struct gang_progress progress = ws_gang_progress(core, job);
+	bool has_run = progress.number == job->gang_ended_attempt;
+
+	if (progress.stopping == progress.members)
 		return;
-	if (stopping) {
+	if (progress.stopping)
 		ws_gang_stop(core, job, 0, "others of it are stopped");
-	} else if (attempt == job->gang_ended_attempt && job->waiting) {
-		/* they notice and end by themselves; those that did not are told */
-		if (!job->gang_broken_at)
-			job->gang_broken_at = core->now;
-		else if (core->now - job->gang_broken_at >
-			 core->settings->gang_peer_s + 1.5 * core->settings->report_s)
-			ws_gang_stop(core, job, 0, "it lost a task");
-	} else if (attempt != job->gang_ended_attempt &&
-		   silent_until > since + core->settings->gang_wait_s * 3 / 4) {
+	else if (has_run && job->waiting)
+		ws_gang_stop_broken(core, job);
+	else if (!has_run &&
+		 progress.silent_until >
+		     progress.waiting_since + core->settings->gang_wait_s * SILENT_WAIT_SHARE)
 		ws_gang_stop(core, job, 0,
 			     "a machine is silent for longer than the others may wait");
-	}
 }
--- a/src/core/fleet/quarantine.c
+++ b/src/core/fleet/quarantine.c
@@ -31,8 +31,8 @@
 	ws_machine_send_commands(core, attempt->machine);
 }
 
-/* A task that completed, of an attempt that no record names: whether its result is to be
- * quarantined_job. */
+/* Whether the result of an attempt that no record names, and which has exited, is to wait for its
+ * job to become known. */
 static bool ws_completion_is_quarantined(struct ws_core *core, struct ws_machine *machine,
 					 const struct ws_task_status *status)
 {
@@ -85,8 +85,8 @@
 		return attempt;
 	}
 	ws_quarantine_add(core, attempt);
-	ws_log(core, WS_LOG_INFO, "machine %s: %s/%u is on no record: quarantined_job apart",
-	       machine->name, attempt->job_id, attempt->task);
+	ws_log(core, WS_LOG_INFO, "machine %s: %s/%u is on no record: kept apart", machine->name,
+	       attempt->job_id, attempt->task);
 	return attempt;
 }
 
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -157,7 +157,7 @@
 	double reserved_cpus, reserved_gpus; /* for gangs that wait; scratch of one pass */
 };
 
-/* An unknown job of which attempts are quarantined. */
+/* A job, known or not, of which attempts are quarantined. */
 struct ws_quarantined_job {
 	char id[WS_ID_MAX];
 	uint32_t count; /* of these attempts */
