--- a/src/core/extension/hooks.h
+++ b/src/core/extension/hooks.h
@@ -42,13 +42,13 @@
 	 */
 	double unproven_s;
 	uint64_t proven_term; /* of the leader that the proof is of; 0: none */
-	/* When every lease that an earlier leader may have renewed has surely run out. */
+	/* When every lease that an earlier leader may have renewed has expired on any clock. */
 	double leases_out;
 };
 
 /*
  * What became of an attempt that was on record at the election, or of a task that a heartbeat names
- * without one. Each has one reconciliation result, at the first word that tells.
+ * without one. Each has one reconciliation result: the first that is known.
  */
 enum ws_reconciliation_result {
 	WS_RECONCILED_AGREED,	    /* runs, as recorded */
@@ -77,6 +77,7 @@
 	       result == WS_RECONCILED_MACHINE_GONE || result == WS_RECONCILED_ENDED_FAILED;
 }
 
+/* A reconciliation result, and the attempt that it is of. */
 struct ws_reconciliation {
 	enum ws_reconciliation_result result;
 	const char *machine;
@@ -93,12 +94,12 @@
 	WS_STANDING_UNREADABLE, /* the store did not tell */
 };
 
-/* Orders that a subsystem may hold back for a while. */
+/* Actions of the core that a subsystem may defer for a while. */
 enum ws_deferrable_action {
-	WS_DEFER_PREEMPTION,	  /* stop of work for room on a machine of the zone */
+	WS_DEFER_PREEMPTION,	  /* stop of a task for the capacity of its machine, in the zone */
 	WS_DEFER_GANG_STOP,	  /* stop of a gang because a machine of the zone is silent */
-	WS_DEFER_SCALE_IN_SILENT, /* of a rented machine of the zone that is silent */
-	WS_DEFER_SCALE_IN_EMPTY,  /* of a rented machine of the zone that is empty */
+	WS_DEFER_SCALE_IN_SILENT, /* of a silent machine of the zone */
+	WS_DEFER_SCALE_IN_EMPTY,  /* of an empty machine of the zone */
 	WS_DEFER_FIRST_START,	  /* of a job of which nothing was ever started; in any zone */
 	/*
 	 * Of a second replica of a service that lost recorded attempts, before other services of
@@ -129,8 +130,9 @@
 	bool serving; /* entitled, and the store answers */
 };
 
+/* How all that was on a machine was lost. */
 enum ws_machine_loss {
-	WS_LOSS_LEASE,	  /* its lease has surely run out */
+	WS_LOSS_LEASE,	  /* its lease has expired on any clock */
 	WS_LOSS_FAILED,	  /* the cloud says that it failed */
 	WS_LOSS_RETURNED, /* the cloud confirmed that it is gone */
 };
@@ -164,17 +166,18 @@
 	void *(*machine_added)(void *self, double now, const struct ws_machine_facts *facts);
 	void (*machine_changed)(void *self, void *machine, const struct ws_machine_facts *facts);
 	void (*machine_removed)(void *self, void *machine);
-	/* A report that shows that its sender hears this leader. */
+	/* A heartbeat that shows that its machine hears this leader. */
 	void (*heartbeat_seen)(void *self, double now, void *machine);
 	void (*command_answered)(void *self, void *machine, bool answered);
 	void (*machine_lost)(void *self, double now, void *machine, enum ws_machine_loss loss);
 
 	/*
-	 * Reconciliation of heartbeats with the records. Returns whether the attempt is to be kept
-	 * apart: neither stopped nor reaped. Asked for of WS_RECONCILED_UNRECORDED and
-	 * WS_RECONCILED_UNKNOWN_JOB, passed over for the others.
+	 * Reconciliation of heartbeats with the records. Returns whether the attempt is to be
+	 * quarantined: neither stopped nor reaped. That counts for WS_RECONCILED_UNRECORDED and
+	 * WS_RECONCILED_UNKNOWN_JOB, and is ignored for the others.
 	 */
-	bool (*attempt_found)(void *self, double now, const struct ws_reconciliation *finding);
+	bool (*attempt_found)(void *self, double now,
+			      const struct ws_reconciliation *reconciliation);
 	/* Answer to a look-up. */
 	void (*job_looked_up)(void *self, double now, const char *job,
 			      enum ws_job_standing standing);
@@ -185,9 +188,9 @@
 	bool (*machine_avoided)(void *self, double now, const void *machine);
 	/* The same for whole zones: work that may be elsewhere goes elsewhere. */
 	bool (*zone_avoided)(void *self, double now, const char *zone);
-	/* No machine is rented in this zone. */
+	/* No machine is scaled out in this zone. */
 	bool (*zone_closed)(void *self, double now, const char *zone);
-	/* Whether orders of a kind wait for now; the zone is empty where it is unknown. */
+	/* Whether actions of a kind are deferred for now; the zone is empty if it is unknown. */
 	bool (*action_deferred)(void *self, double now, enum ws_deferrable_action kind,
 				const char *zone);
 
@@ -210,16 +213,18 @@
 
 /* ---- requests, for use within tick() ---- */
 
-/* Writes a record of the subsystem, conditioned as all of the leader's; takes over the value. */
+/* Writes a record of the subsystem in the leader's transactions; takes over the value. */
 void ws_request_write(struct ws_request_queue *queue, const char *name, json_t *value, bool urgent);
+/* Deletes a record of the subsystem. */
 void ws_request_delete(struct ws_request_queue *queue, const char *name);
 /* Reads the records whose names begin so. */
 void ws_request_read(struct ws_request_queue *queue, const char *name_prefix);
+/* Asks for the attempts on each machine and for the live jobs: see attempt_surveyed(). */
 void ws_request_survey(struct ws_request_queue *queue);
 /* Reads what the records say of a job: first among the live ones, then among those that are over.
  */
 void ws_request_look_up(struct ws_request_queue *queue, const char *job);
-/* Ends all attempts of a job that are quarantined; they have so long to save, 0: at once. */
+/* Ends all quarantined attempts of a job; they have this many seconds to save, 0: at once. */
 void ws_request_end_quarantined(struct ws_request_queue *queue, const char *job, double grace_s);
 
 /* How a job that loses attempts is to be served until the next request for it. */
@@ -229,5 +234,6 @@
 	uint32_t reserve_ahead; /* tasks to find room for before they may be placed */
 	bool replicas_apart;	/* of a service: a first replica goes now, others after the rank */
 };
+/* Asks for a job to be served so, in place of an earlier request of this subsystem. */
 void ws_request_move(struct ws_request_queue *queue, const struct ws_move *move);
 #endif
--- a/src/core/fleet/fleet.h
+++ b/src/core/fleet/fleet.h
@@ -17,11 +17,9 @@
 #define WS_FLEET_H
 #include "../core.h"
 #include "../extension/hooks.h"
+#include "../jobs/jobs.h"
 #include "../tombstones.h"
 
-struct ws_attempt;
-struct ws_job;
-
 /* Images of a machine that are remembered. */
 #define WS_CACHE_MAX 24
 /* Shards beyond this number are ignored when records are read. */
@@ -312,10 +310,11 @@
 /* Whether all tasks of a gang can be told something at once, as far as is known. */
 bool ws_gang_is_reachable(const struct ws_core *core, const struct ws_job *job);
 /* Stops all tasks of a gang at once; they have so many seconds to save. */
-void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace_s, const char *reason);
+void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace_s,
+		  enum ws_stop_reason reason);
 /* Stops a gang whose current attempt can't become complete, or has lost a task. */
 void ws_gang_check_progress(struct ws_core *core, struct ws_job *job);
 /* Stops a task with the time to save that its job asks for; of a gang, all its tasks. */
-void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, const char *reason);
+void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, enum ws_stop_reason reason);
 
 #endif
--- a/src/core/fleet/gang_attempts.c
+++ b/src/core/fleet/gang_attempts.c
@@ -81,7 +81,8 @@
 }
 
 /* Sent directly: the answers to heartbeats may come too late. */
-void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace_s, const char *reason)
+void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace_s,
+		  enum ws_stop_reason reason)
 {
 	struct ws_attempt *attempt, *next_attempt;
 	uint32_t stopped = 0;
@@ -89,16 +90,17 @@
 	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
 		if (ws_gang_has_member(attempt) && !attempt->stopping) {
 			attempt->machine->commands.pending = true;
-			ws_attempt_stop(core, attempt, grace_s, NULL);
+			ws_attempt_stop(core, attempt, grace_s, WS_STOP_LOGGED);
 			stopped++;
 		}
 	if (!stopped)
 		return;
-	ws_log(core, WS_LOG_INFO, "gang %s: stop all, %u tasks: %s", job->spec.id, stopped, reason);
+	ws_log(core, WS_LOG_INFO, "gang %s: stop all, %u tasks: %s", job->spec.id, stopped,
+	       ws_stop_reason_text(reason));
 	ws_job_send_commands(core, job);
 }
 
-void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, const char *reason)
+void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, enum ws_stop_reason reason)
 {
 	const struct ws_job_spec *spec = &attempt->job->spec;
 
@@ -112,7 +114,7 @@
 }
 
 /* The state of a gang's current attempt. */
-struct gang_progress {
+struct ws_gang_progress {
 	uint64_t number;
 	uint32_t members, stopping;
 	double waiting_since; /* of the task that has waited the longest */
@@ -129,9 +131,9 @@
 	       !ws_subsystems_defer(core, WS_DEFER_GANG_STOP, machine->zone_index);
 }
 
-static struct gang_progress ws_gang_progress(const struct ws_core *core, const struct ws_job *job)
+static struct ws_gang_progress ws_gang_progress(const struct ws_core *core, const struct ws_job *job)
 {
-	struct gang_progress progress = {.waiting_since = NEVER};
+	struct ws_gang_progress progress = {.waiting_since = NEVER};
 	const struct ws_attempt *attempt;
 
 	DL_FOREACH2 (job->attempts, attempt, job_next) {
@@ -158,23 +160,22 @@
 		job->gang_broken_at = core->now;
 	else if (core->now - job->gang_broken_at >
 		 core->settings->gang_peer_s + BROKEN_INTERVALS * core->settings->report_s)
-		ws_gang_stop(core, job, 0, "it lost a task");
+		ws_gang_stop(core, job, 0, WS_STOP_GANG_LOST_TASK);
 }
 
 void ws_gang_check_progress(struct ws_core *core, struct ws_job *job)
 {
-	struct gang_progress progress = ws_gang_progress(core, job);
+	struct ws_gang_progress progress = ws_gang_progress(core, job);
 	bool has_run = progress.number == job->gang_ended_attempt;
 
 	if (progress.stopping == progress.members)
 		return;
 	if (progress.stopping)
-		ws_gang_stop(core, job, 0, "others of it are stopped");
+		ws_gang_stop(core, job, 0, WS_STOP_GANG_STOPPING);
 	else if (has_run && job->waiting)
 		ws_gang_stop_broken(core, job);
 	else if (!has_run &&
 		 progress.silent_until >
 		     progress.waiting_since + core->settings->gang_wait_s * SILENT_WAIT_SHARE)
-		ws_gang_stop(core, job, 0,
-			     "a machine is silent for longer than the others may wait");
+		ws_gang_stop(core, job, 0, WS_STOP_GANG_SILENT);
 }
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -51,7 +51,7 @@
 		ws_log(core, WS_LOG_INFO, "machine %s began tenure %llu, %u tasks lost",
 		       machine->name, (unsigned long long)heartbeat->incarnation,
 		       machine->attempt_count);
-	if (machine->incarnation) /* is it in reach of our answers? */
+	if (machine->incarnation) /* it may not have received the answers to its heartbeats */
 		ws_machine_raise_fencing_token(core, machine,
 					       heartbeat->fencing_token > machine->fencing_token
 						   ? heartbeat->fencing_token
--- a/src/core/fleet/machine_shard_records.c
+++ b/src/core/fleet/machine_shard_records.c
@@ -1,17 +1,17 @@
 /*
- * Records of the machines, some of them in each shard: fleet/<number>. They serve the next leader
- * for greeting the machines, so they are written late, one at a time.
+ * The record source of the machines' shards, fleet/<number>. The next leader probes the machines
+ * that they name; nothing else depends on them, so they are written late, one at a time.
  */
 #include "../core_state.h"
 #include "../record_sources.h"
 
-/* A shard waits for this share of a lease, the longer time if changes are short. */
+/* A dirty shard waits for this share of a lease; for longer without spare write budget. */
 #define SHARDS_PER_LEASE 32
 #define SHARDS_PER_LEASE_SHORT 4
-/* Newer images alone are written so often in a lease. */
+/* Newer images alone are written this often in a lease. */
 #define IMAGES_PER_LEASE 2
-/* Between two shards passes the time of so many changes. */
-#define CHANGES_PER_SHARD 8
+/* Between two shards passes the time of this many writes. */
+#define WRITES_PER_SHARD 8
 
 static int ws_machine_shard_number(const char *key)
 {
@@ -33,7 +33,7 @@
 	}
 }
 
-/* Machines that other records name alone get a shard. */
+/* Gives a shard to the machines that only other records name. */
 static void ws_machine_shard_loaded(struct ws_core *core)
 {
 	struct ws_machine *machine, *next;
@@ -43,7 +43,7 @@
 			ws_machine_mark_dirty(core, machine);
 }
 
-/* Whether a shard is to be written: late, and later still if changes are short. */
+/* Whether a shard is to be written now. */
 static bool ws_machine_shard_is_due(const struct ws_core *core,
 				    const struct ws_machine_shard *shard)
 {
@@ -68,14 +68,13 @@
 	shard->write_in_flight = true;
 	ws_write_counts_add(core, WS_WRITE_FLEET);
 	core->fleet.next_shard_write_at =
-	    core->now + CHANGES_PER_SHARD / core->settings->state_write_rps;
+	    core->now + WRITES_PER_SHARD / core->settings->state_write_rps;
 	batch->bytes += (size_t)core->writer.value_bytes_max;
 	snprintf(key, sizeof(key), "%s%d", WS_KEY_PREFIX_MACHINE_SHARD, number);
 	ws_write_batch_set_if(batch, key, shard->revision, ws_record_machine_shard(core, number));
 }
 
-/* One shard at a time: what users wait for goes before, and a transaction that is filled to the
- * limit takes no shard. */
+/* One shard at a time, in a transaction that is not full: what users wait for goes first. */
 static void ws_machine_shard_collect(struct ws_core *core, struct ws_write_batch *batch)
 {
 	if (!ws_write_batch_room(batch) || batch->bytes >= WS_TRANSACTION_BYTES ||
--- a/src/core/fleet/quarantine.c
+++ b/src/core/fleet/quarantine.c
@@ -20,7 +20,7 @@
 
 /* Ends the quarantine of an attempt and the attempt. */
 static void ws_quarantine_stop(struct ws_core *core, struct ws_attempt *attempt, double grace_s,
-			       const char *reason)
+			       enum ws_stop_reason reason)
 {
 	ws_quarantine_drop(core, attempt);
 	if (attempt->task_state == WS_TASK_EXITED) {
@@ -81,7 +81,7 @@
 		attempt->task_state = status->state;
 		attempt->exit_reason = status->exit_reason;
 	} else if (!ws_unrecorded_is_quarantined(core, attempt)) {
-		ws_attempt_stop(core, attempt, 0, "not in the plan");
+		ws_attempt_stop(core, attempt, 0, WS_STOP_UNRECORDED);
 		return attempt;
 	}
 	ws_quarantine_add(core, attempt);
@@ -99,7 +99,7 @@
 	attempt->unrecorded = false;
 	DL_FOREACH_SAFE2 (attempt->job->attempts, other, next, job_next)
 		if (other != attempt && other->task == attempt->task)
-			ws_attempt_stop(core, other, 0, "superseded");
+			ws_attempt_stop(core, other, 0, WS_STOP_SUPERSEDED);
 	ws_log(core, WS_LOG_INFO, "machine %s: %s/%u is adopted", attempt->machine->name,
 	       attempt->job_id, attempt->task);
 	ws_job_mark_dirty(core, attempt->job, true);
@@ -111,7 +111,7 @@
 	if (ws_reconcile_unrecorded(attempt) == WS_RECONCILED_UNRECORDED)
 		ws_quarantine_adopt(core, attempt);
 	else
-		ws_quarantine_stop(core, attempt, 0, "over, or placed anew");
+		ws_quarantine_stop(core, attempt, 0, WS_STOP_OVER_OR_REPLACED);
 }
 
 /* Whether all tasks of a gang are quarantined, under one attempt number: it can go on. */
@@ -153,7 +153,7 @@
 		} else if (gang_is_whole) {
 			ws_quarantine_adopt(core, attempt);
 		} else if (job->spec.gang) {
-			ws_quarantine_stop(core, attempt, 0, "its gang is not whole");
+			ws_quarantine_stop(core, attempt, 0, WS_STOP_GANG_NOT_WHOLE);
 		} else {
 			ws_quarantine_reported(core, attempt);
 		}
@@ -190,7 +190,7 @@
 		     attempt && machine->quarantine.count; attempt = next) {
 			next = attempt->machine_next;
 			if (attempt->quarantined && !strcmp(attempt->job_id, job_id))
-				ws_quarantine_stop(core, attempt, grace_s, "on no record");
+				ws_quarantine_stop(core, attempt, grace_s, WS_STOP_UNKNOWN_JOB);
 		}
 }
 
--- a/src/core/jobs/attempts.c
+++ b/src/core/jobs/attempts.c
@@ -164,15 +164,36 @@
 	attempt->stopping = true;
 }
 
+const char *ws_stop_reason_text(enum ws_stop_reason reason)
+{
+	static const char *const texts[WS_STOP_REASONS] = {
+	    [WS_STOP_UNRECORDED] = "not in the plan",
+	    [WS_STOP_UNKNOWN_JOB] = "on no record",
+	    [WS_STOP_OVER_OR_REPLACED] = "over, or placed anew",
+	    [WS_STOP_SUPERSEDED] = "superseded",
+	    [WS_STOP_PREEMPTION_NOTICE] = "spot notice",
+	    [WS_STOP_FOR_GUARANTEE] = "room for a guarantee",
+	    [WS_STOP_FOR_PRODUCTION] = "room for production",
+	    [WS_STOP_CONSOLIDATION] = "moved so that its rental can go back",
+	    [WS_STOP_GANG_NOT_WHOLE] = "its gang is not whole",
+	    [WS_STOP_GANG_STOPPING] = "others of it are stopped",
+	    [WS_STOP_GANG_LOST_TASK] = "it lost a task",
+	    [WS_STOP_GANG_SILENT] = "a machine is silent for longer than the others may wait",
+	    [WS_STOP_GANG_NO_ROOM] = "no room for what it lost before it ran",
+	};
+
+	return texts[reason];
+}
+
 void ws_attempt_stop(struct ws_core *core, struct ws_attempt *attempt, double grace_s,
-		     const char *reason)
+		     enum ws_stop_reason reason)
 {
 	if (attempt->state == WS_ATTEMPT_GONE)
 		return;
 	ws_quarantine_drop(core, attempt);
-	if (!attempt->stopping && reason)
+	if (!attempt->stopping && reason != WS_STOP_LOGGED)
 		ws_log(core, WS_LOG_INFO, "machine %s: stop %s/%u: %s", attempt->machine->name,
-		       attempt->job_id, attempt->task, reason);
+		       attempt->job_id, attempt->task, ws_stop_reason_text(reason));
 	ws_attempt_mark_stopping(attempt);
 	attempt->grace_s = grace_s;
 	if (!attempt->maybe_sent && !attempt->reported)
--- a/src/core/jobs/jobs.c
+++ b/src/core/jobs/jobs.c
@@ -120,7 +120,7 @@
 	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
 		if (attempt->state != WS_ATTEMPT_GONE) {
 			attempt->machine->commands.pending = true;
-			ws_attempt_stop(core, attempt, 0, NULL);
+			ws_attempt_stop(core, attempt, 0, WS_STOP_LOGGED);
 		}
 	ws_core_job_commands_due(core, job);
 	ws_job_check_end(core, job);
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -115,6 +115,25 @@
 	WS_ATTEMPT_GONE,     /* surely gone; its job's record may still name it */
 };
 
+/* Why an attempt, or all of a gang's, is told to stop. */
+enum ws_stop_reason {
+	WS_STOP_LOGGED, /* the caller has logged why */
+	WS_STOP_UNRECORDED,
+	WS_STOP_UNKNOWN_JOB,
+	WS_STOP_OVER_OR_REPLACED,
+	WS_STOP_SUPERSEDED,
+	WS_STOP_PREEMPTION_NOTICE,
+	WS_STOP_FOR_GUARANTEE,
+	WS_STOP_FOR_PRODUCTION,
+	WS_STOP_CONSOLIDATION,
+	WS_STOP_GANG_NOT_WHOLE,
+	WS_STOP_GANG_STOPPING,
+	WS_STOP_GANG_LOST_TASK,
+	WS_STOP_GANG_SILENT,
+	WS_STOP_GANG_NO_ROOM,
+	WS_STOP_REASONS,
+};
+
 /* One try to run a task on one machine. */
 struct ws_attempt {
 	struct ws_machine *machine;
@@ -210,10 +229,11 @@
 bool ws_attempt_is_runnable(const struct ws_core *core, const struct ws_attempt *attempt);
 /* An attempt is to end: its capacity will become free. */
 void ws_attempt_mark_stopping(struct ws_attempt *attempt);
-/* The same, with the seconds it has to save, logged with a reason unless that is NULL. One that no
- * worker can know of is released at once. */
+/* The same, with the seconds it has to save. One that no worker can know of is released at once. */
 void ws_attempt_stop(struct ws_core *core, struct ws_attempt *attempt, double grace_s,
-		     const char *reason);
+		     enum ws_stop_reason reason);
+/* A reason as log lines have it; NULL for WS_STOP_LOGGED. */
+const char *ws_stop_reason_text(enum ws_stop_reason reason);
 /* An attempt is surely gone: it ceases to count, and its task may be placed again. Frees it unless
  * its job's record may name it. */
 void ws_attempt_release(struct ws_core *core, struct ws_attempt *attempt);
--- a/src/core/scheduler/scheduler.c
+++ b/src/core/scheduler/scheduler.c
@@ -343,8 +343,8 @@
 		}
 		if (act)
 			ws_task_stop(core, attempt,
-				     job->guaranteed ? "room for a guarantee"
-						     : "room for production");
+				     job->guaranteed ? WS_STOP_FOR_GUARANTEE
+						     : WS_STOP_FOR_PRODUCTION);
 	}
 	return cost;
 }
@@ -487,7 +487,7 @@
 		}
 		if (!all || !first)
 			continue;
-		ws_task_stop(core, first, "moved so that its rental can go back");
+		ws_task_stop(core, first, WS_STOP_CONSOLIDATION);
 		ws_machine_send_commands(core, machine);
 		return;
 	}
@@ -892,7 +892,7 @@
 		return;
 	if (job->attempt_count) { /* it lost a task before it ran */
 		if (core->now - since > core->settings->gang_wait_s / 4)
-			ws_gang_stop(core, job, 0, "no room for what it lost before it ran");
+			ws_gang_stop(core, job, 0, WS_STOP_GANG_NO_ROOM);
 	} else if (room.ready_zones) { /* on too many machines: nothing is held for it */
 		ws_autoscaler_add_demand(
 		    core, job, job->waiting,
--- a/src/core/tombstones.c
+++ b/src/core/tombstones.c
@@ -1,3 +1,4 @@
+/* Sets of names that are remembered as gone for a while. */
 #include "core_state.h"
 
 void ws_tombstone_set(struct ws_tombstone **tombstones, const char *name, double until)
@@ -24,13 +25,43 @@
 	return tombstone && core->now < tombstone->until;
 }
 
+/* Empties the set. */
+static void ws_tombstones_free(struct ws_tombstone **tombstones)
+{
+	struct ws_tombstone *tombstone = *tombstones, *next;
+
+	HASH_CLEAR(hh, *tombstones);
+	for (; tombstone; tombstone = next) {
+		next = tombstone->hh.next;
+		free(tombstone);
+	}
+}
+
+/* Takes those whose time is over off the set, as a list that is linked by `next_expired`. */
+static struct ws_tombstone *ws_tombstones_take_expired(struct ws_tombstone **tombstones, double now)
+{
+	struct ws_tombstone *tombstone, *next, *expired = NULL;
+
+	HASH_ITER (hh, *tombstones, tombstone, next) {
+		if (now < tombstone->until)
+			continue;
+		HASH_DEL(*tombstones, tombstone);
+		tombstone->next_expired = expired;
+		expired = tombstone;
+	}
+	return expired;
+}
+
 void ws_tombstones_clear(const struct ws_core *core, struct ws_tombstone **tombstones, bool all)
 {
-	struct ws_tombstone *tombstone, *next;
+	struct ws_tombstone *expired, *next;
 
-	HASH_ITER (hh, *tombstones, tombstone, next)
-		if (all || core->now >= tombstone->until) {
-			HASH_DEL(*tombstones, tombstone);
-			free(tombstone);
-		}
+	if (all) {
+		ws_tombstones_free(tombstones);
+		return;
+	}
+	for (expired = ws_tombstones_take_expired(tombstones, core->now); expired; expired = next) {
+		next = expired->next_expired;
+		free(expired);
+	}
 }
--- a/src/core/tombstones.h
+++ b/src/core/tombstones.h
@@ -8,7 +8,8 @@
 
 struct ws_tombstone {
 	char name[WS_NAME_MAX];
-	double until; /* on the core's clock, in seconds */
+	double until;			   /* on the core's clock, in seconds */
+	struct ws_tombstone *next_expired; /* scratch of ws_tombstones_clear() */
 	UT_hash_handle hh;
 };
 
