--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -23,8 +23,7 @@
 	const struct ws_attempt *attempt;
 
 	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next)
-		if (attempt->number == status->attempt && attempt->task == status->task &&
-		    !strcmp(attempt->job_id, status->job))
+		if (ws_attempt_matches(attempt, status->job, status->task, status->attempt))
 			return true;
 	return false;
 }
--- a/src/core/fleet/gang_attempts.c
+++ b/src/core/fleet/gang_attempts.c
@@ -131,7 +131,8 @@
 	       !ws_subsystems_defer(core, WS_DEFER_GANG_STOP, machine->zone_index);
 }
 
-static struct ws_gang_progress ws_gang_progress(const struct ws_core *core, const struct ws_job *job)
+static struct ws_gang_progress ws_gang_progress(const struct ws_core *core,
+						const struct ws_job *job)
 {
 	struct ws_gang_progress progress = {.waiting_since = NEVER};
 	const struct ws_attempt *attempt;
--- a/src/core/fleet/restored_attempts.c
+++ b/src/core/fleet/restored_attempts.c
@@ -1,18 +1,16 @@
 /* Attempts that the records name when a new leader reads them. */
 #include "../core_state.h"
 
-/* The attempt that a record names, if another record has named it before; else NULL. */
-static struct ws_attempt *ws_attempt_find_recorded(const struct ws_machine *machine,
-						   const char *job_id,
-						   const struct ws_recorded_attempt *recorded)
+/* Whether another record has named an attempt before. */
+static bool ws_attempt_is_restored(const struct ws_machine *machine, const char *job_id,
+				   const struct ws_recorded_attempt *recorded)
 {
-	struct ws_attempt *attempt;
+	const struct ws_attempt *attempt;
 
 	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next)
-		if (attempt->number == recorded->number && attempt->task == recorded->task &&
-		    !strcmp(attempt->job_id, job_id))
-			return attempt;
-	return NULL;
+		if (ws_attempt_matches(attempt, job_id, recorded->task, recorded->number))
+			return true;
+	return false;
 }
 
 static void ws_attempt_restore(struct ws_core *core, const char *job_id,
@@ -27,7 +25,7 @@
 		ws_machine_set_kind(core, machine, "", recorded->zone, false);
 	if (recorded->incarnation > machine->incarnation)
 		machine->incarnation = recorded->incarnation;
-	if (ws_attempt_find_recorded(machine, job_id, recorded))
+	if (ws_attempt_is_restored(machine, job_id, recorded))
 		return; /* two records name it: its job was cancelled between the reads */
 	attempt = ws_attempt_add(core, machine, job_id, recorded->task, recorded->number);
 	attempt->incarnation = recorded->incarnation;
--- a/src/core/fleet/task_reports.c
+++ b/src/core/fleet/task_reports.c
@@ -128,10 +128,10 @@
 	struct ws_attempt *attempt;
 
 	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next)
-		if (attempt->state != WS_ATTEMPT_GONE && attempt->number == status->attempt &&
-		    attempt->task == status->task && !strcmp(attempt->job_id, status->job))
-			break;
-	return attempt;
+		if (attempt->state != WS_ATTEMPT_GONE &&
+		    ws_attempt_matches(attempt, status->job, status->task, status->attempt))
+			return attempt;
+	return NULL;
 }
 
 /* The first status by which an attempt runs. */
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -225,6 +225,9 @@
 				  const char *job_id, uint32_t task, uint64_t number);
 /* An attempt begins (1) or ceases (-1) to count against machine, team, job and task. */
 void ws_attempt_count(struct ws_core *core, struct ws_attempt *attempt, int sign);
+/* Whether an attempt is that of a job's task with a number. */
+bool ws_attempt_matches(const struct ws_attempt *attempt, const char *job_id, uint32_t task,
+			uint64_t number);
 /* Whether a command to run it may be sent. */
 bool ws_attempt_is_runnable(const struct ws_core *core, const struct ws_attempt *attempt);
 /* An attempt is to end: its capacity will become free. */
