--- a/src/core/scheduler/consolidation.c
+++ b/src/core/scheduler/consolidation.c
@@ -98,7 +98,7 @@
 		replica = ws_find_replica_to_move(core, machines[i], machines, machine_count);
 		if (!replica)
 			continue;
-		ws_task_stop(core, replica, ws_stop_reason_name(WS_STOP_FOR_CONSOLIDATION));
+		ws_task_stop(core, replica, WS_STOP_CONSOLIDATION);
 		ws_machine_send_commands(core, machines[i]);
 		return;
 	}
--- a/src/core/scheduler/gang_placement.c
+++ b/src/core/scheduler/gang_placement.c
@@ -359,7 +359,7 @@
 				     double assembling_since)
 {
 	if (core->now - assembling_since > core->settings->gang_wait_s / 4)
-		ws_gang_stop(core, job, 0, ws_stop_reason_name(WS_STOP_GANG_INCOMPLETE));
+		ws_gang_stop(core, job, 0, WS_STOP_GANG_NOT_REPLACED);
 }
 
 void ws_place_gang(struct ws_scheduling_pass *pass, struct ws_job *job, double start_objective_s)
--- a/src/core/scheduler/pass.h
+++ b/src/core/scheduler/pass.h
@@ -144,17 +144,6 @@
 
 /* ---- preemption.c ---- */
 
-/* Why the scheduler stops tasks. */
-enum ws_stop_reason {
-	WS_STOP_FOR_GUARANTEE,	   /* preempted by work within its team's guarantee */
-	WS_STOP_FOR_PRODUCTION,	   /* preempted by other work of higher rank */
-	WS_STOP_FOR_CONSOLIDATION, /* a replica moves off a rented machine */
-	WS_STOP_GANG_INCOMPLETE,   /* a gang lost tasks before it ran and can't replace them */
-	WS_STOP_REASONS,
-};
-/* The name of a reason in the log. */
-const char *ws_stop_reason_name(enum ws_stop_reason reason);
-
 /* What is to be preempted for: tasks of a job, in some zones. */
 struct ws_preemption_request {
 	struct ws_job *job;
--- a/src/core/scheduler/preemption.c
+++ b/src/core/scheduler/preemption.c
@@ -10,18 +10,6 @@
 /* By how much the work of a guaranteed job counts for more. */
 #define WS_GUARANTEED_COST_FACTOR 4
 
-static const char *const stop_reason_names[WS_STOP_REASONS] = {
-    [WS_STOP_FOR_GUARANTEE] = "preempted for guaranteed work",
-    [WS_STOP_FOR_PRODUCTION] = "preempted for production work",
-    [WS_STOP_FOR_CONSOLIDATION] = "consolidation",
-    [WS_STOP_GANG_INCOMPLETE] = "lost gang members not replaced in time",
-};
-
-const char *ws_stop_reason_name(enum ws_stop_reason reason)
-{
-	return stop_reason_names[reason];
-}
-
 /* Whether a job is of the kinds that preempt at all. */
 static bool ws_job_can_preempt(const struct ws_job *job)
 {
@@ -132,9 +120,8 @@
 	     attempt = attempt->machine_next)
 		if (ws_stops_with_victim(attempt, victim))
 			ws_planned_capacity_give(attempt->job, machine);
-	ws_task_stop(
-	    core, victim,
-	    ws_stop_reason_name(job->guaranteed ? WS_STOP_FOR_GUARANTEE : WS_STOP_FOR_PRODUCTION));
+	ws_task_stop(core, victim,
+		     job->guaranteed ? WS_STOP_FOR_GUARANTEE : WS_STOP_FOR_PRODUCTION);
 }
 
 /* The cost of preempting on a machine until a task fits; the victims are stopped only if asked for.
