--- a/tests/demo_cluster.c
+++ b/tests/demo_cluster.c
@@ -1,7 +1,8 @@
 /*
  * waystep for a newcomer: three real controllers, and stand-ins for all round them. Jobs run, all
  * controllers are killed and started again, and what happens is told as it goes. Called by
- * tools/try. Exit status 0 only if nothing healthy was started again: demo_cluster WAYSTEP SUBSYSTEMS.
+ * tools/try. Exit status 0 only if nothing healthy was started again: demo_cluster WAYSTEP
+ * SUBSYSTEMS.
  */
 #include "loopback.h"
 #include <stdio.h>
