--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -17,7 +17,8 @@
 	struct ws_user_request *request = call->context;
 
 	if (result->status == 200) {
-		ws_status_cache_note_cancelled(core, call->compares[0].key, result->revision);
+		ws_status_cache_note_cancelled(core, call->transaction.compares[0].key,
+					       result->revision);
 		ws_user_answer(core, call->context_number, 200, call->context_name,
 			       WS_JOB_CANCELLED);
 	} else if ((result->status == 409 || result->status == 400) &&
@@ -38,17 +39,19 @@
 static void ws_cancel_split_written(struct ws_core *core, struct ws_call *call)
 {
 	size_t continuations_max = (size_t)core->settings->txn_ops - 1, continuation_count,
-	       bytes_before = ws_record_size(call->operations[0].value);
+	       bytes_before = ws_record_size(call->transaction.operations[0].value);
 	json_t **continuations = calloc(continuations_max + 1, sizeof(*continuations));
 
 	if (!continuations)
 		abort();
-	ws_record_split_attempts(call->operations[0].value, ws_record_size_limit(core),
+	ws_record_split_attempts(call->transaction.operations[0].value, ws_record_size_limit(core),
 				 continuations, continuations_max, &continuation_count);
 	for (size_t i = 0; i < continuation_count; i++) {
-		snprintf(call->operations[call->operation_count].key, WS_KEY_MAX,
-			 WS_KEY_PREFIX_JOB_CONTINUATION "%s/%zu", call->context_name, i);
-		call->operations[call->operation_count++].value = continuations[i];
+		snprintf(call->transaction.operations[call->transaction.operation_count].key,
+			 WS_KEY_MAX, WS_KEY_PREFIX_JOB_CONTINUATION "%s/%zu", call->context_name,
+			 i);
+		call->transaction.operations[call->transaction.operation_count++].value =
+		    continuations[i];
 	}
 	free(continuations);
 	ws_log(core, WS_LOG_INFO,
@@ -79,7 +82,7 @@
 	}
 	if (phase == WS_JOB_DONE || phase == WS_JOB_CANCELLED) {
 		if (phase == WS_JOB_CANCELLED)
-			ws_status_cache_note_cancelled(core, call->key,
+			ws_status_cache_note_cancelled(core, call->read.key,
 						       result->entries[0].revision);
 		ws_user_answer(core, call->context_number, 200, call->context_name, phase);
 		return;
@@ -91,9 +94,9 @@
 	snprintf(transaction->context_name, sizeof(transaction->context_name), "%s",
 		 call->context_name);
 	ws_transaction_reserve(transaction, 1, (size_t)core->settings->txn_ops);
-	ws_transaction_compare(transaction, call->key, result->entries[0].revision);
-	ws_transaction_set(transaction, call->key, json_deep_copy(result->entries[0].value));
-	ws_record_cancel(transaction->operations[0].value);
+	ws_transaction_compare(transaction, call->read.key, result->entries[0].revision);
+	ws_transaction_set(transaction, call->read.key, json_deep_copy(result->entries[0].value));
+	ws_record_cancel(transaction->transaction.operations[0].value);
 	if (request->record_split)
 		ws_cancel_split_written(core, transaction);
 }
--- a/src/core/api/outage_votes.c
+++ b/src/core/api/outage_votes.c
@@ -98,7 +98,7 @@
 	if (now > core->now)
 		core->now = now;
 	call = ws_call_new(core, WS_CALL_GET, ws_outage_vote_checked);
-	snprintf(call->key, sizeof(call->key), "leader");
+	snprintf(call->read.key, sizeof(call->read.key), "leader");
 	call->context = pending;
 	call->context_number = request_id;
 	call->urgent = true;
--- a/src/core/api/status_cache.c
+++ b/src/core/api/status_cache.c
@@ -87,7 +87,7 @@
 {
 	uint64_t held = core->status_cache.revision;
 
-	if (!core->status_cache.complete || call->since_revision > held)
+	if (!core->status_cache.complete || call->watch.since_revision > held)
 		return;
 	for (size_t i = 0; i < result->entry_count; i++)
 		if (result->entries[i].revision > held)
@@ -141,7 +141,7 @@
 		core->status_cache.next_request_at = core->now + core->leadership.session_ttl_s / 4;
 		return;
 	}
-	if (!call->after[0])
+	if (!call->read.after[0])
 		ws_status_cache_begin_load(core, result->revision);
 	for (size_t i = 0; i < result->entry_count; i++)
 		ws_status_cache_apply_change(core, &result->entries[i]);
@@ -158,8 +158,8 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_status_cache_page_read);
 
-	snprintf(call->key, sizeof(call->key), WS_KEY_PREFIX_JOB);
-	snprintf(call->after, sizeof(call->after), "%s", after);
+	snprintf(call->read.key, sizeof(call->read.key), WS_KEY_PREFIX_JOB);
+	snprintf(call->read.after, sizeof(call->read.after), "%s", after);
 	core->status_cache.request_in_flight = true;
 }
 
@@ -183,6 +183,6 @@
 	core->status_cache.request_in_flight = true;
 	ws_queries_await_check(core);
 	call = ws_call_new(core, WS_CALL_WATCH, ws_status_cache_watch_answered);
-	snprintf(call->key, sizeof(call->key), WS_KEY_PREFIX_JOB);
-	call->since_revision = core->status_cache.revision;
+	snprintf(call->watch.prefix, sizeof(call->watch.prefix), WS_KEY_PREFIX_JOB);
+	call->watch.since_revision = core->status_cache.revision;
 }
--- a/src/core/api/store_health.c
+++ b/src/core/api/store_health.c
@@ -44,8 +44,9 @@
 	for (size_t i = 0; i < core->settings->peer_count; i++) {
 		struct ws_call *call = ws_call_new(core, WS_CALL_OUTAGE_VOTE, ws_peer_answered);
 
-		snprintf(call->key, sizeof(call->key), "%s", core->settings->peers[i].node);
-		call->since_revision = UINT64_MAX; /* only whether it answers */
+		snprintf(call->outage_vote.peer, sizeof(call->outage_vote.peer), "%s",
+			 core->settings->peers[i].node);
+		call->outage_vote.since_revision = UINT64_MAX; /* only whether it answers */
 	}
 }
 
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -38,7 +38,7 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_GET, on_result);
 
-	snprintf(call->key, sizeof(call->key), "%s%s", prefix, id);
+	snprintf(call->read.key, sizeof(call->read.key), "%s%s", prefix, id);
 	snprintf(call->context_name, sizeof(call->context_name), "%s", id);
 	call->context = request;
 	call->context_number = request_id;
@@ -91,12 +91,12 @@
 
 	if (result->entry_count != 1 ||
 	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
-		ws_log(core, WS_LOG_ERROR, "record %s can't be read", call->key);
+		ws_log(core, WS_LOG_ERROR, "record %s can't be read", call->read.key);
 		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
 		return;
 	}
 	if (phase == WS_JOB_CANCELLED)
-		ws_status_cache_note_cancelled(core, call->key, result->entries[0].revision);
+		ws_status_cache_note_cancelled(core, call->read.key, result->entries[0].revision);
 	ws_user_answer_status(core, call->context_number, call->context_name, phase, done, running,
 			      with_counts);
 }
--- a/src/core/autoscaler/instance_list.c
+++ b/src/core/autoscaler/instance_list.c
@@ -118,7 +118,8 @@
 	if (!ws_instance_list_is_due(core))
 		return;
 	call = ws_call_new(core, WS_CALL_INSTANCES, ws_instance_list_answered);
-	snprintf(call->after, sizeof(call->after), "%s", autoscaler->list_continues_after);
+	snprintf(call->instances.after, sizeof(call->instances.after), "%s",
+		 autoscaler->list_continues_after);
 	if (!autoscaler->list_continues_after[0])
 		autoscaler->list_mark++;
 	autoscaler->list_in_flight = true;
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -70,8 +70,8 @@
 {
 	if (call->generation != core->generation)
 		return;
-	for (size_t i = 0; i < call->machine_count; i++) {
-		struct ws_machine *machine = ws_machine_find(core, call->machine_names[i]);
+	for (size_t i = 0; i < call->scale_in.count; i++) {
+		struct ws_machine *machine = ws_machine_find(core, call->scale_in.machine_names[i]);
 
 		if (!machine)
 			continue;
@@ -196,8 +196,9 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_SCALE_IN, ws_scale_in_answered);
 
-	call->machine_names = calloc(SCALE_IN_CALL_MAX, sizeof(*call->machine_names));
-	if (!call->machine_names)
+	call->scale_in.machine_names =
+	    calloc(SCALE_IN_CALL_MAX, sizeof(*call->scale_in.machine_names));
+	if (!call->scale_in.machine_names)
 		abort();
 	core->autoscaler.next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
 	core->autoscaler.scaled_out_last = false;
@@ -216,11 +217,11 @@
 			continue;
 		if (!call)
 			call = ws_scale_in_call_new(core);
-		snprintf(call->machine_names[call->machine_count++], WS_NAME_MAX, "%s",
+		snprintf(call->scale_in.machine_names[call->scale_in.count++], WS_NAME_MAX, "%s",
 			 machine->name);
 		machine->scale_in_in_flight = true;
 		core->autoscaler.scale_ins_due--;
-		if (call->machine_count == SCALE_IN_CALL_MAX)
+		if (call->scale_in.count == SCALE_IN_CALL_MAX)
 			break;
 	}
 }
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -138,7 +138,7 @@
 	if (call->generation != core->generation)
 		return;
 	core->autoscaler.scale_out_in_flight = false;
-	HASH_FIND_STR(core->autoscaler.requests, call->key, request);
+	HASH_FIND_STR(core->autoscaler.requests, call->scale_out.idempotency_key, request);
 	if (!request)
 		return;
 	if (result->status == 200) {
@@ -163,11 +163,12 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_SCALE_OUT, ws_scale_out_answered);
 
-	snprintf(call->key, sizeof(call->key), "%s", request->idempotency_key);
-	snprintf(call->type, sizeof(call->type), "%s", request->type);
-	snprintf(call->zone, sizeof(call->zone), "%s", request->zone);
-	call->preemptible = request->preemptible;
-	call->count = request->count;
+	snprintf(call->scale_out.idempotency_key, sizeof(call->scale_out.idempotency_key), "%s",
+		 request->idempotency_key);
+	snprintf(call->scale_out.type, sizeof(call->scale_out.type), "%s", request->type);
+	snprintf(call->scale_out.zone, sizeof(call->scale_out.zone), "%s", request->zone);
+	call->scale_out.preemptible = request->preemptible;
+	call->scale_out.count = request->count;
 	request->state = WS_SCALE_OUT_SENT;
 	core->autoscaler.scale_out_in_flight = true;
 	core->autoscaler.next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -41,7 +41,7 @@
 	if (!core->catalog.type_count) { /* the cloud is down: an earlier leader wrote them down */
 		struct ws_call *other_call = ws_call_new(core, WS_CALL_GET, ws_types_record);
 
-		snprintf(other_call->key, sizeof(other_call->key), "types");
+		snprintf(other_call->read.key, sizeof(other_call->read.key), "types");
 		return;
 	}
 	core->catalog.request_in_flight = false;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -60,16 +60,24 @@
 	return call;
 }
 
+static void ws_transaction_free(struct ws_transaction_call *transaction)
+{
+	for (size_t i = 0; i < transaction->operation_count; i++)
+		json_decref(transaction->operations[i].value);
+	free(transaction->operations);
+	free(transaction->compares);
+}
+
 void ws_call_free(struct ws_call *call)
 {
 	if (!call)
 		return;
-	for (size_t i = 0; i < call->operation_count; i++)
-		json_decref(call->operations[i].value);
-	free(call->operations);
-	free(call->compares);
-	free(call->machine_names);
-	free(call->commands);
+	switch (call->kind) {
+	case WS_CALL_TRANSACTION: ws_transaction_free(&call->transaction); break;
+	case WS_CALL_SCALE_IN: free(call->scale_in.machine_names); break;
+	case WS_CALL_COMMANDS: free(call->commands.list); break;
+	default: break; /* the other kinds own nothing */
+	}
 	free(call->context);
 	free(call);
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -165,14 +165,83 @@
 	WS_CALL_OUTAGE_VOTE,
 };
 
+/* A transaction is carried out only if this key has this revision; 0: the key is missing. */
 struct ws_compare {
 	char key[WS_KEY_MAX];
 	uint64_t revision;
 };
+
+/* One change of a transaction. */
 struct ws_operation {
 	char key[WS_KEY_MAX];
-	json_t *value; /* NULL: delete */
-	uint64_t session;
+	json_t *value;	  /* owned by the call; NULL: the key is deleted */
+	uint64_t session; /* the key is deleted when this store session ends; 0: it stays */
+};
+
+/* WS_CALL_GET: the record of a key. WS_CALL_LIST: the records of a prefix, page by page. */
+struct ws_read_call {
+	char key[WS_KEY_MAX];	/* LIST: the prefix */
+	char after[WS_KEY_MAX]; /* LIST: the page starts behind this key; empty: with the first */
+};
+
+/* WS_CALL_WATCH: the changes to the keys of a prefix. */
+struct ws_watch_call {
+	char prefix[WS_KEY_MAX];
+	uint64_t since_revision; /* changes above it are asked for */
+	uint32_t timeout_ms;	 /* waits so long for a change; 0: is answered at once */
+};
+
+/* WS_CALL_TRANSACTION: all operations are carried out if all compares hold, else none. */
+struct ws_transaction_call {
+	struct ws_compare *compares; /* owned */
+	size_t compare_count;
+	struct ws_operation *operations; /* owned */
+	size_t operation_count;
+	bool self_paced; /* its sender keeps to its share of the store's changes by itself */
+};
+
+/* WS_CALL_SESSION_OPEN, _RENEW and _CLOSE: a session of the store. */
+struct ws_session_call {
+	uint64_t id;	 /* RENEW and CLOSE */
+	uint32_t ttl_ms; /* OPEN: time to live without a renewal */
+};
+
+/* WS_CALL_INSTANCES: the cloud's list of instances, page by page. */
+struct ws_instances_call {
+	char after[WS_KEY_MAX]; /* the page starts behind this name; empty: with the first */
+};
+
+/* WS_CALL_SCALE_OUT: new instances of one type in one zone. */
+struct ws_scale_out_call {
+	char idempotency_key[WS_NAME_MAX]; /* the cloud grants the same key only once */
+	char type[WS_NAME_MAX];
+	char zone[WS_NAME_MAX];
+	bool preemptible;
+	uint32_t count;
+};
+
+/* WS_CALL_SCALE_IN: instances to delete. */
+struct ws_scale_in_call {
+	char (*machine_names)[WS_NAME_MAX]; /* owned */
+	size_t count;
+};
+
+/* WS_CALL_COMMANDS: commands sent to a worker directly; without any it is a probe. */
+struct ws_commands_call {
+	char address[64];
+	int port;
+	uint64_t fencing_token;	 /* the worker refuses tokens below the highest that it knows */
+	uint64_t incarnation;	 /* of the worker that the commands are meant for */
+	struct ws_command *list; /* owned */
+	size_t count;
+};
+
+/* WS_CALL_OUTAGE_VOTE: asks a peer whether the store refuses it too. */
+struct ws_outage_vote_call {
+	char peer[WS_NAME_MAX];
+	char after_job[WS_ID_MAX]; /* the list of cancellations goes on behind it; empty: begins */
+	uint64_t since_revision;   /* cancellations above it, not in the leader's job replica */
+	uint64_t leader_revision;  /* revision of the asker's leader key */
 };
 
 struct ws_core;
@@ -180,37 +249,31 @@
 typedef void (*ws_result_fn)(struct ws_core *core, struct ws_call *call,
 			     const struct ws_result *result);
 
+/*
+ * A call to the store, the cloud, a worker or a peer. The kind tells which member of the union
+ * holds what is asked; WS_CALL_MACHINE_TYPES has none.
+ */
 struct ws_call {
 	enum ws_call_kind kind;
-	char key[WS_KEY_MAX];	 /* GET key; LIST and WATCH prefix; RENT scale-out request; TESTIFY
-				    peer */
-	char after[WS_KEY_MAX];	 /* LIST and HOSTS: start behind this one; TESTIFY: this job */
-	uint64_t since_revision; /* WATCH; TESTIFY: what the leader's view of the jobs holds */
-	uint32_t timeout_ms;	 /* WATCH and holds */
-	uint64_t session;
-	struct ws_compare *compares;
-	size_t compare_count;
-	struct ws_operation *operations;
-	size_t operation_count;
-	char type[WS_NAME_MAX], zone[WS_NAME_MAX]; /* RENT */
-	bool preemptible;
-	uint32_t count;
-	char (*machine_names)[WS_NAME_MAX]; /* RETURN */
-	size_t machine_count;
-	char address[64]; /* ORDERS */
-	int port;
-	uint64_t fencing_token,
-	    incarnation; /* TESTIFY: fencing token is the revision of the asker's leader key */
-	struct ws_command *commands;
-	size_t command_count;
-	bool urgent;	 /* goes before other calls to the same service */
-	bool self_paced; /* keeps to its share of the store's changes by itself */
+	bool urgent; /* goes before other calls to the same service */
+	union {
+		struct ws_read_call read;
+		struct ws_watch_call watch;
+		struct ws_transaction_call transaction;
+		struct ws_session_call session;
+		struct ws_instances_call instances;
+		struct ws_scale_out_call scale_out;
+		struct ws_scale_in_call scale_in;
+		struct ws_commands_call commands;
+		struct ws_outage_vote_call outage_vote;
+	};
 	/* the core's own */
 	ws_result_fn on_result;
 	void *context; /* owned by the call; a handler that passes it on clears it */
 	char context_name[WS_NAME_MAX];
-	uint64_t context_number, generation;
-	double created_at;
+	uint64_t context_number;
+	uint64_t generation; /* of the core when it made the call; others' results are ignored */
+	double created_at;   /* seconds of the core's clock */
 	struct ws_call *next;
 };
 
--- a/src/core/extension/subsystems.c
+++ b/src/core/extension/subsystems.c
@@ -355,7 +355,7 @@
 static void ws_subsystem_page(struct ws_core *core, struct ws_call *call,
 			      const struct ws_result *result)
 {
-	const struct ws_subsystem *subsystem = ws_subsystem_of(core, call->key);
+	const struct ws_subsystem *subsystem = ws_subsystem_of(core, call->read.key);
 
 	if (call->generation != core->generation || core->leadership.role != WS_LEADER ||
 	    !subsystem || result->status != 200)
@@ -363,18 +363,19 @@
 	for (size_t i = 0; i < result->entry_count; i++)
 		ws_subsystem_record_load(core, &result->entries[i]);
 	if (result->has_more && result->entry_count)
-		ws_subsystem_read(core, call->key, result->entries[result->entry_count - 1].key);
+		ws_subsystem_read(core, call->read.key,
+				  result->entries[result->entry_count - 1].key);
 	else if (subsystem->ops->records_read)
 		subsystem->ops->records_read(subsystem->self,
-					     call->key + strlen(subsystem->ops->prefix));
+					     call->read.key + strlen(subsystem->ops->prefix));
 }
 
 static void ws_subsystem_read(struct ws_core *core, const char *prefix, const char *after)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_subsystem_page);
 
-	snprintf(call->key, sizeof(call->key), "%s", prefix);
-	snprintf(call->after, sizeof(call->after), "%s", after);
+	snprintf(call->read.key, sizeof(call->read.key), "%s", prefix);
+	snprintf(call->read.after, sizeof(call->read.after), "%s", after);
 }
 
 /* What the subsystems together ask for of a job. */
@@ -419,7 +420,7 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_subsystem_looked_up);
 
-	snprintf(call->key, sizeof(call->key), "%s%.*s", prefix, WS_ID_MAX, job);
+	snprintf(call->read.key, sizeof(call->read.key), "%s%.*s", prefix, WS_ID_MAX, job);
 	snprintf(call->context_name, sizeof(call->context_name), "%.*s", WS_ID_MAX, job);
 	call->context_number = index;
 }
@@ -427,7 +428,7 @@
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result)
 {
-	bool live = ws_key_has_prefix(call->key, WS_KEY_PREFIX_JOB);
+	bool live = ws_key_has_prefix(call->read.key, WS_KEY_PREFIX_JOB);
 	enum ws_job_standing standing = WS_STANDING_UNREADABLE;
 	const struct ws_subsystem *subsystem = &core->subsystems.list[call->context_number];
 
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -104,10 +104,10 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_COMMANDS, ws_commands_answered);
 
-	snprintf(call->address, sizeof(call->address), "%s", machine->address);
-	call->port = machine->port;
-	call->fencing_token = machine->fencing_token;
-	call->incarnation = machine->incarnation;
+	snprintf(call->commands.address, sizeof(call->commands.address), "%s", machine->address);
+	call->commands.port = machine->port;
+	call->commands.fencing_token = machine->fencing_token;
+	call->commands.incarnation = machine->incarnation;
 	snprintf(call->context_name, sizeof(call->context_name), "%s", machine->name);
 	machine->commands_in_flight++;
 	return call;
@@ -164,16 +164,16 @@
 			machine->last_heard_at = core->now;
 			ws_machine_apply_heartbeat(core, machine, result->heartbeat);
 		}
-	} else if (!call->command_count) {
+	} else if (!call->commands.count) {
 		if (ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->resumed_at)))
 			machine->unreachable = true;
 		return; /* a greeting: nothing of it can do harm; its token may be met again */
 	} else {
 		/* it may arrive later: until the worker knows a higher fencing token, nothing of it
 		 * can be forgotten or moved */
-		if (call->fencing_token > machine->late_command_token)
-			machine->late_command_token = call->fencing_token;
-		ws_machine_raise_fencing_token(core, machine, call->fencing_token);
+		if (call->commands.fencing_token > machine->late_command_token)
+			machine->late_command_token = call->commands.fencing_token;
+		ws_machine_raise_fencing_token(core, machine, call->commands.fencing_token);
 		ws_log(core, WS_LOG_INFO, "machine %s: a direct command got no answer (%d)",
 		       machine->name, result->status);
 		return;
@@ -206,8 +206,8 @@
 	if (core->leadership.in_outage && !attempt)
 		return;
 	call = ws_commands_call_new(core, machine);
-	call->commands =
-	    ws_commands_for_machine(core, machine, NULL, SIZE_MAX, true, &call->command_count);
+	call->commands.list =
+	    ws_commands_for_machine(core, machine, NULL, SIZE_MAX, true, &call->commands.count);
 }
 
 /* So many at a time. */
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -130,7 +130,7 @@
 	if (leadership->session && reason) {
 		struct ws_call *call = ws_call_new(core, WS_CALL_SESSION_CLOSE, ws_ignore_result);
 
-		call->session = leadership->session;
+		call->session.id = leadership->session;
 		call->urgent = true;
 	}
 	leadership->session = 0;
@@ -217,7 +217,8 @@
 	/* a key left over from our own last life tells nothing of when another's hold ended, and a
 	 * paused leader may have answered for as long as a session lasts */
 	core->leadership.elected_at =
-	    core->now + (call->compares[0].revision ? core->leadership.session_ttl_s : 0);
+	    core->now +
+	    (call->transaction.compares[0].revision ? core->leadership.session_ttl_s : 0);
 	core->leadership.fencing_token = result->revision << WS_FENCING_TOKEN_SHIFT;
 	core->jobs.attempt_sequence = 0;
 	core->autoscaler.request_sequence = 0;
@@ -237,7 +238,7 @@
 	core->leadership.role = WS_CANDIDATE;
 	core->generation++;
 	call = ws_call_new(core, WS_CALL_SESSION_OPEN, ws_session_opened);
-	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
+	call->session.ttl_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
 	call->urgent = true;
 }
 
@@ -293,13 +294,13 @@
 	core->leadership.watch_in_flight = true;
 	if (!core->leadership.leader_known) {
 		call = ws_call_new(core, WS_CALL_LIST, ws_leader_read_answered);
-		snprintf(call->key, sizeof(call->key), WS_KEY_LEADER);
+		snprintf(call->read.key, sizeof(call->read.key), WS_KEY_LEADER);
 		return;
 	}
 	call = ws_call_new(core, WS_CALL_WATCH, ws_leader_watch_answered);
-	snprintf(call->key, sizeof(call->key), WS_KEY_LEADER);
-	call->since_revision = core->leadership.watch_revision;
-	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
+	snprintf(call->watch.prefix, sizeof(call->watch.prefix), WS_KEY_LEADER);
+	call->watch.since_revision = core->leadership.watch_revision;
+	call->watch.timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
 }
 
 /* ---- keeping leadership ---- */
@@ -366,7 +367,7 @@
 	    core->now < core->leadership.next_renewal_at)
 		return;
 	call = ws_call_new(core, WS_CALL_SESSION_RENEW, ws_session_renewed);
-	call->session = core->leadership.session;
+	call->session.id = core->leadership.session;
 	call->urgent = true;
 	core->leadership.renewals_in_flight++;
 	core->leadership.next_renewal_at = core->now + core->leadership.session_ttl_s / 4;
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -25,10 +25,11 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_OUTAGE_VOTE, ws_outage_vote_answered);
 
-	snprintf(call->key, sizeof(call->key), "%s", node);
-	snprintf(call->after, sizeof(call->after), "%s", after);
-	call->since_revision = since;
-	call->fencing_token = core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT;
+	snprintf(call->outage_vote.peer, sizeof(call->outage_vote.peer), "%s", node);
+	snprintf(call->outage_vote.after_job, sizeof(call->outage_vote.after_job), "%s", after);
+	call->outage_vote.since_revision = since;
+	call->outage_vote.leader_revision =
+	    core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT;
 	call->context_number = core->leadership.votes.round;
 	core->leadership.votes.outstanding++;
 }
@@ -64,12 +65,12 @@
 	if (result->status != 503 || !result->vote_granted)
 		return;
 	ws_core_outage_cancellations(core, result->cancellations, result->cancellation_count,
-				     call->key);
+				     call->outage_vote.peer);
 	if (result->has_more && result->cancellation_count) {
 		const struct ws_cancellation *last =
 		    &result->cancellations[result->cancellation_count - 1];
 
-		ws_outage_vote_request(core, call->key, last->revision, last->job);
+		ws_outage_vote_request(core, call->outage_vote.peer, last->revision, last->job);
 		return;
 	}
 	core->leadership.votes.granted++;
--- a/src/core/store/job_watch.c
+++ b/src/core/store/job_watch.c
@@ -40,7 +40,7 @@
 	struct ws_job_watch *watch = &core->job_watch;
 	uint64_t held = watch->revision;
 
-	if (core->leadership.role != WS_LEADER || call->since_revision > held)
+	if (core->leadership.role != WS_LEADER || call->watch.since_revision > held)
 		return;
 	for (size_t i = 0; i < result->entry_count; i++) {
 		const struct ws_kv *change = &result->entries[i];
@@ -87,8 +87,8 @@
 	if (core->leadership.role != WS_LEADER || watch->open || core->now < watch->next_at)
 		return;
 	call = ws_call_new(core, WS_CALL_WATCH, ws_job_watch_answered);
-	snprintf(call->key, sizeof(call->key), "%s", WS_KEY_PREFIX_JOB);
-	call->since_revision = watch->revision;
-	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * WATCH_TTLS * 1000);
+	snprintf(call->watch.prefix, sizeof(call->watch.prefix), "%s", WS_KEY_PREFIX_JOB);
+	call->watch.since_revision = watch->revision;
+	call->watch.timeout_ms = (uint32_t)(core->leadership.session_ttl_s * WATCH_TTLS * 1000);
 	watch->open = true;
 }
--- a/src/core/store/loader.c
+++ b/src/core/store/loader.c
@@ -10,8 +10,8 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_loader_page);
 
-	snprintf(call->key, sizeof(call->key), "%s", prefix);
-	snprintf(call->after, sizeof(call->after), "%s", after);
+	snprintf(call->read.key, sizeof(call->read.key), "%s", prefix);
+	snprintf(call->read.after, sizeof(call->read.after), "%s", after);
 	call->urgent = true;
 }
 
@@ -57,7 +57,7 @@
 	if (core->now > core->leadership.entitled_until)
 		ws_step_down(core, "the records could not be read in time");
 	else
-		ws_loader_list(core, call->key, call->after);
+		ws_loader_list(core, call->read.key, call->read.after);
 }
 
 static void ws_loader_record(struct ws_core *core, const struct ws_kv *record)
@@ -79,13 +79,13 @@
 		ws_loader_retry(core, call);
 		return;
 	}
-	source = ws_record_source_of(core, call->key);
-	if (source && source->listed && !call->after[0])
+	source = ws_record_source_of(core, call->read.key);
+	if (source && source->listed && !call->read.after[0])
 		source->listed(core, result->revision, call->created_at);
 	for (size_t i = 0; i < result->entry_count; i++)
 		ws_loader_record(core, &result->entries[i]);
 	if (result->has_more && result->entry_count)
-		ws_loader_list(core, call->key, result->entries[result->entry_count - 1].key);
+		ws_loader_list(core, call->read.key, result->entries[result->entry_count - 1].key);
 	else
-		ws_loader_next(core, call->key);
+		ws_loader_next(core, call->read.key);
 }
--- a/src/core/store/write_batch.c
+++ b/src/core/store/write_batch.c
@@ -14,7 +14,7 @@
 
 size_t ws_write_batch_room(const struct ws_write_batch *batch)
 {
-	size_t used = batch->call->operation_count;
+	size_t used = batch->call->transaction.operation_count;
 
 	return used < batch->operations_max ? batch->operations_max - used : 0;
 }
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -57,12 +57,12 @@
 	if (call->generation != core->generation)
 		return;
 	if (!found && result->status != 404) {
-		ws_writer_read_again(core, call->key);
+		ws_writer_read_again(core, call->read.key);
 		return;
 	}
-	source = ws_record_source_of(core, call->key);
+	source = ws_record_source_of(core, call->read.key);
 	if (source && source->read_again)
-		source->read_again(core, call->key, found,
+		source->read_again(core, call->read.key, found,
 				   found && result->entry_count == 1 ? result->entries[0].revision
 								     : 0);
 }
@@ -71,7 +71,7 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_writer_reread);
 
-	snprintf(call->key, sizeof(call->key), "%s", key);
+	snprintf(call->read.key, sizeof(call->read.key), "%s", key);
 }
 
 static void ws_writer_committed(struct ws_core *core, const struct ws_call *call, uint64_t revision)
@@ -79,15 +79,15 @@
 	const struct ws_record_source *source;
 
 	core->writer.failures = 0;
-	for (size_t i = 0; i < call->operation_count; i++) {
-		source = ws_record_source_of(core, call->operations[i].key);
+	for (size_t i = 0; i < call->transaction.operation_count; i++) {
+		source = ws_record_source_of(core, call->transaction.operations[i].key);
 		if (source && source->written)
-			source->written(core, &call->operations[i], revision);
+			source->written(core, &call->transaction.operations[i], revision);
 	}
-	for (size_t i = 0; i < call->operation_count; i++) {
-		source = ws_record_source_of(core, call->operations[i].key);
+	for (size_t i = 0; i < call->transaction.operation_count; i++) {
+		source = ws_record_source_of(core, call->transaction.operations[i].key);
 		if (source && source->committed)
-			source->committed(core, &call->operations[i]);
+			source->committed(core, &call->transaction.operations[i]);
 	}
 }
 
@@ -100,9 +100,9 @@
 
 	for (size_t i = 0; i < result->failed_count; i++)
 		failed |= !strcmp(result->failed_keys[i], key);
-	for (size_t i = 0; failed && i < call->compare_count; i++)
-		if (!strcmp(call->compares[i].key, key))
-			return &call->compares[i];
+	for (size_t i = 0; failed && i < call->transaction.compare_count; i++)
+		if (!strcmp(call->transaction.compares[i].key, key))
+			return &call->transaction.compares[i];
 	return NULL;
 }
 
@@ -110,8 +110,8 @@
 static void ws_writer_not_committed(struct ws_core *core, const struct ws_call *call,
 				    const struct ws_result *result)
 {
-	for (size_t i = 0; i < call->operation_count; i++) {
-		const struct ws_operation *operation = &call->operations[i];
+	for (size_t i = 0; i < call->transaction.operation_count; i++) {
+		const struct ws_operation *operation = &call->transaction.operations[i];
 		const struct ws_record_source *source = ws_record_source_of(core, operation->key);
 		const struct ws_compare *failed_compare = NULL;
 
@@ -132,9 +132,10 @@
 	size_t largest_bytes = 0, all_bytes = 0, largest = 0;
 	struct ws_writer *writer = &core->writer;
 
-	for (size_t i = 0; i < call->operation_count; i++) {
-		size_t bytes =
-		    call->operations[i].value ? ws_record_size(call->operations[i].value) : 0;
+	for (size_t i = 0; i < call->transaction.operation_count; i++) {
+		size_t bytes = call->transaction.operations[i].value
+				   ? ws_record_size(call->transaction.operations[i].value)
+				   : 0;
 
 		all_bytes += bytes;
 		if (bytes > largest_bytes) {
@@ -142,10 +143,11 @@
 			largest = i;
 		}
 	}
-	if (call->operation_count > OPERATIONS_FLOOR)
+	if (call->transaction.operation_count > OPERATIONS_FLOOR)
 		writer->operations_max =
-		    (int)(call->operation_count / 2 > OPERATIONS_FLOOR ? call->operation_count / 2
-								       : OPERATIONS_FLOOR);
+		    (int)(call->transaction.operation_count / 2 > OPERATIONS_FLOOR
+			      ? call->transaction.operation_count / 2
+			      : OPERATIONS_FLOOR);
 	else if (largest_bytes > VALUE_BYTES_FLOOR)
 		core->writer.value_bytes_max =
 		    fmax(VALUE_BYTES_FLOOR, (double)largest_bytes * 3 / 4);
@@ -153,8 +155,9 @@
 	       "a write of %zu records, %zu bytes, was refused; the largest is %s with %zu: from "
 	       "now on "
 	       "%d changes a transaction, values of %.0f bytes",
-	       call->operation_count, all_bytes, call->operations[largest].key, largest_bytes,
-	       writer->operations_max, core->writer.value_bytes_max);
+	       call->transaction.operation_count, all_bytes,
+	       call->transaction.operations[largest].key, largest_bytes, writer->operations_max,
+	       core->writer.value_bytes_max);
 }
 
 static bool ws_writer_lost_lead(const struct ws_result *result)
@@ -241,8 +244,8 @@
 
 static void ws_writer_send(struct ws_core *core, struct ws_call *call)
 {
-	core->writer.tokens -= (double)call->operation_count;
-	call->self_paced = true;
+	core->writer.tokens -= (double)call->transaction.operation_count;
+	call->transaction.self_paced = true;
 	call->on_result = ws_writer_done;
 	call->generation = core->generation;
 	call->created_at = core->now;
@@ -265,7 +268,7 @@
 	ws_write_batch_compare(&batch, "leader",
 			       core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT);
 	ws_record_sources_collect(core, &batch);
-	if (!batch.call->operation_count) {
+	if (!batch.call->transaction.operation_count) {
 		writer->empty_passes++;
 		ws_call_free(batch.call);
 		return;
--- a/src/failure_domains_command.c
+++ b/src/failure_domains_command.c
@@ -99,14 +99,14 @@
 	struct ws_compare condition = {0};
 	struct ws_operation change = {0};
 	struct ws_call write = {.kind = WS_CALL_TRANSACTION,
-				.compares = &condition,
-				.compare_count = 1,
-				.operations = &change,
-				.operation_count = 1};
+				.transaction = {.compares = &condition,
+						.compare_count = 1,
+						.operations = &change,
+						.operation_count = 1}};
 	struct ws_result result;
 	int status;
 
-	snprintf(read.key, sizeof(read.key), "%s", key);
+	snprintf(read.read.key, sizeof(read.read.key), "%s", key);
 	ws_store_client_call(store, &read, &result);
 	status = result.status;
 	condition.revision = status == 200 && result.entry_count ? result.entries[0].revision : 0;
--- a/src/io/decode_state.c
+++ b/src/io/decode_state.c
@@ -80,7 +80,7 @@
 		if (!result->entries || !decode_record(object, "k", result->entries, true))
 			return false;
 		result->entry_count = 1;
-		return !strcmp(result->entries->key, call->key);
+		return !strcmp(result->entries->key, call->read.key);
 	}
 	result->has_more = json_is_true(json_object_get(object, "hasNext"));
 	if (!record_revision(object, "ledgerRev", &result->revision))
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -89,10 +89,10 @@
 {
 	json_t *list = json_array();
 
-	for (size_t i = 0; i < call->compare_count; i++)
-		json_array_append_new(list,
-				      json_pack("{s:s,s:I}", "k", call->compares[i].key, "stamp",
-						(json_int_t)call->compares[i].revision));
+	for (size_t i = 0; i < call->transaction.compare_count; i++)
+		json_array_append_new(
+		    list, json_pack("{s:s,s:I}", "k", call->transaction.compares[i].key, "stamp",
+				    (json_int_t)call->transaction.compares[i].revision));
 	return list;
 }
 
@@ -116,8 +116,8 @@
 	ws_pool_begin();
 	when = compares_json(call);
 	then = json_array();
-	for (size_t i = 0; i < call->operation_count; i++)
-		json_array_append_new(then, operation_json(&call->operations[i]));
+	for (size_t i = 0; i < call->transaction.operation_count; i++)
+		json_array_append_new(then, operation_json(&call->transaction.operations[i]));
 	return to_text(json_pack("{s:o,s:o}", "when", when, "then", then));
 }
 
@@ -125,37 +125,38 @@
 {
 	json_t *names = json_array();
 
-	for (size_t i = 0; i < call->machine_count; i++)
-		json_array_append_new(names, json_string(call->machine_names[i]));
+	for (size_t i = 0; i < call->scale_in.count; i++)
+		json_array_append_new(names, json_string(call->scale_in.machine_names[i]));
 	return to_text(json_pack("{s:o}", "hosts", names));
 }
 
 static char *encode_scale_out(const struct ws_call *call)
 {
-	return to_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", "booking", call->key, "flavour",
-				 call->type, "hall", call->zone, "reclaimable", call->preemptible,
-				 "howMany", (int)call->count));
+	return to_text(
+	    json_pack("{s:s,s:s,s:s,s:b,s:i}", "booking", call->scale_out.idempotency_key,
+		      "flavour", call->scale_out.type, "hall", call->scale_out.zone, "reclaimable",
+		      call->scale_out.preemptible, "howMany", (int)call->scale_out.count));
 }
 
 /* Reads, which have no body: their path. */
 static void encode_read(const struct ws_call *call, char *path)
 {
-	const char *since = call->after[0] ? "&since=" : "";
-
 	switch (call->kind) {
-	case WS_CALL_GET: snprintf(path, WS_URL_MAX, "/kv/%s", call->key); break;
+	case WS_CALL_GET: snprintf(path, WS_URL_MAX, "/kv/%s", call->read.key); break;
 	case WS_CALL_LIST:
-		snprintf(path, WS_URL_MAX, "/kv?starts=%s%s%s&most=1000", call->key, since,
-			 call->after);
+		snprintf(path, WS_URL_MAX, "/kv?starts=%s%s%s&most=1000", call->read.key,
+			 call->read.after[0] ? "&since=" : "", call->read.after);
 		break;
 	case WS_CALL_WATCH:
-		snprintf(path, WS_URL_MAX, "/watch?starts=%s&since=%llu&holdMs=%u", call->key,
-			 (unsigned long long)call->since_revision, call->timeout_ms);
+		snprintf(path, WS_URL_MAX, "/watch?starts=%s&since=%llu&holdMs=%u",
+			 call->watch.prefix, (unsigned long long)call->watch.since_revision,
+			 call->watch.timeout_ms);
 		break;
 	case WS_CALL_MACHINE_TYPES: snprintf(path, WS_URL_MAX, "/machine_types"); break;
 	case WS_CALL_INSTANCES:
-		if (call->after[0])
-			snprintf(path, WS_URL_MAX, "/hosts?since=%s&most=500", call->after);
+		if (call->instances.after[0])
+			snprintf(path, WS_URL_MAX, "/hosts?since=%s&most=500",
+				 call->instances.after);
 		else
 			snprintf(path, WS_URL_MAX, "/hosts?most=500");
 		break;
@@ -172,13 +173,14 @@
 		return encode_transaction(call);
 	case WS_CALL_SESSION_OPEN:
 		snprintf(path, WS_URL_MAX, "/holds");
-		return to_text(json_pack("{s:i}", "ttlMs", (int)call->timeout_ms));
+		return to_text(json_pack("{s:i}", "ttlMs", (int)call->session.ttl_ms));
 	case WS_CALL_SESSION_RENEW:
-		snprintf(path, WS_URL_MAX, "/holds/%llu/extend", (unsigned long long)call->session);
+		snprintf(path, WS_URL_MAX, "/holds/%llu/extend",
+			 (unsigned long long)call->session.id);
 		return NULL;
 	case WS_CALL_SESSION_CLOSE:
 		*method = "DELETE";
-		snprintf(path, WS_URL_MAX, "/holds/%llu", (unsigned long long)call->session);
+		snprintf(path, WS_URL_MAX, "/holds/%llu", (unsigned long long)call->session.id);
 		return NULL;
 	case WS_CALL_SCALE_OUT: snprintf(path, WS_URL_MAX, "/hosts"); return encode_scale_out(call);
 	case WS_CALL_SCALE_IN:
@@ -186,8 +188,8 @@
 		return encode_scale_in(call);
 	case WS_CALL_COMMANDS:
 		snprintf(path, WS_URL_MAX, "/commands");
-		return ws_encode_commands(call->fencing_token, call->incarnation, call->commands,
-					  call->command_count);
+		return ws_encode_commands(call->commands.fencing_token, call->commands.incarnation,
+					  call->commands.list, call->commands.count);
 	default:
 		*method = "GET";
 		encode_read(call, path);
--- a/src/io/outage_vote.c
+++ b/src/io/outage_vote.c
@@ -8,9 +8,9 @@
 {
 	frame->kind = WS__PEER_FRAME__KIND__OUTAGE_VOTE;
 	frame->vote = vote;
-	vote->leader_revision = call->fencing_token;
-	vote->since_revision = call->since_revision;
-	vote->after_job = call->after;
+	vote->leader_revision = call->outage_vote.leader_revision;
+	vote->since_revision = call->outage_vote.since_revision;
+	vote->after_job = call->outage_vote.after_job;
 }
 
 bool ws_vote_read(const Ws__PeerFrame *frame, struct ws_result *result)
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -90,6 +90,20 @@
 	ws_result_free(result);
 }
 
+/* What a call is about, for the log: its key, peer or address; empty where it has none. */
+static const char *call_target(const struct ws_call *call)
+{
+	switch (call->kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST: return call->read.key;
+	case WS_CALL_WATCH: return call->watch.prefix;
+	case WS_CALL_SCALE_OUT: return call->scale_out.idempotency_key;
+	case WS_CALL_COMMANDS: return call->commands.address;
+	case WS_CALL_OUTAGE_VOTE: return call->outage_vote.peer;
+	default: return "";
+	}
+}
+
 static void complete_with_reply(struct ws_service *service, struct ws_call *call, int status,
 				const char *body, size_t length)
 {
@@ -100,7 +114,7 @@
 		ws_logf(WS_LOG_ERROR,
 			"an answer (%d, %zu bytes) to a call of kind %d for %s can't be read: "
 			"taken for none",
-			status, length, call->kind, call->key[0] ? call->key : call->address);
+			status, length, call->kind, call_target(call));
 	if (result.status < 0 && call->kind != WS_CALL_COMMANDS)
 		result.status = 0;
 	complete(service, call, &result);
@@ -113,7 +127,7 @@
 	struct ws_call *call = flight->call;
 
 	free(flight);
-	if (status == 429 && call->kind == WS_CALL_TRANSACTION && !call->self_paced)
+	if (status == 429 && call->kind == WS_CALL_TRANSACTION && !call->transaction.self_paced)
 		lower_write_rate(service);
 	complete_with_reply(service, call, status, body, length);
 }
@@ -133,7 +147,7 @@
 
 	if (reply && !ws_vote_read(reply, &result))
 		ws_logf(WS_LOG_ERROR, "testimony of %s can't be read: taken for none",
-			flight->call->key);
+			flight->call->outage_vote.peer);
 	complete(flight->service, flight->call, &result);
 	free(flight);
 }
@@ -157,8 +171,8 @@
 
 	frame.node = (char *)service->settings->node;
 	ws_vote_set_question(&frame, &vote, flight->call);
-	if (!ws_peers_send(service->peers, flight->call->key, &frame, service->leader_ttl_s / 2,
-			   on_vote, flight))
+	if (!ws_peers_send(service->peers, flight->call->outage_vote.peer, &frame,
+			   service->leader_ttl_s / 2, on_vote, flight))
 		finish_vote_call(flight, NULL);
 }
 
@@ -168,13 +182,14 @@
 	struct ws_outgoing_calls *outgoing = &service->outgoing;
 
 	switch (call->kind) {
-	case WS_CALL_WATCH: return call->timeout_ms ? outgoing->watch : outgoing->state;
+	case WS_CALL_WATCH: return call->watch.timeout_ms ? outgoing->watch : outgoing->state;
 	case WS_CALL_MACHINE_TYPES:
 	case WS_CALL_INSTANCES:
 	case WS_CALL_SCALE_OUT:
 	case WS_CALL_SCALE_IN: return outgoing->cloud;
 	case WS_CALL_COMMANDS:
-		return ws_worker_connections_get(outgoing->workers, call->address, call->port);
+		return ws_worker_connections_get(outgoing->workers, call->commands.address,
+						 call->commands.port);
 	default: return outgoing->state;
 	}
 }
@@ -187,7 +202,8 @@
 
 	switch (call->kind) {
 	case WS_CALL_WATCH: /* without a time it is answered at once */
-		return call->timeout_ms ? call->timeout_ms / 1000.0 + WATCH_GRACE_S : poll_timeout;
+		return call->watch.timeout_ms ? call->watch.timeout_ms / 1000.0 + WATCH_GRACE_S
+					      : poll_timeout;
 	case WS_CALL_GET: return poll_timeout;
 	case WS_CALL_SESSION_RENEW: /* others follow meanwhile */
 		return service->leader_ttl_s * 3 / 4;
@@ -197,8 +213,8 @@
 	case WS_CALL_SCALE_IN: return CLOUD_TIMEOUT_S;
 	case WS_CALL_COMMANDS:
 		/* one without commands only asks whether the machine is there */
-		return call->command_count ? settings->report_s
-					   : fmin(settings->report_s, settings->lease_s / 16);
+		return call->commands.count ? settings->report_s
+					    : fmin(settings->report_s, settings->lease_s / 16);
 	default: return timeout;
 	}
 }
@@ -227,8 +243,8 @@
 	struct call_in_flight *flight;
 	struct ws_http_client *client;
 
-	if (call->kind == WS_CALL_TRANSACTION && !call->self_paced &&
-	    !take_writes(service, call->operation_count)) {
+	if (call->kind == WS_CALL_TRANSACTION && !call->transaction.self_paced &&
+	    !take_writes(service, call->transaction.operation_count)) {
 		complete_with_reply(service, call, 429, "", 0);
 		return;
 	}
--- a/src/store_client.c
+++ b/src/store_client.c
@@ -70,7 +70,7 @@
 	struct ws_call call = {.kind = WS_CALL_LIST};
 	bool more = true;
 
-	snprintf(call.key, sizeof(call.key), "%s", prefix);
+	snprintf(call.read.key, sizeof(call.read.key), "%s", prefix);
 	while (more) {
 		struct ws_result result;
 		bool ok;
@@ -81,7 +81,7 @@
 		for (size_t i = 0; ok && i < result.entry_count; i++)
 			ok = each(context, &result.entries[i]);
 		if (more)
-			snprintf(call.after, sizeof(call.after), "%s",
+			snprintf(call.read.after, sizeof(call.read.after), "%s",
 				 result.entries[result.entry_count - 1].key);
 		ws_result_free(&result);
 		if (!ok)
--- a/tests/codec_digest.h
+++ b/tests/codec_digest.h
@@ -154,48 +154,81 @@
 		}
 }
 
+/* Lists for sample calls, which the calls share. */
+struct sample_lists {
+	struct ws_command commands[3];
+	struct ws_compare compares[2];
+	struct ws_operation operations[2];
+};
+
+/* A call of this kind. */
+static struct ws_call sample_call(enum ws_call_kind kind, struct sample_lists *lists)
+{
+	struct ws_call call = {.kind = kind};
+
+	switch (kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+		call.read = (struct ws_read_call){.key = "job/", .after = "job/job-1"};
+		break;
+	case WS_CALL_TRANSACTION:
+		call.transaction = (struct ws_transaction_call){.compares = lists->compares,
+								.compare_count = 2,
+								.operations = lists->operations,
+								.operation_count = 2};
+		break;
+	case WS_CALL_WATCH:
+		call.watch = (struct ws_watch_call){
+		    .prefix = "job/", .since_revision = 12, .timeout_ms = 1500};
+		break;
+	case WS_CALL_SESSION_OPEN:
+	case WS_CALL_SESSION_RENEW:
+	case WS_CALL_SESSION_CLOSE:
+		call.session = (struct ws_session_call){.id = 77, .ttl_ms = 1500};
+		break;
+	case WS_CALL_INSTANCES:
+		call.instances = (struct ws_instances_call){.after = "job/job-1"};
+		break;
+	case WS_CALL_SCALE_OUT:
+		call.scale_out = (struct ws_scale_out_call){
+		    .idempotency_key = "job/", .type = "g8", .zone = "a", .count = 4};
+		break;
+	case WS_CALL_COMMANDS:
+		call.commands = (struct ws_commands_call){
+		    .fencing_token = 41, .incarnation = 2, .list = lists->commands, .count = 3};
+		break;
+	case WS_CALL_MACHINE_TYPES:
+	case WS_CALL_SCALE_IN:
+	case WS_CALL_OUTAGE_VOTE: break;
+	}
+	return call;
+}
+
 /* Messages of every kind that leaves by ws_encode_call(), whatever the checks cover. */
 static void digest_of_calls(void)
 {
-	struct ws_command orders[] = {
-	    {.kind = WS_COMMAND_RUN, .job = "job-1", .task = 3, .attempt = 9},
-	    {.kind = WS_COMMAND_STOP, .job = "job-2", .task = 0, .attempt = 1, .grace_s = 2.5},
-	    {.kind = WS_COMMAND_REAP, .job = "job-3", .task = 7, .attempt = 2},
+	struct sample_lists lists = {
+	    .commands = {{.kind = WS_COMMAND_RUN, .job = "job-1", .task = 3, .attempt = 9},
+			 {.kind = WS_COMMAND_STOP, .job = "job-2", .attempt = 1, .grace_s = 2.5},
+			 {.kind = WS_COMMAND_REAP, .job = "job-3", .task = 7, .attempt = 2}},
+	    .compares = {{.key = "job/job-1", .revision = 41}, {.key = "job/job-2"}},
+	    .operations = {{.key = "job/job-1", .session = 5}, {.key = "job/job-2"}},
 	};
-	struct ws_compare conditions[] = {{.key = "job/job-1", .revision = 41},
-					  {.key = "job/job-2"}};
-	struct ws_operation changes[] = {{.key = "job/job-1", .session = 5}, {.key = "job/job-2"}};
-	struct ws_call call = {.key = "job/", .after = "job/job-1"};
-
-	changes[0].value = json_pack("{s:i}", "v", 1);
-	call.compares = conditions;
-	call.compare_count = 2;
-	call.operations = changes;
-	call.operation_count = 2;
-	call.commands = orders;
-	call.command_count = 3;
-	call.fencing_token = 41;
-	call.incarnation = 2;
-	call.session = 77;
-	call.timeout_ms = 1500;
-	call.since_revision = 12;
-	call.count = 4;
-	snprintf(call.type, sizeof(call.type), "g8");
-	snprintf(call.zone, sizeof(call.zone), "a");
+
+	lists.operations[0].value = json_pack("{s:i}", "v", 1);
 	for (int kind = 0; kind <= WS_CALL_COMMANDS; kind++) {
+		struct ws_call call = sample_call((enum ws_call_kind)kind, &lists);
 		char path[WS_URL_MAX] = "";
 		const char *method = NULL;
-		char *body;
+		char *body = ws_encode_call(&call, &method, path);
 
-		call.kind = (enum ws_call_kind)kind;
-		body = ws_encode_call(&call, &method, path);
 		encoded.messages++;
 		digest_text(&encoded, method);
 		digest_text(&encoded, path);
 		digest_text(&encoded, body);
 		free(body);
 	}
-	json_decref(changes[0].value);
+	json_decref(lists.operations[0].value);
 }
 
 /* Messages of each kind besides those that the checks encode. */
--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -118,7 +118,7 @@
 	    {.kind = WS_COMMAND_RUN, .job = "job-000412", .attempt = 9}};
 	struct ws_effect effect = {
 	    .status = 200, .fencing_token = 41, .commands = orders, .command_count = 300};
-	struct ws_call get = {.kind = WS_CALL_GET, .key = "job/a"};
+	struct ws_call get = {.kind = WS_CALL_GET, .read = {.key = "job/a"}};
 	static const char kv[] = "{\"k\":\"job/a\",\"value\":{\"x\":[1,2,\"y\"]},\"stamp\":412}";
 	struct ws_heartbeat heartbeat = {0};
 	struct ws_result kept;
@@ -280,7 +280,7 @@
 
 static void store_and_cloud_replies(void)
 {
-	struct ws_call call = {.kind = WS_CALL_GET, .key = "job/job-1"};
+	struct ws_call call = {.kind = WS_CALL_GET, .read = {.key = "job/job-1"}};
 	struct ws_result result;
 
 	decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &result);
@@ -344,7 +344,7 @@
 
 static void read_mangled_replies(const char *text, size_t length)
 {
-	struct ws_call call = {.key = "job/job-1"};
+	struct ws_call call = {.read = {.key = "job/job-1"}};
 	struct ws_result result;
 
 	for (int kind = WS_CALL_GET; kind <= WS_CALL_COMMANDS; kind++) {
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -274,7 +274,10 @@
 	struct ws_cancellation list[] = {{"job-000007", 41}, {"job-000003", 43}};
 	struct ws_effect effect = {
 	    .status = 503, .vote_granted = true, .has_more = true, .cancellation_count = 2};
-	struct ws_call call = {.since_revision = 40, .fencing_token = 12, .after = "job-000002"};
+	struct ws_call call = {.kind = WS_CALL_OUTAGE_VOTE,
+			       .outage_vote = {.after_job = "job-000002",
+					       .since_revision = 40,
+					       .leader_revision = 12}};
 	Ws__PeerFrame frame = WS__PEER_FRAME__INIT, *got;
 	Ws__OutageVote vote = WS__OUTAGE_VOTE__INIT;
 	struct ws_result result;
--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -73,14 +73,14 @@
 	if (sim->crash == SIM_CRASH_NONE || call->kind != sim->crash_kind ||
 	    sim_leader(sim) != node)
 		return false;
-	if (call->kind == WS_CALL_TRANSACTION && !call->operation_count)
+	if (call->kind == WS_CALL_TRANSACTION && !call->transaction.operation_count)
 		return false;
 	return sim->crash_skip-- <= 0;
 }
 
 static bool is_late_write(struct sim *sim, const struct ws_call *call)
 {
-	return call->kind == WS_CALL_TRANSACTION && call->operation_count &&
+	return call->kind == WS_CALL_TRANSACTION && call->transaction.operation_count &&
 	       sim->now < sim->late_writes_until && sim_random(sim) < sim->late_writes_share;
 }
 
@@ -103,16 +103,18 @@
 
 	*copy = *call;
 	copy->context = NULL;
-	copy->operations = calloc(call->operation_count + 1, sizeof(*call->operations));
-	copy->compares = calloc(call->compare_count + 1, sizeof(*call->compares));
-	if (call->operation_count)
-		memcpy(copy->operations, call->operations,
-		       call->operation_count * sizeof(*call->operations));
-	if (call->compare_count)
-		memcpy(copy->compares, call->compares,
-		       call->compare_count * sizeof(*call->compares));
-	for (size_t i = 0; i < call->operation_count; i++)
-		json_incref(call->operations[i].value);
+	copy->transaction.operations =
+	    calloc(call->transaction.operation_count + 1, sizeof(*call->transaction.operations));
+	copy->transaction.compares =
+	    calloc(call->transaction.compare_count + 1, sizeof(*call->transaction.compares));
+	if (call->transaction.operation_count)
+		memcpy(copy->transaction.operations, call->transaction.operations,
+		       call->transaction.operation_count * sizeof(*call->transaction.operations));
+	if (call->transaction.compare_count)
+		memcpy(copy->transaction.compares, call->transaction.compares,
+		       call->transaction.compare_count * sizeof(*call->transaction.compares));
+	for (size_t i = 0; i < call->transaction.operation_count; i++)
+		json_incref(call->transaction.operations[i].value);
 	return copy;
 }
 
@@ -234,11 +236,11 @@
 	const struct sim_node *node = &sim->nodes[flight->node];
 	bool is_blind = sim->now < sim->store_down_until || sim->now < node->refused_until ||
 			sim->now < node->cut_store_until ||
-			(call->timeout_ms && sim->now < node->blind_until);
+			(call->watch.timeout_ms && sim->now < node->blind_until);
 
-	sim->store_requests += !call->timeout_ms;
+	sim->store_requests += !call->watch.timeout_ms;
 	if ((is_blind || !sim_store_watch(sim, call, &flight->result)) &&
-	    sim->now < call->created_at / (1 + node->skew) + call->timeout_ms / 1000.0 &&
+	    sim->now < call->created_at / (1 + node->skew) + call->watch.timeout_ms / 1000.0 &&
 	    node->restarts == flight->restarts) {
 		result_clear(&flight->result);
 		flight->due_at = sim->now + SIM_STEP_S / 2;
@@ -251,7 +253,7 @@
 	}
 	if (flight->node == sim_leader(sim))
 		count_watched(sim, &flight->result);
-	if (call->timeout_ms && sim->now < sim->late_watches_until)
+	if (call->watch.timeout_ms && sim->now < sim->late_watches_until)
 		/* one that is not left open overtakes it */
 		schedule_answer(sim, flight, sim->now + sim->late_watches_max_s * sim_random(sim));
 	else
@@ -304,13 +306,13 @@
 
 	late->due_at = due_at;
 	late->worker = worker;
-	late->fencing_token = call->fencing_token;
-	late->incarnation = call->incarnation;
-	late->command_count = call->command_count;
-	late->commands = calloc(call->command_count + 1, sizeof(*late->commands));
-	if (call->command_count)
-		memcpy(late->commands, call->commands,
-		       call->command_count * sizeof(*late->commands));
+	late->fencing_token = call->commands.fencing_token;
+	late->incarnation = call->commands.incarnation;
+	late->command_count = call->commands.count;
+	late->commands = calloc(call->commands.count + 1, sizeof(*late->commands));
+	if (call->commands.count)
+		memcpy(late->commands, call->commands.list,
+		       call->commands.count * sizeof(*late->commands));
 	late->next = sim->late_commands;
 	sim->late_commands = late;
 }
@@ -318,7 +320,7 @@
 static void execute_commands(struct sim *sim, struct sim_call_in_flight *flight)
 {
 	const struct ws_call *call = flight->call;
-	int index = sim_worker_at(call->address);
+	int index = sim_worker_at(call->commands.address);
 	struct sim_worker *worker = &sim->workers[index];
 	double delayed_until;
 
@@ -339,9 +341,9 @@
 		return;
 	}
 	flight->result.heartbeat = calloc(1, sizeof(*flight->result.heartbeat));
-	flight->result.status =
-	    sim_worker_command(sim, worker, call->fencing_token, call->incarnation, call->commands,
-			       call->command_count, flight->result.heartbeat);
+	flight->result.status = sim_worker_command(sim, worker, call->commands.fencing_token,
+						   call->commands.incarnation, call->commands.list,
+						   call->commands.count, flight->result.heartbeat);
 	if (sim->slow_commands_s > 0) {
 		schedule_answer(sim, flight, sim->now + sim->slow_commands_s);
 	} else if (sim->lost_commands > 0) {
@@ -374,7 +376,7 @@
 {
 	const struct ws_call *call = flight->call;
 	const struct sim_node *node = &sim->nodes[flight->node];
-	struct sim_node *peer = reachable_peer(sim, node, call->key);
+	struct sim_node *peer = reachable_peer(sim, node, call->outage_vote.peer);
 
 	if (!peer) {
 		schedule_answer(sim, flight, sim->now + VOTE_UNREACHABLE_S);
@@ -386,7 +388,8 @@
 	/* the version in production knows of no lists of cancellations */
 	if (peer->version == &sim_this_version && node->version == &sim_this_version)
 		ws_core_outage_vote(peer->core, sim_node_time(sim, peer), flight->request_id,
-				    call->fencing_token, call->since_revision, call->after);
+				    call->outage_vote.leader_revision,
+				    call->outage_vote.since_revision, call->outage_vote.after_job);
 	else
 		peer->version->outage_vote(peer->core, sim_node_time(sim, peer),
 					   flight->request_id);
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -69,7 +69,7 @@
 		const struct sim_worker *worker = &sim->workers[i];
 		struct ws_instance *instance = &result->instances[result->instance_count];
 
-		if (!is_listed(sim, worker) || strcmp(worker->name, call->after) <= 0)
+		if (!is_listed(sim, worker) || strcmp(worker->name, call->instances.after) <= 0)
 			continue;
 		snprintf(instance->name, sizeof(instance->name), "%s", worker->name);
 		snprintf(instance->type, sizeof(instance->type), "%s",
@@ -94,17 +94,18 @@
 static struct sim_scale_out *scale_out_grant(struct sim *sim, const struct ws_call *call)
 {
 	struct sim_scale_out *scale_out;
-	int type = sim_type_index(sim, call->type), instances = 0;
+	int type = sim_type_index(sim, call->scale_out.type), instances = 0;
 
 	for (int i = 0; i < sim->worker_count; i++)
 		instances += !sim->workers[i].deleted && !sim->workers[i].owned;
 	if (type == sim->type_count || instances >= sim->instance_limit)
 		return NULL;
 	scale_out = &sim->scale_outs[sim->scale_out_count++];
-	snprintf(scale_out->key, sizeof(scale_out->key), "%.*s", WS_NAME_MAX - 1, call->key);
+	snprintf(scale_out->key, sizeof(scale_out->key), "%.*s", WS_NAME_MAX - 1,
+		 call->scale_out.idempotency_key);
 	scale_out->first_worker = sim->worker_count;
-	for (uint32_t i = 0; i < call->count && instances < sim->instance_limit; i++) {
-		sim_add_worker(sim, type, call->zone, call->preemptible, false);
+	for (uint32_t i = 0; i < call->scale_out.count && instances < sim->instance_limit; i++) {
+		sim_add_worker(sim, type, call->scale_out.zone, call->scale_out.preemptible, false);
 		scale_out->count++;
 		sim->scaled_out++;
 		instances++;
@@ -114,7 +115,7 @@
 
 static void scale_out(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	const struct sim_scale_out *granted = scale_out_find(sim, call->key);
+	const struct sim_scale_out *granted = scale_out_find(sim, call->scale_out.idempotency_key);
 
 	if (!granted)
 		granted = scale_out_grant(sim, call);
@@ -144,9 +145,9 @@
 
 static void scale_in(struct sim *sim, const struct ws_call *call)
 {
-	for (size_t i = 0; i < call->machine_count; i++)
+	for (size_t i = 0; i < call->scale_in.count; i++)
 		for (int k = 0; k < sim->worker_count; k++)
-			if (!strcmp(sim->workers[k].name, call->machine_names[i]))
+			if (!strcmp(sim->workers[k].name, call->scale_in.machine_names[i]))
 				delete_instance(sim, &sim->workers[k]);
 }
 
--- a/tests/sim_digest.c
+++ b/tests/sim_digest.c
@@ -46,12 +46,12 @@
 
 static void say_transaction(struct sim *sim, const struct ws_call *call)
 {
-	say(sim, "txn paced=%d", call->self_paced);
-	for (size_t i = 0; i < call->compare_count; i++)
-		say(sim, " (if %s %llu)", call->compares[i].key,
-		    (unsigned long long)call->compares[i].revision);
-	for (size_t i = 0; i < call->operation_count; i++) {
-		const struct ws_operation *operation = &call->operations[i];
+	say(sim, "txn paced=%d", call->transaction.self_paced);
+	for (size_t i = 0; i < call->transaction.compare_count; i++)
+		say(sim, " (if %s %llu)", call->transaction.compares[i].key,
+		    (unsigned long long)call->transaction.compares[i].revision);
+	for (size_t i = 0; i < call->transaction.operation_count; i++) {
+		const struct ws_operation *operation = &call->transaction.operations[i];
 		char *value = operation->value
 				  ? json_dumps(operation->value, JSON_COMPACT | JSON_ENCODE_ANY)
 				  : NULL;
@@ -67,40 +67,43 @@
 static void say_call(struct sim *sim, const struct ws_call *call)
 {
 	switch (call->kind) {
-	case WS_CALL_GET: say(sim, "get %s", call->key); break;
-	case WS_CALL_LIST: say(sim, "list %s after=%s", call->key, call->after); break;
+	case WS_CALL_GET: say(sim, "get %s", call->read.key); break;
+	case WS_CALL_LIST: say(sim, "list %s after=%s", call->read.key, call->read.after); break;
 	case WS_CALL_TRANSACTION: say_transaction(sim, call); break;
 	case WS_CALL_WATCH:
-		say(sim, "watch %s %llu %u", call->key, (unsigned long long)call->since_revision,
-		    call->timeout_ms);
+		say(sim, "watch %s %llu %u", call->watch.prefix,
+		    (unsigned long long)call->watch.since_revision, call->watch.timeout_ms);
 		break;
-	case WS_CALL_SESSION_OPEN: say(sim, "session-new %u", call->timeout_ms); break;
+	case WS_CALL_SESSION_OPEN: say(sim, "session-new %u", call->session.ttl_ms); break;
 	case WS_CALL_SESSION_RENEW:
-		say(sim, "session-extend %llu", (unsigned long long)call->session);
+		say(sim, "session-extend %llu", (unsigned long long)call->session.id);
 		break;
 	case WS_CALL_SESSION_CLOSE:
-		say(sim, "session-drop %llu", (unsigned long long)call->session);
+		say(sim, "session-drop %llu", (unsigned long long)call->session.id);
 		break;
 	case WS_CALL_MACHINE_TYPES: say(sim, "types"); break;
-	case WS_CALL_INSTANCES: say(sim, "instances after=%s", call->after); break;
+	case WS_CALL_INSTANCES: say(sim, "instances after=%s", call->instances.after); break;
 	case WS_CALL_SCALE_OUT:
-		say(sim, "scale-out %s %s %s %d %u", call->key, call->type, call->zone,
-		    call->preemptible, call->count);
+		say(sim, "scale-out %s %s %s %d %u", call->scale_out.idempotency_key,
+		    call->scale_out.type, call->scale_out.zone, call->scale_out.preemptible,
+		    call->scale_out.count);
 		break;
 	case WS_CALL_SCALE_IN:
 		say(sim, "scale-in");
-		for (size_t i = 0; i < call->machine_count; i++)
-			say(sim, " %s", call->machine_names[i]);
+		for (size_t i = 0; i < call->scale_in.count; i++)
+			say(sim, " %s", call->scale_in.machine_names[i]);
 		break;
 	case WS_CALL_COMMANDS:
-		say(sim, "commands %s:%d %llu %llu", call->address, call->port,
-		    (unsigned long long)call->fencing_token, (unsigned long long)call->incarnation);
-		say_commands(sim, call->commands, call->command_count);
+		say(sim, "commands %s:%d %llu %llu", call->commands.address, call->commands.port,
+		    (unsigned long long)call->commands.fencing_token,
+		    (unsigned long long)call->commands.incarnation);
+		say_commands(sim, call->commands.list, call->commands.count);
 		break;
 	case WS_CALL_OUTAGE_VOTE:
-		say(sim, "vote %s after=%s %llu %llu", call->key, call->after,
-		    (unsigned long long)call->since_revision,
-		    (unsigned long long)call->fencing_token);
+		say(sim, "vote %s after=%s %llu %llu", call->outage_vote.peer,
+		    call->outage_vote.after_job,
+		    (unsigned long long)call->outage_vote.since_revision,
+		    (unsigned long long)call->outage_vote.leader_revision);
 		break;
 	}
 	say(sim, " urgent=%d", call->urgent);
--- a/tests/sim_production.c
+++ b/tests/sim_production.c
@@ -4,8 +4,7 @@
  * call that it makes is held as a call of this version; the context of that is the core's own call
  * object, which goes back to the core when the call is completed.
  */
-#include "production_abi.h"
-#include "sim_parts.h"
+#include "sim_production.h"
 
 #ifdef WS_PRODUCTION_CORE
 #include <dlfcn.h>
@@ -43,43 +42,6 @@
     [WS_INSTANCE_FAILED] = PRODUCTION_INSTANCE_FAILED,
 };
 
-static const int command_kinds[] = {
-    [PRODUCTION_COMMAND_RUN] = WS_COMMAND_RUN,
-    [PRODUCTION_COMMAND_STOP] = WS_COMMAND_STOP,
-    [PRODUCTION_COMMAND_REAP] = WS_COMMAND_REAP,
-};
-
-static const int call_kinds[] = {
-    [PRODUCTION_CALL_GET] = WS_CALL_GET,
-    [PRODUCTION_CALL_LIST] = WS_CALL_LIST,
-    [PRODUCTION_CALL_TRANSACTION] = WS_CALL_TRANSACTION,
-    [PRODUCTION_CALL_WATCH] = WS_CALL_WATCH,
-    [PRODUCTION_CALL_SESSION_NEW] = WS_CALL_SESSION_OPEN,
-    [PRODUCTION_CALL_SESSION_EXTEND] = WS_CALL_SESSION_RENEW,
-    [PRODUCTION_CALL_SESSION_DROP] = WS_CALL_SESSION_CLOSE,
-    [PRODUCTION_CALL_TYPES] = WS_CALL_MACHINE_TYPES,
-    [PRODUCTION_CALL_INSTANCES] = WS_CALL_INSTANCES,
-    [PRODUCTION_CALL_SCALE_OUT] = WS_CALL_SCALE_OUT,
-    [PRODUCTION_CALL_SCALE_IN] = WS_CALL_SCALE_IN,
-    [PRODUCTION_CALL_COMMANDS] = WS_CALL_COMMANDS,
-    [PRODUCTION_CALL_OUTAGE_VOTE] = WS_CALL_OUTAGE_VOTE,
-};
-
-static const int effect_kinds[] = {
-    [PRODUCTION_EFFECT_CALL] = WS_EFFECT_CALL,
-    [PRODUCTION_EFFECT_ANSWER_USER] = WS_EFFECT_ANSWER_USER,
-    [PRODUCTION_EFFECT_ANSWER_HEARTBEAT] = WS_EFFECT_ANSWER_HEARTBEAT,
-    [PRODUCTION_EFFECT_FORWARD] = WS_EFFECT_FORWARD,
-    [PRODUCTION_EFFECT_ANSWER_OUTAGE_VOTE] = WS_EFFECT_ANSWER_VOTE,
-};
-
-static const int job_phases[] = {
-    [PRODUCTION_JOB_QUEUED] = WS_JOB_QUEUED,
-    [PRODUCTION_JOB_RUNNING] = WS_JOB_RUNNING,
-    [PRODUCTION_JOB_DONE] = WS_JOB_DONE,
-    [PRODUCTION_JOB_CANCELLED] = WS_JOB_CANCELLED,
-};
-
 static const int log_levels[] = {
     [PRODUCTION_LOG_ERROR] = WS_LOG_ERROR,
     [PRODUCTION_LOG_INFO] = WS_LOG_INFO,
@@ -307,97 +269,6 @@
 	free(result->heartbeat);
 }
 
-/* ---- out of the core ---- */
-
-static void convert_command(struct ws_command *command, const struct production_command *from)
-{
-	command->kind = PRODUCTION_ENUMERATOR(command_kinds, from->kind);
-	PRODUCTION_COPY_TEXT(command->job, from->job);
-	command->task = from->task;
-	command->attempt = from->attempt;
-	command->grace_s = from->grace_s;
-}
-
-static void convert_compare(struct ws_compare *compare, const struct production_compare *from)
-{
-	PRODUCTION_COPY_TEXT(compare->key, from->key);
-	compare->revision = from->revision;
-}
-
-static void convert_operation(struct ws_operation *operation,
-			      const struct production_operation *from)
-{
-	PRODUCTION_COPY_TEXT(operation->key, from->key);
-	operation->value = json_incref(from->value);
-	operation->session = from->session;
-}
-
-static void convert_call_lists(struct ws_call *call, const struct production_call *from)
-{
-	call->compare_count = from->compare_count;
-	call->compares = production_allocate(from->compare_count, sizeof(*call->compares));
-	for (size_t i = 0; i < from->compare_count; i++)
-		convert_compare(&call->compares[i], &from->compares[i]);
-	call->operation_count = from->operation_count;
-	call->operations = production_allocate(from->operation_count, sizeof(*call->operations));
-	for (size_t i = 0; i < from->operation_count; i++)
-		convert_operation(&call->operations[i], &from->operations[i]);
-	call->machine_count = from->name_count;
-	call->machine_names = production_allocate(from->name_count, sizeof(*call->machine_names));
-	for (size_t i = 0; i < from->name_count; i++)
-		PRODUCTION_COPY_TEXT(call->machine_names[i], from->names[i]);
-	call->command_count = from->command_count;
-	call->commands = production_allocate(from->command_count, sizeof(*call->commands));
-	for (size_t i = 0; i < from->command_count; i++)
-		convert_command(&call->commands[i], &from->commands[i]);
-}
-
-static void convert_call(struct ws_call *call, const struct production_call *from)
-{
-	call->kind = PRODUCTION_ENUMERATOR(call_kinds, from->kind);
-	PRODUCTION_COPY_TEXT(call->key, from->key);
-	PRODUCTION_COPY_TEXT(call->after, from->after);
-	call->since_revision = from->since;
-	call->timeout_ms = from->duration_ms;
-	call->session = from->session;
-	PRODUCTION_COPY_TEXT(call->type, from->type);
-	PRODUCTION_COPY_TEXT(call->zone, from->zone);
-	call->preemptible = from->preemptible;
-	call->count = from->count;
-	PRODUCTION_COPY_TEXT(call->address, from->address);
-	call->port = from->port;
-	call->fencing_token = from->fencing_token;
-	call->incarnation = from->incarnation;
-	call->urgent = from->urgent;
-	call->self_paced = from->paced;
-	call->created_at = from->made_at;
-	convert_call_lists(call, from);
-	call->context = from->origin;
-}
-
-static void convert_effect(struct ws_effect *effect, const struct production_effect *from)
-{
-	effect->kind = PRODUCTION_ENUMERATOR(effect_kinds, from->kind);
-	effect->request_id = from->token;
-	effect->status = from->status;
-	effect->retry_after = from->retry_after;
-	PRODUCTION_COPY_TEXT(effect->name, from->name);
-	effect->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
-	effect->done = from->done;
-	effect->running = from->running;
-	effect->carries_counts = from->has_counts;
-	effect->worker_pinned = from->pinned;
-	effect->fencing_token = from->fencing_token;
-	effect->command_count = from->command_count;
-	effect->commands = production_allocate(from->command_count, sizeof(*effect->commands));
-	for (size_t i = 0; i < from->command_count; i++)
-		convert_command(&effect->commands[i], &from->commands[i]);
-	if (from->call) {
-		effect->call = production_allocate(1, sizeof(*effect->call));
-		convert_call(effect->call, from->call);
-	}
-}
-
 /* ---- what the simulator asks of a core ---- */
 
 static const struct production_core_api *api;
@@ -452,7 +323,7 @@
 	if (!neutral)
 		return NULL;
 	effect = production_allocate(1, sizeof(*effect));
-	convert_effect(effect, neutral);
+	sim_production_convert_effect(effect, neutral);
 	api->free_effect(neutral);
 	return effect;
 }
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -71,7 +71,7 @@
 {
 	struct sim_entry *entry;
 
-	HASH_FIND_STR(sim->entries, call->key, entry);
+	HASH_FIND_STR(sim->entries, call->read.key, entry);
 	if (entry)
 		copy_entry(result, entry->key, entry->value, entry->revision);
 	else
@@ -85,8 +85,8 @@
 	HASH_SORT(sim->entries, by_key);
 	result->revision = sim->revision;
 	HASH_ITER (hh, sim->entries, entry, next_entry) {
-		if (strncmp(entry->key, call->key, strlen(call->key)) != 0 ||
-		    strcmp(entry->key, call->after) <= 0)
+		if (strncmp(entry->key, call->read.key, strlen(call->read.key)) != 0 ||
+		    strcmp(entry->key, call->read.after) <= 0)
 			continue;
 		if (result->entry_count == LIST_PAGE) {
 			result->has_more = true;
@@ -102,8 +102,8 @@
 	for (size_t i = 0; i < sim->history_count; i++) {
 		const struct sim_change *change = &sim->history[i];
 
-		if (change->revision > call->since_revision &&
-		    !strncmp(change->key, call->key, strlen(call->key)))
+		if (change->revision > call->watch.since_revision &&
+		    !strncmp(change->key, call->watch.prefix, strlen(call->watch.prefix)))
 			copy_entry(result, change->key, change->value, change->revision);
 	}
 	result->status = 200;
@@ -140,7 +140,7 @@
 		return;
 	}
 	session->id = (uint64_t)++sim->session_count;
-	session->ttl_s = call->timeout_ms / 1000.0;
+	session->ttl_s = call->session.ttl_ms / 1000.0;
 	session->until = sim->now + session->ttl_s;
 	session->live = true;
 	result->session = session->id;
@@ -148,7 +148,7 @@
 
 static void session_renew(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	struct sim_session *session = session_find(sim, call->session);
+	struct sim_session *session = session_find(sim, call->session.id);
 
 	if (session)
 		session->until = sim->now + session->ttl_s;
@@ -158,7 +158,7 @@
 
 static void session_close(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	struct sim_session *session = session_find(sim, call->session);
+	struct sim_session *session = session_find(sim, call->session.id);
 
 	if (session)
 		session_end(sim, session);
@@ -188,22 +188,23 @@
 /* Counts the bytes that an operation writes, and whether it is within the limits. */
 static bool operation_fits(struct sim *sim, const struct ws_call *call, size_t index)
 {
-	const struct ws_operation *operation = &call->operations[index];
+	const struct ws_operation *operation = &call->transaction.operations[index];
 	size_t bytes = operation->value ? json_dumpb(operation->value, NULL, 0, JSON_COMPACT) : 0;
 
-	sim->written_bytes += call->self_paced ? bytes : 0;
-	if (call->operation_count <= (size_t)sim->txn_ops && (double)bytes <= sim->value_kb * 1024)
+	sim->written_bytes += call->transaction.self_paced ? bytes : 0;
+	if (call->transaction.operation_count <= (size_t)sim->txn_ops &&
+	    (double)bytes <= sim->value_kb * 1024)
 		return true;
 	sim->refused_writes++;
 	if (!sim->limits_lowered)
 		sim_fail(sim, "a transaction of %zu changes, %zu bytes under %s",
-			 call->operation_count, bytes, operation->key);
+			 call->transaction.operation_count, bytes, operation->key);
 	return false;
 }
 
 static bool transaction_fits(struct sim *sim, const struct ws_call *call)
 {
-	for (size_t i = 0; i < call->operation_count; i++)
+	for (size_t i = 0; i < call->transaction.operation_count; i++)
 		if (!operation_fits(sim, call, i))
 			return false;
 	return true;
@@ -211,28 +212,30 @@
 
 static void compare(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	result->failed_keys = calloc(call->compare_count + 1, sizeof(*result->failed_keys));
-	for (size_t i = 0; i < call->compare_count; i++) {
+	result->failed_keys =
+	    calloc(call->transaction.compare_count + 1, sizeof(*result->failed_keys));
+	for (size_t i = 0; i < call->transaction.compare_count; i++) {
 		struct sim_entry *entry;
 
-		HASH_FIND_STR(sim->entries, call->compares[i].key, entry);
-		if ((entry ? entry->revision : 0) != call->compares[i].revision)
+		HASH_FIND_STR(sim->entries, call->transaction.compares[i].key, entry);
+		if ((entry ? entry->revision : 0) != call->transaction.compares[i].revision)
 			snprintf(result->failed_keys[result->failed_count++], WS_KEY_MAX, "%s",
-				 call->compares[i].key);
+				 call->transaction.compares[i].key);
 	}
 }
 
 static bool has_ended_session(struct sim *sim, const struct ws_call *call)
 {
-	for (size_t i = 0; i < call->operation_count; i++)
-		if (call->operations[i].session && !session_find(sim, call->operations[i].session))
+	for (size_t i = 0; i < call->transaction.operation_count; i++)
+		if (call->transaction.operations[i].session &&
+		    !session_find(sim, call->transaction.operations[i].session))
 			return true;
 	return false;
 }
 
 static void transact(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	sim->changes += call->self_paced ? call->operation_count : 0;
+	sim->changes += call->transaction.self_paced ? call->transaction.operation_count : 0;
 	if (!transaction_fits(sim, call)) {
 		result->status = 400;
 		return;
@@ -246,11 +249,12 @@
 		result->status = 409;
 		return;
 	}
-	if (call->operation_count)
+	if (call->transaction.operation_count)
 		sim->revision++;
-	for (size_t i = 0; i < call->operation_count; i++)
-		sim_store_put(sim, call->operations[i].key, call->operations[i].value,
-			      call->operations[i].session);
+	for (size_t i = 0; i < call->transaction.operation_count; i++)
+		sim_store_put(sim, call->transaction.operations[i].key,
+			      call->transaction.operations[i].value,
+			      call->transaction.operations[i].session);
 	result->revision = sim->revision;
 }
 
