--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -58,8 +58,8 @@
 
 /* ---- store_health.c ---- */
 
-/* Takes in whether the store served a call, by its status. */
-void ws_store_answered(struct ws_core *core, int status);
+/* Takes in whether the store served a call, by its outcome. */
+void ws_store_answered(struct ws_core *core, enum ws_outcome outcome);
 /* The store refused this node, or did not answer it, a moment ago. */
 bool ws_store_refuses(const struct ws_core *core);
 /* Neither the store nor any peer answers. */
@@ -69,11 +69,11 @@
 
 /* ---- user_answers.c ---- */
 
-void ws_user_answer(struct ws_core *core, uint64_t request_id, int status, const char *id,
-		    enum ws_job_phase phase);
+void ws_user_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
+		    const char *id, enum ws_job_phase phase);
 /* The store does not serve us: a peer may do better, unless the request came from one. */
 void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
-				bool forwarded, int status);
+				bool forwarded, enum ws_outcome outcome);
 /* Reads a job's record under a prefix, live or archived; takes over the request. */
 struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
 				  uint64_t request_id, struct ws_user_request *request,
@@ -101,8 +101,8 @@
 
 /* ---- status_queries.c ---- */
 
-/* The cache was checked, with this status: answers the queries that awaited it. */
-void ws_queries_answer(struct ws_core *core, int status);
+/* The cache was checked, with this outcome: answers the queries that awaited it. */
+void ws_queries_answer(struct ws_core *core, enum ws_outcome outcome);
 /* A check of the cache is sent: the queries that wait now are answered by it. */
 void ws_queries_await_check(struct ws_core *core);
 /* That check did not take place: they wait for the next. */
@@ -122,7 +122,8 @@
 
 /* ---- heartbeat_requests.c ---- */
 
-void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, int status, const char *leader);
+void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
+			 const char *leader);
 void ws_follower_heartbeat(struct ws_core *core, uint64_t request_id,
 			   const struct ws_heartbeat *heartbeat, bool forwarded);
 
--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -16,22 +16,23 @@
 {
 	struct ws_user_request *request = call->context;
 
-	if (result->status == 200) {
+	if (result->outcome == WS_OUTCOME_OK) {
 		ws_status_cache_note_cancelled(core, call->transaction.compares[0].key,
 					       result->revision);
-		ws_user_answer(core, call->context_number, 200, call->context_name,
+		ws_user_answer(core, call->context_number, WS_ANSWER_OK, call->context_name,
 			       WS_JOB_CANCELLED);
-	} else if ((result->status == 409 || result->status == 400) &&
+	} else if ((result->outcome == WS_OUTCOME_CONFLICT ||
+		    result->outcome == WS_OUTCOME_REJECTED) &&
 		   ++request->attempts < CANCEL_ATTEMPTS_MAX) {
 		/* changed meanwhile, or larger than the limit of now: read it again */
-		request->record_split |= result->status == 400;
+		request->record_split |= result->outcome == WS_OUTCOME_REJECTED;
 		call->context = NULL;
 		ws_job_record_get(core, WS_KEY_PREFIX_JOB, call->context_name, call->context_number,
 				  request, ws_cancel_record_read);
 		return;
 	} else {
 		ws_user_answer_unavailable(core, call->context_number, call->context_name,
-					   request->forwarded, result->status);
+					   request->forwarded, result->outcome);
 	}
 }
 
@@ -67,24 +68,24 @@
 	uint32_t done, running;
 	struct ws_call *transaction;
 
-	if (result->status == 404) {
+	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
 		call->context = NULL;
 		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, call->context_name,
 				  call->context_number, request, ws_query_archived_read);
 		return;
 	}
-	if (result->status != 200 || result->entry_count != 1 ||
+	if (result->outcome != WS_OUTCOME_OK || result->entry_count != 1 ||
 	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
-		ws_user_answer_unavailable(core, call->context_number, call->context_name,
-					   request->forwarded,
-					   result->status == 200 ? 500 : result->status);
+		ws_user_answer_unavailable(
+		    core, call->context_number, call->context_name, request->forwarded,
+		    result->outcome == WS_OUTCOME_OK ? WS_OUTCOME_OTHER : result->outcome);
 		return;
 	}
 	if (phase == WS_JOB_DONE || phase == WS_JOB_CANCELLED) {
 		if (phase == WS_JOB_CANCELLED)
 			ws_status_cache_note_cancelled(core, call->read.key,
 						       result->entries[0].revision);
-		ws_user_answer(core, call->context_number, 200, call->context_name, phase);
+		ws_user_answer(core, call->context_number, WS_ANSWER_OK, call->context_name, phase);
 		return;
 	}
 	transaction = ws_call_new(core, WS_CALL_TRANSACTION, ws_cancel_written);
@@ -110,7 +111,7 @@
 		core->now = now;
 	request = calloc(1, sizeof(*request));
 	if (!request) {
-		ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
+		ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, id, WS_JOB_QUEUED);
 		return;
 	}
 	request->forwarded = forwarded;
--- a/src/core/api/heartbeat_requests.c
+++ b/src/core/api/heartbeat_requests.c
@@ -10,12 +10,13 @@
 	UT_hash_handle hh;
 };
 
-void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, int status, const char *leader)
+void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
+			 const char *leader)
 {
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_HEARTBEAT);
 
 	effect->request_id = request_id;
-	effect->status = status;
+	effect->answer = answer;
 	snprintf(effect->name, sizeof(effect->name), "%s", leader ? leader : "");
 }
 
@@ -33,7 +34,7 @@
 	if (forwarded || !core->leadership.leader_node[0] ||
 	    !strcmp(core->leadership.leader_node, core->settings->node) ||
 	    ws_node_is_isolated(core)) {
-		ws_heartbeat_answer(core, request_id, 503, NULL);
+		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
 	}
 	HASH_FIND_STR(core->follower.redirects, heartbeat->machine, redirect);
@@ -50,7 +51,8 @@
 	}
 	redirect->last_heartbeat_at = core->now;
 	if (redirect->heartbeat_count++ == 1) {
-		ws_heartbeat_answer(core, request_id, 421, core->leadership.leader_node);
+		ws_heartbeat_answer(core, request_id, WS_ANSWER_OTHER_LEADER,
+				    core->leadership.leader_node);
 		return;
 	}
 	effect = ws_effect_new(core, WS_EFFECT_FORWARD);
@@ -116,7 +118,7 @@
 		return;
 	}
 	if (!ws_leads_sender(core, heartbeat) || ws_machine_is_returned(core, heartbeat->machine)) {
-		ws_heartbeat_answer(core, request_id, 503, NULL);
+		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
 	}
 	if (!forwarded)
@@ -124,7 +126,7 @@
 	else if (!core->leadership.forwarded_only_since)
 		core->leadership.forwarded_only_since = core->now;
 	if (!ws_fleet_heartbeat(core, heartbeat, request_id)) {
-		ws_heartbeat_answer(core, request_id, 503, NULL);
+		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
 	}
 	ws_core_tick(core, now);
--- a/src/core/api/outage_votes.c
+++ b/src/core/api/outage_votes.c
@@ -70,10 +70,10 @@
 	const struct ws_outage_question *question = call->context;
 
 	effect->request_id = call->context_number;
-	effect->status = 200;
+	effect->answer = WS_ANSWER_OK;
 	/* silence is no vote, and neither is the word of one that leads itself or knows of a
 	 * later leader */
-	if (result->status != 503 || core->leadership.role == WS_LEADER ||
+	if (result->outcome != WS_OUTCOME_UNAVAILABLE || core->leadership.role == WS_LEADER ||
 	    core->leadership.role == WS_LOADING ||
 	    (question->accepts_list &&
 	     core->leadership.leader_revision > question->leader_revision))
@@ -83,7 +83,7 @@
 	    &effect->cancellation_count, WS_VOTE_CANCELLATIONS_MAX, &effect->has_more);
 	/* who can't take in the list is not told that all is as it was unless there is none */
 	if (question->accepts_list || (effect->vote_granted && !effect->cancellation_count))
-		effect->status = 503;
+		effect->answer = WS_ANSWER_UNAVAILABLE;
 }
 
 static void ws_outage_vote_check(struct ws_core *core, double now, uint64_t request_id,
--- a/src/core/api/status_cache.c
+++ b/src/core/api/status_cache.c
@@ -100,17 +100,18 @@
 					   const struct ws_result *result)
 {
 	core->status_cache.request_in_flight = false;
-	if (result->status != 429)
-		ws_store_answered(core, result->status);
-	if (result->status == 200) {
+	if (result->outcome != WS_OUTCOME_RATE_LIMITED)
+		ws_store_answered(core, result->outcome);
+	if (result->outcome == WS_OUTCOME_OK) {
 		ws_job_watch_apply(core, call, result);
-		ws_queries_answer(core, 200);
-	} else if (result->status == 410) { /* the copy is too old to be brought up to date */
+		ws_queries_answer(core, WS_OUTCOME_OK);
+	} else if (result->outcome == WS_OUTCOME_COMPACTED) {
+		/* the copy is too old to be brought up to date */
 		ws_status_cache_clear(core);
-	} else if (result->status == 429) {
+	} else if (result->outcome == WS_OUTCOME_RATE_LIMITED) {
 		ws_queries_await_next_check(core);
 	} else {
-		ws_queries_answer(core, result->status);
+		ws_queries_answer(core, result->outcome);
 	}
 }
 
@@ -136,7 +137,7 @@
 static void ws_status_cache_page_read(struct ws_core *core, struct ws_call *call,
 				      const struct ws_result *result)
 {
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		core->status_cache.request_in_flight = false;
 		core->status_cache.next_request_at = core->now + core->leadership.session_ttl_s / 4;
 		return;
--- a/src/core/api/status_queries.c
+++ b/src/core/api/status_queries.c
@@ -58,15 +58,16 @@
 {
 	struct ws_user_request *request = call->context;
 
-	if (result->status == 200 && result->entry_count == 1)
+	if (result->outcome == WS_OUTCOME_OK && result->entry_count == 1)
 		ws_final_status_keep(core, call->context_name, result->entries[0].value);
-	if (result->status == 200)
+	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, true);
-	else if (result->status == 404)
-		ws_user_answer(core, call->context_number, 404, call->context_name, WS_JOB_QUEUED);
+	else if (result->outcome == WS_OUTCOME_NOT_FOUND)
+		ws_user_answer(core, call->context_number, WS_ANSWER_NOT_FOUND, call->context_name,
+			       WS_JOB_QUEUED);
 	else
 		ws_user_answer_unavailable(core, call->context_number, call->context_name,
-					   request->forwarded, result->status);
+					   request->forwarded, result->outcome);
 }
 
 static void ws_query_live_read(struct ws_core *core, struct ws_call *call,
@@ -74,17 +75,18 @@
 {
 	struct ws_user_request *request = call->context;
 
-	if (result->status == 404) { /* a job moves from job/ to old/ once and never back */
+	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
+		/* a job moves from job/ to old/ once and never back */
 		call->context = NULL;
 		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, call->context_name,
 				  call->context_number, request, ws_query_archived_read);
 		return;
 	}
-	if (result->status == 200)
+	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, true);
 	else
 		ws_user_answer_unavailable(core, call->context_number, call->context_name,
-					   request->forwarded, result->status);
+					   request->forwarded, result->outcome);
 }
 
 /* Reads the record of a job that the cache can't tell of: under live jobs, or archived ones. */
@@ -94,7 +96,7 @@
 	struct ws_user_request *request = calloc(1, sizeof(*request));
 
 	if (!request) {
-		ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
+		ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, id, WS_JOB_QUEUED);
 		return;
 	}
 	request->forwarded = forwarded;
@@ -106,7 +108,7 @@
 				  ws_query_archived_read);
 }
 
-void ws_queries_answer(struct ws_core *core, int status)
+void ws_queries_answer(struct ws_core *core, enum ws_outcome outcome)
 {
 	struct ws_status_query *query, *next_query;
 
@@ -117,9 +119,9 @@
 			continue;
 		DL_DELETE(core->status_queries.waiting, query);
 		HASH_FIND_STR(core->status_cache.jobs, query->id, job_status);
-		if (status != 200)
+		if (outcome != WS_OUTCOME_OK)
 			ws_user_answer_unavailable(core, query->request_id, query->id,
-						   query->forwarded, status);
+						   query->forwarded, outcome);
 		else if (job_status)
 			ws_user_answer_status(core, query->request_id, query->id, job_status->phase,
 					      job_status->done, job_status->running, true);
@@ -138,7 +140,7 @@
 		if (core->now - query->received_at > WS_QUERY_WAIT_S) {
 			DL_DELETE(core->status_queries.waiting, query);
 			ws_user_answer_unavailable(core, query->request_id, query->id,
-						   query->forwarded, 0);
+						   query->forwarded, WS_OUTCOME_NO_ANSWER);
 			free(query);
 		} else {
 			break;
@@ -176,7 +178,7 @@
 		return;
 	}
 	if (!forwarded && ws_store_refuses(core)) {
-		ws_user_answer_unavailable(core, request_id, id, forwarded, 503);
+		ws_user_answer_unavailable(core, request_id, id, forwarded, WS_OUTCOME_UNAVAILABLE);
 		return;
 	}
 	if (!core->status_cache.complete) {
@@ -186,7 +188,7 @@
 	}
 	query = calloc(1, sizeof(*query));
 	if (!query) {
-		ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
+		ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, id, WS_JOB_QUEUED);
 		return;
 	}
 	snprintf(query->id, sizeof(query->id), "%s", id);
--- a/src/core/api/store_health.c
+++ b/src/core/api/store_health.c
@@ -2,9 +2,9 @@
 #include "../core_state.h"
 
 /* Whether the store serves us, as the last answers tell. */
-void ws_store_answered(struct ws_core *core, int status)
+void ws_store_answered(struct ws_core *core, enum ws_outcome outcome)
 {
-	if (status == 503 || status == 0) {
+	if (outcome == WS_OUTCOME_UNAVAILABLE || outcome == WS_OUTCOME_NO_ANSWER) {
 		if (core->store_health.refused_at <= core->store_health.served_at)
 			core->store_health.refused_since = core->now;
 		core->store_health.refused_at = core->now;
@@ -31,7 +31,7 @@
 			     const struct ws_result *result)
 {
 	(void)call;
-	if (result->status > 0)
+	if (result->outcome != WS_OUTCOME_NO_ANSWER && result->outcome != WS_OUTCOME_NOT_SENT)
 		core->store_health.peer_answered_at = core->now;
 }
 
--- a/src/core/api/submission.c
+++ b/src/core/api/submission.c
@@ -45,14 +45,17 @@
 {
 	struct ws_user_request *request = call->context;
 
-	if (result->status == 200)
+	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, false);
-	else if (result->status == 404) /* else moved between two reads; it is known in any case */
-		ws_user_answer(core, call->context_number, request->never_runnable ? 422 : 503,
+	else if (result->outcome == WS_OUTCOME_NOT_FOUND)
+		/* if it can run, it moved between two reads, and is known in any case */
+		ws_user_answer(core, call->context_number,
+			       request->never_runnable ? WS_ANSWER_NEVER_RUNNABLE
+						       : WS_ANSWER_UNAVAILABLE,
 			       call->context_name, WS_JOB_QUEUED);
 	else
 		ws_user_answer_unavailable(core, call->context_number, call->context_name,
-					   request->forwarded, result->status);
+					   request->forwarded, result->outcome);
 }
 
 static void ws_submit_known(struct ws_core *core, struct ws_call *call,
@@ -60,17 +63,17 @@
 {
 	struct ws_user_request *request = call->context;
 
-	if (result->status == 404) {
+	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
 		call->context = NULL;
 		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, call->context_name,
 				  call->context_number, request, ws_submit_known_old);
 		return;
 	}
-	if (result->status == 200)
+	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, false);
 	else
 		ws_user_answer_unavailable(core, call->context_number, call->context_name,
-					   request->forwarded, result->status);
+					   request->forwarded, result->outcome);
 }
 
 static void ws_submit_written(struct ws_core *core, struct ws_call *call,
@@ -78,20 +81,23 @@
 {
 	struct ws_user_request *request = call->context;
 
-	if (result->status == 409) {
+	if (result->outcome == WS_OUTCOME_CONFLICT) {
 		call->context = NULL;
 		ws_job_record_get(core, WS_KEY_PREFIX_JOB, call->context_name, call->context_number,
 				  request, ws_submit_known);
 		return;
 	}
-	if (result->status == 200) {
+	if (result->outcome == WS_OUTCOME_OK) {
 		ws_log(core, WS_LOG_DEBUG, "job %s accepted", call->context_name);
-		ws_user_answer(core, call->context_number, 201, call->context_name, WS_JOB_QUEUED);
-	} else if (result->status == 400) { /* a record over the limits: it can't be kept */
-		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
+		ws_user_answer(core, call->context_number, WS_ANSWER_ACCEPTED, call->context_name,
+			       WS_JOB_QUEUED);
+	} else if (result->outcome == WS_OUTCOME_REJECTED) {
+		/* a record over the limits: it can't be kept */
+		ws_user_answer(core, call->context_number, WS_ANSWER_UNAVAILABLE,
+			       call->context_name, WS_JOB_QUEUED);
 	} else {
 		ws_user_answer_unavailable(core, call->context_number, call->context_name,
-					   request->forwarded, result->status);
+					   request->forwarded, result->outcome);
 	}
 }
 
@@ -105,16 +111,18 @@
 	if (now > core->now)
 		core->now = now;
 	if (!core->catalog.type_count) {
-		ws_user_answer_unavailable(core, request_id, spec->id, forwarded, 503);
+		ws_user_answer_unavailable(core, request_id, spec->id, forwarded,
+					   WS_OUTCOME_UNAVAILABLE);
 		return;
 	}
 	if (!forwarded && ws_store_refuses(core)) {
-		ws_user_answer_unavailable(core, request_id, spec->id, forwarded, 503);
+		ws_user_answer_unavailable(core, request_id, spec->id, forwarded,
+					   WS_OUTCOME_UNAVAILABLE);
 		return;
 	}
 	request = calloc(1, sizeof(*request));
 	if (!request) {
-		ws_user_answer(core, request_id, 503, spec->id, WS_JOB_QUEUED);
+		ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, spec->id, WS_JOB_QUEUED);
 		return;
 	}
 	request->forwarded = forwarded;
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -5,31 +5,32 @@
 #include "../core_state.h"
 #include "../record_sources.h"
 
-void ws_user_answer(struct ws_core *core, uint64_t request_id, int status, const char *id,
-		    enum ws_job_phase phase)
+void ws_user_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
+		    const char *id, enum ws_job_phase phase)
 {
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_USER);
 
 	effect->request_id = request_id;
-	effect->status = status;
+	effect->answer = answer;
 	effect->phase = phase;
 	snprintf(effect->name, sizeof(effect->name), "%s", id);
-	if (status == 503 || status == 429)
+	if (answer == WS_ANSWER_UNAVAILABLE)
 		effect->retry_after = 1;
 }
 
 /* The store does not serve us: a peer may do better, unless the request came from one. */
 void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
-				bool forwarded, int status)
+				bool forwarded, enum ws_outcome outcome)
 {
-	if (!forwarded && !ws_node_is_isolated(core) && (status == 503 || status == 0) &&
+	if (!forwarded && !ws_node_is_isolated(core) &&
+	    (outcome == WS_OUTCOME_UNAVAILABLE || outcome == WS_OUTCOME_NO_ANSWER) &&
 	    core->settings->peer_count) {
 		struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_FORWARD);
 
 		effect->request_id = request_id;
 		return;
 	}
-	ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
+	ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, id, WS_JOB_QUEUED);
 }
 
 struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
@@ -67,7 +68,7 @@
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_USER);
 
 	effect->request_id = request_id;
-	effect->status = 200;
+	effect->answer = WS_ANSWER_OK;
 	effect->phase = phase;
 	effect->carries_counts = with_counts;
 	effect->done = done;
@@ -92,7 +93,8 @@
 	if (result->entry_count != 1 ||
 	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
 		ws_log(core, WS_LOG_ERROR, "record %s can't be read", call->read.key);
-		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
+		ws_user_answer(core, call->context_number, WS_ANSWER_UNAVAILABLE,
+			       call->context_name, WS_JOB_QUEUED);
 		return;
 	}
 	if (phase == WS_JOB_CANCELLED)
--- a/src/core/autoscaler/instance_list.c
+++ b/src/core/autoscaler/instance_list.c
@@ -82,7 +82,7 @@
 		return;
 	autoscaler->list_in_flight = false;
 	autoscaler->next_list_at = core->now + core->settings->list_lag_s;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		autoscaler->list_continues_after[0] = 0;
 		return;
 	}
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -77,7 +77,7 @@
 			continue;
 		machine->scale_in_in_flight = false;
 		machine->next_scale_in_at = ws_cloud_call_retry_at(core);
-		if (result->status == 200) {
+		if (result->outcome == WS_OUTCOME_OK) {
 			ws_capacity_error_scaled_in(core, machine);
 			ws_machine_mark_gone(core, machine, "returned");
 		}
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -141,14 +141,14 @@
 	HASH_FIND_STR(core->autoscaler.requests, call->scale_out.idempotency_key, request);
 	if (!request)
 		return;
-	if (result->status == 200) {
+	if (result->outcome == WS_OUTCOME_OK) {
 		ws_scale_out_granted(core, request, result);
-	} else if (result->status == 503 && result->no_capacity) {
+	} else if (result->outcome == WS_OUTCOME_UNAVAILABLE && result->no_capacity) {
 		ws_log(core, WS_LOG_INFO, "booking %s: no capacity for %s in %s%s",
 		       request->idempotency_key, request->type, request->zone,
 		       request->preemptible ? ", spot" : "");
 		ws_scale_out_refused(core, request);
-	} else if (result->status == 400) {
+	} else if (result->outcome == WS_OUTCOME_REJECTED) {
 		ws_log(core, WS_LOG_ERROR, "booking %s: the cloud calls it malformed",
 		       request->idempotency_key);
 		ws_scale_out_refused(core, request);
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -6,7 +6,8 @@
 {
 	(void)call;
 	core->catalog.request_in_flight = false;
-	if (result->status == 200 && result->entry_count == 1 && !core->catalog.type_count)
+	if (result->outcome == WS_OUTCOME_OK && result->entry_count == 1 &&
+	    !core->catalog.type_count)
 		core->catalog.type_count =
 		    ws_record_read_types(result->entries[0].value, core->catalog.types);
 	core->catalog.types_edition++;
@@ -18,7 +19,7 @@
 			   const struct ws_result *result)
 {
 	(void)call;
-	if (result->status == 200 && result->type_count) {
+	if (result->outcome == WS_OUTCOME_OK && result->type_count) {
 		for (size_t i = 0; i < result->type_count; i++) {
 			const struct ws_machine_type *have =
 			    ws_machine_type_find(core, result->types[i].name);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -110,7 +110,7 @@
 	if (now > core->now)
 		core->now = now;
 	if (call->kind <= WS_CALL_SESSION_CLOSE && call->kind != WS_CALL_WATCH)
-		ws_store_answered(core, result->status);
+		ws_store_answered(core, result->outcome);
 	call->on_result(core, call, result);
 	ws_call_free(call);
 	ws_core_tick(core, now);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -126,15 +126,29 @@
 	uint64_t revision;
 };
 
-/* Outcome of a call. */
+/* What became of a call. */
+enum ws_outcome {
+	WS_OUTCOME_NO_ANSWER, /* none, or none that can be read: carried out or not */
+	WS_OUTCOME_NOT_SENT,  /* it never left this node */
+	WS_OUTCOME_OK,
+	WS_OUTCOME_REJECTED,	 /* malformed, or over a limit of the service: not carried out */
+	WS_OUTCOME_NOT_FOUND,	 /* no such key, or session */
+	WS_OUTCOME_CONFLICT,	 /* a compare failed; the worker knows a later fencing token */
+	WS_OUTCOME_COMPACTED,	 /* the store has no longer what a watch starts from */
+	WS_OUTCOME_RATE_LIMITED, /* over the rate of the service, or of this node's share of it */
+	WS_OUTCOME_UNAVAILABLE,	 /* the service can't serve now */
+	WS_OUTCOME_OTHER,	 /* any other answer */
+};
+
+/* What a call brought. */
 struct ws_result {
-	/* HTTP status; 0: no answer, it may or may not have been carried out; -1: never sent */
-	int status;
+	enum ws_outcome outcome;
+	int http_status; /* of the answer, for log lines only; 0: none, below: never sent */
 	uint64_t revision, session;
 	struct ws_kv *entries;
 	size_t entry_count;
 	bool has_more;
-	bool no_capacity; /* a 503 that means a plain no */
+	bool no_capacity; /* UNAVAILABLE, and surely nothing was granted */
 	char (*failed_keys)[WS_KEY_MAX];
 	size_t failed_count;
 	struct ws_machine_type *types;
@@ -277,6 +291,16 @@
 	struct ws_call *next;
 };
 
+/* What a request of a user, a worker or a peer is answered. */
+enum ws_answer {
+	WS_ANSWER_UNAVAILABLE,	  /* not now; of an outage vote: the store refuses this node too */
+	WS_ANSWER_OK,		  /* the job's state; the lease is renewed; no outage vote */
+	WS_ANSWER_ACCEPTED,	  /* the job is new, and on record from now on */
+	WS_ANSWER_NOT_FOUND,	  /* no such job */
+	WS_ANSWER_OTHER_LEADER,	  /* the worker is to turn to the node named */
+	WS_ANSWER_NEVER_RUNNABLE, /* no machine type or team limit lets the job run */
+};
+
 enum ws_effect_kind {
 	WS_EFFECT_CALL,
 	WS_EFFECT_ANSWER_USER,
@@ -289,7 +313,8 @@
 	enum ws_effect_kind kind;
 	struct ws_call *call;
 	uint64_t request_id;
-	int status, retry_after;
+	enum ws_answer answer;
+	int retry_after;	/* seconds; 0: not said */
 	char name[WS_NAME_MAX]; /* job id, or the node to heartbeat or relay to */
 	enum ws_job_phase phase;
 	uint32_t done, running;
--- a/src/core/extension/subsystems.c
+++ b/src/core/extension/subsystems.c
@@ -358,7 +358,7 @@
 	const struct ws_subsystem *subsystem = ws_subsystem_of(core, call->read.key);
 
 	if (call->generation != core->generation || core->leadership.role != WS_LEADER ||
-	    !subsystem || result->status != 200)
+	    !subsystem || result->outcome != WS_OUTCOME_OK)
 		return;
 	for (size_t i = 0; i < result->entry_count; i++)
 		ws_subsystem_record_load(core, &result->entries[i]);
@@ -434,15 +434,15 @@
 
 	if (call->generation != core->generation || core->leadership.role != WS_LEADER)
 		return;
-	if (result->status == 404 &&
+	if (result->outcome == WS_OUTCOME_NOT_FOUND &&
 	    live) { /* a job moves to old/ in one transaction, never back */
 		ws_subsystem_look_up(core, call->context_number, WS_KEY_PREFIX_ARCHIVED_JOB,
 				     call->context_name);
 		return;
 	}
-	if (result->status == 404)
+	if (result->outcome == WS_OUTCOME_NOT_FOUND)
 		standing = WS_STANDING_NEVER_HEARD;
-	else if (result->status == 200)
+	else if (result->outcome == WS_OUTCOME_OK)
 		standing = live ? WS_STANDING_LIVE : WS_STANDING_OVER;
 	if (subsystem->ops->job_looked_up)
 		subsystem->ops->job_looked_up(subsystem->self, core->now, call->context_name,
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -151,7 +151,7 @@
 	if (!machine)
 		return;
 	machine->commands_in_flight--;
-	if (result->status < 0)
+	if (result->outcome == WS_OUTCOME_NOT_SENT)
 		return; /* never left us: the next reply carries it */
 	ws_subsystems_answered(core, machine, result->heartbeat != NULL);
 	if (result->heartbeat && !strcmp(result->heartbeat->machine, machine->name)) {
@@ -175,7 +175,7 @@
 			machine->late_command_token = call->commands.fencing_token;
 		ws_machine_raise_fencing_token(core, machine, call->commands.fencing_token);
 		ws_log(core, WS_LOG_INFO, "machine %s: a direct command got no answer (%d)",
-		       machine->name, result->status);
+		       machine->name, result->http_status);
 		return;
 	}
 	for (struct ws_attempt *attempt = machine->attempts; attempt;
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -337,7 +337,7 @@
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_HEARTBEAT);
 
 	effect->request_id = request_id;
-	effect->status = 200;
+	effect->answer = WS_ANSWER_OK;
 	effect->fencing_token = machine->fencing_token;
 	if (ws_machine_echoes_token(machine))
 		ws_subsystems_heartbeat(core, machine);
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -176,7 +176,7 @@
 
 	if (call->generation != core->generation || core->leadership.role != WS_CANDIDATE)
 		return;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		ws_become_follower(core, core->leadership.session_ttl_s / 4);
 		return;
 	}
@@ -204,13 +204,14 @@
 {
 	if (call->generation != core->generation || core->leadership.role != WS_CANDIDATE)
 		return;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		/* lost, or unknown: the session is given up, so that a late write of ours ends with
 		 * it
 		 */
 		ws_step_down(core, "the election was lost");
-		ws_become_follower(core,
-				   result->status == 409 ? 0 : core->leadership.session_ttl_s / 4);
+		ws_become_follower(core, result->outcome == WS_OUTCOME_CONFLICT
+					     ? 0
+					     : core->leadership.session_ttl_s / 4);
 		return;
 	}
 	core->leadership.role = WS_LOADING;
@@ -246,11 +247,11 @@
 				     const struct ws_result *result)
 {
 	core->leadership.watch_in_flight = false;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		core->leadership.leader_known = false;
 		core->leadership.proof.leader_revision = 0;
 		core->leadership.next_attempt_at = core->now + core->leadership.session_ttl_s / 4;
-		if (result->status == 410)
+		if (result->outcome == WS_OUTCOME_COMPACTED)
 			core->leadership.next_attempt_at = core->now;
 		return;
 	}
@@ -266,7 +267,7 @@
 				    const struct ws_result *result)
 {
 	core->leadership.watch_in_flight = false;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		core->leadership.proof.leader_revision = 0;
 		core->leadership.next_attempt_at = core->now + core->leadership.session_ttl_s / 4;
 		return;
@@ -311,7 +312,7 @@
 	if (call->generation != core->generation)
 		return;
 	core->leadership.renewals_in_flight--;
-	if (result->status == 200) {
+	if (result->outcome == WS_OUTCOME_OK) {
 		double until = call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT);
 
 		if (until > core->leadership.entitled_until)
@@ -325,14 +326,14 @@
 		core->leadership.next_renewal_at =
 		    fmax(core->leadership.next_renewal_at,
 			 call->created_at + core->leadership.session_ttl_s / 4);
-	} else if (result->status == 404) {
+	} else if (result->outcome == WS_OUTCOME_NOT_FOUND) {
 		ws_step_down(core, "the hold ended");
 	} else {
 		if (!core->leadership.renewals_in_flight)
 			core->leadership.next_renewal_at =
 			    core->now + core->leadership.session_ttl_s / 16;
 		/* an old word, if a later renewal was granted */
-		if (result->status == 503 && !core->leadership.in_outage &&
+		if (result->outcome == WS_OUTCOME_UNAVAILABLE && !core->leadership.in_outage &&
 		    core->leadership.role == WS_LEADER &&
 		    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT) >=
 			core->leadership.entitled_until) {
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -62,7 +62,7 @@
 		return;
 	core->leadership.votes.outstanding--;
 	core->leadership.votes.last_answer_at = core->now;
-	if (result->status != 503 || !result->vote_granted)
+	if (result->outcome != WS_OUTCOME_UNAVAILABLE || !result->vote_granted)
 		return;
 	ws_core_outage_cancellations(core, result->cancellations, result->cancellation_count,
 				     call->outage_vote.peer);
--- a/src/core/store/job_watch.c
+++ b/src/core/store/job_watch.c
@@ -67,11 +67,11 @@
 	if (call->generation != core->generation)
 		return;
 	watch->open = false;
-	if (result->status == 410) {
+	if (result->outcome == WS_OUTCOME_COMPACTED) {
 		ws_step_down(core, "the watch fell too far behind");
 		return;
 	}
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		watch->next_at = core->now + core->leadership.session_ttl_s / RETRIES_PER_TTL;
 		return;
 	}
--- a/src/core/store/loader.c
+++ b/src/core/store/loader.c
@@ -75,7 +75,7 @@
 
 	if (call->generation != core->generation || core->leadership.role != WS_LOADING)
 		return;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		ws_loader_retry(core, call);
 		return;
 	}
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -52,11 +52,11 @@
 			     const struct ws_result *result)
 {
 	const struct ws_record_source *source;
-	bool found = result->status == 200;
+	bool found = result->outcome == WS_OUTCOME_OK;
 
 	if (call->generation != core->generation)
 		return;
-	if (!found && result->status != 404) {
+	if (!found && result->outcome != WS_OUTCOME_NOT_FOUND) {
 		ws_writer_read_again(core, call->read.key);
 		return;
 	}
@@ -115,7 +115,7 @@
 		const struct ws_record_source *source = ws_record_source_of(core, operation->key);
 		const struct ws_compare *failed_compare = NULL;
 
-		if (result->status == 409)
+		if (result->outcome == WS_OUTCOME_CONFLICT)
 			failed_compare = ws_writer_failed_compare(call, operation->key, result);
 		if (source && source->not_written &&
 		    source->not_written(core, operation, failed_compare))
@@ -196,20 +196,20 @@
 		return;
 	core->writer.in_flight = false;
 	core->writer.woken = true;
-	if (result->status == 200) {
+	if (result->outcome == WS_OUTCOME_OK) {
 		ws_writer_committed(core, call, result->revision);
 		return;
 	}
-	if (result->status == 409 && ws_writer_lost_lead(result)) {
+	if (result->outcome == WS_OUTCOME_CONFLICT && ws_writer_lost_lead(result)) {
 		ws_step_down(core, "a write found another leader");
 		return;
 	}
-	if (result->status == 400)
+	if (result->outcome == WS_OUTCOME_REJECTED)
 		ws_writer_lower_limits(core, call);
 	ws_writer_not_committed(core, call, result);
-	if (result->status == 429)
+	if (result->outcome == WS_OUTCOME_RATE_LIMITED)
 		ws_writer_throttled(core);
-	else if (result->status != 409)
+	else if (result->outcome != WS_OUTCOME_CONFLICT)
 		ws_writer_back_off(core);
 }
 
--- a/src/failure_domains_command.c
+++ b/src/failure_domains_command.c
@@ -92,8 +92,12 @@
 	return false;
 }
 
-/* Writes or removes a session under the revision at which it was read; the outcome's status. */
-static int hold_write(struct ws_store_client *store, const char *key, bool hold)
+/*
+ * Writes or removes a record under the revision at which it was read: what became of it, and the
+ * HTTP status that says so.
+ */
+static enum ws_outcome hold_write(struct ws_store_client *store, const char *key, bool hold,
+				  int *http_status)
 {
 	struct ws_call read = {.kind = WS_CALL_GET};
 	struct ws_compare condition = {0};
@@ -104,37 +108,41 @@
 						.operations = &change,
 						.operation_count = 1}};
 	struct ws_result result;
-	int status;
+	enum ws_outcome outcome;
 
 	snprintf(read.read.key, sizeof(read.read.key), "%s", key);
 	ws_store_client_call(store, &read, &result);
-	status = result.status;
-	condition.revision = status == 200 && result.entry_count ? result.entries[0].revision : 0;
+	outcome = result.outcome;
+	*http_status = result.http_status;
+	condition.revision =
+	    outcome == WS_OUTCOME_OK && result.entry_count ? result.entries[0].revision : 0;
 	ws_result_free(&result);
-	if (status != 200 && status != 404)
-		return status;
-	if ((status == 200) == hold) /* it is as it should be */
-		return 200;
+	if (outcome != WS_OUTCOME_OK && outcome != WS_OUTCOME_NOT_FOUND)
+		return outcome;
+	if ((outcome == WS_OUTCOME_OK) == hold) /* it is as it should be */
+		return WS_OUTCOME_OK;
 	snprintf(condition.key, sizeof(condition.key), "%s", key);
 	snprintf(change.key, sizeof(change.key), "%s", key);
 	change.value = hold ? json_pack("{s:i}", "v", HOLD_FORMAT) : NULL;
 	ws_store_client_call(store, &write, &result);
-	status = result.status;
+	outcome = result.outcome;
+	*http_status = result.http_status;
 	ws_result_free(&result);
 	json_decref(change.value);
-	return status;
+	return outcome;
 }
 
 static int hold(struct ws_store_client *store, const char *domain, bool hold)
 {
 	char key[WS_KEY_MAX];
-	int status = 409;
+	enum ws_outcome outcome = WS_OUTCOME_CONFLICT;
+	int http_status = 0;
 
 	snprintf(key, sizeof(key), PREFIX HOLD_KEY "%s", domain);
-	for (int i = 0; i < HOLD_TRIES && status == 409; i++)
-		status = hold_write(store, key, hold);
-	if (status != 200) {
-		fprintf(stderr, "waystep: the state service did not take it (%d)\n", status);
+	for (int i = 0; i < HOLD_TRIES && outcome == WS_OUTCOME_CONFLICT; i++)
+		outcome = hold_write(store, key, hold, &http_status);
+	if (outcome != WS_OUTCOME_OK) {
+		fprintf(stderr, "waystep: the state service did not take it (%d)\n", http_status);
 		return 1;
 	}
 	printf("domain %s is %s; the leader takes it in within lease_s / 4\n", domain,
--- a/src/io/decode_reply.c
+++ b/src/io/decode_reply.c
@@ -4,6 +4,7 @@
  */
 #include "codec.h"
 #include "decode_internal.h"
+#include "http_status.h"
 #include "json_members.h"
 #include <stdlib.h>
 #include <string.h>
@@ -55,7 +56,8 @@
 	struct ws_json object;
 
 	memset(result, 0, sizeof(*result));
-	result->status = status;
+	result->outcome = ws_outcome_of_http_status(status);
+	result->http_status = status;
 	if (status <= 0 || (done && status_says_all(call)))
 		return;
 	if (carries_records(call)) {
--- a/src/io/effect_executor.c
+++ b/src/io/effect_executor.c
@@ -6,7 +6,7 @@
 static bool needs_leadership(const struct ws_effect *effect)
 {
 	if (effect->kind == WS_EFFECT_ANSWER_HEARTBEAT)
-		return effect->status == 200;
+		return effect->answer == WS_ANSWER_OK;
 	return effect->kind == WS_EFFECT_CALL &&
 	       (effect->call->kind == WS_CALL_COMMANDS || effect->call->kind == WS_CALL_SCALE_OUT ||
 		effect->call->kind == WS_CALL_SCALE_IN);
@@ -33,7 +33,7 @@
 		ws_outgoing_call_drop(service, effect->call);
 		return;
 	}
-	effect->status = 503;
+	effect->answer = WS_ANSWER_UNAVAILABLE;
 	execute(service, effect);
 }
 
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -33,7 +33,7 @@
 	static const char *const phases[] = {"queued", "running", "done", "withdrawn"};
 	json_t *document;
 
-	if (answer->status != 200 && answer->status != 201)
+	if (answer->answer != WS_ANSWER_OK && answer->answer != WS_ANSWER_ACCEPTED)
 		return strdup("{}");
 	ws_pool_begin();
 	document = json_pack("{s:s,s:s}", "nameId", answer->name, "phase", phases[answer->phase]);
@@ -66,9 +66,9 @@
 
 char *ws_encode_heartbeat_answer(const struct ws_effect *answer)
 {
-	bool names_leader = answer->status == 421 && answer->name[0];
+	bool names_leader = answer->answer == WS_ANSWER_OTHER_LEADER && answer->name[0];
 
-	if (answer->status != 200 && !names_leader)
+	if (answer->answer != WS_ANSWER_OK && !names_leader)
 		return strdup("{}");
 	ws_pool_begin();
 	if (names_leader)
--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -44,8 +44,9 @@
 
 static void name_leader(struct ws_service *service, uint64_t request_id, const char *leader)
 {
-	struct ws_effect answer = {
-	    .kind = WS_EFFECT_ANSWER_HEARTBEAT, .request_id = request_id, .status = 421};
+	struct ws_effect answer = {.kind = WS_EFFECT_ANSWER_HEARTBEAT,
+				   .request_id = request_id,
+				   .answer = WS_ANSWER_OTHER_LEADER};
 
 	snprintf(answer.name, sizeof(answer.name), "%s", leader);
 	ws_router_answer_heartbeat(service, &answer);
--- a/src/io/outage_vote.c
+++ b/src/io/outage_vote.c
@@ -1,5 +1,6 @@
 #include "outage_vote.h"
 #include "codec.h"
+#include "http_status.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -18,8 +19,9 @@
 	const Ws__OutageVote *vote = frame->vote;
 
 	memset(result, 0, sizeof(*result));
-	result->status = (int)frame->status;
-	if (result->status != 503 || !vote)
+	result->http_status = (int)frame->status;
+	result->outcome = ws_outcome_of_http_status(result->http_status);
+	if (result->outcome != WS_OUTCOME_UNAVAILABLE || !vote)
 		return true; /* no list: no vote, whatever the status */
 	result->cancellations = calloc(vote->n_cancelled + 1, sizeof(*result->cancellations));
 	if (!result->cancellations)
@@ -27,7 +29,7 @@
 	for (size_t i = 0; i < vote->n_cancelled; i++) {
 		if (!ws_job_id_ok(vote->cancelled[i]->job)) {
 			free(result->cancellations);
-			*result = (struct ws_result){.status = 200};
+			*result = (struct ws_result){.outcome = WS_OUTCOME_OK};
 			return false;
 		}
 		snprintf(result->cancellations[i].job, WS_ID_MAX, "%s", vote->cancelled[i]->job);
@@ -44,7 +46,7 @@
 	Ws__Cancellation *list;
 
 	frame->kind = WS__PEER_FRAME__KIND__REPLY;
-	frame->status = (uint32_t)answer->status;
+	frame->status = (uint32_t)ws_http_status_of_answer(answer->answer);
 	if (!answer->vote_granted)
 		return;
 	frame->vote = vote;
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -110,13 +110,15 @@
 	struct ws_result result;
 
 	ws_decode_reply(call, status, body, length, &result);
-	if (status > 0 && result.status == 0)
+	if (status > 0 && result.outcome == WS_OUTCOME_NO_ANSWER)
 		ws_logf(WS_LOG_ERROR,
 			"an answer (%d, %zu bytes) to a call of kind %d for %s can't be read: "
 			"taken for none",
 			status, length, call->kind, call_target(call));
-	if (result.status < 0 && call->kind != WS_CALL_COMMANDS)
-		result.status = 0;
+	if (result.outcome == WS_OUTCOME_NOT_SENT && call->kind != WS_CALL_COMMANDS) {
+		result.outcome = WS_OUTCOME_NO_ANSWER;
+		result.http_status = 0;
+	}
 	complete(service, call, &result);
 }
 
--- a/src/io/request_router.c
+++ b/src/io/request_router.c
@@ -2,6 +2,7 @@
 #include "../log.h"
 #include "clock.h"
 #include "codec.h"
+#include "http_status.h"
 #include "server_internal.h"
 #include <stdio.h>
 #include <stdlib.h>
@@ -58,7 +59,8 @@
 			   int retry_after_s)
 {
 	if (body)
-		ws_router_answer(service, answer->request_id, answer->status, body, strlen(body),
+		ws_router_answer(service, answer->request_id,
+				 ws_http_status_of_answer(answer->answer), body, strlen(body),
 				 retry_after_s);
 	else
 		ws_router_answer(service, answer->request_id, 503, EMPTY_BODY, strlen(EMPTY_BODY),
--- a/src/store_client.c
+++ b/src/store_client.c
@@ -76,7 +76,7 @@
 		bool ok;
 
 		ws_store_client_call(store, &call, &result);
-		ok = result.status == 200;
+		ok = result.outcome == WS_OUTCOME_OK;
 		more = ok && result.has_more && result.entry_count > 0;
 		for (size_t i = 0; ok && i < result.entry_count; i++)
 			ok = each(context, &result.entries[i]);
--- a/tests/codec_digest.h
+++ b/tests/codec_digest.h
@@ -62,17 +62,32 @@
 	}
 }
 
+/* Whole numbers, as eight bytes each; a 0 stands for each list, which is folded in by itself. */
+static void digest_result_numbers(struct digest *digest, const struct ws_result *result)
+{
+	const uint64_t numbers[] = {(uint32_t)result->http_status,
+				    result->revision,
+				    result->session,
+				    0,
+				    result->entry_count,
+				    result->has_more | (uint64_t)result->no_capacity << 8,
+				    0,
+				    result->failed_count,
+				    0,
+				    result->type_count,
+				    0,
+				    result->instance_count,
+				    0,
+				    result->vote_granted,
+				    0,
+				    result->cancellation_count};
+
+	digest_bytes(digest, numbers, sizeof(numbers));
+}
+
 static void digest_result(struct digest *digest, const struct ws_result *result)
 {
-	struct ws_result plain = *result;
-
-	plain.entries = NULL;
-	plain.failed_keys = NULL;
-	plain.types = NULL;
-	plain.instances = NULL;
-	plain.heartbeat = NULL;
-	plain.cancellations = NULL;
-	digest_bytes(digest, &plain, sizeof(plain));
+	digest_result_numbers(digest, result);
 	digest_records(digest, result);
 	for (size_t i = 0; i < result->failed_count; i++)
 		digest_text(digest, result->failed_keys[i]);
@@ -137,13 +152,14 @@
 static void digest_of_answers(void)
 {
 	struct ws_effect answer = {.name = "job-000412", .done = 3, .running = 2};
-	const int statuses[] = {200, 201, 404, 421, 503};
+	const enum ws_answer answers[] = {WS_ANSWER_OK, WS_ANSWER_ACCEPTED, WS_ANSWER_NOT_FOUND,
+					  WS_ANSWER_OTHER_LEADER, WS_ANSWER_UNAVAILABLE};
 
-	for (size_t i = 0; i < sizeof(statuses) / sizeof(statuses[0]); i++)
+	for (size_t i = 0; i < sizeof(answers) / sizeof(answers[0]); i++)
 		for (int phase = 0; phase < 4; phase++) {
 			char *text;
 
-			answer.status = statuses[i];
+			answer.answer = answers[i];
 			answer.phase = phase;
 			answer.carries_counts = phase & 1;
 			text = ws_encode_user(&answer);
--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -117,7 +117,7 @@
 	struct ws_command orders[300] = {
 	    {.kind = WS_COMMAND_RUN, .job = "job-000412", .attempt = 9}};
 	struct ws_effect effect = {
-	    .status = 200, .fencing_token = 41, .commands = orders, .command_count = 300};
+	    .answer = WS_ANSWER_OK, .fencing_token = 41, .commands = orders, .command_count = 300};
 	struct ws_call get = {.kind = WS_CALL_GET, .read = {.key = "job/a"}};
 	static const char kv[] = "{\"k\":\"job/a\",\"value\":{\"x\":[1,2,\"y\"]},\"stamp\":412}";
 	struct ws_heartbeat heartbeat = {0};
@@ -284,14 +284,15 @@
 	struct ws_result result;
 
 	decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &result);
-	check("another key's answer is none", result.status == 0);
+	check("another key's answer is none", result.outcome == WS_OUTCOME_NO_ANSWER);
 	ws_result_free(&result);
 	decode_reply(&call, 200, "garbage", 7, &result);
-	check("garbage is no answer", result.status == 0);
+	check("garbage is no answer", result.outcome == WS_OUTCOME_NO_ANSWER);
 	ws_result_free(&result);
 	call.kind = WS_CALL_SCALE_OUT;
 	decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &result);
-	check("trouble is no refusal", result.status == 503 && !result.no_capacity);
+	check("trouble is no refusal",
+	      result.outcome == WS_OUTCOME_UNAVAILABLE && !result.no_capacity);
 	ws_result_free(&result);
 	decode_reply(&call, 503, "{\"error\":\"no capacity\"}", 23, &result);
 	check("no capacity is one", result.no_capacity);
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -272,8 +272,10 @@
 static void outage_votes(void)
 {
 	struct ws_cancellation list[] = {{"job-000007", 41}, {"job-000003", 43}};
-	struct ws_effect effect = {
-	    .status = 503, .vote_granted = true, .has_more = true, .cancellation_count = 2};
+	struct ws_effect effect = {.answer = WS_ANSWER_UNAVAILABLE,
+				   .vote_granted = true,
+				   .has_more = true,
+				   .cancellation_count = 2};
 	struct ws_call call = {.kind = WS_CALL_OUTAGE_VOTE,
 			       .outage_vote = {.after_job = "job-000002",
 					       .since_revision = 40,
@@ -300,9 +302,9 @@
 	length = ws__peer_frame__pack(&frame, out);
 	ws_vote_free(&vote);
 	got = ws__peer_frame__unpack(NULL, length, out);
-	check("an answer", got && ws_vote_read(got, &result) && result.status == 503 &&
-			       result.vote_granted && result.has_more &&
-			       result.cancellation_count == 2 &&
+	check("an answer", got && ws_vote_read(got, &result) &&
+			       result.outcome == WS_OUTCOME_UNAVAILABLE && result.vote_granted &&
+			       result.has_more && result.cancellation_count == 2 &&
 			       result.cancellations[1].revision == 43 &&
 			       !strcmp(result.cancellations[0].job, "job-000007"));
 	ws_result_free(&result);
@@ -313,16 +315,16 @@
 	ws__outage_vote__init(&vote);
 	ws_vote_set_answer(&frame, &vote, &effect);
 	check("an answer with a name that no job has",
-	      !ws_vote_read(&frame, &result) && result.status != 503 && !result.vote_granted &&
-		  !result.cancellations);
+	      !ws_vote_read(&frame, &result) && result.outcome != WS_OUTCOME_UNAVAILABLE &&
+		  !result.vote_granted && !result.cancellations);
 	ws_vote_free(&vote);
 
 	effect.vote_granted = false;
 	ws__peer_frame__init(&frame);
 	ws_vote_set_answer(&frame, &vote, &effect);
 	check("production's answer, and of one that can't vouch, has no list",
-	      !frame.vote && ws_vote_read(&frame, &result) && result.status == 503 &&
-		  !result.vote_granted);
+	      !frame.vote && ws_vote_read(&frame, &result) &&
+		  result.outcome == WS_OUTCOME_UNAVAILABLE && !result.vote_granted);
 }
 
 /* ---- records of a store, from a file: each is decoded, encoded again, and the same bytes ---- */
--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -3,6 +3,7 @@
  * answer goes back as the same struct; faults delay it, lose its answer, or crash its sender.
  */
 #include "sim_calls.h"
+#include "../src/io/http_status.h"
 #include "sim_cloud.h"
 #include "sim_nodes.h"
 #include "sim_store.h"
@@ -154,7 +155,7 @@
 	} else if (call->kind != WS_CALL_WATCH &&
 		   (sim->now < sim->store_down_until || sim->now < node->refused_until)) {
 		flight->stage = SIM_CALL_TO_ANSWER;
-		flight->result.status = 503;
+		flight->result.outcome = WS_OUTCOME_UNAVAILABLE;
 	} else if (call->kind == WS_CALL_TRANSACTION &&
 		   (is_late_by_share || (sim->late_txns > 0 && sim_leader(sim) == flight->node))) {
 		abandon_transaction(sim, flight, is_late_by_share);
@@ -196,7 +197,7 @@
 	}
 	if (is_awaited) {
 		if (is_store_call(flight->call->kind) && sim->now < node->cut_store_until)
-			flight->result.status = 0;
+			flight->result.outcome = WS_OUTCOME_NO_ANSWER;
 		node->version->complete(node->core, sim_node_time(sim, node), flight->call,
 					&flight->result);
 	} else {
@@ -249,7 +250,8 @@
 	}
 	if (is_blind) {
 		result_clear(&flight->result);
-		flight->result.status = sim->now < node->cut_store_until ? 0 : 503;
+		flight->result.outcome = sim->now < node->cut_store_until ? WS_OUTCOME_NO_ANSWER
+									  : WS_OUTCOME_UNAVAILABLE;
 	}
 	if (flight->node == sim_leader(sim))
 		count_watched(sim, &flight->result);
@@ -326,7 +328,8 @@
 
 	sim->commands++;
 	if (worker->dead || worker->deleted) { /* nobody answers the attempt to connect */
-		flight->result.status = -1;
+		flight->result.outcome = WS_OUTCOME_NOT_SENT;
+		flight->result.http_status = ws_http_status_of_outcome(WS_OUTCOME_NOT_SENT);
 		schedule_answer(sim, flight, sim->now + fmin(sim->heartbeat_s, sim->lease_s / 16));
 		return;
 	}
@@ -341,9 +344,10 @@
 		return;
 	}
 	flight->result.heartbeat = calloc(1, sizeof(*flight->result.heartbeat));
-	flight->result.status = sim_worker_command(sim, worker, call->commands.fencing_token,
-						   call->commands.incarnation, call->commands.list,
-						   call->commands.count, flight->result.heartbeat);
+	flight->result.outcome = sim_worker_command(sim, worker, call->commands.fencing_token,
+						    call->commands.incarnation, call->commands.list,
+						    call->commands.count, flight->result.heartbeat);
+	flight->result.http_status = ws_http_status_of_outcome(flight->result.outcome);
 	if (sim->slow_commands_s > 0) {
 		schedule_answer(sim, flight, sim->now + sim->slow_commands_s);
 	} else if (sim->lost_commands > 0) {
@@ -407,7 +411,8 @@
 	*link = flight->next;
 	flight->due_at = sim->now + VOTE_ANSWER_S;
 	schedule(sim, flight);
-	flight->result.status = effect->status;
+	flight->result.outcome =
+	    effect->answer == WS_ANSWER_UNAVAILABLE ? WS_OUTCOME_UNAVAILABLE : WS_OUTCOME_OK;
 	if (node->version != &sim_this_version ||
 	    sim->nodes[flight->node].version != &sim_this_version)
 		return;
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -120,7 +120,7 @@
 	if (!granted)
 		granted = scale_out_grant(sim, call);
 	if (!granted) {
-		result->status = 503;
+		result->outcome = WS_OUTCOME_UNAVAILABLE;
 		result->no_capacity = true;
 		return;
 	}
@@ -154,10 +154,10 @@
 void sim_cloud_execute(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
 	if (sim->now < sim->cloud_down_until) {
-		result->status = 503;
+		result->outcome = WS_OUTCOME_UNAVAILABLE;
 		return;
 	}
-	result->status = 200;
+	result->outcome = WS_OUTCOME_OK;
 	switch (call->kind) {
 	case WS_CALL_MACHINE_TYPES: list_types(sim, result); break;
 	case WS_CALL_INSTANCES: list_instances(sim, call, result); break;
--- a/tests/sim_digest.c
+++ b/tests/sim_digest.c
@@ -8,6 +8,7 @@
  * lines are this file's own, so that they outlive the renaming of what they tell of.
  */
 #include "sim_digest.h"
+#include "../src/io/http_status.h"
 
 #define FNV_OFFSET 14695981039346656037ULL
 #define FNV_PRIME 1099511628211ULL
@@ -112,7 +113,7 @@
 static void say_vote(struct sim *sim, const struct ws_effect *effect)
 {
 	say(sim, "vote-answer %llu %d %d %d", (unsigned long long)effect->request_id,
-	    effect->status, effect->vote_granted, effect->has_more);
+	    ws_http_status_of_answer(effect->answer), effect->vote_granted, effect->has_more);
 	for (size_t i = 0; i < effect->cancellation_count; i++)
 		say(sim, " (%s %llu)", effect->cancellations[i].job,
 		    (unsigned long long)effect->cancellations[i].revision);
@@ -131,14 +132,15 @@
 	case WS_EFFECT_CALL: say_call(sim, effect->call); break;
 	case WS_EFFECT_ANSWER_USER:
 		say(sim, "user-answer %llu %d %d %s %d %u %u %d",
-		    (unsigned long long)effect->request_id, effect->status, effect->retry_after,
-		    effect->name, (int)effect->phase, effect->done, effect->running,
-		    effect->carries_counts);
+		    (unsigned long long)effect->request_id,
+		    ws_http_status_of_answer(effect->answer), effect->retry_after, effect->name,
+		    (int)effect->phase, effect->done, effect->running, effect->carries_counts);
 		break;
 	case WS_EFFECT_ANSWER_HEARTBEAT:
 		say(sim, "heartbeat-answer %llu %d %d %s %llu",
-		    (unsigned long long)effect->request_id, effect->status, effect->retry_after,
-		    effect->name, (unsigned long long)effect->fencing_token);
+		    (unsigned long long)effect->request_id,
+		    ws_http_status_of_answer(effect->answer), effect->retry_after, effect->name,
+		    (unsigned long long)effect->fencing_token);
 		say_commands(sim, effect->commands, effect->command_count);
 		break;
 	case WS_EFFECT_FORWARD:
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -142,8 +142,9 @@
 	int kind;
 
 	if (!target) {
-		struct ws_effect unavailable = {
-		    .request_id = effect->request_id, .status = 503, .retry_after = 1};
+		struct ws_effect unavailable = {.request_id = effect->request_id,
+						.answer = WS_ANSWER_UNAVAILABLE,
+						.retry_after = 1};
 
 		if (is_heartbeat)
 			sim_worker_answer(sim, &unavailable);
--- a/tests/sim_production.c
+++ b/tests/sim_production.c
@@ -5,6 +5,7 @@
  * object, which goes back to the core when the call is completed.
  */
 #include "sim_production.h"
+#include "../src/io/http_status.h"
 
 #ifdef WS_PRODUCTION_CORE
 #include <dlfcn.h>
@@ -230,7 +231,7 @@
 /* Values of records are borrowed; clear_result() frees the rest. */
 static void convert_result(struct production_result *target, const struct ws_result *from)
 {
-	target->status = from->status;
+	target->status = ws_http_status_of_outcome(from->outcome);
 	target->revision = from->revision;
 	target->session = from->session;
 	target->more = from->has_more;
--- a/tests/sim_production_effects.c
+++ b/tests/sim_production_effects.c
@@ -3,6 +3,7 @@
  * sim_production.c.
  */
 #include "sim_production.h"
+#include "../src/io/http_status.h"
 
 #ifdef WS_PRODUCTION_CORE
 
@@ -167,11 +168,23 @@
 
 /* ---- effects ---- */
 
+static enum ws_answer convert_answer(int status)
+{
+	enum ws_answer answer = ws_answer_of_http_status(status);
+
+	if (ws_http_status_of_answer(answer) != status) {
+		fprintf(stderr, "production core: an answer of status %d\n", status);
+		abort();
+	}
+	return answer;
+}
+
 void sim_production_convert_effect(struct ws_effect *effect, const struct production_effect *from)
 {
 	effect->kind = PRODUCTION_ENUMERATOR(effect_kinds, from->kind);
 	effect->request_id = from->token;
-	effect->status = from->status;
+	if (effect->kind != WS_EFFECT_CALL && effect->kind != WS_EFFECT_FORWARD)
+		effect->answer = convert_answer(from->status);
 	effect->retry_after = from->retry_after;
 	PRODUCTION_COPY_TEXT(effect->name, from->name);
 	effect->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -75,7 +75,7 @@
 	if (entry)
 		copy_entry(result, entry->key, entry->value, entry->revision);
 	else
-		result->status = 404;
+		result->outcome = WS_OUTCOME_NOT_FOUND;
 }
 
 static void list(struct sim *sim, const struct ws_call *call, struct ws_result *result)
@@ -106,7 +106,7 @@
 		    !strncmp(change->key, call->watch.prefix, strlen(call->watch.prefix)))
 			copy_entry(result, change->key, change->value, change->revision);
 	}
-	result->status = 200;
+	result->outcome = WS_OUTCOME_OK;
 	return result->entry_count > 0;
 }
 
@@ -153,7 +153,7 @@
 	if (session)
 		session->until = sim->now + session->ttl_s;
 	else
-		result->status = 404;
+		result->outcome = WS_OUTCOME_NOT_FOUND;
 }
 
 static void session_close(struct sim *sim, const struct ws_call *call, struct ws_result *result)
@@ -163,7 +163,7 @@
 	if (session)
 		session_end(sim, session);
 	else
-		result->status = 404;
+		result->outcome = WS_OUTCOME_NOT_FOUND;
 }
 
 void sim_sessions_extend_after_outage(struct sim *sim)
@@ -237,16 +237,16 @@
 {
 	sim->changes += call->transaction.self_paced ? call->transaction.operation_count : 0;
 	if (!transaction_fits(sim, call)) {
-		result->status = 400;
+		result->outcome = WS_OUTCOME_REJECTED;
 		return;
 	}
 	compare(sim, call, result);
 	if (has_ended_session(sim, call)) {
-		result->status = 400;
+		result->outcome = WS_OUTCOME_REJECTED;
 		return;
 	}
 	if (result->failed_count) {
-		result->status = 409;
+		result->outcome = WS_OUTCOME_CONFLICT;
 		return;
 	}
 	if (call->transaction.operation_count)
@@ -260,7 +260,7 @@
 
 void sim_store_execute(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	result->status = 200;
+	result->outcome = WS_OUTCOME_OK;
 	sim->store_requests += call->kind == WS_CALL_GET;
 	switch (call->kind) {
 	case WS_CALL_GET: get(sim, call, result); break;
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -1,5 +1,6 @@
 /* Users: what they ask of the nodes, and the rules for the answers. */
 #include "sim_users.h"
+#include "../src/io/http_status.h"
 #include "sim_nodes.h"
 
 #define ANSWER_TIMEOUT_S 5
@@ -123,12 +124,12 @@
 
 static bool is_success(const struct ws_effect *answer)
 {
-	return answer->status == 200 || answer->status == 201;
+	return answer->answer == WS_ANSWER_OK || answer->answer == WS_ANSWER_ACCEPTED;
 }
 
 static bool is_refusal(const struct ws_effect *answer)
 {
-	return answer->status == 400 || answer->status == 422;
+	return answer->answer == WS_ANSWER_NEVER_RUNNABLE;
 }
 
 /* Takes down what a submission was answered; whether it was accepted only now. */
@@ -139,7 +140,7 @@
 	if (job->refused && is_success(answer))
 		sim_fail(sim, "%s was refused, and is accepted", job->spec.id);
 	job->refused |= is_refusal(answer);
-	job->status = answer->status;
+	job->status = ws_http_status_of_answer(answer->answer);
 	if (!is_success(answer))
 		return false;
 	is_news = !job->accepted;
@@ -151,12 +152,12 @@
 static void check_answer(struct sim *sim, const struct sim_job *job, const struct ws_effect *answer,
 			 const struct knowledge *known)
 {
-	if (answer->status == 404 && known->accepted)
+	if (answer->answer == WS_ANSWER_NOT_FOUND && known->accepted)
 		sim_fail(sim, "forgotten: %s", job->spec.id);
 	if (is_refusal(answer) && job->accepted)
 		sim_fail(sim, "forgotten: %s submitted again gets %d", job->spec.id,
-			 answer->status);
-	if (answer->status == 200 && !job->submitted)
+			 ws_http_status_of_answer(answer->answer));
+	if (answer->answer == WS_ANSWER_OK && !job->submitted)
 		sim_fail(sim, "invented: %s", job->spec.id);
 }
 
@@ -216,7 +217,7 @@
 
 	if (!take_pending(sim, job, effect->request_id, &known))
 		return;
-	if (effect->status == 503 && effect->retry_after < 1)
+	if (effect->answer == WS_ANSWER_UNAVAILABLE && effect->retry_after < 1)
 		sim_fail(sim, "%s: a 503 without Retry-After", job->spec.id);
 	if (known.kind == SIM_REQUEST_SUBMIT)
 		is_news = take_submit_answer(sim, job, effect);
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -212,14 +212,15 @@
 
 /* ---- answers and commands ---- */
 
-int sim_worker_command(struct sim *sim, struct sim_worker *worker, uint64_t fencing_token,
-		       uint64_t incarnation, const struct ws_command *commands, size_t count,
-		       struct ws_heartbeat *heartbeat)
+enum ws_outcome sim_worker_command(struct sim *sim, struct sim_worker *worker,
+				   uint64_t fencing_token, uint64_t incarnation,
+				   const struct ws_command *commands, size_t count,
+				   struct ws_heartbeat *heartbeat)
 {
-	int status = 200;
+	enum ws_outcome outcome = WS_OUTCOME_OK;
 
 	if (fencing_token < worker->fencing_token || incarnation != worker->incarnation) {
-		status = 409;
+		outcome = WS_OUTCOME_CONFLICT;
 	} else {
 		if (fencing_token > worker->fencing_token) {
 			worker->fencing_token = fencing_token;
@@ -229,7 +230,7 @@
 	}
 	if (heartbeat)
 		sim_worker_heartbeat(sim, worker, heartbeat);
-	return status;
+	return outcome;
 }
 
 /* The leader's answer renews the lease. */
@@ -271,9 +272,9 @@
 	    sim_is_partitioned(sim, worker, &sim->nodes[worker->node]))
 		return;
 	worker->heartbeat_pending = false;
-	if (effect->status == 200)
+	if (effect->answer == WS_ANSWER_OK)
 		take_leader_answer(sim, worker, effect);
-	else if (effect->status != 421 || !effect->name[0] ||
+	else if (effect->answer != WS_ANSWER_OTHER_LEADER || !effect->name[0] ||
 		 !follow_redirect(sim, worker, effect->name))
 		try_next_node(sim, worker);
 }
--- a/tests/sim_workers.h
+++ b/tests/sim_workers.h
@@ -12,10 +12,11 @@
 int sim_worker_at(const char *address);
 /* Whether it runs now and does not hang. */
 bool sim_worker_live(const struct sim *sim, const struct sim_worker *worker);
-/* Direct commands reach it: their status, and in `heartbeat` its answer, unless that is NULL. */
-int sim_worker_command(struct sim *sim, struct sim_worker *worker, uint64_t fencing_token,
-		       uint64_t incarnation, const struct ws_command *commands, size_t count,
-		       struct ws_heartbeat *heartbeat);
+/* Direct commands reach it: their outcome, and in `heartbeat` its answer, unless that is NULL. */
+enum ws_outcome sim_worker_command(struct sim *sim, struct sim_worker *worker,
+				   uint64_t fencing_token, uint64_t incarnation,
+				   const struct ws_command *commands, size_t count,
+				   struct ws_heartbeat *heartbeat);
 /* A node's answer to its heartbeat. */
 void sim_worker_answer(struct sim *sim, const struct ws_effect *effect);
 /* Whether node and machine can't reach each other now. */
