--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -18,7 +18,7 @@
 
 	if (result->outcome == WS_OUTCOME_OK) {
 		ws_status_cache_note_cancelled(core, call->transaction.compares[0].key,
-					       result->revision);
+					       result->transaction.revision);
 		ws_user_answer(core, call->context_number, WS_ANSWER_OK, call->context_name,
 			       WS_JOB_CANCELLED);
 	} else if ((result->outcome == WS_OUTCOME_CONFLICT ||
@@ -74,8 +74,8 @@
 				  call->context_number, request, ws_query_archived_read);
 		return;
 	}
-	if (result->outcome != WS_OUTCOME_OK || result->entry_count != 1 ||
-	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
+	if (result->outcome != WS_OUTCOME_OK || result->records.entry_count != 1 ||
+	    !ws_record_read_phase(result->records.entries[0].value, &phase, &done, &running)) {
 		ws_user_answer_unavailable(
 		    core, call->context_number, call->context_name, request->forwarded,
 		    result->outcome == WS_OUTCOME_OK ? WS_OUTCOME_OTHER : result->outcome);
@@ -84,7 +84,7 @@
 	if (phase == WS_JOB_DONE || phase == WS_JOB_CANCELLED) {
 		if (phase == WS_JOB_CANCELLED)
 			ws_status_cache_note_cancelled(core, call->read.key,
-						       result->entries[0].revision);
+						       result->records.entries[0].revision);
 		ws_user_answer(core, call->context_number, WS_ANSWER_OK, call->context_name, phase);
 		return;
 	}
@@ -95,8 +95,9 @@
 	snprintf(transaction->context_name, sizeof(transaction->context_name), "%s",
 		 call->context_name);
 	ws_transaction_reserve(transaction, 1, (size_t)core->settings->txn_ops);
-	ws_transaction_compare(transaction, call->read.key, result->entries[0].revision);
-	ws_transaction_set(transaction, call->read.key, json_deep_copy(result->entries[0].value));
+	ws_transaction_compare(transaction, call->read.key, result->records.entries[0].revision);
+	ws_transaction_set(transaction, call->read.key,
+			   json_deep_copy(result->records.entries[0].value));
 	ws_record_cancel(transaction->transaction.operations[0].value);
 	if (request->record_split)
 		ws_cancel_split_written(core, transaction);
--- a/src/core/api/heartbeat_requests.c
+++ b/src/core/api/heartbeat_requests.c
@@ -17,7 +17,8 @@
 
 	effect->request_id = request_id;
 	effect->answer = answer;
-	snprintf(effect->name, sizeof(effect->name), "%s", leader ? leader : "");
+	snprintf(effect->heartbeat.leader, sizeof(effect->heartbeat.leader), "%s",
+		 leader ? leader : "");
 }
 
 /*
@@ -57,8 +58,9 @@
 	}
 	effect = ws_effect_new(core, WS_EFFECT_FORWARD);
 	effect->request_id = request_id;
-	effect->worker_pinned = redirect->heartbeat_count > 2;
-	snprintf(effect->name, sizeof(effect->name), "%s", core->leadership.leader_node);
+	effect->forward.worker_pinned = redirect->heartbeat_count > 2;
+	snprintf(effect->forward.leader, sizeof(effect->forward.leader), "%s",
+		 core->leadership.leader_node);
 }
 
 /* Takes redirects that are a lease old off the table, as a list linked by `next_expired`. */
--- a/src/core/api/outage_votes.c
+++ b/src/core/api/outage_votes.c
@@ -78,11 +78,11 @@
 	    (question->accepts_list &&
 	     core->leadership.leader_revision > question->leader_revision))
 		return;
-	effect->vote_granted = ws_cancellations_since(
-	    core, question->since_revision, question->after, &effect->cancellations,
-	    &effect->cancellation_count, WS_VOTE_CANCELLATIONS_MAX, &effect->has_more);
+	effect->vote.granted = ws_cancellations_since(
+	    core, question->since_revision, question->after, &effect->vote.cancellations,
+	    &effect->vote.cancellation_count, WS_VOTE_CANCELLATIONS_MAX, &effect->vote.has_more);
 	/* who can't take in the list is not told that all is as it was unless there is none */
-	if (question->accepts_list || (effect->vote_granted && !effect->cancellation_count))
+	if (question->accepts_list || (effect->vote.granted && !effect->vote.cancellation_count))
 		effect->answer = WS_ANSWER_UNAVAILABLE;
 }
 
--- a/src/core/api/status_cache.c
+++ b/src/core/api/status_cache.c
@@ -89,10 +89,11 @@
 
 	if (!core->status_cache.complete || call->watch.since_revision > held)
 		return;
-	for (size_t i = 0; i < result->entry_count; i++)
-		if (result->entries[i].revision > held)
-			ws_status_cache_apply_change(core, &result->entries[i]);
-	core->status_cache.revision = result->revision > held ? result->revision : held;
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		if (result->records.entries[i].revision > held)
+			ws_status_cache_apply_change(core, &result->records.entries[i]);
+	core->status_cache.revision =
+	    result->records.revision > held ? result->records.revision : held;
 	core->status_cache.fresh_at = core->now;
 }
 
@@ -143,11 +144,12 @@
 		return;
 	}
 	if (!call->read.after[0])
-		ws_status_cache_begin_load(core, result->revision);
-	for (size_t i = 0; i < result->entry_count; i++)
-		ws_status_cache_apply_change(core, &result->entries[i]);
-	if (result->has_more && result->entry_count) {
-		ws_status_cache_load(core, result->entries[result->entry_count - 1].key);
+		ws_status_cache_begin_load(core, result->records.revision);
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		ws_status_cache_apply_change(core, &result->records.entries[i]);
+	if (result->records.has_more && result->records.entry_count) {
+		ws_status_cache_load(core,
+				     result->records.entries[result->records.entry_count - 1].key);
 		return;
 	}
 	core->status_cache.request_in_flight = false;
--- a/src/core/api/status_queries.c
+++ b/src/core/api/status_queries.c
@@ -58,8 +58,8 @@
 {
 	struct ws_user_request *request = call->context;
 
-	if (result->outcome == WS_OUTCOME_OK && result->entry_count == 1)
-		ws_final_status_keep(core, call->context_name, result->entries[0].value);
+	if (result->outcome == WS_OUTCOME_OK && result->records.entry_count == 1)
+		ws_final_status_keep(core, call->context_name, result->records.entries[0].value);
 	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, true);
 	else if (result->outcome == WS_OUTCOME_NOT_FOUND)
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -12,10 +12,10 @@
 
 	effect->request_id = request_id;
 	effect->answer = answer;
-	effect->phase = phase;
-	snprintf(effect->name, sizeof(effect->name), "%s", id);
+	effect->user.phase = phase;
+	snprintf(effect->user.job, sizeof(effect->user.job), "%s", id);
 	if (answer == WS_ANSWER_UNAVAILABLE)
-		effect->retry_after = 1;
+		effect->user.retry_after_s = 1;
 }
 
 /* The store does not serve us: a peer may do better, unless the request came from one. */
@@ -69,17 +69,17 @@
 
 	effect->request_id = request_id;
 	effect->answer = WS_ANSWER_OK;
-	effect->phase = phase;
-	effect->carries_counts = with_counts;
-	effect->done = done;
-	effect->running = running;
-	snprintf(effect->name, sizeof(effect->name), "%s", id);
+	effect->user.phase = phase;
+	effect->user.carries_counts = with_counts;
+	effect->user.done = done;
+	effect->user.running = running;
+	snprintf(effect->user.job, sizeof(effect->user.job), "%s", id);
 	if (with_counts && core->leadership.role == WS_LEADER && phase == WS_JOB_RUNNING) {
 		struct ws_job *job = ws_job_find(core, id);
 
 		if (job) {
-			effect->done = job->done_count;
-			effect->running = job->attempt_count;
+			effect->user.done = job->done_count;
+			effect->user.running = job->attempt_count;
 		}
 	}
 }
@@ -90,15 +90,16 @@
 	enum ws_job_phase phase;
 	uint32_t done, running;
 
-	if (result->entry_count != 1 ||
-	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
+	if (result->records.entry_count != 1 ||
+	    !ws_record_read_phase(result->records.entries[0].value, &phase, &done, &running)) {
 		ws_log(core, WS_LOG_ERROR, "record %s can't be read", call->read.key);
 		ws_user_answer(core, call->context_number, WS_ANSWER_UNAVAILABLE,
 			       call->context_name, WS_JOB_QUEUED);
 		return;
 	}
 	if (phase == WS_JOB_CANCELLED)
-		ws_status_cache_note_cancelled(core, call->read.key, result->entries[0].revision);
+		ws_status_cache_note_cancelled(core, call->read.key,
+					       result->records.entries[0].revision);
 	ws_user_answer_status(core, call->context_number, call->context_name, phase, done, running,
 			      with_counts);
 }
--- a/src/core/autoscaler/instance_list.c
+++ b/src/core/autoscaler/instance_list.c
@@ -16,10 +16,10 @@
 
 	if (fleet->owned_recorded || fleet->owned_determined)
 		return;
-	if (page->instance_count)
+	if (page->instances.count)
 		snprintf(fleet->last_owned_name, sizeof(fleet->last_owned_name), "%s",
-			 page->instances[page->instance_count - 1].name);
-	if (page->has_more || (!fleet->last_owned_name[0] && !lag_is_over))
+			 page->instances.list[page->instances.count - 1].name);
+	if (page->instances.has_more || (!fleet->last_owned_name[0] && !lag_is_over))
 		return;
 	fleet->owned_determined = true;
 	fleet->first_fit_stale = true;
@@ -30,11 +30,11 @@
 /* Takes in the instances of a page, and marks their machines as listed. */
 static void ws_apply_page(struct ws_core *core, const struct ws_result *page)
 {
-	for (size_t i = 0; i < page->instance_count; i++) {
+	for (size_t i = 0; i < page->instances.count; i++) {
 		struct ws_machine *machine;
 
-		ws_machine_apply_instance(core, &page->instances[i]);
-		machine = ws_machine_find(core, page->instances[i].name);
+		ws_machine_apply_instance(core, &page->instances.list[i]);
+		machine = ws_machine_find(core, page->instances.list[i].name);
 		if (machine)
 			machine->instance_list_mark = core->autoscaler.list_mark;
 	}
@@ -88,9 +88,9 @@
 	}
 	ws_determine_owned_machines(core, result);
 	ws_apply_page(core, result);
-	if (result->has_more && result->instance_count) {
+	if (result->instances.has_more && result->instances.count) {
 		snprintf(autoscaler->list_continues_after, sizeof(autoscaler->list_continues_after),
-			 "%s", result->instances[result->instance_count - 1].name);
+			 "%s", result->instances.list[result->instances.count - 1].name);
 		autoscaler->next_list_at = core->now;
 		return;
 	}
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -101,11 +101,11 @@
 {
 	free(request->instances);
 	request->instance_count = 0;
-	request->instances = calloc(result->instance_count + 1, sizeof(*request->instances));
+	request->instances = calloc(result->instances.count + 1, sizeof(*request->instances));
 	if (!request->instances)
 		abort();
-	for (size_t i = 0; i < result->instance_count && i < WS_SCALE_OUT_MAX; i++) {
-		const char *name = result->instances[i].name;
+	for (size_t i = 0; i < result->instances.count && i < WS_SCALE_OUT_MAX; i++) {
+		const char *name = result->instances.list[i].name;
 		struct ws_machine *machine = ws_machine_find_or_add(core, name);
 
 		snprintf(request->instances[request->instance_count++], WS_NAME_MAX, "%s", name);
@@ -143,7 +143,7 @@
 		return;
 	if (result->outcome == WS_OUTCOME_OK) {
 		ws_scale_out_granted(core, request, result);
-	} else if (result->outcome == WS_OUTCOME_UNAVAILABLE && result->no_capacity) {
+	} else if (result->outcome == WS_OUTCOME_UNAVAILABLE && result->instances.no_capacity) {
 		ws_log(core, WS_LOG_INFO, "booking %s: no capacity for %s in %s%s",
 		       request->idempotency_key, request->type, request->zone,
 		       request->preemptible ? ", spot" : "");
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -6,10 +6,10 @@
 {
 	(void)call;
 	core->catalog.request_in_flight = false;
-	if (result->outcome == WS_OUTCOME_OK && result->entry_count == 1 &&
+	if (result->outcome == WS_OUTCOME_OK && result->records.entry_count == 1 &&
 	    !core->catalog.type_count)
 		core->catalog.type_count =
-		    ws_record_read_types(result->entries[0].value, core->catalog.types);
+		    ws_record_read_types(result->records.entries[0].value, core->catalog.types);
 	core->catalog.types_edition++;
 	if (!core->catalog.type_count)
 		core->catalog.next_request_at = core->now + core->settings->report_s / 2;
@@ -19,19 +19,21 @@
 			   const struct ws_result *result)
 {
 	(void)call;
-	if (result->outcome == WS_OUTCOME_OK && result->type_count) {
-		for (size_t i = 0; i < result->type_count; i++) {
+	if (result->outcome == WS_OUTCOME_OK && result->types.count) {
+		for (size_t i = 0; i < result->types.count; i++) {
 			const struct ws_machine_type *have =
-			    ws_machine_type_find(core, result->types[i].name);
+			    ws_machine_type_find(core, result->types.list[i].name);
 
 			if (have) /* prices move; pointers to types stay good */
-				core->catalog.types[have - core->catalog.types] = result->types[i];
+				core->catalog.types[have - core->catalog.types] =
+				    result->types.list[i];
 			else if (core->catalog.type_count < WS_MAX_TYPES)
-				core->catalog.types[core->catalog.type_count++] = result->types[i];
+				core->catalog.types[core->catalog.type_count++] =
+				    result->types.list[i];
 			else
 				ws_log(core, WS_LOG_ERROR,
 				       "machine type %s is left out: %d are kept",
-				       result->types[i].name, WS_MAX_TYPES);
+				       result->types.list[i].name, WS_MAX_TYPES);
 		}
 		core->catalog.types_edition++;
 		core->catalog.request_in_flight = false;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -97,9 +97,12 @@
 
 void ws_effect_free(struct ws_effect *effect)
 {
-	if (effect) {
-		free(effect->commands);
-		free(effect->cancellations);
+	if (!effect)
+		return;
+	switch (effect->kind) {
+	case WS_EFFECT_ANSWER_HEARTBEAT: free(effect->heartbeat.commands); break;
+	case WS_EFFECT_ANSWER_VOTE: free(effect->vote.cancellations); break;
+	default: break; /* the other kinds own nothing; a call goes to who carries it out */
 	}
 	free(effect);
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -140,29 +140,6 @@
 	WS_OUTCOME_OTHER,	 /* any other answer */
 };
 
-/* What a call brought. */
-struct ws_result {
-	enum ws_outcome outcome;
-	int http_status; /* of the answer, for log lines only; 0: none, below: never sent */
-	uint64_t revision, session;
-	struct ws_kv *entries;
-	size_t entry_count;
-	bool has_more;
-	bool no_capacity; /* UNAVAILABLE, and surely nothing was granted */
-	char (*failed_keys)[WS_KEY_MAX];
-	size_t failed_count;
-	struct ws_machine_type *types;
-	size_t type_count;
-	struct ws_instance *instances;
-	size_t instance_count;
-	struct ws_heartbeat *heartbeat;
-	/* TESTIFY: the peer answers for all cancellations that it knows of after a revision; these
-	 * are the first, `more` of them are left */
-	bool vote_granted;
-	struct ws_cancellation *cancellations;
-	size_t cancellation_count;
-};
-
 enum ws_call_kind {
 	WS_CALL_GET,
 	WS_CALL_LIST,
@@ -179,6 +156,63 @@
 	WS_CALL_OUTAGE_VOTE,
 };
 
+/* Of WS_CALL_GET (one entry), WS_CALL_LIST (a page) and WS_CALL_WATCH (changes). */
+struct ws_records_result {
+	struct ws_kv *entries; /* owned */
+	size_t entry_count;
+	uint64_t revision; /* LIST and WATCH: of the store, when it answered */
+	bool has_more;	   /* LIST: another page follows */
+};
+
+/* Of WS_CALL_TRANSACTION. */
+struct ws_transaction_result {
+	uint64_t revision;		 /* OK: of the keys written */
+	char (*failed_keys)[WS_KEY_MAX]; /* CONFLICT: those whose compare failed; owned */
+	size_t failed_count;
+};
+
+/* Of WS_CALL_MACHINE_TYPES. */
+struct ws_types_result {
+	struct ws_machine_type *list; /* owned */
+	size_t count;
+};
+
+/* Of WS_CALL_INSTANCES (a page), and of WS_CALL_SCALE_OUT, with names alone. */
+struct ws_instances_result {
+	struct ws_instance *list; /* owned */
+	size_t count;
+	bool has_more;	  /* INSTANCES: another page follows */
+	bool no_capacity; /* SCALE_OUT, UNAVAILABLE: surely nothing was granted */
+};
+
+/*
+ * An outage vote. Who grants it answers for all cancellations that it knows of after a revision:
+ * these are the first of them.
+ */
+struct ws_outage_vote_reply {
+	bool granted;
+	bool has_more;			       /* others follow the last one */
+	struct ws_cancellation *cancellations; /* owned */
+	size_t cancellation_count;
+};
+
+/* What a call brought. The kind of the call tells which member of the union holds it. */
+struct ws_result {
+	enum ws_call_kind kind;
+	enum ws_outcome outcome;
+	int http_status; /* of the answer, for log lines only; 0: none, below: never sent */
+	union {
+		struct ws_records_result records;
+		struct ws_transaction_result transaction;
+		uint64_t session; /* SESSION_OPEN: id of the new session */
+		struct ws_types_result types;
+		struct ws_instances_result instances;
+		struct ws_heartbeat
+		    *heartbeat; /* COMMANDS: the worker's answer; owned; may be NULL */
+		struct ws_outage_vote_reply vote;
+	};
+};
+
 /* A transaction is carried out only if this key has this revision; 0: the key is missing. */
 struct ws_compare {
 	char key[WS_KEY_MAX];
@@ -309,26 +343,42 @@
 	WS_EFFECT_ANSWER_VOTE,
 };
 
-struct ws_effect {
-	enum ws_effect_kind kind;
-	struct ws_call *call;
-	uint64_t request_id;
-	enum ws_answer answer;
-	int retry_after;	/* seconds; 0: not said */
-	char name[WS_NAME_MAX]; /* job id, or the node to heartbeat or relay to */
+/* WS_EFFECT_ANSWER_USER: of a job. */
+struct ws_user_reply {
+	char job[WS_NAME_MAX];
 	enum ws_job_phase phase;
-	uint32_t done, running;
-	bool carries_counts; /* the answer carries done and running */
-	bool worker_pinned; /* of a report to forward: its worker was named the leader and came back
-			     */
-	uint64_t fencing_token;
-	struct ws_command *commands;
+	uint32_t done, running; /* tasks */
+	bool carries_counts;	/* the answer carries done and running */
+	int retry_after_s;	/* 0: not said */
+};
+
+/* WS_EFFECT_ANSWER_HEARTBEAT. */
+struct ws_heartbeat_reply {
+	char leader[WS_NAME_MAX];    /* OTHER_LEADER: the node to turn to */
+	uint64_t fencing_token;	     /* OK */
+	struct ws_command *commands; /* OK; owned */
 	size_t command_count;
+};
+
+/* WS_EFFECT_FORWARD. */
+struct ws_forward {
+	char leader[WS_NAME_MAX]; /* the node to forward to; empty: any peer */
+	bool worker_pinned; /* of a heartbeat: its worker was named the leader and came back */
+};
+
+/* What is to be done. The kind tells which member of the union holds it. */
+struct ws_effect {
+	enum ws_effect_kind kind;
+	enum ws_answer answer; /* of the kinds that answer */
+	uint64_t request_id;   /* that is answered or forwarded */
+	union {
+		struct ws_call *call; /* not owned: it goes back by ws_core_complete() */
+		struct ws_user_reply user;
+		struct ws_heartbeat_reply heartbeat;
+		struct ws_forward forward;
+		struct ws_outage_vote_reply vote;
+	};
 	struct ws_effect *next;
-	/* of an outage vote: as in struct ws_result */
-	bool vote_granted, has_more;
-	struct ws_cancellation *cancellations;
-	size_t cancellation_count;
 };
 
 /* Log sink; the core writes no file itself. */
--- a/src/core/extension/subsystems.c
+++ b/src/core/extension/subsystems.c
@@ -360,11 +360,11 @@
 	if (call->generation != core->generation || core->leadership.role != WS_LEADER ||
 	    !subsystem || result->outcome != WS_OUTCOME_OK)
 		return;
-	for (size_t i = 0; i < result->entry_count; i++)
-		ws_subsystem_record_load(core, &result->entries[i]);
-	if (result->has_more && result->entry_count)
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		ws_subsystem_record_load(core, &result->records.entries[i]);
+	if (result->records.has_more && result->records.entry_count)
 		ws_subsystem_read(core, call->read.key,
-				  result->entries[result->entry_count - 1].key);
+				  result->records.entries[result->records.entry_count - 1].key);
 	else if (subsystem->ops->records_read)
 		subsystem->ops->records_read(subsystem->self,
 					     call->read.key + strlen(subsystem->ops->prefix));
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -338,14 +338,14 @@
 
 	effect->request_id = request_id;
 	effect->answer = WS_ANSWER_OK;
-	effect->fencing_token = machine->fencing_token;
+	effect->heartbeat.fencing_token = machine->fencing_token;
 	if (ws_machine_echoes_token(machine))
 		ws_subsystems_heartbeat(core, machine);
 	machine->lease_expires_at = ws_lease_expiry(core, core->now);
 	if (heartbeat->incarnation == machine->incarnation)
-		effect->commands =
-		    ws_commands_for_machine(core, machine, newest ? heartbeat : NULL,
-					    WS_ANSWER_COMMANDS_MAX, false, &effect->command_count);
+		effect->heartbeat.commands = ws_commands_for_machine(
+		    core, machine, newest ? heartbeat : NULL, WS_ANSWER_COMMANDS_MAX, false,
+		    &effect->heartbeat.command_count);
 }
 
 bool ws_fleet_heartbeat(struct ws_core *core, const struct ws_heartbeat *heartbeat,
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -220,10 +220,10 @@
 	core->leadership.elected_at =
 	    core->now +
 	    (call->transaction.compares[0].revision ? core->leadership.session_ttl_s : 0);
-	core->leadership.fencing_token = result->revision << WS_FENCING_TOKEN_SHIFT;
+	core->leadership.fencing_token = result->transaction.revision << WS_FENCING_TOKEN_SHIFT;
 	core->jobs.attempt_sequence = 0;
 	core->autoscaler.request_sequence = 0;
-	core->leadership.leader_revision = result->revision;
+	core->leadership.leader_revision = result->transaction.revision;
 	snprintf(core->leadership.leader_node, sizeof(core->leadership.leader_node), "%s",
 		 core->settings->node);
 	core->leadership.forwarded_only_since = 0;
@@ -255,11 +255,11 @@
 			core->leadership.next_attempt_at = core->now;
 		return;
 	}
-	core->leadership.watch_revision = result->revision;
-	for (size_t i = 0; i < result->entry_count; i++)
-		if (!strcmp(result->entries[i].key, WS_KEY_LEADER))
-			ws_leader_changed(core, result->entries[i].value,
-					  result->entries[i].revision);
+	core->leadership.watch_revision = result->records.revision;
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		if (!strcmp(result->records.entries[i].key, WS_KEY_LEADER))
+			ws_leader_changed(core, result->records.entries[i].value,
+					  result->records.entries[i].revision);
 	ws_leader_key_read(core, call->created_at);
 }
 
@@ -274,12 +274,12 @@
 	}
 	bool any = false;
 	core->leadership.leader_known = true; /* the revision of a new store may be 0 */
-	core->leadership.watch_revision = result->revision;
-	for (size_t i = 0; i < result->entry_count; i++)
-		if (!strcmp(result->entries[i].key, WS_KEY_LEADER)) {
+	core->leadership.watch_revision = result->records.revision;
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		if (!strcmp(result->records.entries[i].key, WS_KEY_LEADER)) {
 			any = true;
-			ws_leader_changed(core, result->entries[i].value,
-					  result->entries[i].revision);
+			ws_leader_changed(core, result->records.entries[i].value,
+					  result->records.entries[i].revision);
 		}
 	if (!any)
 		ws_leader_changed(core, NULL, 0);
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -62,13 +62,13 @@
 		return;
 	core->leadership.votes.outstanding--;
 	core->leadership.votes.last_answer_at = core->now;
-	if (result->outcome != WS_OUTCOME_UNAVAILABLE || !result->vote_granted)
+	if (result->outcome != WS_OUTCOME_UNAVAILABLE || !result->vote.granted)
 		return;
-	ws_core_outage_cancellations(core, result->cancellations, result->cancellation_count,
-				     call->outage_vote.peer);
-	if (result->has_more && result->cancellation_count) {
+	ws_core_outage_cancellations(core, result->vote.cancellations,
+				     result->vote.cancellation_count, call->outage_vote.peer);
+	if (result->vote.has_more && result->vote.cancellation_count) {
 		const struct ws_cancellation *last =
-		    &result->cancellations[result->cancellation_count - 1];
+		    &result->vote.cancellations[result->vote.cancellation_count - 1];
 
 		ws_outage_vote_request(core, call->outage_vote.peer, last->revision, last->job);
 		return;
--- a/src/core/store/job_watch.c
+++ b/src/core/store/job_watch.c
@@ -42,13 +42,13 @@
 
 	if (core->leadership.role != WS_LEADER || call->watch.since_revision > held)
 		return;
-	for (size_t i = 0; i < result->entry_count; i++) {
-		const struct ws_kv *change = &result->entries[i];
+	for (size_t i = 0; i < result->records.entry_count; i++) {
+		const struct ws_kv *change = &result->records.entries[i];
 
 		if (change->revision > held && ws_key_has_prefix(change->key, WS_KEY_PREFIX_JOB))
 			ws_core_job_changed(core, change);
 	}
-	watch->revision = result->revision > held ? result->revision : held;
+	watch->revision = result->records.revision > held ? result->records.revision : held;
 	ws_job_watch_confirm(core, call->created_at);
 }
 
--- a/src/core/store/loader.c
+++ b/src/core/store/loader.c
@@ -81,11 +81,12 @@
 	}
 	source = ws_record_source_of(core, call->read.key);
 	if (source && source->listed && !call->read.after[0])
-		source->listed(core, result->revision, call->created_at);
-	for (size_t i = 0; i < result->entry_count; i++)
-		ws_loader_record(core, &result->entries[i]);
-	if (result->has_more && result->entry_count)
-		ws_loader_list(core, call->read.key, result->entries[result->entry_count - 1].key);
+		source->listed(core, result->records.revision, call->created_at);
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		ws_loader_record(core, &result->records.entries[i]);
+	if (result->records.has_more && result->records.entry_count)
+		ws_loader_list(core, call->read.key,
+			       result->records.entries[result->records.entry_count - 1].key);
 	else
 		ws_loader_next(core, call->read.key);
 }
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -63,8 +63,9 @@
 	source = ws_record_source_of(core, call->read.key);
 	if (source && source->read_again)
 		source->read_again(core, call->read.key, found,
-				   found && result->entry_count == 1 ? result->entries[0].revision
-								     : 0);
+				   found && result->records.entry_count == 1
+				       ? result->records.entries[0].revision
+				       : 0);
 }
 
 static void ws_writer_read_again(struct ws_core *core, const char *key)
@@ -98,8 +99,8 @@
 {
 	bool failed = false;
 
-	for (size_t i = 0; i < result->failed_count; i++)
-		failed |= !strcmp(result->failed_keys[i], key);
+	for (size_t i = 0; i < result->transaction.failed_count; i++)
+		failed |= !strcmp(result->transaction.failed_keys[i], key);
 	for (size_t i = 0; failed && i < call->transaction.compare_count; i++)
 		if (!strcmp(call->transaction.compares[i].key, key))
 			return &call->transaction.compares[i];
@@ -162,8 +163,8 @@
 
 static bool ws_writer_lost_lead(const struct ws_result *result)
 {
-	for (size_t i = 0; i < result->failed_count; i++)
-		if (!strcmp(result->failed_keys[i], "leader"))
+	for (size_t i = 0; i < result->transaction.failed_count; i++)
+		if (!strcmp(result->transaction.failed_keys[i], "leader"))
 			return true;
 	return false;
 }
@@ -197,7 +198,7 @@
 	core->writer.in_flight = false;
 	core->writer.woken = true;
 	if (result->outcome == WS_OUTCOME_OK) {
-		ws_writer_committed(core, call, result->revision);
+		ws_writer_committed(core, call, result->transaction.revision);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_CONFLICT && ws_writer_lost_lead(result)) {
--- a/src/failure_domains_command.c
+++ b/src/failure_domains_command.c
@@ -114,8 +114,9 @@
 	ws_store_client_call(store, &read, &result);
 	outcome = result.outcome;
 	*http_status = result.http_status;
-	condition.revision =
-	    outcome == WS_OUTCOME_OK && result.entry_count ? result.entries[0].revision : 0;
+	condition.revision = outcome == WS_OUTCOME_OK && result.records.entry_count
+				 ? result.records.entries[0].revision
+				 : 0;
 	ws_result_free(&result);
 	if (outcome != WS_OUTCOME_OK && outcome != WS_OUTCOME_NOT_FOUND)
 		return outcome;
--- a/src/io/codec.h
+++ b/src/io/codec.h
@@ -56,8 +56,9 @@
 /* The request of a call: its body, which the caller frees, or NULL where it has none. */
 char *ws_encode_call(const struct ws_call *call, const char **method, char *path);
 /* Reads an answer into `result`; what it allocates is freed by ws_result_free(). A body that makes
- * no sense: status 0. */
+ * no sense: no answer. */
 void ws_decode_reply(const struct ws_call *call, int status, const char *body, size_t length,
 		     struct ws_result *result);
+/* Frees what a result holds; it is one without an answer then, to a call of the same kind. */
 void ws_result_free(struct ws_result *result);
 #endif
--- a/src/io/decode_cloud.c
+++ b/src/io/decode_cloud.c
@@ -46,13 +46,13 @@
 
 	if (!ws_member_array(object, "flavours", &elements, &count) || !count)
 		return false;
-	result->types = calloc(count, sizeof(*result->types));
-	if (!result->types)
+	result->types.list = calloc(count, sizeof(*result->types.list));
+	if (!result->types.list)
 		return false;
 	while (ws_json_next(&elements, &type)) {
-		if (!decode_type(type, &result->types[result->type_count]))
+		if (!decode_type(type, &result->types.list[result->types.count]))
 			return false;
-		result->type_count++;
+		result->types.count++;
 	}
 	return true;
 }
@@ -85,16 +85,16 @@
 
 	if (!ws_member_array(object, "hosts", &elements, &count))
 		return false;
-	result->instances = calloc(count + 1, sizeof(*result->instances));
-	if (!result->instances)
+	result->instances.list = calloc(count + 1, sizeof(*result->instances.list));
+	if (!result->instances.list)
 		return false;
 	while (ws_json_next(&elements, &element)) {
-		struct ws_instance *instance = &result->instances[result->instance_count];
+		struct ws_instance *instance = &result->instances.list[result->instances.count];
 
 		if (names_only ? !ws_element_name(element, instance->name) || !instance->name[0]
 			       : !decode_instance(element, instance))
 			return false;
-		result->instance_count++;
+		result->instances.count++;
 	}
 	return true;
 }
--- a/src/io/decode_reply.c
+++ b/src/io/decode_reply.c
@@ -23,12 +23,13 @@
 			   struct ws_result *result)
 {
 	switch (call->kind) {
-	case WS_CALL_TRANSACTION: return ws_member_uint(object, "ledgerRev", &result->revision);
+	case WS_CALL_TRANSACTION:
+		return ws_member_uint(object, "ledgerRev", &result->transaction.revision);
 	case WS_CALL_SESSION_OPEN: return ws_member_uint(object, "permit", &result->session);
 	case WS_CALL_MACHINE_TYPES: return ws_decode_types(object, result);
 	case WS_CALL_INSTANCES:
-		if (!ws_member_bool(object, "hasNext", &result->has_more))
-			result->has_more = false;
+		if (!ws_member_bool(object, "hasNext", &result->instances.has_more))
+			result->instances.has_more = false;
 		return ws_decode_instances(object, result, false);
 	case WS_CALL_SCALE_OUT: return ws_decode_instances(object, result, true);
 	case WS_CALL_COMMANDS: return decode_command_answer(object, result);
@@ -55,9 +56,9 @@
 	bool done = status == 200 || (status == 409 && call->kind == WS_CALL_COMMANDS);
 	struct ws_json object;
 
-	memset(result, 0, sizeof(*result));
-	result->outcome = ws_outcome_of_http_status(status);
-	result->http_status = status;
+	*result = (struct ws_result){.kind = call->kind,
+				     .outcome = ws_outcome_of_http_status(status),
+				     .http_status = status};
 	if (status <= 0 || (done && status_says_all(call)))
 		return;
 	if (carries_records(call)) {
@@ -73,22 +74,37 @@
 	} else if (read && status == 409 && call->kind == WS_CALL_TRANSACTION) {
 		ws_decode_failed_keys(object, result);
 	} else if (read && status == 503 && call->kind == WS_CALL_SCALE_OUT) {
-		result->no_capacity = ws_decode_no_capacity(object);
+		result->instances.no_capacity = ws_decode_no_capacity(object);
 	}
 }
 
+static void records_free(struct ws_records_result *records)
+{
+	for (size_t i = 0; i < records->entry_count; i++)
+		json_decref(records->entries[i].value);
+	free(records->entries);
+}
+
 void ws_result_free(struct ws_result *result)
 {
-	for (size_t i = 0; i < result->entry_count; i++)
-		json_decref(result->entries[i].value);
-	if (result->heartbeat) {
-		ws_heartbeat_free(result->heartbeat);
+	switch (result->kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+	case WS_CALL_WATCH: records_free(&result->records); break;
+	case WS_CALL_TRANSACTION: free(result->transaction.failed_keys); break;
+	case WS_CALL_MACHINE_TYPES: free(result->types.list); break;
+	case WS_CALL_INSTANCES:
+	case WS_CALL_SCALE_OUT: free(result->instances.list); break;
+	case WS_CALL_COMMANDS:
+		if (result->heartbeat)
+			ws_heartbeat_free(result->heartbeat);
 		free(result->heartbeat);
+		break;
+	case WS_CALL_OUTAGE_VOTE: free(result->vote.cancellations); break;
+	case WS_CALL_SESSION_OPEN:
+	case WS_CALL_SESSION_RENEW:
+	case WS_CALL_SESSION_CLOSE:
+	case WS_CALL_SCALE_IN: break;
 	}
-	free(result->entries);
-	free(result->failed_keys);
-	free(result->types);
-	free(result->instances);
-	free(result->cancellations);
-	memset(result, 0, sizeof(*result));
+	*result = (struct ws_result){.kind = result->kind};
 }
--- a/src/io/decode_state.c
+++ b/src/io/decode_state.c
@@ -52,8 +52,9 @@
 
 	if (!json_is_array(array))
 		return false;
-	result->entries = calloc(json_array_size(array) + 1, sizeof(*result->entries));
-	if (!result->entries)
+	result->records.entries =
+	    calloc(json_array_size(array) + 1, sizeof(*result->records.entries));
+	if (!result->records.entries)
 		return false;
 	json_array_foreach (array, i, entry) {
 		bool deleted = events && json_object_get(entry, "delete");
@@ -61,14 +62,14 @@
 
 		if (deleted)
 			key_name = "delete";
-		if (!decode_record(entry, key_name, &result->entries[result->entry_count],
-				   !deleted))
+		if (!decode_record(entry, key_name,
+				   &result->records.entries[result->records.entry_count], !deleted))
 			return false;
 		if (deleted) {
-			json_decref(result->entries[result->entry_count].value);
-			result->entries[result->entry_count].value = NULL;
+			json_decref(result->records.entries[result->records.entry_count].value);
+			result->records.entries[result->records.entry_count].value = NULL;
 		}
-		result->entry_count++;
+		result->records.entry_count++;
 	}
 	return true;
 }
@@ -76,14 +77,15 @@
 static bool decode_records(const struct ws_call *call, json_t *object, struct ws_result *result)
 {
 	if (call->kind == WS_CALL_GET) {
-		result->entries = calloc(1, sizeof(*result->entries));
-		if (!result->entries || !decode_record(object, "k", result->entries, true))
+		result->records.entries = calloc(1, sizeof(*result->records.entries));
+		if (!result->records.entries ||
+		    !decode_record(object, "k", result->records.entries, true))
 			return false;
-		result->entry_count = 1;
-		return !strcmp(result->entries->key, call->read.key);
+		result->records.entry_count = 1;
+		return !strcmp(result->records.entries->key, call->read.key);
 	}
-	result->has_more = json_is_true(json_object_get(object, "hasNext"));
-	if (!record_revision(object, "ledgerRev", &result->revision))
+	result->records.has_more = json_is_true(json_object_get(object, "hasNext"));
+	if (!record_revision(object, "ledgerRev", &result->records.revision))
 		return false;
 	return call->kind == WS_CALL_LIST
 		   ? decode_records_array(json_object_get(object, "entries"), result, false)
@@ -112,9 +114,11 @@
 
 	if (!ws_member_array(object, "failed", &elements, &count))
 		return;
-	result->failed_keys = calloc(count + 1, sizeof(*result->failed_keys));
-	while (result->failed_keys && ws_json_next(&elements, &key))
+	result->transaction.failed_keys =
+	    calloc(count + 1, sizeof(*result->transaction.failed_keys));
+	while (result->transaction.failed_keys && ws_json_next(&elements, &key))
 		if (ws_json_string(key, &text, &length))
-			snprintf(result->failed_keys[result->failed_count++], WS_KEY_MAX, "%s",
-				 text);
+			snprintf(
+			    result->transaction.failed_keys[result->transaction.failed_count++],
+			    WS_KEY_MAX, "%s", text);
 }
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -36,10 +36,11 @@
 	if (answer->answer != WS_ANSWER_OK && answer->answer != WS_ANSWER_ACCEPTED)
 		return strdup("{}");
 	ws_pool_begin();
-	document = json_pack("{s:s,s:s}", "nameId", answer->name, "phase", phases[answer->phase]);
-	if (answer->carries_counts) {
-		json_object_set_new(document, "done", json_integer(answer->done));
-		json_object_set_new(document, "running", json_integer(answer->running));
+	document =
+	    json_pack("{s:s,s:s}", "nameId", answer->user.job, "phase", phases[answer->user.phase]);
+	if (answer->user.carries_counts) {
+		json_object_set_new(document, "done", json_integer(answer->user.done));
+		json_object_set_new(document, "running", json_integer(answer->user.running));
 	}
 	return to_text(document);
 }
@@ -66,15 +67,16 @@
 
 char *ws_encode_heartbeat_answer(const struct ws_effect *answer)
 {
-	bool names_leader = answer->answer == WS_ANSWER_OTHER_LEADER && answer->name[0];
+	bool names_leader = answer->answer == WS_ANSWER_OTHER_LEADER && answer->heartbeat.leader[0];
 
 	if (answer->answer != WS_ANSWER_OK && !names_leader)
 		return strdup("{}");
 	ws_pool_begin();
 	if (names_leader)
-		return to_text(json_pack("{s:s}", "supervisor", answer->name));
-	return to_text(json_pack("{s:I,s:o}", "epoch", (json_int_t)answer->fencing_token, "orders",
-				 commands_json(answer->commands, answer->command_count)));
+		return to_text(json_pack("{s:s}", "supervisor", answer->heartbeat.leader));
+	return to_text(
+	    json_pack("{s:I,s:o}", "epoch", (json_int_t)answer->heartbeat.fencing_token, "orders",
+		      commands_json(answer->heartbeat.commands, answer->heartbeat.command_count)));
 }
 
 char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *commands,
--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -48,7 +48,7 @@
 				   .request_id = request_id,
 				   .answer = WS_ANSWER_OTHER_LEADER};
 
-	snprintf(answer.name, sizeof(answer.name), "%s", leader);
+	snprintf(answer.heartbeat.leader, sizeof(answer.heartbeat.leader), "%s", leader);
 	ws_router_answer_heartbeat(service, &answer);
 }
 
@@ -106,9 +106,9 @@
 	request->token = effect->request_id;
 	request->heartbeat = heartbeat;
 	if (heartbeat) {
-		snprintf(request->leader, sizeof(request->leader), "%s", effect->name);
+		snprintf(request->leader, sizeof(request->leader), "%s", effect->forward.leader);
 		request->began = ws_now();
-		request->pinned = effect->worker_pinned;
+		request->pinned = effect->forward.worker_pinned;
 		service->forwarding.heartbeats++;
 	}
 	return request;
@@ -150,13 +150,13 @@
 		return;
 	}
 	heartbeat = pending->kind == WS_REQUEST_HEARTBEAT;
-	if (heartbeat && !heartbeat_may_be_forwarded(service, effect->worker_pinned)) {
-		name_leader(service, effect->request_id, effect->name);
+	if (heartbeat && !heartbeat_may_be_forwarded(service, effect->forward.worker_pinned)) {
+		name_leader(service, effect->request_id, effect->forward.leader);
 		return;
 	}
 	request = forwarded_request_new(service, effect, heartbeat);
 	if (request)
-		send_to_leader(request, effect->name, &http);
+		send_to_leader(request, effect->forward.leader, &http);
 	else
 		ws_router_answer_status(service, effect->request_id, 503);
 }
--- a/src/io/outage_vote.c
+++ b/src/io/outage_vote.c
@@ -18,26 +18,29 @@
 {
 	const Ws__OutageVote *vote = frame->vote;
 
-	memset(result, 0, sizeof(*result));
-	result->http_status = (int)frame->status;
-	result->outcome = ws_outcome_of_http_status(result->http_status);
+	*result = (struct ws_result){.kind = WS_CALL_OUTAGE_VOTE,
+				     .outcome = ws_outcome_of_http_status((int)frame->status),
+				     .http_status = (int)frame->status};
 	if (result->outcome != WS_OUTCOME_UNAVAILABLE || !vote)
 		return true; /* no list: no vote, whatever the status */
-	result->cancellations = calloc(vote->n_cancelled + 1, sizeof(*result->cancellations));
-	if (!result->cancellations)
+	result->vote.cancellations =
+	    calloc(vote->n_cancelled + 1, sizeof(*result->vote.cancellations));
+	if (!result->vote.cancellations)
 		abort();
 	for (size_t i = 0; i < vote->n_cancelled; i++) {
 		if (!ws_job_id_ok(vote->cancelled[i]->job)) {
-			free(result->cancellations);
-			*result = (struct ws_result){.outcome = WS_OUTCOME_OK};
+			free(result->vote.cancellations);
+			*result = (struct ws_result){.kind = WS_CALL_OUTAGE_VOTE,
+						     .outcome = WS_OUTCOME_OK};
 			return false;
 		}
-		snprintf(result->cancellations[i].job, WS_ID_MAX, "%s", vote->cancelled[i]->job);
-		result->cancellations[i].revision = vote->cancelled[i]->revision;
+		snprintf(result->vote.cancellations[i].job, WS_ID_MAX, "%s",
+			 vote->cancelled[i]->job);
+		result->vote.cancellations[i].revision = vote->cancelled[i]->revision;
 	}
-	result->cancellation_count = vote->n_cancelled;
-	result->has_more = vote->has_more;
-	result->vote_granted = true;
+	result->vote.cancellation_count = vote->n_cancelled;
+	result->vote.has_more = vote->has_more;
+	result->vote.granted = true;
 	return true;
 }
 
@@ -47,21 +50,22 @@
 
 	frame->kind = WS__PEER_FRAME__KIND__REPLY;
 	frame->status = (uint32_t)ws_http_status_of_answer(answer->answer);
-	if (!answer->vote_granted)
+	if (!answer->vote.granted)
 		return;
 	frame->vote = vote;
-	vote->has_more = answer->has_more;
-	vote->n_cancelled = answer->cancellation_count;
-	vote->cancelled = calloc(answer->cancellation_count + 1, sizeof(*vote->cancelled));
-	list = calloc(answer->cancellation_count + 1, sizeof(*list));
+	vote->has_more = answer->vote.has_more;
+	vote->n_cancelled = answer->vote.cancellation_count;
+	vote->cancelled = calloc(answer->vote.cancellation_count + 1, sizeof(*vote->cancelled));
+	list = calloc(answer->vote.cancellation_count + 1, sizeof(*list));
 	if (!vote->cancelled || !list)
 		abort();
-	for (size_t i = 0; i <= answer->cancellation_count; i++) /* the first one owns them all */
+	for (size_t i = 0; i <= answer->vote.cancellation_count;
+	     i++) /* the first one owns them all */
 		vote->cancelled[i] = &list[i];
-	for (size_t i = 0; i < answer->cancellation_count; i++) {
+	for (size_t i = 0; i < answer->vote.cancellation_count; i++) {
 		ws__cancellation__init(&list[i]);
-		list[i].job = answer->cancellations[i].job;
-		list[i].revision = answer->cancellations[i].revision;
+		list[i].job = answer->vote.cancellations[i].job;
+		list[i].revision = answer->vote.cancellations[i].revision;
 	}
 }
 
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -145,7 +145,7 @@
 
 static void finish_vote_call(struct call_in_flight *flight, const Ws__PeerFrame *reply)
 {
-	struct ws_result result = {0};
+	struct ws_result result = {.kind = WS_CALL_OUTAGE_VOTE};
 
 	if (reply && !ws_vote_read(reply, &result))
 		ws_logf(WS_LOG_ERROR, "testimony of %s can't be read: taken for none",
--- a/src/io/request_router.c
+++ b/src/io/request_router.c
@@ -70,7 +70,7 @@
 
 void ws_router_answer_user(struct ws_service *service, const struct ws_effect *answer)
 {
-	answer_encoded(service, answer, ws_encode_user(answer), answer->retry_after);
+	answer_encoded(service, answer, ws_encode_user(answer), answer->user.retry_after_s);
 }
 
 void ws_router_answer_heartbeat(struct ws_service *service, const struct ws_effect *answer)
--- a/src/store_client.c
+++ b/src/store_client.c
@@ -54,7 +54,7 @@
 	const char *method;
 	char *body = ws_encode_call(call, &method, path);
 
-	memset(result, 0, sizeof(*result));
+	*result = (struct ws_result){.kind = call->kind};
 	store->call = call;
 	store->result = result;
 	if (ws_client_send(store->client, method, path, body ? body : "", body ? strlen(body) : 0,
@@ -77,12 +77,12 @@
 
 		ws_store_client_call(store, &call, &result);
 		ok = result.outcome == WS_OUTCOME_OK;
-		more = ok && result.has_more && result.entry_count > 0;
-		for (size_t i = 0; ok && i < result.entry_count; i++)
-			ok = each(context, &result.entries[i]);
+		more = ok && result.records.has_more && result.records.entry_count > 0;
+		for (size_t i = 0; ok && i < result.records.entry_count; i++)
+			ok = each(context, &result.records.entries[i]);
 		if (more)
 			snprintf(call.read.after, sizeof(call.read.after), "%s",
-				 result.entries[result.entry_count - 1].key);
+				 result.records.entries[result.records.entry_count - 1].key);
 		ws_result_free(&result);
 		if (!ok)
 			return false;
--- a/tests/codec_digest.h
+++ b/tests/codec_digest.h
@@ -51,53 +51,103 @@
 
 static void digest_records(struct digest *digest, const struct ws_result *result)
 {
-	for (size_t i = 0; i < result->entry_count; i++) {
-		char *value = json_dumps(result->entries[i].value, JSON_COMPACT | JSON_ENCODE_ANY);
+	for (size_t i = 0; i < result->records.entry_count; i++) {
+		char *value =
+		    json_dumps(result->records.entries[i].value, JSON_COMPACT | JSON_ENCODE_ANY);
 
-		digest_text(digest, result->entries[i].key);
-		digest_bytes(digest, &result->entries[i].revision,
-			     sizeof(result->entries[i].revision));
+		digest_text(digest, result->records.entries[i].key);
+		digest_bytes(digest, &result->records.entries[i].revision,
+			     sizeof(result->records.entries[i].revision));
 		digest_text(digest, value);
 		free(value);
 	}
 }
 
-/* Whole numbers, as eight bytes each; a 0 stands for each list, which is folded in by itself. */
-static void digest_result_numbers(struct digest *digest, const struct ws_result *result)
+/* The numbers of a result, of which each kind has some; the others are 0. */
+struct result_numbers {
+	uint64_t http_status, revision, session;
+	uint64_t records, record_count;
+	uint64_t flags; /* 1: has more; 256: no capacity */
+	uint64_t failed_keys, failed_key_count;
+	uint64_t types, type_count;
+	uint64_t instances, instance_count;
+	uint64_t heartbeat, vote_granted;
+	uint64_t cancellations, cancellation_count;
+};
+
+/* Lists are folded in by themselves: their fields stay 0 here. */
+static struct result_numbers result_numbers(const struct ws_result *result)
+{
+	struct result_numbers numbers = {.http_status = (uint32_t)result->http_status};
+
+	switch (result->kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+	case WS_CALL_WATCH:
+		numbers.revision = result->records.revision;
+		numbers.record_count = result->records.entry_count;
+		numbers.flags = result->records.has_more;
+		break;
+	case WS_CALL_TRANSACTION:
+		numbers.revision = result->transaction.revision;
+		numbers.failed_key_count = result->transaction.failed_count;
+		break;
+	case WS_CALL_SESSION_OPEN: numbers.session = result->session; break;
+	case WS_CALL_MACHINE_TYPES: numbers.type_count = result->types.count; break;
+	case WS_CALL_INSTANCES:
+	case WS_CALL_SCALE_OUT:
+		numbers.instance_count = result->instances.count;
+		numbers.flags = result->instances.has_more | (uint64_t)result->instances.no_capacity
+								 << 8;
+		break;
+	case WS_CALL_OUTAGE_VOTE:
+		numbers.vote_granted = result->vote.granted;
+		numbers.flags = result->vote.has_more;
+		numbers.cancellation_count = result->vote.cancellation_count;
+		break;
+	case WS_CALL_SESSION_RENEW:
+	case WS_CALL_SESSION_CLOSE:
+	case WS_CALL_SCALE_IN:
+	case WS_CALL_COMMANDS: break;
+	}
+	return numbers;
+}
+
+/* Elements that lie one behind the other. */
+static void digest_list(struct digest *digest, const void *list, size_t count, size_t size)
 {
-	const uint64_t numbers[] = {(uint32_t)result->http_status,
-				    result->revision,
-				    result->session,
-				    0,
-				    result->entry_count,
-				    result->has_more | (uint64_t)result->no_capacity << 8,
-				    0,
-				    result->failed_count,
-				    0,
-				    result->type_count,
-				    0,
-				    result->instance_count,
-				    0,
-				    result->vote_granted,
-				    0,
-				    result->cancellation_count};
-
-	digest_bytes(digest, numbers, sizeof(numbers));
+	if (count)
+		digest_bytes(digest, list, count * size);
 }
 
 static void digest_result(struct digest *digest, const struct ws_result *result)
 {
-	digest_result_numbers(digest, result);
-	digest_records(digest, result);
-	for (size_t i = 0; i < result->failed_count; i++)
-		digest_text(digest, result->failed_keys[i]);
-	if (result->type_count)
-		digest_bytes(digest, result->types, result->type_count * sizeof(*result->types));
-	if (result->instance_count)
-		digest_bytes(digest, result->instances,
-			     result->instance_count * sizeof(*result->instances));
-	if (result->heartbeat)
-		digest_report_value(digest, result->heartbeat);
+	const struct result_numbers numbers = result_numbers(result);
+
+	digest_bytes(digest, &numbers, sizeof(numbers));
+	switch (result->kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+	case WS_CALL_WATCH: digest_records(digest, result); break;
+	case WS_CALL_TRANSACTION:
+		for (size_t i = 0; i < result->transaction.failed_count; i++)
+			digest_text(digest, result->transaction.failed_keys[i]);
+		break;
+	case WS_CALL_MACHINE_TYPES:
+		digest_list(digest, result->types.list, result->types.count,
+			    sizeof(*result->types.list));
+		break;
+	case WS_CALL_INSTANCES:
+	case WS_CALL_SCALE_OUT:
+		digest_list(digest, result->instances.list, result->instances.count,
+			    sizeof(*result->instances.list));
+		break;
+	case WS_CALL_COMMANDS:
+		if (result->heartbeat)
+			digest_report_value(digest, result->heartbeat);
+		break;
+	default: break; /* numbers alone */
+	}
 }
 
 /* ws_decode_job(), with its outcome in the digest. */
@@ -149,25 +199,34 @@
 	return text;
 }
 
+static void digest_of_answer(enum ws_answer answer, int phase)
+{
+	const struct ws_effect to_user = {.kind = WS_EFFECT_ANSWER_USER,
+					  .answer = answer,
+					  .user = {.job = "job-000412",
+						   .phase = (enum ws_job_phase)phase,
+						   .done = 3,
+						   .running = 2,
+						   .carries_counts = phase & 1}};
+	const struct ws_effect to_worker = {.kind = WS_EFFECT_ANSWER_HEARTBEAT,
+					    .answer = answer,
+					    .heartbeat = {.leader = "job-000412"}};
+	char *text = ws_encode_user(&to_user);
+
+	encoded.messages++;
+	digest_text(&encoded, text);
+	free(text);
+	free(encode_report_answer(&to_worker));
+}
+
 static void digest_of_answers(void)
 {
-	struct ws_effect answer = {.name = "job-000412", .done = 3, .running = 2};
 	const enum ws_answer answers[] = {WS_ANSWER_OK, WS_ANSWER_ACCEPTED, WS_ANSWER_NOT_FOUND,
 					  WS_ANSWER_OTHER_LEADER, WS_ANSWER_UNAVAILABLE};
 
 	for (size_t i = 0; i < sizeof(answers) / sizeof(answers[0]); i++)
-		for (int phase = 0; phase < 4; phase++) {
-			char *text;
-
-			answer.answer = answers[i];
-			answer.phase = phase;
-			answer.carries_counts = phase & 1;
-			text = ws_encode_user(&answer);
-			encoded.messages++;
-			digest_text(&encoded, text);
-			free(text);
-			free(encode_report_answer(&answer));
-		}
+		for (int phase = 0; phase < 4; phase++)
+			digest_of_answer(answers[i], phase);
 }
 
 /* Lists for sample calls, which the calls share. */
--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -117,7 +117,9 @@
 	struct ws_command orders[300] = {
 	    {.kind = WS_COMMAND_RUN, .job = "job-000412", .attempt = 9}};
 	struct ws_effect effect = {
-	    .answer = WS_ANSWER_OK, .fencing_token = 41, .commands = orders, .command_count = 300};
+	    .kind = WS_EFFECT_ANSWER_HEARTBEAT,
+	    .answer = WS_ANSWER_OK,
+	    .heartbeat = {.fencing_token = 41, .commands = orders, .command_count = 300}};
 	struct ws_call get = {.kind = WS_CALL_GET, .read = {.key = "job/a"}};
 	static const char kv[] = "{\"k\":\"job/a\",\"value\":{\"x\":[1,2,\"y\"]},\"stamp\":412}";
 	struct ws_heartbeat heartbeat = {0};
@@ -155,18 +157,19 @@
 		  ws_json_capacity() <= WS_JSON_KEPT);
 	ws_heartbeat_free(&heartbeat);
 	check("reports take nothing of jansson's", ws_pool_misses() == before);
-	effect.commands = calloc(6000, sizeof(*effect.commands));
-	effect.command_count = 6000;
-	for (size_t i = 0; i < effect.command_count; i++)
-		effect.commands[i] = orders[0];
+	effect.heartbeat.commands = calloc(6000, sizeof(*effect.heartbeat.commands));
+	effect.heartbeat.command_count = 6000;
+	for (size_t i = 0; i < effect.heartbeat.command_count; i++)
+		effect.heartbeat.commands[i] = orders[0];
 	s = encode_report_answer(&effect);
 	check("an answer that takes more than the pool is written all the same",
 	      s && strlen(s) > 6000 * strlen("{\"verb\":\"run\"}") && ws_pool_misses() > before);
 	free(s);
-	free(effect.commands);
+	free(effect.heartbeat.commands);
 	check("a key's value outlives them",
-	      kept.entry_count == 1 && json_integer_value(json_array_get(
-					   json_object_get(kept.entries[0].value, "x"), 1)) == 2);
+	      kept.records.entry_count == 1 &&
+		  json_integer_value(
+		      json_array_get(json_object_get(kept.records.entries[0].value, "x"), 1)) == 2);
 	ws_result_free(&kept);
 }
 
@@ -292,10 +295,10 @@
 	call.kind = WS_CALL_SCALE_OUT;
 	decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &result);
 	check("trouble is no refusal",
-	      result.outcome == WS_OUTCOME_UNAVAILABLE && !result.no_capacity);
+	      result.outcome == WS_OUTCOME_UNAVAILABLE && !result.instances.no_capacity);
 	ws_result_free(&result);
 	decode_reply(&call, 503, "{\"error\":\"no capacity\"}", 23, &result);
-	check("no capacity is one", result.no_capacity);
+	check("no capacity is one", result.instances.no_capacity);
 	ws_result_free(&result);
 }
 
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -272,10 +272,10 @@
 static void outage_votes(void)
 {
 	struct ws_cancellation list[] = {{"job-000007", 41}, {"job-000003", 43}};
-	struct ws_effect effect = {.answer = WS_ANSWER_UNAVAILABLE,
-				   .vote_granted = true,
-				   .has_more = true,
-				   .cancellation_count = 2};
+	struct ws_effect effect = {
+	    .kind = WS_EFFECT_ANSWER_VOTE,
+	    .answer = WS_ANSWER_UNAVAILABLE,
+	    .vote = {.granted = true, .has_more = true, .cancellation_count = 2}};
 	struct ws_call call = {.kind = WS_CALL_OUTAGE_VOTE,
 			       .outage_vote = {.after_job = "job-000002",
 					       .since_revision = 40,
@@ -295,7 +295,7 @@
 				!strcmp(got->vote->after_job, "job-000002"));
 	ws__peer_frame__free_unpacked(got, NULL);
 
-	effect.cancellations = list;
+	effect.vote.cancellations = list;
 	ws__peer_frame__init(&frame);
 	ws__outage_vote__init(&vote);
 	ws_vote_set_answer(&frame, &vote, &effect);
@@ -303,10 +303,10 @@
 	ws_vote_free(&vote);
 	got = ws__peer_frame__unpack(NULL, length, out);
 	check("an answer", got && ws_vote_read(got, &result) &&
-			       result.outcome == WS_OUTCOME_UNAVAILABLE && result.vote_granted &&
-			       result.has_more && result.cancellation_count == 2 &&
-			       result.cancellations[1].revision == 43 &&
-			       !strcmp(result.cancellations[0].job, "job-000007"));
+			       result.outcome == WS_OUTCOME_UNAVAILABLE && result.vote.granted &&
+			       result.vote.has_more && result.vote.cancellation_count == 2 &&
+			       result.vote.cancellations[1].revision == 43 &&
+			       !strcmp(result.vote.cancellations[0].job, "job-000007"));
 	ws_result_free(&result);
 	ws__peer_frame__free_unpacked(got, NULL);
 
@@ -316,15 +316,15 @@
 	ws_vote_set_answer(&frame, &vote, &effect);
 	check("an answer with a name that no job has",
 	      !ws_vote_read(&frame, &result) && result.outcome != WS_OUTCOME_UNAVAILABLE &&
-		  !result.vote_granted && !result.cancellations);
+		  !result.vote.granted && !result.vote.cancellations);
 	ws_vote_free(&vote);
 
-	effect.vote_granted = false;
+	effect.vote.granted = false;
 	ws__peer_frame__init(&frame);
 	ws_vote_set_answer(&frame, &vote, &effect);
 	check("production's answer, and of one that can't vouch, has no list",
 	      !frame.vote && ws_vote_read(&frame, &result) &&
-		  result.outcome == WS_OUTCOME_UNAVAILABLE && !result.vote_granted);
+		  result.outcome == WS_OUTCOME_UNAVAILABLE && !result.vote.granted);
 }
 
 /* ---- records of a store, from a file: each is decoded, encoded again, and the same bytes ---- */
--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -28,19 +28,32 @@
 	return kind >= WS_CALL_MACHINE_TYPES && kind <= WS_CALL_SCALE_IN;
 }
 
+static void records_clear(struct ws_records_result *records)
+{
+	for (size_t i = 0; i < records->entry_count; i++)
+		json_decref(records->entries[i].value);
+	free(records->entries);
+}
+
 static void result_clear(struct ws_result *result)
 {
-	for (size_t i = 0; i < result->entry_count; i++)
-		json_decref(result->entries[i].value);
-	free(result->entries);
-	free(result->failed_keys);
-	free(result->types);
-	free(result->instances);
-	free(result->cancellations);
-	if (result->heartbeat)
-		free(result->heartbeat->tasks);
-	free(result->heartbeat);
-	memset(result, 0, sizeof(*result));
+	switch (result->kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+	case WS_CALL_WATCH: records_clear(&result->records); break;
+	case WS_CALL_TRANSACTION: free(result->transaction.failed_keys); break;
+	case WS_CALL_MACHINE_TYPES: free(result->types.list); break;
+	case WS_CALL_INSTANCES:
+	case WS_CALL_SCALE_OUT: free(result->instances.list); break;
+	case WS_CALL_COMMANDS:
+		if (result->heartbeat)
+			free(result->heartbeat->tasks);
+		free(result->heartbeat);
+		break;
+	case WS_CALL_OUTAGE_VOTE: free(result->vote.cancellations); break;
+	default: break; /* the other kinds own nothing */
+	}
+	*result = (struct ws_result){.kind = result->kind};
 }
 
 /* Puts it behind all that are due at the same time. */
@@ -92,6 +105,7 @@
 	flight->node = node;
 	flight->restarts = sim->nodes[node].restarts;
 	flight->call = call;
+	flight->result.kind = call->kind;
 	flight->call_version = sim->nodes[node].version;
 	flight->due_at = sim->now + (is_cloud_call(call->kind) ? CLOUD_CALL_S : CALL_S);
 	return flight;
@@ -223,11 +237,11 @@
 /* What the leader has to read of what a watch brings. */
 static void count_watched(struct sim *sim, const struct ws_result *result)
 {
-	sim->watched_records += result->entry_count;
-	for (size_t i = 0; i < result->entry_count; i++)
-		if (result->entries[i].value)
+	sim->watched_records += result->records.entry_count;
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		if (result->records.entries[i].value)
 			sim->watched_bytes +=
-			    json_dumpb(result->entries[i].value, NULL, 0, JSON_COMPACT);
+			    json_dumpb(result->records.entries[i].value, NULL, 0, JSON_COMPACT);
 }
 
 /* A watch stays open until there is something to tell, or its time is over. */
@@ -416,11 +430,8 @@
 	if (node->version != &sim_this_version ||
 	    sim->nodes[flight->node].version != &sim_this_version)
 		return;
-	flight->result.vote_granted = effect->vote_granted;
-	flight->result.has_more = effect->has_more;
-	flight->result.cancellation_count = effect->cancellation_count;
-	flight->result.cancellations = effect->cancellations;
-	effect->cancellations = NULL;
+	flight->result.vote = effect->vote;
+	effect->vote.cancellations = NULL;
 }
 
 static void execute_call(struct sim *sim, struct sim_call_in_flight *flight)
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -41,9 +41,9 @@
 
 static void list_types(const struct sim *sim, struct ws_result *result)
 {
-	result->types = calloc((size_t)sim->type_count, sizeof(*result->types));
+	result->types.list = calloc((size_t)sim->type_count, sizeof(*result->types.list));
 	for (int i = 0; i < sim->type_count; i++)
-		result->types[result->type_count++] = sim->types[i];
+		result->types.list[result->types.count++] = sim->types[i];
 }
 
 /* The list lags: what is new is not in it yet, and what is gone still is. */
@@ -64,10 +64,11 @@
 static void list_instances(const struct sim *sim, const struct ws_call *call,
 			   struct ws_result *result)
 {
-	result->instances = calloc((size_t)sim->worker_count + 1, sizeof(*result->instances));
+	result->instances.list =
+	    calloc((size_t)sim->worker_count + 1, sizeof(*result->instances.list));
 	for (int i = 0; i < sim->worker_count; i++) {
 		const struct sim_worker *worker = &sim->workers[i];
-		struct ws_instance *instance = &result->instances[result->instance_count];
+		struct ws_instance *instance = &result->instances.list[result->instances.count];
 
 		if (!is_listed(sim, worker) || strcmp(worker->name, call->instances.after) <= 0)
 			continue;
@@ -78,7 +79,7 @@
 		instance->preemptible = worker->preemptible;
 		instance->age_s = sim->now - worker->scaled_out_at;
 		instance->phase = instance_phase(sim, worker);
-		result->instance_count++;
+		result->instances.count++;
 	}
 }
 
@@ -121,12 +122,13 @@
 		granted = scale_out_grant(sim, call);
 	if (!granted) {
 		result->outcome = WS_OUTCOME_UNAVAILABLE;
-		result->no_capacity = true;
+		result->instances.no_capacity = true;
 		return;
 	}
-	result->instances = calloc((size_t)granted->count + 1, sizeof(*result->instances));
+	result->instances.list =
+	    calloc((size_t)granted->count + 1, sizeof(*result->instances.list));
 	for (int i = 0; i < granted->count; i++)
-		snprintf(result->instances[result->instance_count++].name, WS_NAME_MAX, "%s",
+		snprintf(result->instances.list[result->instances.count++].name, WS_NAME_MAX, "%s",
 			 sim->workers[granted->first_worker + i].name);
 }
 
--- a/tests/sim_digest.c
+++ b/tests/sim_digest.c
@@ -113,10 +113,10 @@
 static void say_vote(struct sim *sim, const struct ws_effect *effect)
 {
 	say(sim, "vote-answer %llu %d %d %d", (unsigned long long)effect->request_id,
-	    ws_http_status_of_answer(effect->answer), effect->vote_granted, effect->has_more);
-	for (size_t i = 0; i < effect->cancellation_count; i++)
-		say(sim, " (%s %llu)", effect->cancellations[i].job,
-		    (unsigned long long)effect->cancellations[i].revision);
+	    ws_http_status_of_answer(effect->answer), effect->vote.granted, effect->vote.has_more);
+	for (size_t i = 0; i < effect->vote.cancellation_count; i++)
+		say(sim, " (%s %llu)", effect->vote.cancellations[i].job,
+		    (unsigned long long)effect->vote.cancellations[i].revision);
 }
 
 void sim_digest_begin(struct sim *sim)
@@ -133,19 +133,20 @@
 	case WS_EFFECT_ANSWER_USER:
 		say(sim, "user-answer %llu %d %d %s %d %u %u %d",
 		    (unsigned long long)effect->request_id,
-		    ws_http_status_of_answer(effect->answer), effect->retry_after, effect->name,
-		    (int)effect->phase, effect->done, effect->running, effect->carries_counts);
+		    ws_http_status_of_answer(effect->answer), effect->user.retry_after_s,
+		    effect->user.job, (int)effect->user.phase, effect->user.done,
+		    effect->user.running, effect->user.carries_counts);
 		break;
 	case WS_EFFECT_ANSWER_HEARTBEAT:
-		say(sim, "heartbeat-answer %llu %d %d %s %llu",
+		say(sim, "heartbeat-answer %llu %d 0 %s %llu",
 		    (unsigned long long)effect->request_id,
-		    ws_http_status_of_answer(effect->answer), effect->retry_after, effect->name,
-		    (unsigned long long)effect->fencing_token);
-		say_commands(sim, effect->commands, effect->command_count);
+		    ws_http_status_of_answer(effect->answer), effect->heartbeat.leader,
+		    (unsigned long long)effect->heartbeat.fencing_token);
+		say_commands(sim, effect->heartbeat.commands, effect->heartbeat.command_count);
 		break;
 	case WS_EFFECT_FORWARD:
-		say(sim, "forward %llu %s %d", (unsigned long long)effect->request_id, effect->name,
-		    effect->worker_pinned);
+		say(sim, "forward %llu %s %d", (unsigned long long)effect->request_id,
+		    effect->forward.leader, effect->forward.worker_pinned);
 		break;
 	case WS_EFFECT_ANSWER_VOTE: say_vote(sim, effect); break;
 	}
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -137,19 +137,22 @@
 
 static void forward(struct sim *sim, int from, const struct ws_effect *effect)
 {
-	struct sim_node *target = forward_target(sim, from, effect->name);
+	struct sim_node *target = forward_target(sim, from, effect->forward.leader);
 	bool is_heartbeat = effect->request_id & SIM_ID_HEARTBEAT;
 	int kind;
 
 	if (!target) {
-		struct ws_effect unavailable = {.request_id = effect->request_id,
-						.answer = WS_ANSWER_UNAVAILABLE,
-						.retry_after = 1};
+		struct ws_effect unavailable = {.kind = WS_EFFECT_ANSWER_HEARTBEAT,
+						.request_id = effect->request_id,
+						.answer = WS_ANSWER_UNAVAILABLE};
 
-		if (is_heartbeat)
+		if (is_heartbeat) {
 			sim_worker_answer(sim, &unavailable);
-		else
-			sim_user_answer(sim, &unavailable);
+			return;
+		}
+		unavailable.kind = WS_EFFECT_ANSWER_USER;
+		unavailable.user.retry_after_s = 1;
+		sim_user_answer(sim, &unavailable);
 		return;
 	}
 	if (is_heartbeat) {
--- a/tests/sim_production.c
+++ b/tests/sim_production.c
@@ -228,34 +228,68 @@
 	target->revision = from->revision;
 }
 
-/* Values of records are borrowed; clear_result() frees the rest. */
-static void convert_result(struct production_result *target, const struct ws_result *from)
+static void convert_records(struct production_result *target, const struct ws_records_result *from)
 {
-	target->status = ws_http_status_of_outcome(from->outcome);
 	target->revision = from->revision;
-	target->session = from->session;
 	target->more = from->has_more;
-	target->no_capacity = from->no_capacity;
 	target->record_count = from->entry_count;
 	target->records = production_allocate(from->entry_count, sizeof(*target->records));
 	for (size_t i = 0; i < from->entry_count; i++)
 		convert_record(&target->records[i], &from->entries[i]);
+}
+
+static void convert_transaction_result(struct production_result *target,
+				       const struct ws_transaction_result *from)
+{
+	target->revision = from->revision;
 	target->failed_key_count = from->failed_count;
 	target->failed_keys = production_allocate(from->failed_count, sizeof(*target->failed_keys));
 	for (size_t i = 0; i < from->failed_count; i++)
 		PRODUCTION_COPY_TEXT(target->failed_keys[i], from->failed_keys[i]);
-	target->type_count = from->type_count;
-	target->types = production_allocate(from->type_count, sizeof(*target->types));
-	for (size_t i = 0; i < from->type_count; i++)
-		convert_machine_type(&target->types[i], &from->types[i]);
-	target->instance_count = from->instance_count;
-	target->instances = production_allocate(from->instance_count, sizeof(*target->instances));
-	for (size_t i = 0; i < from->instance_count; i++)
-		convert_instance(&target->instances[i], &from->instances[i]);
-	target->heartbeat = NULL;
-	if (from->heartbeat) {
+}
+
+static void convert_types(struct production_result *target, const struct ws_types_result *from)
+{
+	target->type_count = from->count;
+	target->types = production_allocate(from->count, sizeof(*target->types));
+	for (size_t i = 0; i < from->count; i++)
+		convert_machine_type(&target->types[i], &from->list[i]);
+}
+
+static void convert_instances(struct production_result *target,
+			      const struct ws_instances_result *from)
+{
+	target->more = from->has_more;
+	target->no_capacity = from->no_capacity;
+	target->instance_count = from->count;
+	target->instances = production_allocate(from->count, sizeof(*target->instances));
+	for (size_t i = 0; i < from->count; i++)
+		convert_instance(&target->instances[i], &from->list[i]);
+}
+
+/* Values of records are borrowed; clear_result() frees the rest. */
+static void convert_result(struct production_result *target, const struct ws_result *from)
+{
+	target->status = ws_http_status_of_outcome(from->outcome);
+	switch (from->kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+	case WS_CALL_WATCH: convert_records(target, &from->records); break;
+	case WS_CALL_TRANSACTION: convert_transaction_result(target, &from->transaction); break;
+	case WS_CALL_SESSION_OPEN: target->session = from->session; break;
+	case WS_CALL_MACHINE_TYPES: convert_types(target, &from->types); break;
+	case WS_CALL_INSTANCES:
+	case WS_CALL_SCALE_OUT: convert_instances(target, &from->instances); break;
+	case WS_CALL_COMMANDS:
+		if (!from->heartbeat)
+			break;
 		target->heartbeat = production_allocate(1, sizeof(*target->heartbeat));
 		convert_heartbeat(target->heartbeat, from->heartbeat);
+		break;
+	case WS_CALL_SESSION_RENEW:
+	case WS_CALL_SESSION_CLOSE:
+	case WS_CALL_SCALE_IN:
+	case WS_CALL_OUTAGE_VOTE: break; /* the status says it all */
 	}
 }
 
--- a/tests/sim_production_effects.c
+++ b/tests/sim_production_effects.c
@@ -179,27 +179,51 @@
 	return answer;
 }
 
+static void convert_user_reply(struct ws_user_reply *reply, const struct production_effect *from)
+{
+	PRODUCTION_COPY_TEXT(reply->job, from->name);
+	reply->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
+	reply->done = from->done;
+	reply->running = from->running;
+	reply->carries_counts = from->has_counts;
+	reply->retry_after_s = from->retry_after;
+}
+
+static void convert_heartbeat_reply(struct ws_heartbeat_reply *reply,
+				    const struct production_effect *from)
+{
+	PRODUCTION_COPY_TEXT(reply->leader, from->name);
+	reply->fencing_token = from->fencing_token;
+	reply->command_count = from->command_count;
+	reply->commands = production_allocate(from->command_count, sizeof(*reply->commands));
+	for (size_t i = 0; i < from->command_count; i++)
+		convert_command(&reply->commands[i], &from->commands[i]);
+}
+
 void sim_production_convert_effect(struct ws_effect *effect, const struct production_effect *from)
 {
 	effect->kind = PRODUCTION_ENUMERATOR(effect_kinds, from->kind);
 	effect->request_id = from->token;
-	if (effect->kind != WS_EFFECT_CALL && effect->kind != WS_EFFECT_FORWARD)
-		effect->answer = convert_answer(from->status);
-	effect->retry_after = from->retry_after;
-	PRODUCTION_COPY_TEXT(effect->name, from->name);
-	effect->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
-	effect->done = from->done;
-	effect->running = from->running;
-	effect->carries_counts = from->has_counts;
-	effect->worker_pinned = from->pinned;
-	effect->fencing_token = from->fencing_token;
-	effect->command_count = from->command_count;
-	effect->commands = production_allocate(from->command_count, sizeof(*effect->commands));
-	for (size_t i = 0; i < from->command_count; i++)
-		convert_command(&effect->commands[i], &from->commands[i]);
-	if (from->call) {
+	switch (effect->kind) {
+	case WS_EFFECT_CALL:
 		effect->call = production_allocate(1, sizeof(*effect->call));
 		convert_call(effect->call, from->call);
+		break;
+	case WS_EFFECT_ANSWER_USER:
+		effect->answer = convert_answer(from->status);
+		convert_user_reply(&effect->user, from);
+		break;
+	case WS_EFFECT_ANSWER_HEARTBEAT:
+		effect->answer = convert_answer(from->status);
+		convert_heartbeat_reply(&effect->heartbeat, from);
+		break;
+	case WS_EFFECT_FORWARD:
+		PRODUCTION_COPY_TEXT(effect->forward.leader, from->name);
+		effect->forward.worker_pinned = from->pinned;
+		break;
+	case WS_EFFECT_ANSWER_VOTE: /* that version gives no list of cancellations */
+		effect->answer = convert_answer(from->status);
+		break;
 	}
 }
 #endif
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -60,11 +60,13 @@
 
 static void copy_entry(struct ws_result *result, const char *key, json_t *value, uint64_t revision)
 {
-	result->entries =
-	    realloc(result->entries, (result->entry_count + 1) * sizeof(*result->entries));
-	snprintf(result->entries[result->entry_count].key, WS_KEY_MAX, "%s", key);
-	result->entries[result->entry_count].value = value ? json_deep_copy(value) : NULL;
-	result->entries[result->entry_count++].revision = revision;
+	result->records.entries =
+	    realloc(result->records.entries,
+		    (result->records.entry_count + 1) * sizeof(*result->records.entries));
+	snprintf(result->records.entries[result->records.entry_count].key, WS_KEY_MAX, "%s", key);
+	result->records.entries[result->records.entry_count].value =
+	    value ? json_deep_copy(value) : NULL;
+	result->records.entries[result->records.entry_count++].revision = revision;
 }
 
 static void get(struct sim *sim, const struct ws_call *call, struct ws_result *result)
@@ -83,13 +85,13 @@
 	struct sim_entry *entry, *next_entry;
 
 	HASH_SORT(sim->entries, by_key);
-	result->revision = sim->revision;
+	result->records.revision = sim->revision;
 	HASH_ITER (hh, sim->entries, entry, next_entry) {
 		if (strncmp(entry->key, call->read.key, strlen(call->read.key)) != 0 ||
 		    strcmp(entry->key, call->read.after) <= 0)
 			continue;
-		if (result->entry_count == LIST_PAGE) {
-			result->has_more = true;
+		if (result->records.entry_count == LIST_PAGE) {
+			result->records.has_more = true;
 			return;
 		}
 		copy_entry(result, entry->key, entry->value, entry->revision);
@@ -98,7 +100,7 @@
 
 bool sim_store_watch(const struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	result->revision = sim->revision;
+	result->records.revision = sim->revision;
 	for (size_t i = 0; i < sim->history_count; i++) {
 		const struct sim_change *change = &sim->history[i];
 
@@ -107,7 +109,7 @@
 			copy_entry(result, change->key, change->value, change->revision);
 	}
 	result->outcome = WS_OUTCOME_OK;
-	return result->entry_count > 0;
+	return result->records.entry_count > 0;
 }
 
 /* ---- sessions ---- */
@@ -212,15 +214,16 @@
 
 static void compare(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	result->failed_keys =
-	    calloc(call->transaction.compare_count + 1, sizeof(*result->failed_keys));
+	result->transaction.failed_keys =
+	    calloc(call->transaction.compare_count + 1, sizeof(*result->transaction.failed_keys));
 	for (size_t i = 0; i < call->transaction.compare_count; i++) {
 		struct sim_entry *entry;
 
 		HASH_FIND_STR(sim->entries, call->transaction.compares[i].key, entry);
 		if ((entry ? entry->revision : 0) != call->transaction.compares[i].revision)
-			snprintf(result->failed_keys[result->failed_count++], WS_KEY_MAX, "%s",
-				 call->transaction.compares[i].key);
+			snprintf(
+			    result->transaction.failed_keys[result->transaction.failed_count++],
+			    WS_KEY_MAX, "%s", call->transaction.compares[i].key);
 	}
 }
 
@@ -245,7 +248,7 @@
 		result->outcome = WS_OUTCOME_REJECTED;
 		return;
 	}
-	if (result->failed_count) {
+	if (result->transaction.failed_count) {
 		result->outcome = WS_OUTCOME_CONFLICT;
 		return;
 	}
@@ -255,7 +258,7 @@
 		sim_store_put(sim, call->transaction.operations[i].key,
 			      call->transaction.operations[i].value,
 			      call->transaction.operations[i].session);
-	result->revision = sim->revision;
+	result->transaction.revision = sim->revision;
 }
 
 void sim_store_execute(struct sim *sim, const struct ws_call *call, struct ws_result *result)
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -165,18 +165,19 @@
 static void check_phase(struct sim *sim, const struct sim_job *job, const struct ws_effect *answer,
 			const struct knowledge *known)
 {
-	bool is_done = answer->phase == WS_JOB_DONE;
-	bool is_cancelled = answer->phase == WS_JOB_CANCELLED;
+	bool is_done = answer->user.phase == WS_JOB_DONE;
+	bool is_cancelled = answer->user.phase == WS_JOB_CANCELLED;
 
-	if (strcmp(answer->name, job->spec.id) != 0)
-		sim_fail(sim, "%s is answered for %s", answer->name, job->spec.id);
+	if (strcmp(answer->user.job, job->spec.id) != 0)
+		sim_fail(sim, "%s is answered for %s", answer->user.job, job->spec.id);
 	if (is_done && job->completed < job->spec.tasks)
 		sim_fail(sim, "not_done: %s is called done with %u of %u", job->spec.id,
 			 job->completed, job->spec.tasks);
 	if (known->done && !is_done)
 		sim_fail(sim, "went_back: %s was done", job->spec.id);
 	if (known->cancelled && !is_cancelled)
-		sim_fail(sim, "went_back: %s was cancelled, now %d", job->spec.id, answer->phase);
+		sim_fail(sim, "went_back: %s was cancelled, now %d", job->spec.id,
+			 answer->user.phase);
 	if ((is_done && job->cancelled) || (is_cancelled && job->done))
 		sim_fail(sim, "went_back: %s is called done and cancelled", job->spec.id);
 	if (is_cancelled && !job->cancel_sent)
@@ -186,12 +187,12 @@
 /* Takes down that a job is done or cancelled; whether that is news. */
 static bool take_phase(struct sim *sim, struct sim_job *job, const struct ws_effect *answer)
 {
-	if (answer->phase == WS_JOB_DONE && !job->done) {
+	if (answer->user.phase == WS_JOB_DONE && !job->done) {
 		job->done = true;
 		job->told_done_at = sim->now;
 		return true;
 	}
-	if (answer->phase == WS_JOB_CANCELLED && !job->cancelled) {
+	if (answer->user.phase == WS_JOB_CANCELLED && !job->cancelled) {
 		job->cancelled = true;
 		job->told_cancelled_at = sim->now;
 		return true;
@@ -217,7 +218,7 @@
 
 	if (!take_pending(sim, job, effect->request_id, &known))
 		return;
-	if (effect->answer == WS_ANSWER_UNAVAILABLE && effect->retry_after < 1)
+	if (effect->answer == WS_ANSWER_UNAVAILABLE && effect->user.retry_after_s < 1)
 		sim_fail(sim, "%s: a 503 without Retry-After", job->spec.id);
 	if (known.kind == SIM_REQUEST_SUBMIT)
 		is_news = take_submit_answer(sim, job, effect);
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -237,16 +237,17 @@
 static void take_leader_answer(struct sim *sim, struct sim_worker *worker,
 			       const struct ws_effect *answer)
 {
-	if (answer->fencing_token < worker->fencing_token)
+	if (answer->heartbeat.fencing_token < worker->fencing_token)
 		return;
-	if (answer->fencing_token > worker->fencing_token) {
-		worker->fencing_token = answer->fencing_token;
+	if (answer->heartbeat.fencing_token > worker->fencing_token) {
+		worker->fencing_token = answer->heartbeat.fencing_token;
 		sim_worker_changed(worker, sim->now);
 	}
 	worker->answered_sent = worker->sent_at;
 	if (worker->answered_since <= sim->stop.stopped_at)
 		worker->answered_since = sim->now;
-	sim_worker_take_commands(sim, worker, answer->commands, answer->command_count);
+	sim_worker_take_commands(sim, worker, answer->heartbeat.commands,
+				 answer->heartbeat.command_count);
 }
 
 /* Another node is said to lead; false: it is none that the worker could turn to. */
@@ -274,8 +275,8 @@
 	worker->heartbeat_pending = false;
 	if (effect->answer == WS_ANSWER_OK)
 		take_leader_answer(sim, worker, effect);
-	else if (effect->answer != WS_ANSWER_OTHER_LEADER || !effect->name[0] ||
-		 !follow_redirect(sim, worker, effect->name))
+	else if (effect->answer != WS_ANSWER_OTHER_LEADER || !effect->heartbeat.leader[0] ||
+		 !follow_redirect(sim, worker, effect->heartbeat.leader))
 		try_next_node(sim, worker);
 }
 
