--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -43,7 +43,10 @@
 	double peer_answered_at, next_peer_probe_at; /* while the store refuses us */
 };
 
-struct ws_user_request { /* a user's request under way */
+/* A user's request under way: the context of the calls that it takes, one after the other. */
+struct ws_user_request {
+	char job[WS_ID_MAX];
+	uint64_t request_id;
 	bool forwarded;
 	bool record_split;   /* the record is too large to be written whole */
 	bool never_runnable; /* a submission that can never run, unless it was accepted before */
@@ -74,15 +77,18 @@
 /* The store does not serve us: a peer may do better, unless the request came from one. */
 void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
 				bool forwarded, enum ws_outcome outcome);
-/* Reads a job's record under a prefix, live or archived; takes over the request. */
-struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
-				  uint64_t request_id, struct ws_user_request *request,
-				  ws_result_fn on_result);
+/* A request about a job; NULL without memory. Owned by the call whose context it becomes. */
+struct ws_user_request *ws_user_request_new(uint64_t request_id, const char *id, bool forwarded);
+/* Takes the request from a call, for the call that follows. */
+struct ws_user_request *ws_user_request_take(struct ws_call *call);
+/* Reads the job's record under a prefix, live or archived; takes over the request. */
+void ws_job_record_get(struct ws_core *core, const char *prefix, struct ws_user_request *request,
+		       ws_result_fn on_result);
 /* Answers with the state of a job; with_counts: the counts of its tasks go with it. */
 void ws_user_answer_status(struct ws_core *core, uint64_t request_id, const char *id,
 			   enum ws_job_phase phase, uint32_t done, uint32_t running,
 			   bool with_counts);
-/* Answers with what a record says. */
+/* Answers with what a record says; the call's context is the request. */
 void ws_user_answer_record(struct ws_core *core, struct ws_call *call,
 			   const struct ws_result *result, bool with_counts);
 /* A user is about to be told that a job is cancelled: the job status cache must hold that. */
--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -19,19 +19,18 @@
 	if (result->outcome == WS_OUTCOME_OK) {
 		ws_status_cache_note_cancelled(core, call->transaction.compares[0].key,
 					       result->transaction.revision);
-		ws_user_answer(core, call->context_number, WS_ANSWER_OK, call->context_name,
+		ws_user_answer(core, request->request_id, WS_ANSWER_OK, request->job,
 			       WS_JOB_CANCELLED);
 	} else if ((result->outcome == WS_OUTCOME_CONFLICT ||
 		    result->outcome == WS_OUTCOME_REJECTED) &&
 		   ++request->attempts < CANCEL_ATTEMPTS_MAX) {
 		/* changed meanwhile, or larger than the limit of now: read it again */
 		request->record_split |= result->outcome == WS_OUTCOME_REJECTED;
-		call->context = NULL;
-		ws_job_record_get(core, WS_KEY_PREFIX_JOB, call->context_name, call->context_number,
-				  request, ws_cancel_record_read);
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, ws_user_request_take(call),
+				  ws_cancel_record_read);
 		return;
 	} else {
-		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+		ws_user_answer_unavailable(core, request->request_id, request->job,
 					   request->forwarded, result->outcome);
 	}
 }
@@ -39,6 +38,7 @@
 /* The record as it is was refused: what does not fit goes to records of its own. */
 static void ws_cancel_split_written(struct ws_core *core, struct ws_call *call)
 {
+	const struct ws_user_request *request = call->context;
 	size_t continuations_max = (size_t)core->settings->txn_ops - 1, continuation_count,
 	       bytes_before = ws_record_size(call->transaction.operations[0].value);
 	json_t **continuations = calloc(continuations_max + 1, sizeof(*continuations));
@@ -49,15 +49,14 @@
 				 continuations, continuations_max, &continuation_count);
 	for (size_t i = 0; i < continuation_count; i++) {
 		snprintf(call->transaction.operations[call->transaction.operation_count].key,
-			 WS_KEY_MAX, WS_KEY_PREFIX_JOB_CONTINUATION "%s/%zu", call->context_name,
-			 i);
+			 WS_KEY_MAX, WS_KEY_PREFIX_JOB_CONTINUATION "%s/%zu", request->job, i);
 		call->transaction.operations[call->transaction.operation_count++].value =
 		    continuations[i];
 	}
 	free(continuations);
 	ws_log(core, WS_LOG_INFO,
-	       "job %s: its record of %zu bytes was refused, withdrawn in %zu parts",
-	       call->context_name, bytes_before, continuation_count + 1);
+	       "job %s: its record of %zu bytes was refused, withdrawn in %zu parts", request->job,
+	       bytes_before, continuation_count + 1);
 }
 
 static void ws_cancel_record_read(struct ws_core *core, struct ws_call *call,
@@ -69,15 +68,14 @@
 	struct ws_call *transaction;
 
 	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
-		call->context = NULL;
-		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, call->context_name,
-				  call->context_number, request, ws_query_archived_read);
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_take(call),
+				  ws_query_archived_read);
 		return;
 	}
 	if (result->outcome != WS_OUTCOME_OK || result->records.entry_count != 1 ||
 	    !ws_record_read_phase(result->records.entries[0].value, &phase, &done, &running)) {
 		ws_user_answer_unavailable(
-		    core, call->context_number, call->context_name, request->forwarded,
+		    core, request->request_id, request->job, request->forwarded,
 		    result->outcome == WS_OUTCOME_OK ? WS_OUTCOME_OTHER : result->outcome);
 		return;
 	}
@@ -85,15 +83,11 @@
 		if (phase == WS_JOB_CANCELLED)
 			ws_status_cache_note_cancelled(core, call->read.key,
 						       result->records.entries[0].revision);
-		ws_user_answer(core, call->context_number, WS_ANSWER_OK, call->context_name, phase);
+		ws_user_answer(core, request->request_id, WS_ANSWER_OK, request->job, phase);
 		return;
 	}
 	transaction = ws_call_new(core, WS_CALL_TRANSACTION, ws_cancel_written);
-	transaction->context = request;
-	call->context = NULL;
-	transaction->context_number = call->context_number;
-	snprintf(transaction->context_name, sizeof(transaction->context_name), "%s",
-		 call->context_name);
+	transaction->context = ws_user_request_take(call);
 	ws_transaction_reserve(transaction, 1, (size_t)core->settings->txn_ops);
 	ws_transaction_compare(transaction, call->read.key, result->records.entries[0].revision);
 	ws_transaction_set(transaction, call->read.key,
@@ -110,12 +104,11 @@
 
 	if (now > core->now)
 		core->now = now;
-	request = calloc(1, sizeof(*request));
+	request = ws_user_request_new(request_id, id, forwarded);
 	if (!request) {
 		ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, id, WS_JOB_QUEUED);
 		return;
 	}
-	request->forwarded = forwarded;
-	ws_job_record_get(core, WS_KEY_PREFIX_JOB, id, request_id, request, ws_cancel_record_read);
+	ws_job_record_get(core, WS_KEY_PREFIX_JOB, request, ws_cancel_record_read);
 	ws_core_tick(core, now);
 }
--- a/src/core/api/outage_votes.c
+++ b/src/core/api/outage_votes.c
@@ -7,7 +7,9 @@
  */
 #include "../core_state.h"
 
-struct ws_outage_question { /* what the asker wants to know, while our own question is under way */
+/* What the asker wants to know: the context of our own question to the store. */
+struct ws_outage_question {
+	uint64_t request_id;
 	uint64_t leader_revision, since_revision;
 	bool accepts_list; /* it takes in a list */
 	char after[WS_ID_MAX];
@@ -69,7 +71,7 @@
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_VOTE);
 	const struct ws_outage_question *question = call->context;
 
-	effect->request_id = call->context_number;
+	effect->request_id = question->request_id;
 	effect->answer = WS_ANSWER_OK;
 	/* silence is no vote, and neither is the word of one that leads itself or knows of a
 	 * later leader */
@@ -95,12 +97,12 @@
 	if (!pending)
 		abort();
 	*pending = *question;
+	pending->request_id = request_id;
 	if (now > core->now)
 		core->now = now;
 	call = ws_call_new(core, WS_CALL_GET, ws_outage_vote_checked);
 	snprintf(call->read.key, sizeof(call->read.key), "leader");
 	call->context = pending;
-	call->context_number = request_id;
 	call->urgent = true;
 }
 
--- a/src/core/api/status_queries.c
+++ b/src/core/api/status_queries.c
@@ -59,14 +59,14 @@
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_OK && result->records.entry_count == 1)
-		ws_final_status_keep(core, call->context_name, result->records.entries[0].value);
+		ws_final_status_keep(core, request->job, result->records.entries[0].value);
 	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, true);
 	else if (result->outcome == WS_OUTCOME_NOT_FOUND)
-		ws_user_answer(core, call->context_number, WS_ANSWER_NOT_FOUND, call->context_name,
+		ws_user_answer(core, request->request_id, WS_ANSWER_NOT_FOUND, request->job,
 			       WS_JOB_QUEUED);
 	else
-		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+		ws_user_answer_unavailable(core, request->request_id, request->job,
 					   request->forwarded, result->outcome);
 }
 
@@ -77,15 +77,14 @@
 
 	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
 		/* a job moves from job/ to old/ once and never back */
-		call->context = NULL;
-		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, call->context_name,
-				  call->context_number, request, ws_query_archived_read);
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_take(call),
+				  ws_query_archived_read);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, true);
 	else
-		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+		ws_user_answer_unavailable(core, request->request_id, request->job,
 					   request->forwarded, result->outcome);
 }
 
@@ -93,18 +92,16 @@
 static void ws_query_store(struct ws_core *core, uint64_t request_id, const char *id,
 			   bool forwarded, bool may_be_live)
 {
-	struct ws_user_request *request = calloc(1, sizeof(*request));
+	struct ws_user_request *request = ws_user_request_new(request_id, id, forwarded);
 
 	if (!request) {
 		ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, id, WS_JOB_QUEUED);
 		return;
 	}
-	request->forwarded = forwarded;
 	if (may_be_live)
-		ws_job_record_get(core, WS_KEY_PREFIX_JOB, id, request_id, request,
-				  ws_query_live_read);
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, request, ws_query_live_read);
 	else
-		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, id, request_id, request,
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, request,
 				  ws_query_archived_read);
 }
 
--- a/src/core/api/submission.c
+++ b/src/core/api/submission.c
@@ -49,12 +49,12 @@
 		ws_user_answer_record(core, call, result, false);
 	else if (result->outcome == WS_OUTCOME_NOT_FOUND)
 		/* if it can run, it moved between two reads, and is known in any case */
-		ws_user_answer(core, call->context_number,
+		ws_user_answer(core, request->request_id,
 			       request->never_runnable ? WS_ANSWER_NEVER_RUNNABLE
 						       : WS_ANSWER_UNAVAILABLE,
-			       call->context_name, WS_JOB_QUEUED);
+			       request->job, WS_JOB_QUEUED);
 	else
-		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+		ws_user_answer_unavailable(core, request->request_id, request->job,
 					   request->forwarded, result->outcome);
 }
 
@@ -64,15 +64,14 @@
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
-		call->context = NULL;
-		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, call->context_name,
-				  call->context_number, request, ws_submit_known_old);
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_take(call),
+				  ws_submit_known_old);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, false);
 	else
-		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+		ws_user_answer_unavailable(core, request->request_id, request->job,
 					   request->forwarded, result->outcome);
 }
 
@@ -82,21 +81,20 @@
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_CONFLICT) {
-		call->context = NULL;
-		ws_job_record_get(core, WS_KEY_PREFIX_JOB, call->context_name, call->context_number,
-				  request, ws_submit_known);
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, ws_user_request_take(call),
+				  ws_submit_known);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_OK) {
-		ws_log(core, WS_LOG_DEBUG, "job %s accepted", call->context_name);
-		ws_user_answer(core, call->context_number, WS_ANSWER_ACCEPTED, call->context_name,
+		ws_log(core, WS_LOG_DEBUG, "job %s accepted", request->job);
+		ws_user_answer(core, request->request_id, WS_ANSWER_ACCEPTED, request->job,
 			       WS_JOB_QUEUED);
 	} else if (result->outcome == WS_OUTCOME_REJECTED) {
 		/* a record over the limits: it can't be kept */
-		ws_user_answer(core, call->context_number, WS_ANSWER_UNAVAILABLE,
-			       call->context_name, WS_JOB_QUEUED);
+		ws_user_answer(core, request->request_id, WS_ANSWER_UNAVAILABLE, request->job,
+			       WS_JOB_QUEUED);
 	} else {
-		ws_user_answer_unavailable(core, call->context_number, call->context_name,
+		ws_user_answer_unavailable(core, request->request_id, request->job,
 					   request->forwarded, result->outcome);
 	}
 }
@@ -120,24 +118,20 @@
 					   WS_OUTCOME_UNAVAILABLE);
 		return;
 	}
-	request = calloc(1, sizeof(*request));
+	request = ws_user_request_new(request_id, spec->id, forwarded);
 	if (!request) {
 		ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, spec->id, WS_JOB_QUEUED);
 		return;
 	}
-	request->forwarded = forwarded;
 	if (!ws_can_ever_run(core, spec)) {
 		/* limits and teams change: what was accepted under others stays known */
 		request->never_runnable = true;
-		ws_job_record_get(core, WS_KEY_PREFIX_JOB, spec->id, request_id, request,
-				  ws_submit_known);
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, request, ws_submit_known);
 		ws_core_tick(core, now);
 		return;
 	}
 	call = ws_call_new(core, WS_CALL_TRANSACTION, ws_submit_written);
 	call->context = request;
-	call->context_number = request_id;
-	snprintf(call->context_name, sizeof(call->context_name), "%s", spec->id);
 	snprintf(live_key, sizeof(live_key), "%s%s", WS_KEY_PREFIX_JOB, spec->id);
 	snprintf(archived_key, sizeof(archived_key), "%s%s", WS_KEY_PREFIX_ARCHIVED_JOB, spec->id);
 	ws_transaction_reserve(call, 2, 1);
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -33,17 +33,33 @@
 	ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, id, WS_JOB_QUEUED);
 }
 
-struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
-				  uint64_t request_id, struct ws_user_request *request,
-				  ws_result_fn on_result)
+struct ws_user_request *ws_user_request_new(uint64_t request_id, const char *id, bool forwarded)
+{
+	struct ws_user_request *request = calloc(1, sizeof(*request));
+
+	if (!request)
+		return NULL;
+	snprintf(request->job, sizeof(request->job), "%s", id);
+	request->request_id = request_id;
+	request->forwarded = forwarded;
+	return request;
+}
+
+struct ws_user_request *ws_user_request_take(struct ws_call *call)
+{
+	struct ws_user_request *request = call->context;
+
+	call->context = NULL;
+	return request;
+}
+
+void ws_job_record_get(struct ws_core *core, const char *prefix, struct ws_user_request *request,
+		       ws_result_fn on_result)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_GET, on_result);
 
-	snprintf(call->read.key, sizeof(call->read.key), "%s%s", prefix, id);
-	snprintf(call->context_name, sizeof(call->context_name), "%s", id);
+	snprintf(call->read.key, sizeof(call->read.key), "%s%s", prefix, request->job);
 	call->context = request;
-	call->context_number = request_id;
-	return call;
 }
 
 /*
@@ -87,19 +103,20 @@
 void ws_user_answer_record(struct ws_core *core, struct ws_call *call,
 			   const struct ws_result *result, bool with_counts)
 {
+	const struct ws_user_request *request = call->context;
 	enum ws_job_phase phase;
 	uint32_t done, running;
 
 	if (result->records.entry_count != 1 ||
 	    !ws_record_read_phase(result->records.entries[0].value, &phase, &done, &running)) {
 		ws_log(core, WS_LOG_ERROR, "record %s can't be read", call->read.key);
-		ws_user_answer(core, call->context_number, WS_ANSWER_UNAVAILABLE,
-			       call->context_name, WS_JOB_QUEUED);
+		ws_user_answer(core, request->request_id, WS_ANSWER_UNAVAILABLE, request->job,
+			       WS_JOB_QUEUED);
 		return;
 	}
 	if (phase == WS_JOB_CANCELLED)
 		ws_status_cache_note_cancelled(core, call->read.key,
 					       result->records.entries[0].revision);
-	ws_user_answer_status(core, call->context_number, call->context_name, phase, done, running,
+	ws_user_answer_status(core, request->request_id, request->job, phase, done, running,
 			      with_counts);
 }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -276,6 +276,7 @@
 
 /* WS_CALL_COMMANDS: commands sent to a worker directly; without any it is a probe. */
 struct ws_commands_call {
+	char machine[WS_NAME_MAX]; /* not sent */
 	char address[64];
 	int port;
 	uint64_t fencing_token;	 /* the worker refuses tokens below the highest that it knows */
@@ -290,6 +291,7 @@
 	char after_job[WS_ID_MAX]; /* the list of cancellations goes on behind it; empty: begins */
 	uint64_t since_revision;   /* cancellations above it, not in the leader's job replica */
 	uint64_t leader_revision;  /* revision of the asker's leader key */
+	uint64_t round;		   /* of the asker's questions; not sent */
 };
 
 struct ws_core;
@@ -317,9 +319,7 @@
 	};
 	/* the core's own */
 	ws_result_fn on_result;
-	void *context; /* owned by the call; a handler that passes it on clears it */
-	char context_name[WS_NAME_MAX];
-	uint64_t context_number;
+	void *context; /* what on_result needs, from malloc(); owned; who passes it on clears it */
 	uint64_t generation; /* of the core when it made the call; others' results are ignored */
 	double created_at;   /* seconds of the core's clock */
 	struct ws_call *next;
@@ -345,7 +345,7 @@
 
 /* WS_EFFECT_ANSWER_USER: of a job. */
 struct ws_user_reply {
-	char job[WS_NAME_MAX];
+	char job[WS_ID_MAX];
 	enum ws_job_phase phase;
 	uint32_t done, running; /* tasks */
 	bool carries_counts;	/* the answer carries done and running */
--- a/src/core/extension/subsystems.c
+++ b/src/core/extension/subsystems.c
@@ -411,6 +411,12 @@
 	core->scheduler.pass_wanted = true;
 }
 
+/* A job that a subsystem asks about: the context of the reads that this takes. */
+struct ws_job_look_up {
+	size_t subsystem; /* index */
+	char job[WS_ID_MAX + 1];
+};
+
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result);
 
@@ -419,10 +425,12 @@
 				 const char *job)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_subsystem_looked_up);
+	struct ws_job_look_up *look_up = ws_alloc(1, sizeof(*look_up));
 
 	snprintf(call->read.key, sizeof(call->read.key), "%s%.*s", prefix, WS_ID_MAX, job);
-	snprintf(call->context_name, sizeof(call->context_name), "%.*s", WS_ID_MAX, job);
-	call->context_number = index;
+	snprintf(look_up->job, sizeof(look_up->job), "%.*s", WS_ID_MAX, job);
+	look_up->subsystem = index;
+	call->context = look_up;
 }
 
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
@@ -430,14 +438,15 @@
 {
 	bool live = ws_key_has_prefix(call->read.key, WS_KEY_PREFIX_JOB);
 	enum ws_job_standing standing = WS_STANDING_UNREADABLE;
-	const struct ws_subsystem *subsystem = &core->subsystems.list[call->context_number];
+	const struct ws_job_look_up *look_up = call->context;
+	const struct ws_subsystem *subsystem = &core->subsystems.list[look_up->subsystem];
 
 	if (call->generation != core->generation || core->leadership.role != WS_LEADER)
 		return;
-	if (result->outcome == WS_OUTCOME_NOT_FOUND &&
-	    live) { /* a job moves to old/ in one transaction, never back */
-		ws_subsystem_look_up(core, call->context_number, WS_KEY_PREFIX_ARCHIVED_JOB,
-				     call->context_name);
+	if (result->outcome == WS_OUTCOME_NOT_FOUND && live) {
+		/* a job moves to old/ in one transaction, never back */
+		ws_subsystem_look_up(core, look_up->subsystem, WS_KEY_PREFIX_ARCHIVED_JOB,
+				     look_up->job);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_NOT_FOUND)
@@ -445,8 +454,7 @@
 	else if (result->outcome == WS_OUTCOME_OK)
 		standing = live ? WS_STANDING_LIVE : WS_STANDING_OVER;
 	if (subsystem->ops->job_looked_up)
-		subsystem->ops->job_looked_up(subsystem->self, core->now, call->context_name,
-					      standing);
+		subsystem->ops->job_looked_up(subsystem->self, core->now, look_up->job, standing);
 }
 
 static bool ws_request_names_record(const struct ws_request *request)
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -108,7 +108,7 @@
 	call->commands.port = machine->port;
 	call->commands.fencing_token = machine->fencing_token;
 	call->commands.incarnation = machine->incarnation;
-	snprintf(call->context_name, sizeof(call->context_name), "%s", machine->name);
+	snprintf(call->commands.machine, sizeof(call->commands.machine), "%s", machine->name);
 	machine->commands_in_flight++;
 	return call;
 }
@@ -147,7 +147,7 @@
 
 	if (call->generation != core->generation)
 		return;
-	machine = ws_machine_find(core, call->context_name);
+	machine = ws_machine_find(core, call->commands.machine);
 	if (!machine)
 		return;
 	machine->commands_in_flight--;
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -30,7 +30,7 @@
 	call->outage_vote.since_revision = since;
 	call->outage_vote.leader_revision =
 	    core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT;
-	call->context_number = core->leadership.votes.round;
+	call->outage_vote.round = core->leadership.votes.round;
 	core->leadership.votes.outstanding++;
 }
 
@@ -58,7 +58,7 @@
 				    const struct ws_result *result)
 {
 	if (call->generation != core->generation ||
-	    call->context_number != core->leadership.votes.round)
+	    call->outage_vote.round != core->leadership.votes.round)
 		return;
 	core->leadership.votes.outstanding--;
 	core->leadership.votes.last_answer_at = core->now;
