--- a/src/core/core.c
+++ b/src/core/core.c
@@ -183,7 +183,8 @@
 		return;
 	ws_step_down(core, NULL);
 	while ((effect = ws_core_next_effect(core))) {
-		ws_call_free(effect->call);
+		if (effect->kind == WS_EFFECT_CALL)
+			ws_call_free(effect->call);
 		ws_effect_free(effect);
 	}
 	ws_requests_free(core);
--- /dev/null
+++ b/tests/core_test.c
@@ -0,0 +1,90 @@
+/* The queue of effects: what nobody took when a core ends is freed with it. */
+#include "../src/core/core.h"
+#include "check.h"
+#include <stdlib.h>
+#include <string.h>
+
+#define REQUEST_ID 7
+
+static void ignore_log(enum ws_log_level level, const char *text)
+{
+	(void)level;
+	(void)text;
+}
+
+static struct ws_core *core_new(const struct ws_settings *settings)
+{
+	const struct ws_policy policy = {.leader_ttl_ratio = 0.5};
+
+	return ws_core_new(settings, &policy, ignore_log, 0, 1);
+}
+
+/* A core that knows no machine types yet answers that it is unavailable. */
+static void submit(struct ws_core *core)
+{
+	struct ws_job_spec spec = {.tasks = 1};
+
+	memset(spec.id, 'j', sizeof(spec.id) - 1); /* fills the place of an address */
+	ws_core_submit(core, 0, 0, REQUEST_ID, &spec, false);
+}
+
+static void heartbeat(struct ws_core *core)
+{
+	const struct ws_heartbeat heartbeat = {.machine = "m-1"};
+
+	ws_core_heartbeat(core, 0, REQUEST_ID, &heartbeat, false);
+}
+
+static void effects_taken(const struct ws_settings *settings)
+{
+	struct ws_core *core = core_new(settings);
+	struct ws_effect *effect;
+
+	submit(core);
+	effect = ws_core_next_effect(core);
+	check("a submission is answered",
+	      effect && effect->kind == WS_EFFECT_ANSWER_USER &&
+		  effect->answer == WS_ANSWER_UNAVAILABLE && effect->request_id == REQUEST_ID &&
+		  strlen(effect->user.job) == WS_ID_MAX - 1 && effect->user.retry_after_s == 1);
+	ws_effect_free(effect);
+	heartbeat(core);
+	effect = ws_core_next_effect(core);
+	check("a heartbeat is answered", effect && effect->kind == WS_EFFECT_ANSWER_HEARTBEAT &&
+					     effect->answer == WS_ANSWER_UNAVAILABLE &&
+					     !effect->heartbeat.commands);
+	ws_effect_free(effect);
+	check("and no more", !ws_core_next_effect(core));
+	ws_core_free(core);
+}
+
+static void effects_left(const struct ws_settings *settings)
+{
+	struct ws_core *core = core_new(settings);
+
+	submit(core);
+	heartbeat(core);
+	ws_core_tick(core, 1); /* and calls */
+	ws_core_free(core);
+	check("effects that nobody took are freed", true);
+}
+
+int main(void)
+{
+	struct ws_settings *settings = calloc(1, sizeof(*settings));
+
+	if (!settings)
+		return 1;
+	snprintf(settings->node, sizeof(settings->node), "node-1");
+	settings->lease_s = 60;
+	settings->report_s = 10;
+	settings->cancel_s = 120;
+	settings->state_rps = settings->state_write_rps = 100;
+	settings->cloud_rps = 1;
+	settings->value_kb = 100;
+	settings->txn_ops = 64;
+	effects_taken(settings);
+	effects_left(settings);
+	free(settings);
+	printf("%d passed, %d failed\n", good, bad);
+	return bad != 0;
+}
