--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,8 +1,11 @@
 /*
- * The core of waystep: jobs, fleet, placement, sizing and election, without any input or output.
- * Events and the time go in through ws_core_* calls; what is to be done comes out as a queue of
- * actions that the I/O layer (src/io) carries out. Not thread safe: the I/O layer holds one lock
- * round it.
+ * The interface between the core and the I/O layer. The core holds jobs, fleet, scheduler,
+ * autoscaler and leadership, and does no input or output itself.
+ *
+ * Events and the time go in by ws_core_* functions; what is to be done comes out as a queue of
+ * effects, which the I/O layer (src/io) carries out in their order. Times are seconds of a steady
+ * clock that never goes back, unless something else is said. Not thread safe: the I/O layer holds
+ * one lock round it.
  */
 #ifndef WS_CORE_H
 #define WS_CORE_H
@@ -12,46 +15,63 @@
 #include <stdint.h>
 #include <uthash.h>
 
-#define WS_ID_MAX 64
-#define WS_KEY_MAX 201
-#define WS_MAX_TYPES 32
-#define WS_MAX_TASKS 100000
-#define WS_MAX_ALLOWED 16
+#define WS_ID_MAX 64	    /* bytes of a job id, with its end */
+#define WS_KEY_MAX 201	    /* bytes of a key of the store, with its end */
+#define WS_MAX_TYPES 32	    /* machine types */
+#define WS_MAX_TASKS 100000 /* of a job */
+#define WS_MAX_ALLOWED 16   /* machine types that a job names; zones of a machine type */
 
+/* ---- jobs ---- */
+
+/* The larger one goes first. */
 enum ws_priority_class {
 	WS_PRIORITY_BEST_EFFORT,
 	WS_PRIORITY_NORMAL,
 	WS_PRIORITY_URGENT,
 	WS_PRIORITY_PRODUCTION
 };
+/* What its user is told of a job. */
 enum ws_job_phase { WS_JOB_QUEUED, WS_JOB_RUNNING, WS_JOB_DONE, WS_JOB_CANCELLED };
 
-/* What a user asks for. Times in seconds; negative deadline: none. */
+/* What a user asks for. */
 struct ws_job_spec {
 	char id[WS_ID_MAX];
 	char job_class[WS_NAME_MAX];
 	char team[WS_NAME_MAX];
-	bool service;
-	bool gang; /* all tasks run at once or none */
+	bool service; /* its tasks are replicas that run until the job is cancelled */
+	bool gang;    /* all tasks run at once or none */
 	enum ws_priority_class priority;
 	uint32_t tasks;
-	double cpus, gpus, mem_gb;
+	double cpus, gpus, mem_gb; /* of each task */
 	char image[WS_NAME_MAX];
 	double image_gb;
-	char types[WS_MAX_ALLOWED][WS_NAME_MAX];
-	size_t type_count; /* 0: any */
-	char zone[WS_NAME_MAX];
-	bool one_zone, spread, allows_preemptible;
-	double estimate_s, checkpoint_s, save_s, deadline_s;
+	char types[WS_MAX_ALLOWED][WS_NAME_MAX]; /* machine types allowed */
+	size_t type_count;			 /* 0: any */
+	char zone[WS_NAME_MAX];			 /* the only one allowed; empty: any */
+	bool one_zone;				 /* all tasks in the same zone */
+	bool spread;				 /* over many machines, of a gang over zones */
+	bool allows_preemptible;
+	double estimate_s;   /* expected run time of a task */
+	double checkpoint_s; /* interval of checkpoints */
+	double save_s;	     /* duration of a checkpoint */
+	double deadline_s;   /* below 0: none */
 };
 
+/* ---- machines ---- */
+
+/* A machine type of the cloud. */
 struct ws_machine_type {
 	char name[WS_NAME_MAX];
-	double cpus, gpus, mem_gb, local_gb, fetch_gb_s, price, preemptible_price, boot_s;
+	double cpus, gpus, mem_gb;
+	double local_gb;   /* disk for images */
+	double fetch_gb_s; /* bandwidth to fetch images, GB a second */
+	double price, preemptible_price;
+	double boot_s;
 	char zones[WS_MAX_ALLOWED][WS_NAME_MAX];
 	size_t zone_count;
 };
 
+/* What a worker says of a task. */
 enum ws_task_state {
 	WS_TASK_FETCHING,
 	WS_TASK_RUNNING,
@@ -59,18 +79,20 @@
 	WS_TASK_EXITED,
 	WS_TASK_WAITING, /* of a gang: for the other tasks of its attempt */
 };
+/* Why a task has exited. */
 enum ws_exit_reason {
-	WS_EXIT_NONE,
-	WS_EXIT_DONE,
-	WS_EXIT_STOPPED,
+	WS_EXIT_NONE,	 /* it has not */
+	WS_EXIT_DONE,	 /* completed */
+	WS_EXIT_STOPPED, /* by a command, or a lease that ran out */
 	WS_EXIT_ERROR,
-	WS_EXIT_FULL,
+	WS_EXIT_FULL, /* this and the next two: refused by the machine */
 	WS_EXIT_BUSY,
 	WS_EXIT_UNKNOWN,
 	WS_EXIT_MEMBER_LOST,	 /* of a gang: another of its tasks is gone */
 	WS_EXIT_GANG_INCOMPLETE, /* of a gang: it was not complete in time */
 };
 
+/* A task in a heartbeat. */
 struct ws_task_status {
 	char job[WS_ID_MAX];
 	uint32_t task;
@@ -79,28 +101,38 @@
 	enum ws_exit_reason exit_reason;
 };
 
+/* A worker's heartbeat, or its answer to commands. */
 struct ws_heartbeat {
 	char machine[WS_NAME_MAX];
-	char address[64];
+	char address[64]; /* where the worker takes commands */
 	int port;
 	char type[WS_NAME_MAX];
 	char zone[WS_NAME_MAX];
 	bool preemptible;
-	uint64_t incarnation, sequence, fencing_token;
-	double preemption_notice_s; /* below 0: none */
-	struct ws_task_status *tasks;
+	uint64_t incarnation;	      /* rises when the worker has lost its lease */
+	uint64_t sequence;	      /* rises with each heartbeat of an incarnation */
+	uint64_t fencing_token;	      /* the highest that it knows */
+	double preemption_notice_s;   /* until the machine is taken away; below 0: no notice */
+	struct ws_task_status *tasks; /* owned by who made the heartbeat */
 	size_t task_count;
 };
 
-enum ws_command_kind { WS_COMMAND_RUN, WS_COMMAND_STOP, WS_COMMAND_REAP };
+enum ws_command_kind {
+	WS_COMMAND_RUN,	 /* start a task */
+	WS_COMMAND_STOP, /* save and end a task */
+	WS_COMMAND_REAP, /* forget a task that has exited */
+};
+
+/* What a worker is told to do with one attempt of a task. */
 struct ws_command {
 	enum ws_command_kind kind;
 	char job[WS_ID_MAX];
 	uint32_t task;
 	uint64_t attempt;
-	double grace_s;
+	double grace_s; /* STOP: so long it may save; 0: ends at once */
 };
 
+/* An instance as the cloud lists it. */
 enum ws_instance_phase { WS_INSTANCE_STARTING, WS_INSTANCE_RUNNING, WS_INSTANCE_FAILED };
 struct ws_instance {
 	char name[WS_NAME_MAX];
@@ -110,20 +142,22 @@
 	char zone[WS_NAME_MAX];
 	bool preemptible;
 	enum ws_instance_phase phase;
-	double age_s;
+	double age_s; /* since it was asked for */
 };
 
+/* ---- calls: what the core asks of others, and what they answer ---- */
+
+/* A record of the store, or a change to one. */
 struct ws_kv {
 	char key[WS_KEY_MAX];
 	json_t *value; /* NULL: the key was deleted */
 	uint64_t revision;
 };
 
-/* A job that its user was told is cancelled, or may have been, and its record's revision as such.
- */
+/* A job whose user was told that it is cancelled, or may have been. */
 struct ws_cancellation {
 	char job[WS_ID_MAX];
-	uint64_t revision;
+	uint64_t revision; /* of its record, as cancelled */
 };
 
 /* What became of a call. */
@@ -296,6 +330,7 @@
 
 struct ws_core;
 struct ws_call;
+/* Handles the result of a call; both are freed after it. */
 typedef void (*ws_result_fn)(struct ws_core *core, struct ws_call *call,
 			     const struct ws_result *result);
 
@@ -325,6 +360,8 @@
 	struct ws_call *next;
 };
 
+/* ---- effects: what the I/O layer is to do ---- */
+
 /* What a request of a user, a worker or a peer is answered. */
 enum ws_answer {
 	WS_ANSWER_UNAVAILABLE,	  /* not now; of an outage vote: the store refuses this node too */
@@ -336,10 +373,10 @@
 };
 
 enum ws_effect_kind {
-	WS_EFFECT_CALL,
-	WS_EFFECT_ANSWER_USER,
+	WS_EFFECT_CALL,	       /* make a call */
+	WS_EFFECT_ANSWER_USER, /* answer the request */
 	WS_EFFECT_ANSWER_HEARTBEAT,
-	WS_EFFECT_FORWARD, /* pass the request with this token to a peer, answer with its reply */
+	WS_EFFECT_FORWARD, /* pass the request on to a peer, and answer with its reply */
 	WS_EFFECT_ANSWER_VOTE,
 };
 
@@ -381,53 +418,90 @@
 	struct ws_effect *next;
 };
 
-/* Log sink; the core writes no file itself. */
+/* ---- the core ---- */
+
+/* Takes the lines that the core logs; the core writes no file itself. */
 enum ws_log_level { WS_LOG_ERROR, WS_LOG_INFO, WS_LOG_DEBUG };
 typedef void (*ws_log_fn)(enum ws_log_level level, const char *text);
 
-struct ws_queue_measurement { /* what the sizing thread gets, by copy */
-	double arrival_rate, service_rate, boot_rate;
-	int owned, ceiling, waiting_units;
-	double delta, rentals_max, wait_max_s, bound_s;
-};
-
+/* How old the leader's replica of the jobs may become in an outage of the store, in seconds. */
 double ws_core_replica_age_limit(const struct ws_settings *settings);
+/* Whether that is shorter than what a leader is served by its watch at the latest. */
 bool ws_core_replica_age_limit_is_short(const struct ws_settings *settings,
 					const struct ws_policy *policy);
+
+/*
+ * A core that follows. The settings must outlive it; the policy is copied. `now` is the time at the
+ * start, `nonce` tells this process from others of the same node. NULL without memory.
+ */
 struct ws_core *ws_core_new(const struct ws_settings *settings, const struct ws_policy *policy,
 			    ws_log_fn log, double now, uint64_t nonce);
+/* Frees it with the effects that were not taken. Calls under way stay with who carries them out. */
 void ws_core_free(struct ws_core *core);
+/* Does what is due by the clock. */
 void ws_core_tick(struct ws_core *core, double now);
+/* The next effect, which the caller frees, and carries out or hands on its call; NULL: none. */
 struct ws_effect *ws_core_next_effect(struct ws_core *core);
+/* Frees an effect, but for its call. NULL is none. */
 void ws_effect_free(struct ws_effect *effect);
+/* Each call ends here once: hands in its result and frees the call. The result is borrowed. */
 void ws_core_complete(struct ws_core *core, double now, struct ws_call *call,
 		      const struct ws_result *result);
-
 /* After what was asked of the core: how late it is now. Long passes come less often. */
 void ws_core_pass_ended(struct ws_core *core, double (*clock)(void));
+/* Gives up leadership, and does not campaign any more: the process is about to stop. */
 void ws_core_resign(struct ws_core *core, double now);
+
+/* Whether the node can serve: it knows the machine types, and the store or a peer answers. */
 bool ws_core_is_ready(const struct ws_core *core);
 bool ws_core_is_leader(const struct ws_core *core);
 /* Whether what only a leader may say may leave now. */
 bool ws_core_is_entitled(const struct ws_core *core, double now);
+
+/*
+ * Requests. Each is answered, or forwarded unless it was forwarded already, by an effect with its
+ * id; what is passed is borrowed.
+ */
+/* A job's submission; `wall` is the time of day in seconds since 1970. */
 void ws_core_submit(struct ws_core *core, double now, double wall, uint64_t request_id,
 		    const struct ws_job_spec *spec, bool forwarded);
+/* Asks for the state of a job. */
 void ws_core_query_status(struct ws_core *core, double now, uint64_t request_id, const char *id,
 			  bool forwarded);
+/* Cancels a job. */
 void ws_core_cancel(struct ws_core *core, double now, uint64_t request_id, const char *id,
 		    bool forwarded);
+/* A worker's heartbeat; where this node leads it renews the worker's lease. */
 void ws_core_heartbeat(struct ws_core *core, double now, uint64_t request_id,
 		       const struct ws_heartbeat *heartbeat, bool forwarded);
-/* A peer that leads with a key of this revision, and has seen the jobs up to a revision and, of a
- * list too long for one frame, up to a job of it, asks whether the store refuses us. */
+/*
+ * A peer that leads with a key of the revision `leader` asks whether the store refuses this node
+ * too. It knows of cancellations up to the revision `since`, and of a list too long for one frame
+ * up to the job `after`.
+ */
 void ws_core_outage_vote(struct ws_core *core, double now, uint64_t request_id, uint64_t leader,
 			 uint64_t since, const char *after);
 /* The same, of a peer that takes in no list: the version before it. */
 void ws_core_outage_vote_unlisted(struct ws_core *core, double now, uint64_t request_id);
 
-/* The sizing thread: take a measurement when one is due, hand back the k found. */
+/* ---- the queueing model, which runs on a thread of its own ---- */
+
+/* What the model works on, by copy: rates a second, sizes in demand units, times in seconds. */
+struct ws_queue_measurement {
+	double arrival_rate, service_rate, boot_rate; /* the last two of one unit */
+	int owned;				      /* units on owned machines */
+	int ceiling;				      /* units on instances at most */
+	int waiting_units;			      /* that may wait in the queue */
+	double delta;				      /* ratio at which Algorithm 1 stops */
+	double rentals_max;			      /* scale of the mean units on instances */
+	double wait_max_s;			      /* scale of the mean wait */
+	double bound_s;				      /* the mean wait may not be above it */
+};
+
+/* Takes a measurement when one is due; false: none is, or it is of no use. */
 bool ws_core_take_measurement(struct ws_core *core, double now,
 			      struct ws_queue_measurement *measurement);
+/* The model's result: units on instances at most, and the means expected with it. */
 void ws_core_set_scale_out_limit(struct ws_core *core, double now, int limit,
 				 double mean_scaled_out, double mean_wait_s);
 #endif
