--- a/src/io/codec.h
+++ b/src/io/codec.h
@@ -48,8 +48,8 @@
 /* Bodies to send; freed by the caller, NULL without memory. */
 char *ws_encode_user(const struct ws_effect *answer);
 char *ws_encode_heartbeat_answer(const struct ws_effect *answer);
-char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *commands,
-			 size_t count);
+char *ws_encode_commands(uint64_t fencing_token, uint64_t incarnation,
+			 const struct ws_command *commands, size_t count);
 
 /* Paths of calls go to buffers of this size. */
 #define WS_URL_MAX 900
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -79,12 +79,13 @@
 		      commands_json(answer->heartbeat.commands, answer->heartbeat.command_count)));
 }
 
-char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *commands,
-			 size_t count)
+char *ws_encode_commands(uint64_t fencing_token, uint64_t incarnation,
+			 const struct ws_command *commands, size_t count)
 {
 	ws_pool_begin();
-	return to_text(json_pack("{s:I,s:I,s:o}", "epoch", (json_int_t)epoch, "tenure",
-				 (json_int_t)tenure, "orders", commands_json(commands, count)));
+	return to_text(json_pack("{s:I,s:I,s:o}", "epoch", (json_int_t)fencing_token, "tenure",
+				 (json_int_t)incarnation, "orders",
+				 commands_json(commands, count)));
 }
 
 static json_t *compares_json(const struct ws_call *call)
