--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -16,44 +16,45 @@
 {
 	struct ws_user_request *request = call->context;
 
-	if (result->status == 200) {
-		ws_status_cache_note_cancelled(core, call->compares[0].key, result->revision);
-		ws_user_answer(core, call->context_number, 200, call->context_name,
+	if (result->outcome == WS_OUTCOME_OK) {
+		ws_status_cache_note_cancelled(core, call->transaction.compares[0].key,
+					       result->transaction.revision);
+		ws_user_answer(core, request->request_id, WS_ANSWER_OK, request->job,
 			       WS_JOB_CANCELLED);
-	} else if ((result->status == 409 || result->status == 400) &&
+	} else if ((result->outcome == WS_OUTCOME_CONFLICT ||
+		    result->outcome == WS_OUTCOME_REJECTED) &&
 		   ++request->attempts < CANCEL_ATTEMPTS_MAX) {
 		/* changed meanwhile, or larger than the limit of now: read it again */
-		request->record_split |= result->status == 400;
-		call->context = NULL;
-		ws_job_record_get(core, WS_KEY_PREFIX_JOB, call->context_name, call->context_number,
-				  request, ws_cancel_record_read);
+		request->record_split |= result->outcome == WS_OUTCOME_REJECTED;
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, ws_user_request_take(call),
+				  ws_cancel_record_read);
 		return;
 	} else {
-		ws_user_answer_unavailable(core, call->context_number, call->context_name,
-					   request->forwarded, result->status);
+		ws_user_answer_unavailable(core, request->request_id, request->job,
+					   request->forwarded, result->outcome);
 	}
 }
 
 /* The record as it is was refused: what does not fit goes to records of its own. */
 static void ws_cancel_split_written(struct ws_core *core, struct ws_call *call)
 {
+	const struct ws_user_request *request = call->context;
 	size_t continuations_max = (size_t)core->settings->txn_ops - 1, continuation_count,
-	       bytes_before = ws_record_size(call->operations[0].value);
-	json_t **continuations = calloc(continuations_max + 1, sizeof(*continuations));
+	       bytes_before = ws_record_size(call->transaction.operations[0].value);
+	json_t **continuations = ws_alloc(continuations_max + 1, sizeof(*continuations));
 
-	if (!continuations)
-		abort();
-	ws_record_split_attempts(call->operations[0].value, ws_record_size_limit(core),
+	ws_record_split_attempts(call->transaction.operations[0].value, ws_record_size_limit(core),
 				 continuations, continuations_max, &continuation_count);
 	for (size_t i = 0; i < continuation_count; i++) {
-		snprintf(call->operations[call->operation_count].key, WS_KEY_MAX,
-			 WS_KEY_PREFIX_JOB_CONTINUATION "%s/%zu", call->context_name, i);
-		call->operations[call->operation_count++].value = continuations[i];
+		snprintf(call->transaction.operations[call->transaction.operation_count].key,
+			 WS_KEY_MAX, WS_KEY_PREFIX_JOB_CONTINUATION "%s/%zu", request->job, i);
+		call->transaction.operations[call->transaction.operation_count++].value =
+		    continuations[i];
 	}
 	free(continuations);
 	ws_log(core, WS_LOG_INFO,
-	       "oversized record split by cancellation job=%s bytes=%zu records=%zu",
-	       call->context_name, bytes_before, continuation_count + 1);
+	       "oversized record split by cancellation job=%s bytes=%zu records=%zu", request->job,
+	       bytes_before, continuation_count + 1);
 }
 
 static void ws_cancel_record_read(struct ws_core *core, struct ws_call *call,
@@ -64,36 +65,32 @@
 	uint32_t done, running;
 	struct ws_call *transaction;
 
-	if (result->status == 404) {
-		call->context = NULL;
-		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, call->context_name,
-				  call->context_number, request, ws_query_archived_read);
+	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_take(call),
+				  ws_query_archived_read);
 		return;
 	}
-	if (result->status != 200 || result->entry_count != 1 ||
-	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
-		ws_user_answer_unavailable(core, call->context_number, call->context_name,
-					   request->forwarded,
-					   result->status == 200 ? 500 : result->status);
+	if (result->outcome != WS_OUTCOME_OK || result->records.entry_count != 1 ||
+	    !ws_record_read_phase(result->records.entries[0].value, &phase, &done, &running)) {
+		ws_user_answer_unavailable(
+		    core, request->request_id, request->job, request->forwarded,
+		    result->outcome == WS_OUTCOME_OK ? WS_OUTCOME_OTHER : result->outcome);
 		return;
 	}
 	if (phase == WS_JOB_DONE || phase == WS_JOB_CANCELLED) {
 		if (phase == WS_JOB_CANCELLED)
-			ws_status_cache_note_cancelled(core, call->key,
-						       result->entries[0].revision);
-		ws_user_answer(core, call->context_number, 200, call->context_name, phase);
+			ws_status_cache_note_cancelled(core, call->read.key,
+						       result->records.entries[0].revision);
+		ws_user_answer(core, request->request_id, WS_ANSWER_OK, request->job, phase);
 		return;
 	}
 	transaction = ws_call_new(core, WS_CALL_TRANSACTION, ws_cancel_written);
-	transaction->context = request;
-	call->context = NULL;
-	transaction->context_number = call->context_number;
-	snprintf(transaction->context_name, sizeof(transaction->context_name), "%s",
-		 call->context_name);
+	transaction->context = ws_user_request_take(call);
 	ws_transaction_reserve(transaction, 1, (size_t)core->settings->txn_ops);
-	ws_transaction_compare(transaction, call->key, result->entries[0].revision);
-	ws_transaction_set(transaction, call->key, json_deep_copy(result->entries[0].value));
-	ws_record_cancel(transaction->operations[0].value);
+	ws_transaction_compare(transaction, call->read.key, result->records.entries[0].revision);
+	ws_transaction_set(transaction, call->read.key,
+			   json_deep_copy(result->records.entries[0].value));
+	ws_record_cancel(transaction->transaction.operations[0].value);
 	if (request->record_split)
 		ws_cancel_split_written(core, transaction);
 }
@@ -105,12 +102,11 @@
 
 	if (now > core->now)
 		core->now = now;
-	request = calloc(1, sizeof(*request));
+	request = ws_user_request_new(request_id, id, forwarded);
 	if (!request) {
-		ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
+		ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, id, WS_JOB_QUEUED);
 		return;
 	}
-	request->forwarded = forwarded;
-	ws_job_record_get(core, WS_KEY_PREFIX_JOB, id, request_id, request, ws_cancel_record_read);
+	ws_job_record_get(core, WS_KEY_PREFIX_JOB, request, ws_cancel_record_read);
 	ws_core_tick(core, now);
 }
--- a/src/core/api/heartbeat_requests.c
+++ b/src/core/api/heartbeat_requests.c
@@ -10,13 +10,15 @@
 	UT_hash_handle hh;
 };
 
-void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, int status, const char *leader)
+void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
+			 const char *leader)
 {
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_HEARTBEAT);
 
 	effect->request_id = request_id;
-	effect->status = status;
-	snprintf(effect->name, sizeof(effect->name), "%s", leader ? leader : "");
+	effect->answer = answer;
+	snprintf(effect->heartbeat.leader, sizeof(effect->heartbeat.leader), "%s",
+		 leader ? leader : "");
 }
 
 /*
@@ -33,14 +35,12 @@
 	if (forwarded || !core->leadership.leader_node[0] ||
 	    !strcmp(core->leadership.leader_node, core->settings->node) ||
 	    ws_node_is_isolated(core)) {
-		ws_heartbeat_answer(core, request_id, 503, NULL);
+		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
 	}
 	HASH_FIND_STR(core->follower.redirects, heartbeat->machine, redirect);
 	if (!redirect) {
-		redirect = calloc(1, sizeof(*redirect));
-		if (!redirect)
-			abort();
+		redirect = ws_alloc(1, sizeof(*redirect));
 		snprintf(redirect->machine, sizeof(redirect->machine), "%s", heartbeat->machine);
 		HASH_ADD_STR(core->follower.redirects, machine, redirect);
 	}
@@ -50,13 +50,15 @@
 	}
 	redirect->last_heartbeat_at = core->now;
 	if (redirect->heartbeat_count++ == 1) {
-		ws_heartbeat_answer(core, request_id, 421, core->leadership.leader_node);
+		ws_heartbeat_answer(core, request_id, WS_ANSWER_OTHER_LEADER,
+				    core->leadership.leader_node);
 		return;
 	}
 	effect = ws_effect_new(core, WS_EFFECT_FORWARD);
 	effect->request_id = request_id;
-	effect->worker_pinned = redirect->heartbeat_count > 2;
-	snprintf(effect->name, sizeof(effect->name), "%s", core->leadership.leader_node);
+	effect->forward.worker_pinned = redirect->heartbeat_count > 2;
+	snprintf(effect->forward.leader, sizeof(effect->forward.leader), "%s",
+		 core->leadership.leader_node);
 }
 
 /* Takes redirects that are a lease old off the table, as a list linked by `next_expired`. */
@@ -116,7 +118,7 @@
 		return;
 	}
 	if (!ws_leads_sender(core, heartbeat) || ws_machine_is_returned(core, heartbeat->machine)) {
-		ws_heartbeat_answer(core, request_id, 503, NULL);
+		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
 	}
 	if (!forwarded)
@@ -124,7 +126,7 @@
 	else if (!core->leadership.forwarded_only_since)
 		core->leadership.forwarded_only_since = core->now;
 	if (!ws_fleet_heartbeat(core, heartbeat, request_id)) {
-		ws_heartbeat_answer(core, request_id, 503, NULL);
+		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
 	}
 	ws_core_tick(core, now);
--- a/src/core/api/outage_votes.c
+++ b/src/core/api/outage_votes.c
@@ -1,13 +1,15 @@
 /*
  * Outage votes: does the store refuse us right now, and what did we tell users?
  *
- * The copy of the live jobs is complete up to a revision that was read in this life of the process,
+ * The job status cache is complete up to a revision that was read in this life of the process,
  * and holds what we confirmed after it: so it names every cancellation that we, in this life or an
- * earlier one, told a user of. Without such a copy we can't vouch for anything.
+ * earlier one, told a user of. Without such a cache we grant no vote.
  */
 #include "../core_state.h"
 
-struct ws_outage_question { /* what the asker wants to know, while our own question is under way */
+/* What the asker wants to know: the context of our own question to the store. */
+struct ws_outage_question {
+	uint64_t request_id;
 	uint64_t leader_revision, since_revision;
 	bool accepts_list; /* it takes in a list */
 	char after[WS_ID_MAX];
@@ -50,9 +52,7 @@
 			continue;
 		if (*count == cap) {
 			cap = cap ? 2 * cap : 16;
-			*list = realloc(*list, cap * sizeof(**list));
-			if (!*list)
-				abort();
+			*list = ws_resize(*list, cap, sizeof(**list));
 		}
 		(*list)[(*count)++] = cancellation;
 	}
@@ -69,21 +69,21 @@
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_VOTE);
 	const struct ws_outage_question *question = call->context;
 
-	effect->request_id = call->context_number;
-	effect->status = 200;
+	effect->request_id = question->request_id;
+	effect->answer = WS_ANSWER_OK;
 	/* silence is no vote, and neither is the word of one that leads itself or knows of a
 	 * later leader */
-	if (result->status != 503 || core->leadership.role == WS_LEADER ||
+	if (result->outcome != WS_OUTCOME_UNAVAILABLE || core->leadership.role == WS_LEADER ||
 	    core->leadership.role == WS_LOADING ||
 	    (question->accepts_list &&
 	     core->leadership.leader_revision > question->leader_revision))
 		return;
-	effect->vote_granted = ws_cancellations_since(
-	    core, question->since_revision, question->after, &effect->cancellations,
-	    &effect->cancellation_count, WS_VOTE_CANCELLATIONS_MAX, &effect->has_more);
+	effect->vote.granted = ws_cancellations_since(
+	    core, question->since_revision, question->after, &effect->vote.cancellations,
+	    &effect->vote.cancellation_count, WS_VOTE_CANCELLATIONS_MAX, &effect->vote.has_more);
 	/* who can't take in the list is not told that all is as it was unless there is none */
-	if (question->accepts_list || (effect->vote_granted && !effect->cancellation_count))
-		effect->status = 503;
+	if (question->accepts_list || (effect->vote.granted && !effect->vote.cancellation_count))
+		effect->answer = WS_ANSWER_UNAVAILABLE;
 }
 
 static void ws_outage_vote_check(struct ws_core *core, double now, uint64_t request_id,
@@ -95,12 +95,12 @@
 	if (!pending)
 		abort();
 	*pending = *question;
+	pending->request_id = request_id;
 	if (now > core->now)
 		core->now = now;
 	call = ws_call_new(core, WS_CALL_GET, ws_outage_vote_checked);
-	snprintf(call->key, sizeof(call->key), "leader");
+	snprintf(call->read.key, sizeof(call->read.key), "leader");
 	call->context = pending;
-	call->context_number = request_id;
 	call->urgent = true;
 }
 
--- a/src/core/api/status_cache.c
+++ b/src/core/api/status_cache.c
@@ -87,12 +87,13 @@
 {
 	uint64_t held = core->status_cache.revision;
 
-	if (!core->status_cache.complete || call->since_revision > held)
+	if (!core->status_cache.complete || call->watch.since_revision > held)
 		return;
-	for (size_t i = 0; i < result->entry_count; i++)
-		if (result->entries[i].revision > held)
-			ws_status_cache_apply_change(core, &result->entries[i]);
-	core->status_cache.revision = result->revision > held ? result->revision : held;
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		if (result->records.entries[i].revision > held)
+			ws_status_cache_apply_change(core, &result->records.entries[i]);
+	core->status_cache.revision =
+	    result->records.revision > held ? result->records.revision : held;
 	core->status_cache.fresh_at = core->now;
 }
 
@@ -100,17 +101,18 @@
 					   const struct ws_result *result)
 {
 	core->status_cache.request_in_flight = false;
-	if (result->status != 429)
-		ws_store_answered(core, result->status);
-	if (result->status == 200) {
+	if (result->outcome != WS_OUTCOME_RATE_LIMITED)
+		ws_store_answered(core, result->outcome);
+	if (result->outcome == WS_OUTCOME_OK) {
 		ws_job_watch_apply(core, call, result);
-		ws_queries_answer(core, 200);
-	} else if (result->status == 410) { /* the copy is too old to be brought up to date */
+		ws_queries_answer(core, WS_OUTCOME_OK);
+	} else if (result->outcome == WS_OUTCOME_COMPACTED) {
+		/* the copy is too old to be brought up to date */
 		ws_status_cache_clear(core);
-	} else if (result->status == 429) {
+	} else if (result->outcome == WS_OUTCOME_RATE_LIMITED) {
 		ws_queries_await_next_check(core);
 	} else {
-		ws_queries_answer(core, result->status);
+		ws_queries_answer(core, result->outcome);
 	}
 }
 
@@ -136,17 +138,18 @@
 static void ws_status_cache_page_read(struct ws_core *core, struct ws_call *call,
 				      const struct ws_result *result)
 {
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		core->status_cache.request_in_flight = false;
 		core->status_cache.next_request_at = core->now + core->leadership.session_ttl_s / 4;
 		return;
 	}
-	if (!call->after[0])
-		ws_status_cache_begin_load(core, result->revision);
-	for (size_t i = 0; i < result->entry_count; i++)
-		ws_status_cache_apply_change(core, &result->entries[i]);
-	if (result->has_more && result->entry_count) {
-		ws_status_cache_load(core, result->entries[result->entry_count - 1].key);
+	if (!call->read.after[0])
+		ws_status_cache_begin_load(core, result->records.revision);
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		ws_status_cache_apply_change(core, &result->records.entries[i]);
+	if (result->records.has_more && result->records.entry_count) {
+		ws_status_cache_load(core,
+				     result->records.entries[result->records.entry_count - 1].key);
 		return;
 	}
 	core->status_cache.request_in_flight = false;
@@ -158,8 +161,8 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_status_cache_page_read);
 
-	snprintf(call->key, sizeof(call->key), WS_KEY_PREFIX_JOB);
-	snprintf(call->after, sizeof(call->after), "%s", after);
+	snprintf(call->read.key, sizeof(call->read.key), WS_KEY_PREFIX_JOB);
+	snprintf(call->read.after, sizeof(call->read.after), "%s", after);
 	core->status_cache.request_in_flight = true;
 }
 
@@ -183,6 +186,6 @@
 	core->status_cache.request_in_flight = true;
 	ws_queries_await_check(core);
 	call = ws_call_new(core, WS_CALL_WATCH, ws_status_cache_watch_answered);
-	snprintf(call->key, sizeof(call->key), WS_KEY_PREFIX_JOB);
-	call->since_revision = core->status_cache.revision;
+	snprintf(call->watch.prefix, sizeof(call->watch.prefix), WS_KEY_PREFIX_JOB);
+	call->watch.since_revision = core->status_cache.revision;
 }
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -5,44 +5,61 @@
 #include "../core_state.h"
 #include "../record_sources.h"
 
-void ws_user_answer(struct ws_core *core, uint64_t request_id, int status, const char *id,
-		    enum ws_job_phase phase)
+void ws_user_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
+		    const char *id, enum ws_job_phase phase)
 {
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_USER);
 
 	effect->request_id = request_id;
-	effect->status = status;
-	effect->phase = phase;
-	snprintf(effect->name, sizeof(effect->name), "%s", id);
-	if (status == 503 || status == 429)
-		effect->retry_after = 1;
+	effect->answer = answer;
+	effect->user.phase = phase;
+	snprintf(effect->user.job, sizeof(effect->user.job), "%s", id);
+	if (answer == WS_ANSWER_UNAVAILABLE)
+		effect->user.retry_after_s = 1;
 }
 
 /* The store does not serve us: a peer may do better, unless the request came from one. */
 void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
-				bool forwarded, int status)
+				bool forwarded, enum ws_outcome outcome)
 {
-	if (!forwarded && !ws_node_is_isolated(core) && (status == 503 || status == 0) &&
+	if (!forwarded && !ws_node_is_isolated(core) &&
+	    (outcome == WS_OUTCOME_UNAVAILABLE || outcome == WS_OUTCOME_NO_ANSWER) &&
 	    core->settings->peer_count) {
 		struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_FORWARD);
 
 		effect->request_id = request_id;
 		return;
 	}
-	ws_user_answer(core, request_id, 503, id, WS_JOB_QUEUED);
+	ws_user_answer(core, request_id, WS_ANSWER_UNAVAILABLE, id, WS_JOB_QUEUED);
 }
 
-struct ws_call *ws_job_record_get(struct ws_core *core, const char *prefix, const char *id,
-				  uint64_t request_id, struct ws_user_request *request,
-				  ws_result_fn on_result)
+struct ws_user_request *ws_user_request_new(uint64_t request_id, const char *id, bool forwarded)
+{
+	struct ws_user_request *request = calloc(1, sizeof(*request));
+
+	if (!request)
+		return NULL;
+	snprintf(request->job, sizeof(request->job), "%s", id);
+	request->request_id = request_id;
+	request->forwarded = forwarded;
+	return request;
+}
+
+struct ws_user_request *ws_user_request_take(struct ws_call *call)
+{
+	struct ws_user_request *request = call->context;
+
+	call->context = NULL;
+	return request;
+}
+
+void ws_job_record_get(struct ws_core *core, const char *prefix, struct ws_user_request *request,
+		       ws_result_fn on_result)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_GET, on_result);
 
-	snprintf(call->key, sizeof(call->key), "%s%s", prefix, id);
-	snprintf(call->context_name, sizeof(call->context_name), "%s", id);
+	snprintf(call->read.key, sizeof(call->read.key), "%s%s", prefix, request->job);
 	call->context = request;
-	call->context_number = request_id;
-	return call;
 }
 
 /*
@@ -67,18 +84,18 @@
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_USER);
 
 	effect->request_id = request_id;
-	effect->status = 200;
-	effect->phase = phase;
-	effect->carries_counts = with_counts;
-	effect->done = done;
-	effect->running = running;
-	snprintf(effect->name, sizeof(effect->name), "%s", id);
+	effect->answer = WS_ANSWER_OK;
+	effect->user.phase = phase;
+	effect->user.carries_counts = with_counts;
+	effect->user.done = done;
+	effect->user.running = running;
+	snprintf(effect->user.job, sizeof(effect->user.job), "%s", id);
 	if (with_counts && core->leadership.role == WS_LEADER && phase == WS_JOB_RUNNING) {
 		struct ws_job *job = ws_job_find(core, id);
 
 		if (job) {
-			effect->done = job->done_count;
-			effect->running = job->attempt_count;
+			effect->user.done = job->done_count;
+			effect->user.running = job->attempt_count;
 		}
 	}
 }
@@ -86,17 +103,20 @@
 void ws_user_answer_record(struct ws_core *core, struct ws_call *call,
 			   const struct ws_result *result, bool with_counts)
 {
+	const struct ws_user_request *request = call->context;
 	enum ws_job_phase phase;
 	uint32_t done, running;
 
-	if (result->entry_count != 1 ||
-	    !ws_record_read_phase(result->entries[0].value, &phase, &done, &running)) {
-		ws_log(core, WS_LOG_ERROR, "unreadable record key=%s", call->key);
-		ws_user_answer(core, call->context_number, 503, call->context_name, WS_JOB_QUEUED);
+	if (result->records.entry_count != 1 ||
+	    !ws_record_read_phase(result->records.entries[0].value, &phase, &done, &running)) {
+		ws_log(core, WS_LOG_ERROR, "unreadable record key=%s", call->read.key);
+		ws_user_answer(core, request->request_id, WS_ANSWER_UNAVAILABLE, request->job,
+			       WS_JOB_QUEUED);
 		return;
 	}
 	if (phase == WS_JOB_CANCELLED)
-		ws_status_cache_note_cancelled(core, call->key, result->entries[0].revision);
-	ws_user_answer_status(core, call->context_number, call->context_name, phase, done, running,
+		ws_status_cache_note_cancelled(core, call->read.key,
+					       result->records.entries[0].revision);
+	ws_user_answer_status(core, request->request_id, request->job, phase, done, running,
 			      with_counts);
 }
--- a/src/core/autoscaler/demand_packing.c
+++ b/src/core/autoscaler/demand_packing.c
@@ -2,6 +2,7 @@
  * Packs unmet demand into machines by first fit. Machines that are alike and equally full share a
  * bin, so that the work grows with the number of different machines rather than with all.
  */
+#include "../memory.h"
 #include "autoscaler_internal.h"
 
 #define INITIAL_BIN_CAPACITY 64
@@ -16,9 +17,7 @@
 		packing->bin_capacity =
 		    packing->bin_capacity ? 2 * packing->bin_capacity : INITIAL_BIN_CAPACITY;
 		packing->bins =
-		    realloc(packing->bins, (size_t)packing->bin_capacity * sizeof(*packing->bins));
-		if (!packing->bins)
-			abort();
+		    ws_resize(packing->bins, packing->bin_capacity, sizeof(*packing->bins));
 	}
 	packing->bins[packing->bin_count++] = added;
 }
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -3,6 +3,7 @@
  * and the cloud's answers. A machine is marked first, never used again, and gone when the cloud
  * says so.
  */
+#include "../memory.h"
 #include "autoscaler_internal.h"
 
 /* Machines of one call. */
@@ -70,14 +71,14 @@
 {
 	if (call->generation != core->generation)
 		return;
-	for (size_t i = 0; i < call->machine_count; i++) {
-		struct ws_machine *machine = ws_machine_find(core, call->machine_names[i]);
+	for (size_t i = 0; i < call->scale_in.count; i++) {
+		struct ws_machine *machine = ws_machine_find(core, call->scale_in.machine_names[i]);
 
 		if (!machine)
 			continue;
 		machine->scale_in_in_flight = false;
 		machine->next_scale_in_at = ws_cloud_call_retry_at(core);
-		if (result->status == 200) {
+		if (result->outcome == WS_OUTCOME_OK) {
 			ws_capacity_error_scaled_in(core, machine);
 			ws_machine_mark_gone(core, machine, "scaled in");
 		}
@@ -196,9 +197,8 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_SCALE_IN, ws_scale_in_answered);
 
-	call->machine_names = calloc(SCALE_IN_CALL_MAX, sizeof(*call->machine_names));
-	if (!call->machine_names)
-		abort();
+	call->scale_in.machine_names =
+	    ws_alloc(SCALE_IN_CALL_MAX, sizeof(*call->scale_in.machine_names));
 	core->autoscaler.next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
 	core->autoscaler.scaled_out_last = false;
 	core->autoscaler.scale_ins_due_since = core->now;
@@ -216,11 +216,11 @@
 			continue;
 		if (!call)
 			call = ws_scale_in_call_new(core);
-		snprintf(call->machine_names[call->machine_count++], WS_NAME_MAX, "%s",
+		snprintf(call->scale_in.machine_names[call->scale_in.count++], WS_NAME_MAX, "%s",
 			 machine->name);
 		machine->scale_in_in_flight = true;
 		core->autoscaler.scale_ins_due--;
-		if (call->machine_count == SCALE_IN_CALL_MAX)
+		if (call->scale_in.count == SCALE_IN_CALL_MAX)
 			break;
 	}
 }
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -3,6 +3,7 @@
  * before the cloud is asked: a request whose answer got lost is sent again with the same key, and
  * no key is used for two requests.
  */
+#include "../memory.h"
 #include "autoscaler_internal.h"
 
 /* A request's record: bytes of its other fields at most, and of the quotes and comma of a name. */
@@ -64,10 +65,8 @@
 {
 	struct ws_autoscaler *autoscaler = &core->autoscaler;
 	const uint32_t limit = ws_scale_out_count_limit(core);
-	struct ws_scale_out *request = calloc(1, sizeof(*request));
+	struct ws_scale_out *request = ws_alloc(1, sizeof(*request));
 
-	if (!request)
-		abort();
 	snprintf(request->idempotency_key, sizeof(request->idempotency_key), "r-%llu-%llu",
 		 (unsigned long long)(core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT),
 		 (unsigned long long)++autoscaler->request_sequence);
@@ -101,11 +100,9 @@
 {
 	free(request->instances);
 	request->instance_count = 0;
-	request->instances = calloc(result->instance_count + 1, sizeof(*request->instances));
-	if (!request->instances)
-		abort();
-	for (size_t i = 0; i < result->instance_count && i < WS_SCALE_OUT_MAX; i++) {
-		const char *name = result->instances[i].name;
+	request->instances = ws_alloc(result->instances.count + 1, sizeof(*request->instances));
+	for (size_t i = 0; i < result->instances.count && i < WS_SCALE_OUT_MAX; i++) {
+		const char *name = result->instances.list[i].name;
 		struct ws_machine *machine = ws_machine_find_or_add(core, name);
 
 		snprintf(request->instances[request->instance_count++], WS_NAME_MAX, "%s", name);
@@ -138,17 +135,17 @@
 	if (call->generation != core->generation)
 		return;
 	core->autoscaler.scale_out_in_flight = false;
-	HASH_FIND_STR(core->autoscaler.requests, call->key, request);
+	HASH_FIND_STR(core->autoscaler.requests, call->scale_out.idempotency_key, request);
 	if (!request)
 		return;
-	if (result->status == 200) {
+	if (result->outcome == WS_OUTCOME_OK) {
 		ws_scale_out_granted(core, request, result);
-	} else if (result->status == 503 && result->no_capacity) {
+	} else if (result->outcome == WS_OUTCOME_UNAVAILABLE && result->instances.no_capacity) {
 		ws_log(core, WS_LOG_INFO, "capacity error key=%s type=%s zone=%s preemptible=%s",
 		       request->idempotency_key, request->type, request->zone,
 		       request->preemptible ? "yes" : "no");
 		ws_scale_out_refused(core, request);
-	} else if (result->status == 400) {
+	} else if (result->outcome == WS_OUTCOME_REJECTED) {
 		ws_log(core, WS_LOG_ERROR, "scale-out rejected as malformed key=%s",
 		       request->idempotency_key);
 		ws_scale_out_refused(core, request);
@@ -163,11 +160,12 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_SCALE_OUT, ws_scale_out_answered);
 
-	snprintf(call->key, sizeof(call->key), "%s", request->idempotency_key);
-	snprintf(call->type, sizeof(call->type), "%s", request->type);
-	snprintf(call->zone, sizeof(call->zone), "%s", request->zone);
-	call->preemptible = request->preemptible;
-	call->count = request->count;
+	snprintf(call->scale_out.idempotency_key, sizeof(call->scale_out.idempotency_key), "%s",
+		 request->idempotency_key);
+	snprintf(call->scale_out.type, sizeof(call->scale_out.type), "%s", request->type);
+	snprintf(call->scale_out.zone, sizeof(call->scale_out.zone), "%s", request->zone);
+	call->scale_out.preemptible = request->preemptible;
+	call->scale_out.count = request->count;
 	request->state = WS_SCALE_OUT_SENT;
 	core->autoscaler.scale_out_in_flight = true;
 	core->autoscaler.next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
--- a/src/core/autoscaler/scale_out_records.c
+++ b/src/core/autoscaler/scale_out_records.c
@@ -53,10 +53,8 @@
 
 static void ws_scale_out_load(struct ws_core *core, const struct ws_kv *record)
 {
-	struct ws_scale_out *request = calloc(1, sizeof(*request));
+	struct ws_scale_out *request = ws_alloc(1, sizeof(*request));
 
-	if (!request)
-		abort();
 	snprintf(request->idempotency_key, sizeof(request->idempotency_key), "%s",
 		 record->key + strlen(WS_KEY_PREFIX_SCALE_OUT));
 	request->revision = record->revision;
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -2,7 +2,6 @@
 #include "../core_state.h"
 
 /* Status code of a good answer. */
-#define HTTP_OK 200
 /* The leader asks again after this many leases: prices change. */
 #define REFRESH_LEASES 8
 
@@ -12,9 +11,10 @@
 {
 	(void)call;
 	core->catalog.request_in_flight = false;
-	if (result->status == HTTP_OK && result->entry_count == 1 && !core->catalog.type_count)
+	if (result->outcome == WS_OUTCOME_OK && result->records.entry_count == 1 &&
+	    !core->catalog.type_count)
 		core->catalog.type_count =
-		    ws_record_read_types(result->entries[0].value, core->catalog.types);
+		    ws_record_read_types(result->records.entries[0].value, core->catalog.types);
 	core->catalog.types_edition++;
 	if (!core->catalog.type_count)
 		core->catalog.next_request_at = core->now + core->settings->report_s / 2;
@@ -42,9 +42,9 @@
 	struct ws_catalog *catalog = &core->catalog;
 
 	(void)call;
-	if (result->status == HTTP_OK && result->type_count) {
-		for (size_t i = 0; i < result->type_count; i++)
-			ws_machine_type_update(core, &result->types[i]);
+	if (result->outcome == WS_OUTCOME_OK && result->types.count) {
+		for (size_t i = 0; i < result->types.count; i++)
+			ws_machine_type_update(core, &result->types.list[i]);
 		catalog->types_edition++;
 		catalog->request_in_flight = false;
 		catalog->next_request_at = core->now + core->settings->lease_s * REFRESH_LEASES;
@@ -54,7 +54,8 @@
 	if (!catalog->type_count) {
 		struct ws_call *record_call = ws_call_new(core, WS_CALL_GET, ws_types_record_read);
 
-		snprintf(record_call->key, sizeof(record_call->key), "%s", WS_KEY_MACHINE_TYPES);
+		snprintf(record_call->read.key, sizeof(record_call->read.key), "%s",
+			 WS_KEY_MACHINE_TYPES);
 		return;
 	}
 	catalog->request_in_flight = false;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -33,10 +33,8 @@
 
 struct ws_effect *ws_effect_new(struct ws_core *core, enum ws_effect_kind kind)
 {
-	struct ws_effect *effect = calloc(1, sizeof(*effect));
+	struct ws_effect *effect = ws_alloc(1, sizeof(*effect));
 
-	if (!effect) /* nothing can be done without memory for an answer; start afresh */
-		abort();
 	effect->kind = kind;
 	if (core->effects_tail)
 		core->effects_tail->next = effect;
@@ -48,10 +46,8 @@
 
 struct ws_call *ws_call_new(struct ws_core *core, enum ws_call_kind kind, ws_result_fn on_result)
 {
-	struct ws_call *call = calloc(1, sizeof(*call));
+	struct ws_call *call = ws_alloc(1, sizeof(*call));
 
-	if (!call)
-		abort();
 	call->kind = kind;
 	call->on_result = on_result;
 	call->generation = core->generation;
@@ -60,16 +56,24 @@
 	return call;
 }
 
+static void ws_transaction_free(struct ws_transaction_call *transaction)
+{
+	for (size_t i = 0; i < transaction->operation_count; i++)
+		json_decref(transaction->operations[i].value);
+	free(transaction->operations);
+	free(transaction->compares);
+}
+
 void ws_call_free(struct ws_call *call)
 {
 	if (!call)
 		return;
-	for (size_t i = 0; i < call->operation_count; i++)
-		json_decref(call->operations[i].value);
-	free(call->operations);
-	free(call->compares);
-	free(call->machine_names);
-	free(call->commands);
+	switch (call->kind) {
+	case WS_CALL_TRANSACTION: ws_transaction_free(&call->transaction); break;
+	case WS_CALL_SCALE_IN: free(call->scale_in.machine_names); break;
+	case WS_CALL_COMMANDS: free(call->commands.list); break;
+	default: break; /* the other kinds own nothing */
+	}
 	free(call->context);
 	free(call);
 }
@@ -89,9 +93,12 @@
 
 void ws_effect_free(struct ws_effect *effect)
 {
-	if (effect) {
-		free(effect->commands);
-		free(effect->cancellations);
+	if (!effect)
+		return;
+	switch (effect->kind) {
+	case WS_EFFECT_ANSWER_HEARTBEAT: free(effect->heartbeat.commands); break;
+	case WS_EFFECT_ANSWER_VOTE: free(effect->vote.cancellations); break;
+	default: break; /* the other kinds own nothing; a call goes to who carries it out */
 	}
 	free(effect);
 }
@@ -102,7 +109,7 @@
 	if (now > core->now)
 		core->now = now;
 	if (call->kind <= WS_CALL_SESSION_CLOSE && call->kind != WS_CALL_WATCH)
-		ws_store_answered(core, result->status);
+		ws_store_answered(core, result->outcome);
 	call->on_result(core, call, result);
 	ws_call_free(call);
 	ws_core_tick(core, now);
@@ -197,7 +204,8 @@
 		return;
 	ws_step_down(core, NULL);
 	while ((effect = ws_core_next_effect(core))) {
-		ws_call_free(effect->call);
+		if (effect->kind == WS_EFFECT_CALL)
+			ws_call_free(effect->call);
 		ws_effect_free(effect);
 	}
 	ws_requests_free(core);
--- a/src/core/extension/subsystem_records.c
+++ b/src/core/extension/subsystem_records.c
@@ -33,9 +33,7 @@
 
 	if (record)
 		return record;
-	record = calloc(1, sizeof(*record));
-	if (!record)
-		abort();
+	record = ws_alloc(1, sizeof(*record));
 	snprintf(record->key, sizeof(record->key), "%s", key);
 	HASH_ADD_STR(core->subsystems.records, key, record);
 	return record;
--- a/src/core/extension/subsystem_requests.c
+++ b/src/core/extension/subsystem_requests.c
@@ -3,10 +3,6 @@
 #include "../core_state.h"
 #include "../record_sources.h"
 
-/* Status codes of the store's answers. */
-#define HTTP_OK 200
-#define HTTP_NOT_FOUND 404
-
 enum ws_request_kind {
 	WS_REQUEST_WRITE,
 	WS_REQUEST_DELETE,
@@ -36,10 +32,8 @@
 static struct ws_request *ws_request_add(struct ws_request_queue *queue, enum ws_request_kind kind,
 					 const char *name)
 {
-	struct ws_request *request = calloc(1, sizeof(*request));
+	struct ws_request *request = ws_alloc(1, sizeof(*request));
 
-	if (!request)
-		abort();
 	request->kind = kind;
 	snprintf(request->name, sizeof(request->name), "%s", name);
 	*queue->tail = request;
@@ -137,26 +131,27 @@
 static void ws_subsystem_page_read(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result)
 {
-	const struct ws_subsystem *subsystem = ws_subsystem_of(core, call->key);
+	const struct ws_subsystem *subsystem = ws_subsystem_of(core, call->read.key);
 
 	if (call->generation != core->generation || core->leadership.role != WS_LEADER ||
-	    !subsystem || result->status != HTTP_OK)
+	    !subsystem || result->outcome != WS_OUTCOME_OK)
 		return;
-	for (size_t i = 0; i < result->entry_count; i++)
-		ws_subsystem_record_load(core, &result->entries[i]);
-	if (result->has_more && result->entry_count)
-		ws_subsystem_read(core, call->key, result->entries[result->entry_count - 1].key);
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		ws_subsystem_record_load(core, &result->records.entries[i]);
+	if (result->records.has_more && result->records.entry_count)
+		ws_subsystem_read(core, call->read.key,
+				  result->records.entries[result->records.entry_count - 1].key);
 	else if (subsystem->ops->records_read)
 		subsystem->ops->records_read(subsystem->self,
-					     call->key + strlen(subsystem->ops->prefix));
+					     call->read.key + strlen(subsystem->ops->prefix));
 }
 
 static void ws_subsystem_read(struct ws_core *core, const char *prefix, const char *after)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_subsystem_page_read);
 
-	snprintf(call->key, sizeof(call->key), "%s", prefix);
-	snprintf(call->after, sizeof(call->after), "%s", after);
+	snprintf(call->read.key, sizeof(call->read.key), "%s", prefix);
+	snprintf(call->read.after, sizeof(call->read.after), "%s", after);
 }
 
 /* How a job is to be served, by the requests of all subsystems. */
@@ -192,6 +187,12 @@
 	core->scheduler.pass_wanted = true;
 }
 
+/* A job that a subsystem asks about: the context of the reads that this takes. */
+struct ws_job_look_up {
+	size_t subsystem; /* index */
+	char job[WS_ID_MAX + 1];
+};
+
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result);
 
@@ -200,35 +201,37 @@
 				 const char *job)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_subsystem_looked_up);
+	struct ws_job_look_up *look_up = ws_alloc(1, sizeof(*look_up));
 
-	snprintf(call->key, sizeof(call->key), "%s%.*s", prefix, WS_ID_MAX, job);
-	snprintf(call->context_name, sizeof(call->context_name), "%.*s", WS_ID_MAX, job);
-	call->context_number = index;
+	snprintf(call->read.key, sizeof(call->read.key), "%s%.*s", prefix, WS_ID_MAX, job);
+	snprintf(look_up->job, sizeof(look_up->job), "%.*s", WS_ID_MAX, job);
+	look_up->subsystem = index;
+	call->context = look_up;
 }
 
 /* The store's answer to a look-up; of no live record, the archived one is asked for. */
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result)
 {
-	bool live = ws_key_has_prefix(call->key, WS_KEY_PREFIX_JOB);
+	bool live = ws_key_has_prefix(call->read.key, WS_KEY_PREFIX_JOB);
 	enum ws_job_standing standing = WS_STANDING_UNREADABLE;
-	const struct ws_subsystem *subsystem = &core->subsystems.list[call->context_number];
+	const struct ws_job_look_up *look_up = call->context;
+	const struct ws_subsystem *subsystem = &core->subsystems.list[look_up->subsystem];
 
 	if (call->generation != core->generation || core->leadership.role != WS_LEADER)
 		return;
-	if (result->status == HTTP_NOT_FOUND && live) {
+	if (result->outcome == WS_OUTCOME_NOT_FOUND && live) {
 		/* a job moves to old/ in one transaction, never back */
-		ws_subsystem_look_up(core, call->context_number, WS_KEY_PREFIX_ARCHIVED_JOB,
-				     call->context_name);
+		ws_subsystem_look_up(core, look_up->subsystem, WS_KEY_PREFIX_ARCHIVED_JOB,
+				     look_up->job);
 		return;
 	}
-	if (result->status == HTTP_NOT_FOUND)
+	if (result->outcome == WS_OUTCOME_NOT_FOUND)
 		standing = WS_STANDING_NEVER_HEARD;
-	else if (result->status == HTTP_OK)
+	else if (result->outcome == WS_OUTCOME_OK)
 		standing = live ? WS_STANDING_LIVE : WS_STANDING_OVER;
 	if (subsystem->ops->job_looked_up)
-		subsystem->ops->job_looked_up(subsystem->self, core->now, call->context_name,
-					      standing);
+		subsystem->ops->job_looked_up(subsystem->self, core->now, look_up->job, standing);
 }
 
 /* Whether the name in a request is that of a record, or a prefix of such names. */
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -62,9 +62,7 @@
 		fleet->command_capacity =
 		    fleet->command_capacity ? 2 * fleet->command_capacity : COMMANDS_CAPACITY_MIN;
 		fleet->commands =
-		    realloc(fleet->commands, fleet->command_capacity * sizeof(*fleet->commands));
-		if (!fleet->commands)
-			abort();
+		    ws_resize(fleet->commands, fleet->command_capacity, sizeof(*fleet->commands));
 	}
 	command = &fleet->commands[fleet->command_count++];
 	command->kind = kind;
@@ -152,11 +150,11 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_COMMANDS, ws_commands_answered);
 
-	snprintf(call->address, sizeof(call->address), "%s", machine->address);
-	call->port = machine->port;
-	call->fencing_token = machine->fencing_token;
-	call->incarnation = machine->incarnation;
-	snprintf(call->context_name, sizeof(call->context_name), "%s", machine->name);
+	snprintf(call->commands.address, sizeof(call->commands.address), "%s", machine->address);
+	call->commands.port = machine->port;
+	call->commands.fencing_token = machine->fencing_token;
+	call->commands.incarnation = machine->incarnation;
+	snprintf(call->commands.machine, sizeof(call->commands.machine), "%s", machine->name);
 	machine->commands.in_flight++;
 	return call;
 }
@@ -209,9 +207,9 @@
 static void ws_commands_unanswered(struct ws_core *core, struct ws_machine *machine,
 				   const struct ws_call *call, int status)
 {
-	if (call->fencing_token > machine->commands.late_token)
-		machine->commands.late_token = call->fencing_token;
-	ws_machine_raise_fencing_token(core, machine, call->fencing_token);
+	if (call->commands.fencing_token > machine->commands.late_token)
+		machine->commands.late_token = call->commands.fencing_token;
+	ws_machine_raise_fencing_token(core, machine, call->commands.fencing_token);
 	ws_log(core, WS_LOG_INFO, "command not answered machine=%s status=%d", machine->name,
 	       status);
 }
@@ -243,18 +241,18 @@
 
 	if (call->generation != core->generation)
 		return;
-	machine = ws_machine_find(core, call->context_name);
+	machine = ws_machine_find(core, call->commands.machine);
 	if (!machine)
 		return;
 	machine->commands.in_flight--;
-	if (result->status < 0)
+	if (result->outcome == WS_OUTCOME_NOT_SENT)
 		return; /* never sent: the next answer to a heartbeat carries the commands */
 	ws_subsystems_answered(core, machine, result->heartbeat != NULL);
 	if (result->heartbeat && !strcmp(result->heartbeat->machine, machine->name)) {
 		ws_commands_acknowledged(core, machine, result->heartbeat);
 		ws_machine_send_unsent_commands(core, machine);
-	} else if (call->command_count) {
-		ws_commands_unanswered(core, machine, call, result->status);
+	} else if (call->commands.count) {
+		ws_commands_unanswered(core, machine, call, result->http_status);
 	} else {
 		ws_probe_unanswered(core, machine);
 	}
@@ -289,8 +287,8 @@
 	if (core->leadership.in_outage && !ws_machine_has_unsent_stop(machine))
 		return;
 	call = ws_commands_call_new(core, machine);
-	call->commands =
-	    ws_commands_for_machine(core, machine, NULL, SIZE_MAX, true, &call->command_count);
+	call->commands.list =
+	    ws_commands_for_machine(core, machine, NULL, SIZE_MAX, true, &call->commands.count);
 }
 
 void ws_fleet_send_probes(struct ws_core *core)
--- a/src/core/fleet/fleet.c
+++ b/src/core/fleet/fleet.c
@@ -23,9 +23,7 @@
 
 	if (machine)
 		return machine;
-	machine = calloc(1, sizeof(*machine));
-	if (!machine)
-		abort();
+	machine = ws_alloc(1, sizeof(*machine));
 	snprintf(machine->name, sizeof(machine->name), "%s", name);
 	machine->first_seen = core->now;
 	machine->empty_since = core->now;
--- a/src/core/fleet/machine_shards.c
+++ b/src/core/fleet/machine_shards.c
@@ -23,9 +23,7 @@
 {
 	if (index >= core->fleet.shard_count) {
 		core->fleet.shards =
-		    realloc(core->fleet.shards, (size_t)(index + 1) * sizeof(*core->fleet.shards));
-		if (!core->fleet.shards)
-			abort();
+		    ws_resize(core->fleet.shards, (index + 1), sizeof(*core->fleet.shards));
 		memset(core->fleet.shards + core->fleet.shard_count, 0,
 		       (size_t)(index + 1 - core->fleet.shard_count) * sizeof(*core->fleet.shards));
 		core->fleet.shard_count = index + 1;
@@ -86,9 +84,7 @@
 	struct ws_machine *machine, *next;
 	json_t *value;
 
-	record.machines = calloc(capacity, sizeof(*record.machines));
-	if (!record.machines)
-		abort();
+	record.machines = ws_alloc(capacity, sizeof(*record.machines));
 	HASH_ITER (hh, core->fleet.machines, machine, next)
 		if (machine->shard == index && !machine->gone && machine->port &&
 		    record.machine_count < capacity)
--- a/src/core/jobs/attempts.c
+++ b/src/core/jobs/attempts.c
@@ -92,10 +92,8 @@
 struct ws_attempt *ws_attempt_add(struct ws_core *core, struct ws_machine *machine,
 				  const char *job_id, uint32_t task, uint64_t number)
 {
-	struct ws_attempt *attempt = calloc(1, sizeof(*attempt));
+	struct ws_attempt *attempt = ws_alloc(1, sizeof(*attempt));
 
-	if (!attempt)
-		abort();
 	attempt->machine = machine;
 	attempt->job = ws_job_find(core, job_id);
 	snprintf(attempt->job_id, sizeof(attempt->job_id), "%s", job_id);
--- a/src/core/jobs/quarantined_jobs.c
+++ b/src/core/jobs/quarantined_jobs.c
@@ -20,9 +20,7 @@
 
 	if (quarantined_job)
 		return quarantined_job;
-	quarantined_job = calloc(1, sizeof(*quarantined_job));
-	if (!quarantined_job)
-		abort();
+	quarantined_job = ws_alloc(1, sizeof(*quarantined_job));
 	snprintf(quarantined_job->id, sizeof(quarantined_job->id), "%s", job_id);
 	HASH_ADD_STR(core->jobs.quarantined, id, quarantined_job);
 	return quarantined_job;
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -130,7 +130,7 @@
 	if (leadership->session && reason) {
 		struct ws_call *call = ws_call_new(core, WS_CALL_SESSION_CLOSE, ws_ignore_result);
 
-		call->session = leadership->session;
+		call->session.id = leadership->session;
 		call->urgent = true;
 	}
 	leadership->session = 0;
@@ -176,7 +176,7 @@
 
 	if (call->generation != core->generation || core->leadership.role != WS_CANDIDATE)
 		return;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		ws_become_follower(core, core->leadership.session_ttl_s / 4);
 		return;
 	}
@@ -204,24 +204,26 @@
 {
 	if (call->generation != core->generation || core->leadership.role != WS_CANDIDATE)
 		return;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		/* lost, or unknown: the session is given up, so that a late write of ours ends with
 		 * it
 		 */
 		ws_step_down(core, "election lost");
-		ws_become_follower(core,
-				   result->status == 409 ? 0 : core->leadership.session_ttl_s / 4);
+		ws_become_follower(core, result->outcome == WS_OUTCOME_CONFLICT
+					     ? 0
+					     : core->leadership.session_ttl_s / 4);
 		return;
 	}
 	core->leadership.role = WS_LOADING;
 	/* a key left over from our own last life tells nothing of when another's hold ended, and a
 	 * paused leader may have answered for as long as a session lasts */
 	core->leadership.elected_at =
-	    core->now + (call->compares[0].revision ? core->leadership.session_ttl_s : 0);
-	core->leadership.fencing_token = result->revision << WS_FENCING_TOKEN_SHIFT;
+	    core->now +
+	    (call->transaction.compares[0].revision ? core->leadership.session_ttl_s : 0);
+	core->leadership.fencing_token = result->transaction.revision << WS_FENCING_TOKEN_SHIFT;
 	core->jobs.attempt_sequence = 0;
 	core->autoscaler.request_sequence = 0;
-	core->leadership.leader_revision = result->revision;
+	core->leadership.leader_revision = result->transaction.revision;
 	snprintf(core->leadership.leader_node, sizeof(core->leadership.leader_node), "%s",
 		 core->settings->node);
 	core->leadership.forwarded_only_since = 0;
@@ -237,7 +239,7 @@
 	core->leadership.role = WS_CANDIDATE;
 	core->generation++;
 	call = ws_call_new(core, WS_CALL_SESSION_OPEN, ws_session_opened);
-	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
+	call->session.ttl_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
 	call->urgent = true;
 }
 
@@ -245,19 +247,19 @@
 				     const struct ws_result *result)
 {
 	core->leadership.watch_in_flight = false;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		core->leadership.leader_known = false;
 		core->leadership.proof.leader_revision = 0;
 		core->leadership.next_attempt_at = core->now + core->leadership.session_ttl_s / 4;
-		if (result->status == 410)
+		if (result->outcome == WS_OUTCOME_COMPACTED)
 			core->leadership.next_attempt_at = core->now;
 		return;
 	}
-	core->leadership.watch_revision = result->revision;
-	for (size_t i = 0; i < result->entry_count; i++)
-		if (!strcmp(result->entries[i].key, WS_KEY_LEADER))
-			ws_leader_changed(core, result->entries[i].value,
-					  result->entries[i].revision);
+	core->leadership.watch_revision = result->records.revision;
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		if (!strcmp(result->records.entries[i].key, WS_KEY_LEADER))
+			ws_leader_changed(core, result->records.entries[i].value,
+					  result->records.entries[i].revision);
 	ws_leader_key_read(core, call->created_at);
 }
 
@@ -265,19 +267,19 @@
 				    const struct ws_result *result)
 {
 	core->leadership.watch_in_flight = false;
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		core->leadership.proof.leader_revision = 0;
 		core->leadership.next_attempt_at = core->now + core->leadership.session_ttl_s / 4;
 		return;
 	}
 	bool any = false;
 	core->leadership.leader_known = true; /* the revision of a new store may be 0 */
-	core->leadership.watch_revision = result->revision;
-	for (size_t i = 0; i < result->entry_count; i++)
-		if (!strcmp(result->entries[i].key, WS_KEY_LEADER)) {
+	core->leadership.watch_revision = result->records.revision;
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		if (!strcmp(result->records.entries[i].key, WS_KEY_LEADER)) {
 			any = true;
-			ws_leader_changed(core, result->entries[i].value,
-					  result->entries[i].revision);
+			ws_leader_changed(core, result->records.entries[i].value,
+					  result->records.entries[i].revision);
 		}
 	if (!any)
 		ws_leader_changed(core, NULL, 0);
@@ -293,13 +295,13 @@
 	core->leadership.watch_in_flight = true;
 	if (!core->leadership.leader_known) {
 		call = ws_call_new(core, WS_CALL_LIST, ws_leader_read_answered);
-		snprintf(call->key, sizeof(call->key), WS_KEY_LEADER);
+		snprintf(call->read.key, sizeof(call->read.key), WS_KEY_LEADER);
 		return;
 	}
 	call = ws_call_new(core, WS_CALL_WATCH, ws_leader_watch_answered);
-	snprintf(call->key, sizeof(call->key), WS_KEY_LEADER);
-	call->since_revision = core->leadership.watch_revision;
-	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
+	snprintf(call->watch.prefix, sizeof(call->watch.prefix), WS_KEY_LEADER);
+	call->watch.since_revision = core->leadership.watch_revision;
+	call->watch.timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
 }
 
 /* ---- keeping leadership ---- */
@@ -310,7 +312,7 @@
 	if (call->generation != core->generation)
 		return;
 	core->leadership.renewals_in_flight--;
-	if (result->status == 200) {
+	if (result->outcome == WS_OUTCOME_OK) {
 		double until = call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT);
 
 		if (until > core->leadership.entitled_until)
@@ -324,14 +326,14 @@
 		core->leadership.next_renewal_at =
 		    fmax(core->leadership.next_renewal_at,
 			 call->created_at + core->leadership.session_ttl_s / 4);
-	} else if (result->status == 404) {
+	} else if (result->outcome == WS_OUTCOME_NOT_FOUND) {
 		ws_step_down(core, "store session expired");
 	} else {
 		if (!core->leadership.renewals_in_flight)
 			core->leadership.next_renewal_at =
 			    core->now + core->leadership.session_ttl_s / 16;
 		/* an old word, if a later renewal was granted */
-		if (result->status == 503 && !core->leadership.in_outage &&
+		if (result->outcome == WS_OUTCOME_UNAVAILABLE && !core->leadership.in_outage &&
 		    core->leadership.role == WS_LEADER &&
 		    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT) >=
 			core->leadership.entitled_until) {
@@ -366,7 +368,7 @@
 	    core->now < core->leadership.next_renewal_at)
 		return;
 	call = ws_call_new(core, WS_CALL_SESSION_RENEW, ws_session_renewed);
-	call->session = core->leadership.session;
+	call->session.id = core->leadership.session;
 	call->urgent = true;
 	core->leadership.renewals_in_flight++;
 	core->leadership.next_renewal_at = core->now + core->leadership.session_ttl_s / 4;
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -8,7 +8,7 @@
  *
  * Until it refused them too, peers may have told users that jobs are cancelled. So each one's word
  * brings the cancellations that are newer than what we have seen, and these end here before we go
- * on; one that can't tell of all of them gives no vote. our own job status cache is asked in
+ * on; one that can't tell of all of them gives no vote. Our own job status cache is asked in
  * the same way: it may hold what our watch for the leader's view has not brought yet.
  *
  * A leader whose peers did not all say so in time pauses: it answers nobody, but keeps what it
@@ -25,11 +25,12 @@
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_OUTAGE_VOTE, ws_outage_vote_answered);
 
-	snprintf(call->key, sizeof(call->key), "%s", node);
-	snprintf(call->after, sizeof(call->after), "%s", after);
-	call->since_revision = since;
-	call->fencing_token = core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT;
-	call->context_number = core->leadership.votes.round;
+	snprintf(call->outage_vote.peer, sizeof(call->outage_vote.peer), "%s", node);
+	snprintf(call->outage_vote.after_job, sizeof(call->outage_vote.after_job), "%s", after);
+	call->outage_vote.since_revision = since;
+	call->outage_vote.leader_revision =
+	    core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT;
+	call->outage_vote.round = core->leadership.votes.round;
 	core->leadership.votes.outstanding++;
 }
 
@@ -57,19 +58,19 @@
 				    const struct ws_result *result)
 {
 	if (call->generation != core->generation ||
-	    call->context_number != core->leadership.votes.round)
+	    call->outage_vote.round != core->leadership.votes.round)
 		return;
 	core->leadership.votes.outstanding--;
 	core->leadership.votes.last_answer_at = core->now;
-	if (result->status != 503 || !result->vote_granted)
+	if (result->outcome != WS_OUTCOME_UNAVAILABLE || !result->vote.granted)
 		return;
-	ws_core_outage_cancellations(core, result->cancellations, result->cancellation_count,
-				     call->key);
-	if (result->has_more && result->cancellation_count) {
+	ws_core_outage_cancellations(core, result->vote.cancellations,
+				     result->vote.cancellation_count, call->outage_vote.peer);
+	if (result->vote.has_more && result->vote.cancellation_count) {
 		const struct ws_cancellation *last =
-		    &result->cancellations[result->cancellation_count - 1];
+		    &result->vote.cancellations[result->vote.cancellation_count - 1];
 
-		ws_outage_vote_request(core, call->key, last->revision, last->job);
+		ws_outage_vote_request(core, call->outage_vote.peer, last->revision, last->job);
 		return;
 	}
 	core->leadership.votes.granted++;
--- a/src/core/records/attempt_list.c
+++ b/src/core/records/attempt_list.c
@@ -223,9 +223,7 @@
 {
 	if (list->count == list->capacity) {
 		list->capacity = list->capacity ? 2 * list->capacity : 64;
-		list->attempts = realloc(list->attempts, list->capacity * sizeof(*list->attempts));
-		if (!list->attempts)
-			abort();
+		list->attempts = ws_resize(list->attempts, list->capacity, sizeof(*list->attempts));
 	}
 	list->attempts[list->count++] = *attempt;
 }
--- a/src/core/records/machine_shard_record.c
+++ b/src/core/records/machine_shard_record.c
@@ -5,6 +5,7 @@
  *   {"im": [image, ...],
  *    "m": [[name, address, port, type, zone, preemptible, incarnation, [image's index, ...]], ...]}
  */
+#include "../memory.h"
 #include "record_fields.h"
 #include "records.h"
 #include "text_builder.h"
@@ -77,9 +78,7 @@
 	json_t *machines = json_array();
 
 	writer.image_names = json_array();
-	writer.positions = calloc(record->image_name_count + 1, sizeof(*writer.positions));
-	if (!writer.positions)
-		abort();
+	writer.positions = ws_alloc(record->image_name_count + 1, sizeof(*writer.positions));
 	for (size_t i = 0; i < machine_count; i++) {
 		const struct ws_machine_record *machine = &record->machines[i];
 
--- a/src/core/records/record_fields.h
+++ b/src/core/records/record_fields.h
@@ -6,7 +6,7 @@
 #define WS_RECORD_FIELDS_H
 
 /* A job's record: its description. */
-#define WS_FIELD_PHASE "ph"	       /* "queued", "running", "done" or "cancelled": cancelled */
+#define WS_FIELD_PHASE "ph"	       /* "queued", "running", "done" or "withdrawn": cancelled */
 #define WS_FIELD_SUBMITTED_AT "at"     /* seconds of the time of day */
 #define WS_FIELD_CLASS "cl"	       /* name of the job's class */
 #define WS_FIELD_TEAM "tm"	       /* name of its team */
--- a/src/core/scheduler/first_fit_order.c
+++ b/src/core/scheduler/first_fit_order.c
@@ -2,6 +2,7 @@
  * First fit order: owned machines before rented ones, of these preemptible before ordinary ones, so
  * that the more expensive ones become empty and are scaled in; among equals by name.
  */
+#include "../memory.h"
 #include "pass.h"
 
 static int ws_first_fit_compare(const void *left, const void *right)
@@ -38,10 +39,8 @@
 		return;
 	fleet->first_fit_count = 0;
 	fleet->first_fit_order =
-	    realloc(fleet->first_fit_order,
-		    (HASH_COUNT(fleet->machines) + 1) * sizeof(*fleet->first_fit_order));
-	if (!fleet->first_fit_order)
-		abort();
+	    ws_resize(fleet->first_fit_order, (HASH_COUNT(fleet->machines) + 1),
+		      sizeof(*fleet->first_fit_order));
 	HASH_ITER (hh, fleet->machines, machine, next_machine)
 		fleet->first_fit_order[fleet->first_fit_count++] = machine;
 	qsort(fleet->first_fit_order, fleet->first_fit_count, sizeof(*fleet->first_fit_order),
--- a/src/core/scheduler/unmet_demand.c
+++ b/src/core/scheduler/unmet_demand.c
@@ -2,6 +2,7 @@
  * Unmet demand: the tasks for which a pass found no capacity. The autoscaler, which stands above
  * the scheduler, reads the list between a pass and its end.
  */
+#include "../memory.h"
 #include "pass.h"
 
 /* Entries that the list has memory for at first; it doubles when they are used up. */
@@ -14,10 +15,8 @@
 		return;
 	scheduler->unmet_capacity =
 	    scheduler->unmet_capacity ? scheduler->unmet_capacity * 2 : WS_UNMET_DEMAND_INITIAL;
-	scheduler->unmet_demand = realloc(
-	    scheduler->unmet_demand, scheduler->unmet_capacity * sizeof(*scheduler->unmet_demand));
-	if (!scheduler->unmet_demand)
-		abort();
+	scheduler->unmet_demand = ws_resize(scheduler->unmet_demand, scheduler->unmet_capacity,
+					    sizeof(*scheduler->unmet_demand));
 }
 
 void ws_unmet_demand_add(struct ws_core *core, struct ws_job *job, uint32_t tasks, uint32_t zones)
--- a/src/core/store/job_watch.c
+++ b/src/core/store/job_watch.c
@@ -40,15 +40,15 @@
 	struct ws_job_watch *watch = &core->job_watch;
 	uint64_t held = watch->revision;
 
-	if (core->leadership.role != WS_LEADER || call->since_revision > held)
+	if (core->leadership.role != WS_LEADER || call->watch.since_revision > held)
 		return;
-	for (size_t i = 0; i < result->entry_count; i++) {
-		const struct ws_kv *change = &result->entries[i];
+	for (size_t i = 0; i < result->records.entry_count; i++) {
+		const struct ws_kv *change = &result->records.entries[i];
 
 		if (change->revision > held && ws_key_has_prefix(change->key, WS_KEY_PREFIX_JOB))
 			ws_core_job_changed(core, change);
 	}
-	watch->revision = result->revision > held ? result->revision : held;
+	watch->revision = result->records.revision > held ? result->records.revision : held;
 	ws_job_watch_confirm(core, call->created_at);
 }
 
@@ -67,11 +67,11 @@
 	if (call->generation != core->generation)
 		return;
 	watch->open = false;
-	if (result->status == 410) {
+	if (result->outcome == WS_OUTCOME_COMPACTED) {
 		ws_step_down(core, "job watch fell too far behind");
 		return;
 	}
-	if (result->status != 200) {
+	if (result->outcome != WS_OUTCOME_OK) {
 		watch->next_at = core->now + core->leadership.session_ttl_s / RETRIES_PER_TTL;
 		return;
 	}
@@ -87,8 +87,8 @@
 	if (core->leadership.role != WS_LEADER || watch->open || core->now < watch->next_at)
 		return;
 	call = ws_call_new(core, WS_CALL_WATCH, ws_job_watch_answered);
-	snprintf(call->key, sizeof(call->key), "%s", WS_KEY_PREFIX_JOB);
-	call->since_revision = watch->revision;
-	call->timeout_ms = (uint32_t)(core->leadership.session_ttl_s * WATCH_TTLS * 1000);
+	snprintf(call->watch.prefix, sizeof(call->watch.prefix), "%s", WS_KEY_PREFIX_JOB);
+	call->watch.since_revision = watch->revision;
+	call->watch.timeout_ms = (uint32_t)(core->leadership.session_ttl_s * WATCH_TTLS * 1000);
 	watch->open = true;
 }
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -52,26 +52,27 @@
 			     const struct ws_result *result)
 {
 	const struct ws_record_source *source;
-	bool found = result->status == 200;
+	bool found = result->outcome == WS_OUTCOME_OK;
 
 	if (call->generation != core->generation)
 		return;
-	if (!found && result->status != 404) {
-		ws_writer_read_again(core, call->key);
+	if (!found && result->outcome != WS_OUTCOME_NOT_FOUND) {
+		ws_writer_read_again(core, call->read.key);
 		return;
 	}
-	source = ws_record_source_of(core, call->key);
+	source = ws_record_source_of(core, call->read.key);
 	if (source && source->read_again)
-		source->read_again(core, call->key, found,
-				   found && result->entry_count == 1 ? result->entries[0].revision
-								     : 0);
+		source->read_again(core, call->read.key, found,
+				   found && result->records.entry_count == 1
+				       ? result->records.entries[0].revision
+				       : 0);
 }
 
 static void ws_writer_read_again(struct ws_core *core, const char *key)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_writer_reread);
 
-	snprintf(call->key, sizeof(call->key), "%s", key);
+	snprintf(call->read.key, sizeof(call->read.key), "%s", key);
 }
 
 static void ws_writer_committed(struct ws_core *core, const struct ws_call *call, uint64_t revision)
@@ -79,15 +80,15 @@
 	const struct ws_record_source *source;
 
 	core->writer.failures = 0;
-	for (size_t i = 0; i < call->operation_count; i++) {
-		source = ws_record_source_of(core, call->operations[i].key);
+	for (size_t i = 0; i < call->transaction.operation_count; i++) {
+		source = ws_record_source_of(core, call->transaction.operations[i].key);
 		if (source && source->written)
-			source->written(core, &call->operations[i], revision);
+			source->written(core, &call->transaction.operations[i], revision);
 	}
-	for (size_t i = 0; i < call->operation_count; i++) {
-		source = ws_record_source_of(core, call->operations[i].key);
+	for (size_t i = 0; i < call->transaction.operation_count; i++) {
+		source = ws_record_source_of(core, call->transaction.operations[i].key);
 		if (source && source->committed)
-			source->committed(core, &call->operations[i]);
+			source->committed(core, &call->transaction.operations[i]);
 	}
 }
 
@@ -98,11 +99,11 @@
 {
 	bool failed = false;
 
-	for (size_t i = 0; i < result->failed_count; i++)
-		failed |= !strcmp(result->failed_keys[i], key);
-	for (size_t i = 0; failed && i < call->compare_count; i++)
-		if (!strcmp(call->compares[i].key, key))
-			return &call->compares[i];
+	for (size_t i = 0; i < result->transaction.failed_count; i++)
+		failed |= !strcmp(result->transaction.failed_keys[i], key);
+	for (size_t i = 0; failed && i < call->transaction.compare_count; i++)
+		if (!strcmp(call->transaction.compares[i].key, key))
+			return &call->transaction.compares[i];
 	return NULL;
 }
 
@@ -110,12 +111,12 @@
 static void ws_writer_not_committed(struct ws_core *core, const struct ws_call *call,
 				    const struct ws_result *result)
 {
-	for (size_t i = 0; i < call->operation_count; i++) {
-		const struct ws_operation *operation = &call->operations[i];
+	for (size_t i = 0; i < call->transaction.operation_count; i++) {
+		const struct ws_operation *operation = &call->transaction.operations[i];
 		const struct ws_record_source *source = ws_record_source_of(core, operation->key);
 		const struct ws_compare *failed_compare = NULL;
 
-		if (result->status == 409)
+		if (result->outcome == WS_OUTCOME_CONFLICT)
 			failed_compare = ws_writer_failed_compare(call, operation->key, result);
 		if (source && source->not_written &&
 		    source->not_written(core, operation, failed_compare))
@@ -132,9 +133,10 @@
 	size_t largest_bytes = 0, all_bytes = 0, largest = 0;
 	struct ws_writer *writer = &core->writer;
 
-	for (size_t i = 0; i < call->operation_count; i++) {
-		size_t bytes =
-		    call->operations[i].value ? ws_record_size(call->operations[i].value) : 0;
+	for (size_t i = 0; i < call->transaction.operation_count; i++) {
+		size_t bytes = call->transaction.operations[i].value
+				   ? ws_record_size(call->transaction.operations[i].value)
+				   : 0;
 
 		all_bytes += bytes;
 		if (bytes > largest_bytes) {
@@ -142,24 +144,26 @@
 			largest = i;
 		}
 	}
-	if (call->operation_count > OPERATIONS_FLOOR)
+	if (call->transaction.operation_count > OPERATIONS_FLOOR)
 		writer->operations_max =
-		    (int)(call->operation_count / 2 > OPERATIONS_FLOOR ? call->operation_count / 2
-								       : OPERATIONS_FLOOR);
+		    (int)(call->transaction.operation_count / 2 > OPERATIONS_FLOOR
+			      ? call->transaction.operation_count / 2
+			      : OPERATIONS_FLOOR);
 	else if (largest_bytes > VALUE_BYTES_FLOOR)
 		core->writer.value_bytes_max =
 		    fmax(VALUE_BYTES_FLOOR, (double)largest_bytes * 3 / 4);
 	ws_log(core, WS_LOG_ERROR,
 	       "write batch rejected, limits lowered operations=%zu bytes=%zu largest_key=%s "
 	       "largest_bytes=%zu transaction_limit=%d value_limit_bytes=%.0f",
-	       call->operation_count, all_bytes, call->operations[largest].key, largest_bytes,
-	       writer->operations_max, core->writer.value_bytes_max);
+	       call->transaction.operation_count, all_bytes,
+	       call->transaction.operations[largest].key, largest_bytes, writer->operations_max,
+	       core->writer.value_bytes_max);
 }
 
 static bool ws_writer_lost_lead(const struct ws_result *result)
 {
-	for (size_t i = 0; i < result->failed_count; i++)
-		if (!strcmp(result->failed_keys[i], "leader"))
+	for (size_t i = 0; i < result->transaction.failed_count; i++)
+		if (!strcmp(result->transaction.failed_keys[i], "leader"))
 			return true;
 	return false;
 }
@@ -192,20 +196,20 @@
 		return;
 	core->writer.in_flight = false;
 	core->writer.woken = true;
-	if (result->status == 200) {
-		ws_writer_committed(core, call, result->revision);
+	if (result->outcome == WS_OUTCOME_OK) {
+		ws_writer_committed(core, call, result->transaction.revision);
 		return;
 	}
-	if (result->status == 409 && ws_writer_lost_lead(result)) {
+	if (result->outcome == WS_OUTCOME_CONFLICT && ws_writer_lost_lead(result)) {
 		ws_step_down(core, "write rejected, another node leads");
 		return;
 	}
-	if (result->status == 400)
+	if (result->outcome == WS_OUTCOME_REJECTED)
 		ws_writer_lower_limits(core, call);
 	ws_writer_not_committed(core, call, result);
-	if (result->status == 429)
+	if (result->outcome == WS_OUTCOME_RATE_LIMITED)
 		ws_writer_throttled(core);
-	else if (result->status != 409)
+	else if (result->outcome != WS_OUTCOME_CONFLICT)
 		ws_writer_back_off(core);
 }
 
@@ -240,8 +244,8 @@
 
 static void ws_writer_send(struct ws_core *core, struct ws_call *call)
 {
-	core->writer.tokens -= (double)call->operation_count;
-	call->self_paced = true;
+	core->writer.tokens -= (double)call->transaction.operation_count;
+	call->transaction.self_paced = true;
 	call->on_result = ws_writer_done;
 	call->generation = core->generation;
 	call->created_at = core->now;
@@ -264,7 +268,7 @@
 	ws_write_batch_compare(&batch, "leader",
 			       core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT);
 	ws_record_sources_collect(core, &batch);
-	if (!batch.call->operation_count) {
+	if (!batch.call->transaction.operation_count) {
 		writer->empty_passes++;
 		ws_call_free(batch.call);
 		return;
--- a/src/core/tombstones.c
+++ b/src/core/tombstones.c
@@ -7,9 +7,7 @@
 
 	HASH_FIND_STR(*tombstones, name, tombstone);
 	if (!tombstone) {
-		tombstone = calloc(1, sizeof(*tombstone));
-		if (!tombstone)
-			abort();
+		tombstone = ws_alloc(1, sizeof(*tombstone));
 		snprintf(tombstone->name, sizeof(tombstone->name), "%s", name);
 		HASH_ADD_STR(*tombstones, name, tombstone);
 	}
--- a/src/io/codec.h
+++ b/src/io/codec.h
@@ -9,20 +9,23 @@
  *             shape: sweep      batch job        hall              zone
  *             shape: daemon     service          samePlace         all tasks in one zone
  *             shape: gang       gang             spread            over many machines
- *             priority class              priority class   reclaimable       on preemptible
- * instances shards            tasks            expectedS         estimated duration flavours
- * machine types    dueS              deadline phase: cancelled  cancelled        snapshotEveryS
- * checkpoint interval snapshotS         duration of a checkpoint workers   host machine shards task
- * attempts flavour, hall     type, zone       shard             job and task reclaimable
- * preemptible      tryNo             attempt incarnation            incarnation      phase: pulling
- * fetching the image counter           sequence number  phase: flushing   saving a checkpoint
- *             fencing token             fencing token    cause             exit reason
+ *             tier              priority class   reclaimable       on preemptible instances
+ *             shards            tasks            expectedS         estimated duration
+ *             flavours          machine types    dueS              deadline
+ *             phase: withdrawn  cancelled        snapshotEveryS    checkpoint interval
+ *                                                snapshotS         duration of a checkpoint
+ *   workers   host              machine          shards            task attempts
+ *             flavour, hall     type, zone       shard             job and task
+ *             reclaimable       preemptible      tryNo             attempt
+ *             tenure            incarnation      phase: pulling    fetching the image
+ *             counter           sequence number  phase: flushing   saving a checkpoint
+ *             epoch             fencing token    cause             exit reason
  *             warningS          preemption notice  cause: mates_gone  of a gang: a member is gone
  *             orders, verb      commands, kind   cause: incomplete   of a gang: never whole
  *             verb: reap        forget an exit   windDownS         grace period of a stop
  *             supervisor        leader
- *   state     k                 key              holds             store sessions
- *   service   revision             revision         permit            id of a store session
+ *   store     k                 key              holds             store sessions
+ *             stamp             revision         permit            id of a store session
  *             ledgerRev         store revision   ttlMs             its time to live
  *             entries, news     records, events  multi             transaction
  *             starts, since     prefix, after    when, then        compares, operations
@@ -30,7 +33,7 @@
  *             hasNext           more follow
  *   cloud     hosts             instances        halls             zones
  *             flavours          machine types    rate, spotPrice   price, preemptible price
- *             scale-out request           idempotency key  startupS          time to boot
+ *             booking           idempotency key  startupS          time to boot
  *             howMany           count            localGb, fetchGbPerS  disk, image bandwidth
  */
 #ifndef WS_CODEC_H
@@ -48,16 +51,17 @@
 /* Bodies to send; freed by the caller, NULL without memory. */
 char *ws_encode_user(const struct ws_effect *answer);
 char *ws_encode_heartbeat_answer(const struct ws_effect *answer);
-char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *commands,
-			 size_t count);
+char *ws_encode_commands(uint64_t fencing_token, uint64_t incarnation,
+			 const struct ws_command *commands, size_t count);
 
 /* Paths of calls go to buffers of this size. */
 #define WS_URL_MAX 900
 /* The request of a call: its body, which the caller frees, or NULL where it has none. */
 char *ws_encode_call(const struct ws_call *call, const char **method, char *path);
 /* Reads an answer into `result`; what it allocates is freed by ws_result_free(). A body that makes
- * no sense: status 0. */
+ * no sense: no answer. */
 void ws_decode_reply(const struct ws_call *call, int status, const char *body, size_t length,
 		     struct ws_result *result);
+/* Frees what a result holds; it is one without an answer then, to a call of the same kind. */
 void ws_result_free(struct ws_result *result);
 #endif
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -33,13 +33,14 @@
 	static const char *const phases[] = {"queued", "running", "done", "withdrawn"};
 	json_t *document;
 
-	if (answer->status != 200 && answer->status != 201)
+	if (answer->answer != WS_ANSWER_OK && answer->answer != WS_ANSWER_ACCEPTED)
 		return strdup("{}");
 	ws_pool_begin();
-	document = json_pack("{s:s,s:s}", "nameId", answer->name, "phase", phases[answer->phase]);
-	if (answer->carries_counts) {
-		json_object_set_new(document, "done", json_integer(answer->done));
-		json_object_set_new(document, "running", json_integer(answer->running));
+	document =
+	    json_pack("{s:s,s:s}", "nameId", answer->user.job, "phase", phases[answer->user.phase]);
+	if (answer->user.carries_counts) {
+		json_object_set_new(document, "done", json_integer(answer->user.done));
+		json_object_set_new(document, "running", json_integer(answer->user.running));
 	}
 	return to_text(document);
 }
@@ -66,33 +67,35 @@
 
 char *ws_encode_heartbeat_answer(const struct ws_effect *answer)
 {
-	bool names_leader = answer->status == 421 && answer->name[0];
+	bool names_leader = answer->answer == WS_ANSWER_OTHER_LEADER && answer->heartbeat.leader[0];
 
-	if (answer->status != 200 && !names_leader)
+	if (answer->answer != WS_ANSWER_OK && !names_leader)
 		return strdup("{}");
 	ws_pool_begin();
 	if (names_leader)
-		return to_text(json_pack("{s:s}", "supervisor", answer->name));
-	return to_text(json_pack("{s:I,s:o}", "epoch", (json_int_t)answer->fencing_token, "orders",
-				 commands_json(answer->commands, answer->command_count)));
+		return to_text(json_pack("{s:s}", "supervisor", answer->heartbeat.leader));
+	return to_text(
+	    json_pack("{s:I,s:o}", "epoch", (json_int_t)answer->heartbeat.fencing_token, "orders",
+		      commands_json(answer->heartbeat.commands, answer->heartbeat.command_count)));
 }
 
-char *ws_encode_commands(uint64_t epoch, uint64_t tenure, const struct ws_command *commands,
-			 size_t count)
+char *ws_encode_commands(uint64_t fencing_token, uint64_t incarnation,
+			 const struct ws_command *commands, size_t count)
 {
 	ws_pool_begin();
-	return to_text(json_pack("{s:I,s:I,s:o}", "epoch", (json_int_t)epoch, "tenure",
-				 (json_int_t)tenure, "orders", commands_json(commands, count)));
+	return to_text(json_pack("{s:I,s:I,s:o}", "epoch", (json_int_t)fencing_token, "tenure",
+				 (json_int_t)incarnation, "orders",
+				 commands_json(commands, count)));
 }
 
 static json_t *compares_json(const struct ws_call *call)
 {
 	json_t *list = json_array();
 
-	for (size_t i = 0; i < call->compare_count; i++)
-		json_array_append_new(list,
-				      json_pack("{s:s,s:I}", "k", call->compares[i].key, "stamp",
-						(json_int_t)call->compares[i].revision));
+	for (size_t i = 0; i < call->transaction.compare_count; i++)
+		json_array_append_new(
+		    list, json_pack("{s:s,s:I}", "k", call->transaction.compares[i].key, "stamp",
+				    (json_int_t)call->transaction.compares[i].revision));
 	return list;
 }
 
@@ -116,8 +119,8 @@
 	ws_pool_begin();
 	when = compares_json(call);
 	then = json_array();
-	for (size_t i = 0; i < call->operation_count; i++)
-		json_array_append_new(then, operation_json(&call->operations[i]));
+	for (size_t i = 0; i < call->transaction.operation_count; i++)
+		json_array_append_new(then, operation_json(&call->transaction.operations[i]));
 	return to_text(json_pack("{s:o,s:o}", "when", when, "then", then));
 }
 
@@ -125,37 +128,38 @@
 {
 	json_t *names = json_array();
 
-	for (size_t i = 0; i < call->machine_count; i++)
-		json_array_append_new(names, json_string(call->machine_names[i]));
+	for (size_t i = 0; i < call->scale_in.count; i++)
+		json_array_append_new(names, json_string(call->scale_in.machine_names[i]));
 	return to_text(json_pack("{s:o}", "hosts", names));
 }
 
 static char *encode_scale_out(const struct ws_call *call)
 {
-	return to_text(json_pack("{s:s,s:s,s:s,s:b,s:i}", "booking", call->key, "flavour",
-				 call->type, "hall", call->zone, "reclaimable", call->preemptible,
-				 "howMany", (int)call->count));
+	return to_text(
+	    json_pack("{s:s,s:s,s:s,s:b,s:i}", "booking", call->scale_out.idempotency_key,
+		      "flavour", call->scale_out.type, "hall", call->scale_out.zone, "reclaimable",
+		      call->scale_out.preemptible, "howMany", (int)call->scale_out.count));
 }
 
 /* Reads, which have no body: their path. */
 static void encode_read(const struct ws_call *call, char *path)
 {
-	const char *since = call->after[0] ? "&since=" : "";
-
 	switch (call->kind) {
-	case WS_CALL_GET: snprintf(path, WS_URL_MAX, "/kv/%s", call->key); break;
+	case WS_CALL_GET: snprintf(path, WS_URL_MAX, "/kv/%s", call->read.key); break;
 	case WS_CALL_LIST:
-		snprintf(path, WS_URL_MAX, "/kv?starts=%s%s%s&most=1000", call->key, since,
-			 call->after);
+		snprintf(path, WS_URL_MAX, "/kv?starts=%s%s%s&most=1000", call->read.key,
+			 call->read.after[0] ? "&since=" : "", call->read.after);
 		break;
 	case WS_CALL_WATCH:
-		snprintf(path, WS_URL_MAX, "/watch?starts=%s&since=%llu&holdMs=%u", call->key,
-			 (unsigned long long)call->since_revision, call->timeout_ms);
+		snprintf(path, WS_URL_MAX, "/watch?starts=%s&since=%llu&holdMs=%u",
+			 call->watch.prefix, (unsigned long long)call->watch.since_revision,
+			 call->watch.timeout_ms);
 		break;
 	case WS_CALL_MACHINE_TYPES: snprintf(path, WS_URL_MAX, "/machine_types"); break;
 	case WS_CALL_INSTANCES:
-		if (call->after[0])
-			snprintf(path, WS_URL_MAX, "/hosts?since=%s&most=500", call->after);
+		if (call->instances.after[0])
+			snprintf(path, WS_URL_MAX, "/hosts?since=%s&most=500",
+				 call->instances.after);
 		else
 			snprintf(path, WS_URL_MAX, "/hosts?most=500");
 		break;
@@ -172,13 +176,14 @@
 		return encode_transaction(call);
 	case WS_CALL_SESSION_OPEN:
 		snprintf(path, WS_URL_MAX, "/holds");
-		return to_text(json_pack("{s:i}", "ttlMs", (int)call->timeout_ms));
+		return to_text(json_pack("{s:i}", "ttlMs", (int)call->session.ttl_ms));
 	case WS_CALL_SESSION_RENEW:
-		snprintf(path, WS_URL_MAX, "/holds/%llu/extend", (unsigned long long)call->session);
+		snprintf(path, WS_URL_MAX, "/holds/%llu/extend",
+			 (unsigned long long)call->session.id);
 		return NULL;
 	case WS_CALL_SESSION_CLOSE:
 		*method = "DELETE";
-		snprintf(path, WS_URL_MAX, "/holds/%llu", (unsigned long long)call->session);
+		snprintf(path, WS_URL_MAX, "/holds/%llu", (unsigned long long)call->session.id);
 		return NULL;
 	case WS_CALL_SCALE_OUT: snprintf(path, WS_URL_MAX, "/hosts"); return encode_scale_out(call);
 	case WS_CALL_SCALE_IN:
@@ -186,8 +191,8 @@
 		return encode_scale_in(call);
 	case WS_CALL_COMMANDS:
 		snprintf(path, WS_URL_MAX, "/commands");
-		return ws_encode_commands(call->fencing_token, call->incarnation, call->commands,
-					  call->command_count);
+		return ws_encode_commands(call->commands.fencing_token, call->commands.incarnation,
+					  call->commands.list, call->commands.count);
 	default:
 		*method = "GET";
 		encode_read(call, path);
--- a/tests/codec_digest.h
+++ b/tests/codec_digest.h
@@ -51,38 +51,103 @@
 
 static void digest_records(struct digest *digest, const struct ws_result *result)
 {
-	for (size_t i = 0; i < result->entry_count; i++) {
-		char *value = json_dumps(result->entries[i].value, JSON_COMPACT | JSON_ENCODE_ANY);
+	for (size_t i = 0; i < result->records.entry_count; i++) {
+		char *value =
+		    json_dumps(result->records.entries[i].value, JSON_COMPACT | JSON_ENCODE_ANY);
 
-		digest_text(digest, result->entries[i].key);
-		digest_bytes(digest, &result->entries[i].revision,
-			     sizeof(result->entries[i].revision));
+		digest_text(digest, result->records.entries[i].key);
+		digest_bytes(digest, &result->records.entries[i].revision,
+			     sizeof(result->records.entries[i].revision));
 		digest_text(digest, value);
 		free(value);
 	}
 }
 
+/* The numbers of a result, of which each kind has some; the others are 0. */
+struct result_numbers {
+	uint64_t http_status, revision, session;
+	uint64_t records, record_count;
+	uint64_t flags; /* 1: has more; 256: no capacity */
+	uint64_t failed_keys, failed_key_count;
+	uint64_t types, type_count;
+	uint64_t instances, instance_count;
+	uint64_t heartbeat, vote_granted;
+	uint64_t cancellations, cancellation_count;
+};
+
+/* Lists are folded in by themselves: their fields stay 0 here. */
+static struct result_numbers result_numbers(const struct ws_result *result)
+{
+	struct result_numbers numbers = {.http_status = (uint32_t)result->http_status};
+
+	switch (result->kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+	case WS_CALL_WATCH:
+		numbers.revision = result->records.revision;
+		numbers.record_count = result->records.entry_count;
+		numbers.flags = result->records.has_more;
+		break;
+	case WS_CALL_TRANSACTION:
+		numbers.revision = result->transaction.revision;
+		numbers.failed_key_count = result->transaction.failed_count;
+		break;
+	case WS_CALL_SESSION_OPEN: numbers.session = result->session; break;
+	case WS_CALL_MACHINE_TYPES: numbers.type_count = result->types.count; break;
+	case WS_CALL_INSTANCES:
+	case WS_CALL_SCALE_OUT:
+		numbers.instance_count = result->instances.count;
+		numbers.flags = result->instances.has_more | (uint64_t)result->instances.no_capacity
+								 << 8;
+		break;
+	case WS_CALL_OUTAGE_VOTE:
+		numbers.vote_granted = result->vote.granted;
+		numbers.flags = result->vote.has_more;
+		numbers.cancellation_count = result->vote.cancellation_count;
+		break;
+	case WS_CALL_SESSION_RENEW:
+	case WS_CALL_SESSION_CLOSE:
+	case WS_CALL_SCALE_IN:
+	case WS_CALL_COMMANDS: break;
+	}
+	return numbers;
+}
+
+/* Elements that lie one behind the other. */
+static void digest_list(struct digest *digest, const void *list, size_t count, size_t size)
+{
+	if (count)
+		digest_bytes(digest, list, count * size);
+}
+
 static void digest_result(struct digest *digest, const struct ws_result *result)
 {
-	struct ws_result plain = *result;
+	const struct result_numbers numbers = result_numbers(result);
 
-	plain.entries = NULL;
-	plain.failed_keys = NULL;
-	plain.types = NULL;
-	plain.instances = NULL;
-	plain.heartbeat = NULL;
-	plain.cancellations = NULL;
-	digest_bytes(digest, &plain, sizeof(plain));
-	digest_records(digest, result);
-	for (size_t i = 0; i < result->failed_count; i++)
-		digest_text(digest, result->failed_keys[i]);
-	if (result->type_count)
-		digest_bytes(digest, result->types, result->type_count * sizeof(*result->types));
-	if (result->instance_count)
-		digest_bytes(digest, result->instances,
-			     result->instance_count * sizeof(*result->instances));
-	if (result->heartbeat)
-		digest_report_value(digest, result->heartbeat);
+	digest_bytes(digest, &numbers, sizeof(numbers));
+	switch (result->kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+	case WS_CALL_WATCH: digest_records(digest, result); break;
+	case WS_CALL_TRANSACTION:
+		for (size_t i = 0; i < result->transaction.failed_count; i++)
+			digest_text(digest, result->transaction.failed_keys[i]);
+		break;
+	case WS_CALL_MACHINE_TYPES:
+		digest_list(digest, result->types.list, result->types.count,
+			    sizeof(*result->types.list));
+		break;
+	case WS_CALL_INSTANCES:
+	case WS_CALL_SCALE_OUT:
+		digest_list(digest, result->instances.list, result->instances.count,
+			    sizeof(*result->instances.list));
+		break;
+	case WS_CALL_COMMANDS:
+		if (result->heartbeat)
+			digest_report_value(digest, result->heartbeat);
+		break;
+	default: break; /* numbers alone */
+	}
 }
 
 /* ws_decode_job(), with its outcome in the digest. */
@@ -134,68 +199,111 @@
 	return text;
 }
 
+static void digest_of_answer(enum ws_answer answer, int phase)
+{
+	const struct ws_effect to_user = {.kind = WS_EFFECT_ANSWER_USER,
+					  .answer = answer,
+					  .user = {.job = "job-000412",
+						   .phase = (enum ws_job_phase)phase,
+						   .done = 3,
+						   .running = 2,
+						   .carries_counts = phase & 1}};
+	const struct ws_effect to_worker = {.kind = WS_EFFECT_ANSWER_HEARTBEAT,
+					    .answer = answer,
+					    .heartbeat = {.leader = "job-000412"}};
+	char *text = ws_encode_user(&to_user);
+
+	encoded.messages++;
+	digest_text(&encoded, text);
+	free(text);
+	free(encode_report_answer(&to_worker));
+}
+
 static void digest_of_answers(void)
 {
-	struct ws_effect answer = {.name = "job-000412", .done = 3, .running = 2};
-	const int statuses[] = {200, 201, 404, 421, 503};
+	const enum ws_answer answers[] = {WS_ANSWER_OK, WS_ANSWER_ACCEPTED, WS_ANSWER_NOT_FOUND,
+					  WS_ANSWER_OTHER_LEADER, WS_ANSWER_UNAVAILABLE};
+
+	for (size_t i = 0; i < sizeof(answers) / sizeof(answers[0]); i++)
+		for (int phase = 0; phase < 4; phase++)
+			digest_of_answer(answers[i], phase);
+}
+
+/* Lists for sample calls, which the calls share. */
+struct sample_lists {
+	struct ws_command commands[3];
+	struct ws_compare compares[2];
+	struct ws_operation operations[2];
+};
 
-	for (size_t i = 0; i < sizeof(statuses) / sizeof(statuses[0]); i++)
-		for (int phase = 0; phase < 4; phase++) {
-			char *text;
+/* A call of this kind. */
+static struct ws_call sample_call(enum ws_call_kind kind, struct sample_lists *lists)
+{
+	struct ws_call call = {.kind = kind};
 
-			answer.status = statuses[i];
-			answer.phase = phase;
-			answer.carries_counts = phase & 1;
-			text = ws_encode_user(&answer);
-			encoded.messages++;
-			digest_text(&encoded, text);
-			free(text);
-			free(encode_report_answer(&answer));
-		}
+	switch (kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+		call.read = (struct ws_read_call){.key = "job/", .after = "job/job-1"};
+		break;
+	case WS_CALL_TRANSACTION:
+		call.transaction = (struct ws_transaction_call){.compares = lists->compares,
+								.compare_count = 2,
+								.operations = lists->operations,
+								.operation_count = 2};
+		break;
+	case WS_CALL_WATCH:
+		call.watch = (struct ws_watch_call){
+		    .prefix = "job/", .since_revision = 12, .timeout_ms = 1500};
+		break;
+	case WS_CALL_SESSION_OPEN:
+	case WS_CALL_SESSION_RENEW:
+	case WS_CALL_SESSION_CLOSE:
+		call.session = (struct ws_session_call){.id = 77, .ttl_ms = 1500};
+		break;
+	case WS_CALL_INSTANCES:
+		call.instances = (struct ws_instances_call){.after = "job/job-1"};
+		break;
+	case WS_CALL_SCALE_OUT:
+		call.scale_out = (struct ws_scale_out_call){
+		    .idempotency_key = "job/", .type = "g8", .zone = "a", .count = 4};
+		break;
+	case WS_CALL_COMMANDS:
+		call.commands = (struct ws_commands_call){
+		    .fencing_token = 41, .incarnation = 2, .list = lists->commands, .count = 3};
+		break;
+	case WS_CALL_MACHINE_TYPES:
+	case WS_CALL_SCALE_IN:
+	case WS_CALL_OUTAGE_VOTE: break;
+	}
+	return call;
 }
 
 /* Messages of every kind that leaves by ws_encode_call(), whatever the checks cover. */
 static void digest_of_calls(void)
 {
-	struct ws_command orders[] = {
-	    {.kind = WS_COMMAND_RUN, .job = "job-1", .task = 3, .attempt = 9},
-	    {.kind = WS_COMMAND_STOP, .job = "job-2", .task = 0, .attempt = 1, .grace_s = 2.5},
-	    {.kind = WS_COMMAND_REAP, .job = "job-3", .task = 7, .attempt = 2},
+	struct sample_lists lists = {
+	    .commands = {{.kind = WS_COMMAND_RUN, .job = "job-1", .task = 3, .attempt = 9},
+			 {.kind = WS_COMMAND_STOP, .job = "job-2", .attempt = 1, .grace_s = 2.5},
+			 {.kind = WS_COMMAND_REAP, .job = "job-3", .task = 7, .attempt = 2}},
+	    .compares = {{.key = "job/job-1", .revision = 41}, {.key = "job/job-2"}},
+	    .operations = {{.key = "job/job-1", .session = 5}, {.key = "job/job-2"}},
 	};
-	struct ws_compare conditions[] = {{.key = "job/job-1", .revision = 41},
-					  {.key = "job/job-2"}};
-	struct ws_operation changes[] = {{.key = "job/job-1", .session = 5}, {.key = "job/job-2"}};
-	struct ws_call call = {.key = "job/", .after = "job/job-1"};
-
-	changes[0].value = json_pack("{s:i}", "v", 1);
-	call.compares = conditions;
-	call.compare_count = 2;
-	call.operations = changes;
-	call.operation_count = 2;
-	call.commands = orders;
-	call.command_count = 3;
-	call.fencing_token = 41;
-	call.incarnation = 2;
-	call.session = 77;
-	call.timeout_ms = 1500;
-	call.since_revision = 12;
-	call.count = 4;
-	snprintf(call.type, sizeof(call.type), "g8");
-	snprintf(call.zone, sizeof(call.zone), "a");
+
+	lists.operations[0].value = json_pack("{s:i}", "v", 1);
 	for (int kind = 0; kind <= WS_CALL_COMMANDS; kind++) {
+		struct ws_call call = sample_call((enum ws_call_kind)kind, &lists);
 		char path[WS_URL_MAX] = "";
 		const char *method = NULL;
-		char *body;
+		char *body = ws_encode_call(&call, &method, path);
 
-		call.kind = (enum ws_call_kind)kind;
-		body = ws_encode_call(&call, &method, path);
 		encoded.messages++;
 		digest_text(&encoded, method);
 		digest_text(&encoded, path);
 		digest_text(&encoded, body);
 		free(body);
 	}
-	json_decref(changes[0].value);
+	json_decref(lists.operations[0].value);
 }
 
 /* Messages of each kind besides those that the checks encode. */
--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -3,6 +3,7 @@
  * answer goes back as the same struct; faults delay it, lose its answer, or crash its sender.
  */
 #include "sim_calls.h"
+#include "../src/io/http_status.h"
 #include "sim_cloud.h"
 #include "sim_nodes.h"
 #include "sim_store.h"
@@ -27,19 +28,32 @@
 	return kind >= WS_CALL_MACHINE_TYPES && kind <= WS_CALL_SCALE_IN;
 }
 
+static void records_clear(struct ws_records_result *records)
+{
+	for (size_t i = 0; i < records->entry_count; i++)
+		json_decref(records->entries[i].value);
+	free(records->entries);
+}
+
 static void result_clear(struct ws_result *result)
 {
-	for (size_t i = 0; i < result->entry_count; i++)
-		json_decref(result->entries[i].value);
-	free(result->entries);
-	free(result->failed_keys);
-	free(result->types);
-	free(result->instances);
-	free(result->cancellations);
-	if (result->heartbeat)
-		free(result->heartbeat->tasks);
-	free(result->heartbeat);
-	memset(result, 0, sizeof(*result));
+	switch (result->kind) {
+	case WS_CALL_GET:
+	case WS_CALL_LIST:
+	case WS_CALL_WATCH: records_clear(&result->records); break;
+	case WS_CALL_TRANSACTION: free(result->transaction.failed_keys); break;
+	case WS_CALL_MACHINE_TYPES: free(result->types.list); break;
+	case WS_CALL_INSTANCES:
+	case WS_CALL_SCALE_OUT: free(result->instances.list); break;
+	case WS_CALL_COMMANDS:
+		if (result->heartbeat)
+			free(result->heartbeat->tasks);
+		free(result->heartbeat);
+		break;
+	case WS_CALL_OUTAGE_VOTE: free(result->vote.cancellations); break;
+	default: break; /* the other kinds own nothing */
+	}
+	*result = (struct ws_result){.kind = result->kind};
 }
 
 /* Puts it behind all that are due at the same time. */
@@ -73,14 +87,14 @@
 	if (sim->crash == SIM_CRASH_NONE || call->kind != sim->crash_kind ||
 	    sim_leader(sim) != node)
 		return false;
-	if (call->kind == WS_CALL_TRANSACTION && !call->operation_count)
+	if (call->kind == WS_CALL_TRANSACTION && !call->transaction.operation_count)
 		return false;
 	return sim->crash_skip-- <= 0;
 }
 
 static bool is_late_write(struct sim *sim, const struct ws_call *call)
 {
-	return call->kind == WS_CALL_TRANSACTION && call->operation_count &&
+	return call->kind == WS_CALL_TRANSACTION && call->transaction.operation_count &&
 	       sim->now < sim->late_writes_until && sim_random(sim) < sim->late_writes_share;
 }
 
@@ -91,6 +105,7 @@
 	flight->node = node;
 	flight->restarts = sim->nodes[node].restarts;
 	flight->call = call;
+	flight->result.kind = call->kind;
 	flight->call_version = sim->nodes[node].version;
 	flight->due_at = sim->now + (is_cloud_call(call->kind) ? CLOUD_CALL_S : CALL_S);
 	return flight;
@@ -103,16 +118,18 @@
 
 	*copy = *call;
 	copy->context = NULL;
-	copy->operations = calloc(call->operation_count + 1, sizeof(*call->operations));
-	copy->compares = calloc(call->compare_count + 1, sizeof(*call->compares));
-	if (call->operation_count)
-		memcpy(copy->operations, call->operations,
-		       call->operation_count * sizeof(*call->operations));
-	if (call->compare_count)
-		memcpy(copy->compares, call->compares,
-		       call->compare_count * sizeof(*call->compares));
-	for (size_t i = 0; i < call->operation_count; i++)
-		json_incref(call->operations[i].value);
+	copy->transaction.operations =
+	    calloc(call->transaction.operation_count + 1, sizeof(*call->transaction.operations));
+	copy->transaction.compares =
+	    calloc(call->transaction.compare_count + 1, sizeof(*call->transaction.compares));
+	if (call->transaction.operation_count)
+		memcpy(copy->transaction.operations, call->transaction.operations,
+		       call->transaction.operation_count * sizeof(*call->transaction.operations));
+	if (call->transaction.compare_count)
+		memcpy(copy->transaction.compares, call->transaction.compares,
+		       call->transaction.compare_count * sizeof(*call->transaction.compares));
+	for (size_t i = 0; i < call->transaction.operation_count; i++)
+		json_incref(call->transaction.operations[i].value);
 	return copy;
 }
 
@@ -152,7 +169,7 @@
 	} else if (call->kind != WS_CALL_WATCH &&
 		   (sim->now < sim->store_down_until || sim->now < node->refused_until)) {
 		flight->stage = SIM_CALL_TO_ANSWER;
-		flight->result.status = 503;
+		flight->result.outcome = WS_OUTCOME_UNAVAILABLE;
 	} else if (call->kind == WS_CALL_TRANSACTION &&
 		   (is_late_by_share || (sim->late_txns > 0 && sim_leader(sim) == flight->node))) {
 		abandon_transaction(sim, flight, is_late_by_share);
@@ -194,7 +211,7 @@
 	}
 	if (is_awaited) {
 		if (is_store_call(flight->call->kind) && sim->now < node->cut_store_until)
-			flight->result.status = 0;
+			flight->result.outcome = WS_OUTCOME_NO_ANSWER;
 		node->version->complete(node->core, sim_node_time(sim, node), flight->call,
 					&flight->result);
 	} else {
@@ -220,11 +237,11 @@
 /* What the leader has to read of what a watch brings. */
 static void count_watched(struct sim *sim, const struct ws_result *result)
 {
-	sim->watched_records += result->entry_count;
-	for (size_t i = 0; i < result->entry_count; i++)
-		if (result->entries[i].value)
+	sim->watched_records += result->records.entry_count;
+	for (size_t i = 0; i < result->records.entry_count; i++)
+		if (result->records.entries[i].value)
 			sim->watched_bytes +=
-			    json_dumpb(result->entries[i].value, NULL, 0, JSON_COMPACT);
+			    json_dumpb(result->records.entries[i].value, NULL, 0, JSON_COMPACT);
 }
 
 /* A watch stays open until there is something to tell, or its time is over. */
@@ -234,11 +251,11 @@
 	const struct sim_node *node = &sim->nodes[flight->node];
 	bool is_blind = sim->now < sim->store_down_until || sim->now < node->refused_until ||
 			sim->now < node->cut_store_until ||
-			(call->timeout_ms && sim->now < node->blind_until);
+			(call->watch.timeout_ms && sim->now < node->blind_until);
 
-	sim->store_requests += !call->timeout_ms;
+	sim->store_requests += !call->watch.timeout_ms;
 	if ((is_blind || !sim_store_watch(sim, call, &flight->result)) &&
-	    sim->now < call->created_at / (1 + node->skew) + call->timeout_ms / 1000.0 &&
+	    sim->now < call->created_at / (1 + node->skew) + call->watch.timeout_ms / 1000.0 &&
 	    node->restarts == flight->restarts) {
 		result_clear(&flight->result);
 		flight->due_at = sim->now + SIM_STEP_S / 2;
@@ -247,11 +264,12 @@
 	}
 	if (is_blind) {
 		result_clear(&flight->result);
-		flight->result.status = sim->now < node->cut_store_until ? 0 : 503;
+		flight->result.outcome = sim->now < node->cut_store_until ? WS_OUTCOME_NO_ANSWER
+									  : WS_OUTCOME_UNAVAILABLE;
 	}
 	if (flight->node == sim_leader(sim))
 		count_watched(sim, &flight->result);
-	if (call->timeout_ms && sim->now < sim->late_watches_until)
+	if (call->watch.timeout_ms && sim->now < sim->late_watches_until)
 		/* one that is not left open overtakes it */
 		schedule_answer(sim, flight, sim->now + sim->late_watches_max_s * sim_random(sim));
 	else
@@ -304,13 +322,13 @@
 
 	late->due_at = due_at;
 	late->worker = worker;
-	late->fencing_token = call->fencing_token;
-	late->incarnation = call->incarnation;
-	late->command_count = call->command_count;
-	late->commands = calloc(call->command_count + 1, sizeof(*late->commands));
-	if (call->command_count)
-		memcpy(late->commands, call->commands,
-		       call->command_count * sizeof(*late->commands));
+	late->fencing_token = call->commands.fencing_token;
+	late->incarnation = call->commands.incarnation;
+	late->command_count = call->commands.count;
+	late->commands = calloc(call->commands.count + 1, sizeof(*late->commands));
+	if (call->commands.count)
+		memcpy(late->commands, call->commands.list,
+		       call->commands.count * sizeof(*late->commands));
 	late->next = sim->late_commands;
 	sim->late_commands = late;
 }
@@ -318,13 +336,14 @@
 static void execute_commands(struct sim *sim, struct sim_call_in_flight *flight)
 {
 	const struct ws_call *call = flight->call;
-	int index = sim_worker_at(call->address);
+	int index = sim_worker_at(call->commands.address);
 	struct sim_worker *worker = &sim->workers[index];
 	double delayed_until;
 
 	sim->commands++;
 	if (worker->dead || worker->deleted) { /* nobody answers the attempt to connect */
-		flight->result.status = -1;
+		flight->result.outcome = WS_OUTCOME_NOT_SENT;
+		flight->result.http_status = ws_http_status_of_outcome(WS_OUTCOME_NOT_SENT);
 		schedule_answer(sim, flight, sim->now + fmin(sim->heartbeat_s, sim->lease_s / 16));
 		return;
 	}
@@ -339,9 +358,10 @@
 		return;
 	}
 	flight->result.heartbeat = calloc(1, sizeof(*flight->result.heartbeat));
-	flight->result.status =
-	    sim_worker_command(sim, worker, call->fencing_token, call->incarnation, call->commands,
-			       call->command_count, flight->result.heartbeat);
+	flight->result.outcome = sim_worker_command(sim, worker, call->commands.fencing_token,
+						    call->commands.incarnation, call->commands.list,
+						    call->commands.count, flight->result.heartbeat);
+	flight->result.http_status = ws_http_status_of_outcome(flight->result.outcome);
 	if (sim->slow_commands_s > 0) {
 		schedule_answer(sim, flight, sim->now + sim->slow_commands_s);
 	} else if (sim->lost_commands > 0) {
@@ -374,7 +394,7 @@
 {
 	const struct ws_call *call = flight->call;
 	const struct sim_node *node = &sim->nodes[flight->node];
-	struct sim_node *peer = reachable_peer(sim, node, call->key);
+	struct sim_node *peer = reachable_peer(sim, node, call->outage_vote.peer);
 
 	if (!peer) {
 		schedule_answer(sim, flight, sim->now + VOTE_UNREACHABLE_S);
@@ -386,7 +406,8 @@
 	/* the version in production knows of no lists of cancellations */
 	if (peer->version == &sim_this_version && node->version == &sim_this_version)
 		ws_core_outage_vote(peer->core, sim_node_time(sim, peer), flight->request_id,
-				    call->fencing_token, call->since_revision, call->after);
+				    call->outage_vote.leader_revision,
+				    call->outage_vote.since_revision, call->outage_vote.after_job);
 	else
 		peer->version->outage_vote(peer->core, sim_node_time(sim, peer),
 					   flight->request_id);
@@ -404,15 +425,13 @@
 	*link = flight->next;
 	flight->due_at = sim->now + VOTE_ANSWER_S;
 	schedule(sim, flight);
-	flight->result.status = effect->status;
+	flight->result.outcome =
+	    effect->answer == WS_ANSWER_UNAVAILABLE ? WS_OUTCOME_UNAVAILABLE : WS_OUTCOME_OK;
 	if (node->version != &sim_this_version ||
 	    sim->nodes[flight->node].version != &sim_this_version)
 		return;
-	flight->result.vote_granted = effect->vote_granted;
-	flight->result.has_more = effect->has_more;
-	flight->result.cancellation_count = effect->cancellation_count;
-	flight->result.cancellations = effect->cancellations;
-	effect->cancellations = NULL;
+	flight->result.vote = effect->vote;
+	effect->vote.cancellations = NULL;
 }
 
 static void execute_call(struct sim *sim, struct sim_call_in_flight *flight)
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -41,9 +41,9 @@
 
 static void list_types(const struct sim *sim, struct ws_result *result)
 {
-	result->types = calloc((size_t)sim->type_count, sizeof(*result->types));
+	result->types.list = calloc((size_t)sim->type_count, sizeof(*result->types.list));
 	for (int i = 0; i < sim->type_count; i++)
-		result->types[result->type_count++] = sim->types[i];
+		result->types.list[result->types.count++] = sim->types[i];
 }
 
 /* The list lags: what is new is not in it yet, and what is gone still is. */
@@ -64,12 +64,13 @@
 static void list_instances(const struct sim *sim, const struct ws_call *call,
 			   struct ws_result *result)
 {
-	result->instances = calloc((size_t)sim->worker_count + 1, sizeof(*result->instances));
+	result->instances.list =
+	    calloc((size_t)sim->worker_count + 1, sizeof(*result->instances.list));
 	for (int i = 0; i < sim->worker_count; i++) {
 		const struct sim_worker *worker = &sim->workers[i];
-		struct ws_instance *instance = &result->instances[result->instance_count];
+		struct ws_instance *instance = &result->instances.list[result->instances.count];
 
-		if (!is_listed(sim, worker) || strcmp(worker->name, call->after) <= 0)
+		if (!is_listed(sim, worker) || strcmp(worker->name, call->instances.after) <= 0)
 			continue;
 		snprintf(instance->name, sizeof(instance->name), "%s", worker->name);
 		snprintf(instance->type, sizeof(instance->type), "%s",
@@ -78,7 +79,7 @@
 		instance->preemptible = worker->preemptible;
 		instance->age_s = sim->now - worker->scaled_out_at;
 		instance->phase = instance_phase(sim, worker);
-		result->instance_count++;
+		result->instances.count++;
 	}
 }
 
@@ -94,17 +95,18 @@
 static struct sim_scale_out *scale_out_grant(struct sim *sim, const struct ws_call *call)
 {
 	struct sim_scale_out *scale_out;
-	int type = sim_type_index(sim, call->type), instances = 0;
+	int type = sim_type_index(sim, call->scale_out.type), instances = 0;
 
 	for (int i = 0; i < sim->worker_count; i++)
 		instances += !sim->workers[i].deleted && !sim->workers[i].owned;
 	if (type == sim->type_count || instances >= sim->instance_limit)
 		return NULL;
 	scale_out = &sim->scale_outs[sim->scale_out_count++];
-	snprintf(scale_out->key, sizeof(scale_out->key), "%.*s", WS_NAME_MAX - 1, call->key);
+	snprintf(scale_out->key, sizeof(scale_out->key), "%.*s", WS_NAME_MAX - 1,
+		 call->scale_out.idempotency_key);
 	scale_out->first_worker = sim->worker_count;
-	for (uint32_t i = 0; i < call->count && instances < sim->instance_limit; i++) {
-		sim_add_worker(sim, type, call->zone, call->preemptible, false);
+	for (uint32_t i = 0; i < call->scale_out.count && instances < sim->instance_limit; i++) {
+		sim_add_worker(sim, type, call->scale_out.zone, call->scale_out.preemptible, false);
 		scale_out->count++;
 		sim->scaled_out++;
 		instances++;
@@ -114,18 +116,19 @@
 
 static void scale_out(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	const struct sim_scale_out *granted = scale_out_find(sim, call->key);
+	const struct sim_scale_out *granted = scale_out_find(sim, call->scale_out.idempotency_key);
 
 	if (!granted)
 		granted = scale_out_grant(sim, call);
 	if (!granted) {
-		result->status = 503;
-		result->no_capacity = true;
+		result->outcome = WS_OUTCOME_UNAVAILABLE;
+		result->instances.no_capacity = true;
 		return;
 	}
-	result->instances = calloc((size_t)granted->count + 1, sizeof(*result->instances));
+	result->instances.list =
+	    calloc((size_t)granted->count + 1, sizeof(*result->instances.list));
 	for (int i = 0; i < granted->count; i++)
-		snprintf(result->instances[result->instance_count++].name, WS_NAME_MAX, "%s",
+		snprintf(result->instances.list[result->instances.count++].name, WS_NAME_MAX, "%s",
 			 sim->workers[granted->first_worker + i].name);
 }
 
@@ -144,19 +147,19 @@
 
 static void scale_in(struct sim *sim, const struct ws_call *call)
 {
-	for (size_t i = 0; i < call->machine_count; i++)
+	for (size_t i = 0; i < call->scale_in.count; i++)
 		for (int k = 0; k < sim->worker_count; k++)
-			if (!strcmp(sim->workers[k].name, call->machine_names[i]))
+			if (!strcmp(sim->workers[k].name, call->scale_in.machine_names[i]))
 				delete_instance(sim, &sim->workers[k]);
 }
 
 void sim_cloud_execute(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
 	if (sim->now < sim->cloud_down_until) {
-		result->status = 503;
+		result->outcome = WS_OUTCOME_UNAVAILABLE;
 		return;
 	}
-	result->status = 200;
+	result->outcome = WS_OUTCOME_OK;
 	switch (call->kind) {
 	case WS_CALL_MACHINE_TYPES: list_types(sim, result); break;
 	case WS_CALL_INSTANCES: list_instances(sim, call, result); break;
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -212,14 +212,15 @@
 
 /* ---- answers and commands ---- */
 
-int sim_worker_command(struct sim *sim, struct sim_worker *worker, uint64_t fencing_token,
-		       uint64_t incarnation, const struct ws_command *commands, size_t count,
-		       struct ws_heartbeat *heartbeat)
+enum ws_outcome sim_worker_command(struct sim *sim, struct sim_worker *worker,
+				   uint64_t fencing_token, uint64_t incarnation,
+				   const struct ws_command *commands, size_t count,
+				   struct ws_heartbeat *heartbeat)
 {
-	int status = 200;
+	enum ws_outcome outcome = WS_OUTCOME_OK;
 
 	if (fencing_token < worker->fencing_token || incarnation != worker->incarnation) {
-		status = 409;
+		outcome = WS_OUTCOME_CONFLICT;
 	} else {
 		if (fencing_token > worker->fencing_token) {
 			worker->fencing_token = fencing_token;
@@ -229,23 +230,24 @@
 	}
 	if (heartbeat)
 		sim_worker_heartbeat(sim, worker, heartbeat);
-	return status;
+	return outcome;
 }
 
 /* The leader's answer renews the lease. */
 static void take_leader_answer(struct sim *sim, struct sim_worker *worker,
 			       const struct ws_effect *answer)
 {
-	if (answer->fencing_token < worker->fencing_token)
+	if (answer->heartbeat.fencing_token < worker->fencing_token)
 		return;
-	if (answer->fencing_token > worker->fencing_token) {
-		worker->fencing_token = answer->fencing_token;
+	if (answer->heartbeat.fencing_token > worker->fencing_token) {
+		worker->fencing_token = answer->heartbeat.fencing_token;
 		sim_worker_changed(worker, sim->now);
 	}
 	worker->answered_sent = worker->sent_at;
 	if (worker->answered_since <= sim->stop.stopped_at)
 		worker->answered_since = sim->now;
-	sim_worker_take_commands(sim, worker, answer->commands, answer->command_count);
+	sim_worker_take_commands(sim, worker, answer->heartbeat.commands,
+				 answer->heartbeat.command_count);
 }
 
 /* Another node is said to lead; false: it is none that the worker could turn to. */
@@ -271,10 +273,10 @@
 	    sim_is_partitioned(sim, worker, &sim->nodes[worker->node]))
 		return;
 	worker->heartbeat_pending = false;
-	if (effect->status == 200)
+	if (effect->answer == WS_ANSWER_OK)
 		take_leader_answer(sim, worker, effect);
-	else if (effect->status != 421 || !effect->name[0] ||
-		 !follow_redirect(sim, worker, effect->name))
+	else if (effect->answer != WS_ANSWER_OTHER_LEADER || !effect->heartbeat.leader[0] ||
+		 !follow_redirect(sim, worker, effect->heartbeat.leader))
 		try_next_node(sim, worker);
 }
 
