--- a/src/cold_start/cold_start.c
+++ b/src/cold_start/cold_start.c
@@ -1,53 +1,49 @@
-/* The coldstart package's hooks, and the phases that a cold start goes through. */
-#include "internal.h"
-#include <stdarg.h>
-
-/* A proof of a leader's life that is older than this, in leases, is none; less drift of clocks. */
+/* Hooks of the cold start subsystem, and the phases that a cold start goes through. */
+#include "cold_start.h"
+#include "../subsystem_support/subsystem_memory.h"
+#include "observation.h"
+#include "quarantine.h"
+#include "records.h"
+#include "recovery.h"
+#include "state.h"
+#include <math.h>
+#include <string.h>
+
+/* Proof that a leader was alive is valid for this many leases, less the drift of clocks. */
 #define PROOF_LEASES (0.5 * (1 - 0.001))
 #define HEARD_SHARE 0.9
-/* The account is rewritten so often at most, in leases. */
+/* Minimum interval between writes of the account record, in leases. */
 #define ACCOUNT_LEASES 0.25
-/* What has not started again by then, in leases from the end of the observation, waits for room. */
+/*
+ * The cold start ends this long after the end of the observation, in leases, even if some lost work
+ * has not started again.
+ */
 #define RECOVERY_LEASES 4.0
-/* The core finds leases that are out within this, in heartbeat intervals. */
-#define SWEEP_REPORTS 0.25
-
-void ws_cold_start_logf(const struct ws_cold_start *cold_start, const char *format, ...)
-{
-	char text[512];
-	va_list arguments;
-
-	va_start(arguments, format);
-	vsnprintf(text, sizeof(text), format, arguments);
-	va_end(arguments);
-	if (cold_start->log)
-		cold_start->log(text);
-}
+/* Within this many heartbeat intervals the core has noticed an expired lease. */
+#define SWEEP_HEARTBEATS 0.25
 
 void ws_cold_start_defaults(struct ws_cold_start_settings *settings)
 {
-	*settings = (struct ws_cold_start_settings){.keep_s = -1, .heard_share = HEARD_SHARE};
+	*settings = (struct ws_cold_start_settings){.quarantine_s = -1, .heard_share = HEARD_SHARE};
 }
 
 struct ws_cold_start *ws_cold_start_new(const struct ws_cold_start_settings *settings,
 					const struct ws_cluster_limits *limits,
-					ws_cold_start_log_fn log)
+					ws_subsystem_log_fn log)
 {
-	struct ws_cold_start *cold_start = calloc(1, sizeof(*cold_start));
+	struct ws_cold_start *cold_start = ws_subsystem_allocate(sizeof(*cold_start));
 
-	if (!cold_start)
-		abort();
 	cold_start->settings = *settings;
 	cold_start->limits = *limits;
 	cold_start->limits.zones = NULL; /* the caller's */
 	cold_start->limits.node_zone = NULL;
 	cold_start->log = log;
-	if (cold_start->settings.keep_s < 0)
-		cold_start->settings.keep_s = limits->cancel_s;
+	if (cold_start->settings.quarantine_s < 0)
+		cold_start->settings.quarantine_s = limits->cancel_s;
 	return cold_start;
 }
 
-static void term_forget(struct ws_cold_start *cold_start)
+static void reset_term(struct ws_cold_start *cold_start)
 {
 	ws_cold_start_zones_free(cold_start);
 	ws_cold_start_quarantine_free(cold_start);
@@ -55,11 +51,12 @@
 	memset(&cold_start->counts, 0, sizeof(cold_start->counts));
 	cold_start->phase = cold_start->recorded_phase = WS_COLD_START_NONE;
 	cold_start->recorded_term = cold_start->recorded_began = 0;
-	cold_start->recorded_doubt = false;
-	cold_start->cold = cold_start->later_format = cold_start->doubted = false;
-	cold_start->phase_due = cold_start->counts_changed = cold_start->survey_done = false;
-	cold_start->lost_new = false;
-	cold_start->account_next = 0;
+	cold_start->recorded_store_lost_records = false;
+	cold_start->leader_unproven = cold_start->later_format = cold_start->store_lost_records =
+	    false;
+	cold_start->phase_record_due = cold_start->counts_changed = cold_start->survey_done = false;
+	cold_start->losses_unsurveyed = false;
+	cold_start->account_due_at = 0;
 	cold_start->surveyed_at = -INFINITY;
 }
 
@@ -67,7 +64,7 @@
 {
 	if (!cold_start)
 		return;
-	term_forget(cold_start);
+	reset_term(cold_start);
 	free(cold_start);
 }
 
@@ -76,10 +73,14 @@
 	return cold_start->steps;
 }
 
+static bool phase_is_active(enum ws_cold_start_phase phase)
+{
+	return phase == WS_COLD_START_OBSERVING || phase == WS_COLD_START_RECOVERING;
+}
+
 bool ws_cold_start_active(const struct ws_cold_start *cold_start)
 {
-	return cold_start->phase == WS_COLD_START_OBSERVING ||
-	       cold_start->phase == WS_COLD_START_RECOVERING;
+	return phase_is_active(cold_start->phase);
 }
 
 /* ---- leadership ---- */
@@ -91,50 +92,46 @@
 
 static void stepped_down(void *self)
 {
-	term_forget(self);
+	reset_term(self);
 }
 
 static void elected(void *self, const struct ws_election_facts *facts)
 {
 	struct ws_cold_start *cold_start = self;
 
-	term_forget(cold_start);
+	reset_term(cold_start);
 	cold_start->elected_at = facts->now;
 	cold_start->leases_out = facts->leases_out;
 	cold_start->term = cold_start->began_term = facts->term;
 	cold_start->proven_term = facts->proven_term;
 	cold_start->unproven_s = facts->unproven_s;
-	cold_start->cold = facts->unproven_s > PROOF_LEASES * cold_start->limits.lease_s;
+	cold_start->leader_unproven = facts->unproven_s > PROOF_LEASES * cold_start->limits.lease_s;
 }
 
-static void phase_set(struct ws_cold_start *cold_start, enum ws_cold_start_phase phase)
+static void set_phase(struct ws_cold_start *cold_start, enum ws_cold_start_phase phase)
 {
 	cold_start->phase = phase;
-	cold_start->phase_due = cold_start->counts_changed = true;
-	cold_start->account_next = 0;
-}
-
-static bool phase_open(enum ws_cold_start_phase phase)
-{
-	return phase == WS_COLD_START_OBSERVING || phase == WS_COLD_START_RECOVERING;
+	cold_start->phase_record_due = cold_start->counts_changed = true;
+	cold_start->account_due_at = 0;
 }
 
-static void begin_log(const struct ws_cold_start *cold_start, bool again)
+static void log_begin(const struct ws_cold_start *cold_start, bool resumed)
 {
 	size_t expected = ws_cold_start_unheard(cold_start);
 
-	if (again)
-		ws_cold_start_logf(cold_start, "cold start: resumed began_term=%llu machines=%zu",
-				   (unsigned long long)cold_start->began_term, expected);
+	if (resumed)
+		ws_subsystem_logf(cold_start->log,
+				  "cold start: resumed began_term=%llu machines=%zu",
+				  (unsigned long long)cold_start->began_term, expected);
 	else if (isfinite(cold_start->unproven_s))
-		ws_cold_start_logf(cold_start,
-				   "cold start: observing, no live leader known "
-				   "without_leader_s=%.1f machines=%zu",
-				   cold_start->unproven_s, expected);
+		ws_subsystem_logf(cold_start->log,
+				  "cold start: observing, no live leader known "
+				  "without_leader_s=%.1f machines=%zu",
+				  cold_start->unproven_s, expected);
 	else
-		ws_cold_start_logf(cold_start,
-				   "cold start: observing, no earlier leader known machines=%zu",
-				   expected);
+		ws_subsystem_logf(cold_start->log,
+				  "cold start: observing, no earlier leader known machines=%zu",
+				  expected);
 }
 
 /*
@@ -144,53 +141,54 @@
 static void records_loaded(void *self, double now)
 {
 	struct ws_cold_start *cold_start = self;
-	bool open = phase_open(cold_start->recorded_phase);
-	bool again =
-	    open && (cold_start->cold || cold_start->recorded_term == cold_start->proven_term);
+	bool open = phase_is_active(cold_start->recorded_phase);
+	bool resumed = open && (cold_start->leader_unproven ||
+				cold_start->recorded_term == cold_start->proven_term);
 
 	(void)now;
 	if (cold_start->later_format)
 		return;
-	if (again) {
+	if (resumed) {
 		cold_start->began_term = cold_start->recorded_began;
-		cold_start->doubted = cold_start->recorded_doubt;
+		cold_start->store_lost_records = cold_start->recorded_store_lost_records;
 	}
-	if (cold_start->cold || again) {
-		begin_log(cold_start, again);
-		phase_set(cold_start, WS_COLD_START_OBSERVING);
+	if (cold_start->leader_unproven || resumed) {
+		log_begin(cold_start, resumed);
+		set_phase(cold_start, WS_COLD_START_OBSERVING);
 	} else if (open) {
-		ws_cold_start_logf(cold_start,
-				   "cold start: another leader took over since, nothing deferred");
+		ws_subsystem_logf(cold_start->log,
+				  "cold start: another leader took over since, nothing deferred");
 		cold_start->began_term = cold_start->recorded_began;
 		cold_start->phase = WS_COLD_START_ENDED;
-		cold_start->phase_due = true;
+		cold_start->phase_record_due = true;
 	}
 }
 
 /* ---- reconciliation ---- */
 
-static bool attempt_found(void *self, double now, const struct ws_reconciliation *finding)
+static bool attempt_found(void *self, double now, const struct ws_reconciliation *reconciliation)
 {
 	struct ws_cold_start *cold_start = self;
 
 	if (!ws_cold_start_active(cold_start))
 		return false;
 	cold_start->steps++;
-	cold_start->counts.results[finding->result]++;
+	cold_start->counts.results[reconciliation->result]++;
 	cold_start->counts_changed = true;
-	if (finding->result == WS_RECONCILED_TWO_MACHINES)
-		ws_cold_start_logf(cold_start,
-				   "cold start: duplicate attempt stopped job=%s task=%u "
-				   "machine=%s reason=\"recorded on another machine\"",
-				   finding->job, finding->task, finding->machine);
-	if (ws_reconciliation_loses_work(finding->result))
-		ws_cold_start_lost_add(cold_start, finding->job);
-	if (finding->result == WS_RECONCILED_UNKNOWN_JOB)
-		return ws_cold_start_keep(cold_start, now, finding);
-	return finding->result == WS_RECONCILED_UNRECORDED;
+	if (reconciliation->result == WS_RECONCILED_TWO_MACHINES)
+		ws_subsystem_logf(cold_start->log,
+				  "cold start: duplicate attempt stopped job=%s task=%u "
+				  "machine=%s reason=\"recorded on another machine\"",
+				  reconciliation->job, reconciliation->task,
+				  reconciliation->machine);
+	if (ws_reconciliation_loses_work(reconciliation->result))
+		ws_cold_start_lost_add(cold_start, reconciliation->job);
+	if (reconciliation->result == WS_RECONCILED_UNKNOWN_JOB)
+		return ws_cold_start_quarantine_attempt(cold_start, now, reconciliation);
+	return reconciliation->result == WS_RECONCILED_UNRECORDED;
 }
 
-/* ---- the gate ---- */
+/* ---- deferred actions ---- */
 
 static bool waits_for_zone(const struct ws_cold_start *cold_start, const char *zone)
 {
@@ -204,7 +202,8 @@
 	return waits_for_zone(self, zone);
 }
 
-static bool order_held(void *self, double now, enum ws_deferrable_action kind, const char *zone)
+static bool action_deferred(void *self, double now, enum ws_deferrable_action kind,
+			    const char *zone)
 {
 	const struct ws_cold_start *cold_start = self;
 
@@ -216,7 +215,7 @@
 		return cold_start->phase == WS_COLD_START_OBSERVING ||
 		       (ws_cold_start_active(cold_start) && cold_start->lost);
 	case WS_DEFER_FIRST_START:
-		return cold_start->doubted && now < cold_start->leases_out &&
+		return cold_start->store_lost_records && now < cold_start->leases_out &&
 		       ws_cold_start_unheard(cold_start) > 0;
 	case WS_DEFER_SECOND_REPLICA: return ws_cold_start_active(cold_start);
 	case WS_DEFERRABLE_ACTIONS: break;
@@ -226,26 +225,26 @@
 
 /* ---- tick ---- */
 
-static void end_log(const struct ws_cold_start *cold_start, double now)
+static void log_end(const struct ws_cold_start *cold_start, double now)
 {
 	const struct ws_cold_start_counts *counts = &cold_start->counts;
 
-	ws_cold_start_logf(cold_start,
-			   "cold start: ended after_s=%.1f agreed=%zu lost=%zu lost_jobs=%zu "
-			   "recovered_jobs=%zu quarantined_jobs=%zu adopted=%zu unclaimed_jobs=%zu",
-			   now - cold_start->elected_at, counts->results[WS_RECONCILED_AGREED],
-			   counts->results[WS_RECONCILED_LEASE_LOST] +
-			       counts->results[WS_RECONCILED_LEASE_EXPIRED] +
-			       counts->results[WS_RECONCILED_MACHINE_GONE],
-			   counts->lost_jobs, counts->recovered_jobs, counts->quarantined,
-			   counts->adopted, counts->unclaimed);
+	ws_subsystem_logf(cold_start->log,
+			  "cold start: ended after_s=%.1f agreed=%zu lost=%zu lost_jobs=%zu "
+			  "recovered_jobs=%zu quarantined_jobs=%zu adopted=%zu unclaimed_jobs=%zu",
+			  now - cold_start->elected_at, counts->results[WS_RECONCILED_AGREED],
+			  counts->results[WS_RECONCILED_LEASE_LOST] +
+			      counts->results[WS_RECONCILED_LEASE_EXPIRED] +
+			      counts->results[WS_RECONCILED_MACHINE_GONE],
+			  counts->lost_jobs, counts->recovered_jobs, counts->quarantined,
+			  counts->adopted, counts->unclaimed);
 }
 
-/* Leases of machines that were not heard may not be out, or the core may not have seen to it yet.
+/* Whether a machine not heard may hold a valid lease, or one whose expiry the core has not handled.
  */
-static bool silent_may_live(const struct ws_cold_start *cold_start, double now)
+static bool unheard_leases_may_be_valid(const struct ws_cold_start *cold_start, double now)
 {
-	return now < cold_start->leases_out + SWEEP_REPORTS * cold_start->limits.report_s;
+	return now < cold_start->leases_out + SWEEP_HEARTBEATS * cold_start->limits.report_s;
 }
 
 static void phase_tick(struct ws_cold_start *cold_start, double now, struct ws_request_queue *out)
@@ -256,28 +255,28 @@
 		if (!ws_cold_start_observe(cold_start, now))
 			return;
 		cold_start->recovering_at = now;
-		phase_set(cold_start, WS_COLD_START_RECOVERING);
+		set_phase(cold_start, WS_COLD_START_RECOVERING);
 		return;
 	}
-	if (ws_cold_start_keeps(cold_start) ||
-	    (silent_may_live(cold_start, now) && ws_cold_start_unheard(cold_start)) ||
+	if (ws_cold_start_has_quarantined(cold_start) ||
+	    (unheard_leases_may_be_valid(cold_start, now) && ws_cold_start_unheard(cold_start)) ||
 	    (cold_start->lost && recovering_s < RECOVERY_LEASES * cold_start->limits.lease_s))
 		return;
 	ws_cold_start_recovery_end(cold_start, out);
-	phase_set(cold_start, WS_COLD_START_ENDED);
-	end_log(cold_start, now);
+	set_phase(cold_start, WS_COLD_START_ENDED);
+	log_end(cold_start, now);
 }
 
-static void records_write(struct ws_cold_start *cold_start, double now,
+static void write_records(struct ws_cold_start *cold_start, double now,
 			  struct ws_request_queue *out)
 {
-	if (cold_start->phase_due)
+	if (cold_start->phase_record_due)
 		ws_request_write(out, "phase", ws_cold_start_phase_record(cold_start), true);
-	cold_start->phase_due = false;
-	if (!cold_start->counts_changed || now < cold_start->account_next)
+	cold_start->phase_record_due = false;
+	if (!cold_start->counts_changed || now < cold_start->account_due_at)
 		return;
 	cold_start->counts_changed = false;
-	cold_start->account_next = now + ACCOUNT_LEASES * cold_start->limits.lease_s;
+	cold_start->account_due_at = now + ACCOUNT_LEASES * cold_start->limits.lease_s;
 	ws_request_write(out, "account", ws_cold_start_account_record(cold_start, now), false);
 }
 
@@ -297,7 +296,7 @@
 	} else {
 		ws_cold_start_quarantine_forget(cold_start, out);
 	}
-	records_write(cold_start, facts->now, out);
+	write_records(cold_start, facts->now, out);
 }
 
 const struct ws_subsystem_ops ws_cold_start_ops = {
@@ -316,7 +315,7 @@
     .job_looked_up = ws_cold_start_looked_up,
     .attempts_adopted = ws_cold_start_adopted,
     .zone_closed = zone_closed,
-    .action_deferred = order_held,
+    .action_deferred = action_deferred,
     .attempt_surveyed = ws_cold_start_attempt_surveyed,
     .job_surveyed = ws_cold_start_job_surveyed,
     .survey_done = ws_cold_start_survey_done,
--- a/src/cold_start/observation.c
+++ b/src/cold_start/observation.c
@@ -2,18 +2,19 @@
  * Observation: which of the machines that ought to answer have, zone by zone. A zone has answered
  * when the wanted share of them has shown this leader's token, or when their leases are surely out.
  */
-#include "internal.h"
+#include "observation.h"
+#include "../subsystem_support/subsystem_memory.h"
+#include <stdio.h>
 
-static struct ws_cold_start_zone *zone_get(struct ws_cold_start *cold_start, const char *name)
+static struct ws_cold_start_zone *find_or_add_zone(struct ws_cold_start *cold_start,
+						   const char *name)
 {
 	struct ws_cold_start_zone *zone;
 
 	HASH_FIND_STR(cold_start->zones, name, zone);
 	if (zone)
 		return zone;
-	zone = calloc(1, sizeof(*zone));
-	if (!zone)
-		abort();
+	zone = ws_subsystem_allocate(sizeof(*zone));
 	snprintf(zone->name, sizeof(zone->name), "%s", name);
 	HASH_ADD_STR(cold_start->zones, name, zone);
 	return zone;
@@ -21,22 +22,16 @@
 
 void ws_cold_start_zones_free(struct ws_cold_start *cold_start)
 {
-	struct ws_cold_start_zone *zone = cold_start->zones, *next;
-
-	HASH_CLEAR(hh, cold_start->zones);
-	for (; zone; zone = next) {
-		next = zone->hh.next;
-		free(zone);
-	}
+	WS_SUBSYSTEM_FREE_TABLE(cold_start->zones);
 }
 
 /* ---- machines ---- */
 
-static void machine_count(struct ws_cold_start_machine *machine, bool in)
+static void count_machine(struct ws_cold_start_machine *machine, bool added)
 {
 	if (!machine->expected)
 		return;
-	if (in) {
+	if (added) {
 		machine->zone->expected++;
 		machine->zone->heard += machine->heard;
 	} else {
@@ -48,21 +43,19 @@
 void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_facts *facts)
 {
 	struct ws_cold_start *cold_start = self;
-	struct ws_cold_start_machine *machine = calloc(1, sizeof(*machine));
+	struct ws_cold_start_machine *machine = ws_subsystem_allocate(sizeof(*machine));
 
 	(void)now;
-	if (!machine)
-		abort();
 	cold_start->steps++;
-	machine->zone = zone_get(cold_start, facts->zone);
+	machine->zone = find_or_add_zone(cold_start, facts->zone);
 	machine->expected = facts->expected;
-	machine_count(machine, true);
+	count_machine(machine, true);
 	if (facts->unknown && ws_cold_start_active(cold_start)) {
 		cold_start->counts.results[WS_RECONCILED_UNKNOWN_MACHINE]++;
 		cold_start->counts_changed = true;
-		ws_cold_start_logf(cold_start,
-				   "cold start: machine neither recorded nor listed machine=%s",
-				   facts->name);
+		ws_subsystem_logf(cold_start->log,
+				  "cold start: machine neither recorded nor listed machine=%s",
+				  facts->name);
 	}
 	return machine;
 }
@@ -71,9 +64,9 @@
 {
 	struct ws_cold_start_machine *machine = handle;
 
-	machine_count(machine, false);
-	machine->zone = zone_get(self, facts->zone);
-	machine_count(machine, true);
+	count_machine(machine, false);
+	machine->zone = find_or_add_zone(self, facts->zone);
+	count_machine(machine, true);
 }
 
 void ws_cold_start_machine_removed(void *self, void *handle)
@@ -81,7 +74,7 @@
 	struct ws_cold_start_machine *machine = handle;
 
 	(void)self;
-	machine_count(machine, false);
+	count_machine(machine, false);
 	free(machine);
 }
 
@@ -94,7 +87,7 @@
 	(void)now;
 	if (loss == WS_LOSS_LEASE)
 		return;
-	machine_count(machine, false);
+	count_machine(machine, false);
 	machine->expected = false;
 }
 
@@ -107,9 +100,9 @@
 	if (machine->heard)
 		return;
 	cold_start->steps++;
-	machine_count(machine, false);
+	count_machine(machine, false);
 	machine->heard = true;
-	machine_count(machine, true);
+	count_machine(machine, true);
 	cold_start->counts_changed = true;
 }
 
@@ -154,8 +147,8 @@
 		zone->observed = true;
 		cold_start->counts_changed = true;
 		if (zone->expected)
-			ws_cold_start_logf(
-			    cold_start,
+			ws_subsystem_logf(
+			    cold_start->log,
 			    "cold start: zone observed zone=%s answered=%zu machines=%zu "
 			    "after_s=%.1f leases_expired=%s",
 			    zone->name, zone->heard, zone->expected, now - cold_start->elected_at,
--- a/src/cold_start/records.c
+++ b/src/cold_start/records.c
@@ -1,5 +1,14 @@
-/* Records of the coldstart package: what each holds, and what a leader takes over from them. */
-#include "internal.h"
+/* Records of the cold start subsystem: their encoding, and what a new leader restores from them. */
+#include "records.h"
+#include "../subsystem_support/subsystem_records.h"
+#include "observation.h"
+#include <math.h>
+#include <string.h>
+
+static const struct ws_subsystem_record_format record_format = {
+    .log_name = "cold start",
+    .supported = WS_COLD_START_FORMAT,
+};
 
 static const char *const phase_names[] = {
     [WS_COLD_START_NONE] = "none",
@@ -7,9 +16,10 @@
     [WS_COLD_START_RECOVERING] = "recovering",
     [WS_COLD_START_ENDED] = "ended",
 };
+_Static_assert(WS_COLD_START_NONE == 0, "the phase of an unknown name");
 #define PHASES (sizeof(phase_names) / sizeof(phase_names[0]))
 
-static const char *const finding_names[] = {
+static const char *const result_names[] = {
     [WS_RECONCILED_AGREED] = "agreed",
     [WS_RECONCILED_NOT_REPORTED] = "not_reported",
     [WS_RECONCILED_UNRECORDED] = "unrecorded",
@@ -25,17 +35,17 @@
     [WS_RECONCILED_UNKNOWN_JOB] = "unknown_job",
     [WS_RECONCILED_UNKNOWN_MACHINE] = "unknown_machine",
 };
-_Static_assert(sizeof(finding_names) / sizeof(finding_names[0]) == WS_RECONCILIATION_RESULTS,
-	       "each finding has a name");
+_Static_assert(sizeof(result_names) / sizeof(result_names[0]) == WS_RECONCILIATION_RESULTS,
+	       "each reconciliation result has a name");
 
-const char *ws_cold_start_phase_name(enum ws_cold_start_phase phase)
+static const char *phase_name(enum ws_cold_start_phase phase)
 {
 	return phase_names[phase];
 }
 
 const char *ws_cold_start_result_name(enum ws_reconciliation_result kind)
 {
-	return finding_names[kind];
+	return result_names[kind];
 }
 
 /* ---- written ---- */
@@ -43,21 +53,21 @@
 json_t *ws_cold_start_phase_record(const struct ws_cold_start *cold_start)
 {
 	return json_pack("{s:i,s:s,s:I,s:I,s:b}", "v", WS_COLD_START_FORMAT, "phase",
-			 ws_cold_start_phase_name(cold_start->phase), "term",
-			 (json_int_t)cold_start->term, "began", (json_int_t)cold_start->began_term,
-			 "doubted", cold_start->doubted);
+			 phase_name(cold_start->phase), "term", (json_int_t)cold_start->term,
+			 "began", (json_int_t)cold_start->began_term, "doubted",
+			 cold_start->store_lost_records);
 }
 
-static json_t *findings_record(const struct ws_cold_start *cold_start)
+static json_t *results_record(const struct ws_cold_start *cold_start)
 {
-	json_t *findings = json_object();
+	json_t *results = json_object();
 
 	for (int kind = 0; kind < WS_RECONCILIATION_RESULTS; kind++)
 		if (cold_start->counts.results[kind])
 			json_object_set_new(
-			    findings, finding_names[kind],
+			    results, result_names[kind],
 			    json_integer((json_int_t)cold_start->counts.results[kind]));
-	return findings;
+	return results;
 }
 
 /* Machines of each zone: expected, heard, and whether the zone's observation has ended. */
@@ -79,20 +89,20 @@
 	double left = cold_start->leases_out - now;
 	json_t *record =
 	    json_pack("{s:i,s:s,s:I,s:I,s:f,s:f,s:f,s:b}", "v", WS_COLD_START_FORMAT, "phase",
-		      ws_cold_start_phase_name(cold_start->phase), "term",
-		      (json_int_t)cold_start->term, "began", (json_int_t)cold_start->began_term,
-		      "unproven_s", isfinite(cold_start->unproven_s) ? cold_start->unproven_s : -1,
-		      "for_s", now - cold_start->elected_at, "leases_out_s", left > 0 ? left : 0.0,
-		      "doubted", cold_start->doubted);
+		      phase_name(cold_start->phase), "term", (json_int_t)cold_start->term, "began",
+		      (json_int_t)cold_start->began_term, "unproven_s",
+		      isfinite(cold_start->unproven_s) ? cold_start->unproven_s : -1, "for_s",
+		      now - cold_start->elected_at, "leases_out_s", left > 0 ? left : 0.0,
+		      "doubted", cold_start->store_lost_records);
 
-	json_object_set_new(record, "findings", findings_record(cold_start));
+	json_object_set_new(record, "findings", results_record(cold_start));
 	json_object_update_new(record, json_pack("{s:I,s:I,s:I,s:I,s:I,s:I}", "lost_jobs",
 						 (json_int_t)counts->lost_jobs, "recovered_jobs",
 						 (json_int_t)counts->recovered_jobs, "kept",
 						 (json_int_t)counts->quarantined, "adopted",
 						 (json_int_t)counts->adopted, "unclaimed",
 						 (json_int_t)counts->unclaimed, "over",
-						 (json_int_t)counts->over));
+						 (json_int_t)counts->stopped_over));
 	json_object_set_new(record, "zones", zones_record(cold_start));
 	/* the core leaves out a record that is too large: better one without its zones */
 	if (json_dumpb(record, NULL, 0, JSON_COMPACT) >= cold_start->limits.value_bytes)
@@ -104,42 +114,33 @@
 					double now)
 {
 	return json_pack("{s:i,s:f,s:s}", "v", WS_COLD_START_FORMAT, "kept_s",
-			 quarantined->before_s + now - quarantined->since, "machine",
+			 quarantined->earlier_terms_s + now - quarantined->since, "machine",
 			 quarantined->machine);
 }
 
 /* ---- read ---- */
 
-static enum ws_cold_start_phase phase_read(const char *name)
+static enum ws_cold_start_phase phase_from_name(const char *name)
 {
-	for (size_t i = 0; name && i < PHASES; i++)
-		if (!strcmp(phase_names[i], name))
-			return (enum ws_cold_start_phase)i;
-	return WS_COLD_START_NONE;
+	return (enum ws_cold_start_phase)ws_subsystem_name_index(phase_names, PHASES, name);
 }
 
 static void phase_loaded(struct ws_cold_start *cold_start, json_t *value)
 {
-	cold_start->recorded_phase = phase_read(json_string_value(json_object_get(value, "phase")));
+	cold_start->recorded_phase =
+	    phase_from_name(json_string_value(json_object_get(value, "phase")));
 	cold_start->recorded_term = (uint64_t)json_integer_value(json_object_get(value, "term"));
 	cold_start->recorded_began = (uint64_t)json_integer_value(json_object_get(value, "began"));
-	cold_start->recorded_doubt = json_is_true(json_object_get(value, "doubted"));
+	cold_start->recorded_store_lost_records = json_is_true(json_object_get(value, "doubted"));
 }
 
 void ws_cold_start_record_loaded(void *self, const char *name, json_t *value)
 {
 	struct ws_cold_start *cold_start = self;
-	json_int_t format = json_integer_value(json_object_get(value, "v"));
-
-	if (format > WS_COLD_START_FORMAT) {
-		if (!cold_start->later_format)
-			ws_cold_start_logf(cold_start,
-					   "cold start: record of a later version, judging nothing "
-					   "record=%s format=%lld supported=%d",
-					   name, (long long)format, WS_COLD_START_FORMAT);
-		cold_start->later_format = true;
+
+	if (!ws_subsystem_record_supported(&record_format, cold_start->log, name, value,
+					   &cold_start->later_format))
 		return;
-	}
 	if (!strcmp(name, "phase"))
 		phase_loaded(cold_start, value);
 	else if (!strncmp(name, "kept/", 5))
--- a/src/cold_start/recovery.c
+++ b/src/cold_start/recovery.c
@@ -1,14 +1,15 @@
 /*
- * Paced recovery: jobs that lost attempts in the stop get places before others of their rank, in
- * order, a window of them at a time.
+ * Paced recovery: jobs that lost attempts in the stop are placed before other jobs of
+ * the same priority class, in order, a limited number of them at a time.
  */
-#include "internal.h"
+#include "recovery.h"
+#include "../subsystem_support/subsystem_memory.h"
+#include "../subsystem_support/subsystem_moves.h"
+#include <stdio.h>
+#include <string.h>
 
-/* The share of the store's changes in a heartbeat interval that they may take first. */
-#define WINDOW_SHARE 0.25
-#define WINDOW_MIN 8
-/* In heartbeat intervals: how soon a survey follows another where more work was lost meanwhile. */
-#define SURVEY_NEW_REPORTS 0.25
+/* Interval between surveys while more work is being lost, in heartbeat intervals. */
+#define NEW_LOSS_SURVEY_HEARTBEATS 0.25
 
 void ws_cold_start_lost_add(struct ws_cold_start *cold_start, const char *job)
 {
@@ -17,29 +18,21 @@
 	cold_start->steps++;
 	HASH_FIND_STR(cold_start->lost, job, lost);
 	if (!lost) {
-		lost = calloc(1, sizeof(*lost));
-		if (!lost)
-			abort();
+		lost = ws_subsystem_allocate(sizeof(*lost));
 		snprintf(lost->job, sizeof(lost->job), "%s", job);
 		HASH_ADD_STR(cold_start->lost, job, lost);
 		cold_start->counts.lost_jobs++;
 	}
 	lost->attempts++;
-	lost->fresh = true;
-	lost->ordered = false;
-	cold_start->lost_new = true;
+	lost->lost_since_survey = true;
+	lost->move_requested = false;
+	cold_start->losses_unsurveyed = true;
 	cold_start->counts_changed = true;
 }
 
 void ws_cold_start_lost_free(struct ws_cold_start *cold_start)
 {
-	struct ws_cold_start_lost *lost = cold_start->lost, *next;
-
-	HASH_CLEAR(hh, cold_start->lost);
-	for (; lost; lost = next) {
-		next = lost->hh.next;
-		free(lost);
-	}
+	WS_SUBSYSTEM_FREE_TABLE(cold_start->lost);
 }
 
 /* ---- survey ---- */
@@ -68,6 +61,11 @@
 	lost->waiting = facts->waiting;
 }
 
+/*
+ * The order in which lost jobs start again. Not the order of the evacuation plan
+ * (failure_domains/plan.c): here first replicas of services go before all other work, while there
+ * they go after recorded positions, job classes, guarantee and priority.
+ */
 static int compare_lost(struct ws_cold_start_lost *left, struct ws_cold_start_lost *right)
 {
 	if (left->first_replica != right->first_replica)
@@ -88,42 +86,35 @@
 	(void)now;
 	HASH_SORT(cold_start->lost, compare_lost);
 	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next)
-		lost->fresh = false;
+		lost->lost_since_survey = false;
 	cold_start->survey_done = true;
 }
 
 /* ---- moves ---- */
 
-static void move_ask(struct ws_cold_start_lost *lost, uint32_t position, bool apart,
-		     struct ws_request_queue *out)
+static void request_move(struct ws_cold_start_lost *lost, uint32_t position, bool replicas_apart,
+			 struct ws_request_queue *out)
 {
 	const struct ws_move move = {
-	    .job = lost->job, .position = position, .replicas_apart = apart};
+	    .job = lost->job, .position = position, .replicas_apart = replicas_apart};
 
-	if (lost->ordered && lost->position == position && lost->replicas_apart == apart)
+	if (lost->move_requested && lost->position == position &&
+	    lost->replicas_apart == replicas_apart)
 		return;
-	lost->ordered = true;
+	lost->move_requested = true;
 	lost->position = position;
-	lost->replicas_apart = apart;
+	lost->replicas_apart = replicas_apart;
 	ws_request_move(out, &move);
 }
 
-static uint32_t window(const struct ws_cold_start *cold_start)
-{
-	double share =
-	    WINDOW_SHARE * cold_start->limits.state_write_rps * cold_start->limits.report_s;
-
-	return share < WINDOW_MIN ? WINDOW_MIN : (uint32_t)share;
-}
-
 /* Runs again or is over, as far as the last survey tells. */
 static bool lost_recovered(const struct ws_cold_start_lost *lost)
 {
-	return !lost->fresh && !(lost->surveyed && lost->waiting);
+	return !lost->lost_since_survey && !(lost->surveyed && lost->waiting);
 }
 
-/* Takes jobs that are recovered off the list, as one linked by `next_recovered`. */
-static struct ws_cold_start_lost *lost_take_recovered(struct ws_cold_start *cold_start)
+/* Removes recovered jobs from the list; returns them as a list linked by `next_recovered`. */
+static struct ws_cold_start_lost *take_recovered(struct ws_cold_start *cold_start)
 {
 	struct ws_cold_start_lost *lost, *next, *recovered = NULL;
 
@@ -138,32 +129,33 @@
 	return recovered;
 }
 
-/* What runs again, or is over, is done with. */
-static void recovered_finish(struct ws_cold_start *cold_start, struct ws_request_queue *out)
+/* Drops the jobs that run again or are over. */
+static void finish_recovered(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
-	struct ws_cold_start_lost *lost = lost_take_recovered(cold_start), *next;
+	struct ws_cold_start_lost *lost = take_recovered(cold_start), *next;
 
 	for (; lost; lost = next) {
 		next = lost->next_recovered;
 		cold_start->counts.recovered_jobs++;
 		cold_start->counts_changed = true;
-		move_ask(lost, 0, false, out);
+		request_move(lost, 0, false, out);
 		free(lost);
 	}
 }
 
-/* What waits gets its place, by the last survey. */
-static void places_give(struct ws_cold_start *cold_start, struct ws_request_queue *out)
+/* Requests queue positions for the jobs that wait, as of the last survey. */
+static void request_positions(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
+	const size_t moves_max = ws_subsystem_moves_max(&cold_start->limits);
 	uint32_t position = 0;
 
 	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next) {
-		bool within = position < window(cold_start);
+		bool within = position < moves_max;
 
-		if (lost->fresh || lost_recovered(lost))
+		if (lost->lost_since_survey || lost_recovered(lost))
 			continue;
 		position += within;
-		move_ask(lost, within ? position : 0, within && lost->first_replica, out);
+		request_move(lost, within ? position : 0, within && lost->first_replica, out);
 	}
 }
 
@@ -172,16 +164,17 @@
 {
 	if (cold_start->survey_done) {
 		cold_start->survey_done = false;
-		places_give(cold_start, out);
-		recovered_finish(cold_start, out);
+		request_positions(cold_start, out);
+		finish_recovered(cold_start, out);
 		return;
 	}
 	if (!cold_start->lost ||
 	    now < cold_start->surveyed_at +
-		      (cold_start->lost_new ? SURVEY_NEW_REPORTS : 1) * cold_start->limits.report_s)
+		      (cold_start->losses_unsurveyed ? NEW_LOSS_SURVEY_HEARTBEATS : 1) *
+			  cold_start->limits.report_s)
 		return;
 	cold_start->surveyed_at = now;
-	cold_start->lost_new = false;
+	cold_start->losses_unsurveyed = false;
 	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next)
 		lost->surveyed = false;
 	ws_request_survey(out);
@@ -190,6 +183,6 @@
 void ws_cold_start_recovery_end(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
 	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next)
-		move_ask(lost, 0, false, out);
+		request_move(lost, 0, false, out);
 	ws_cold_start_lost_free(cold_start);
 }
--- a/src/failure_domains/domains.c
+++ b/src/failure_domains/domains.c
@@ -1,15 +1,20 @@
 /*
  * Which domains a machine belongs to: its zone, and the declared domain whose network holds its
- * address with the longest prefix. Networks are kept by prefix, so that one look-up for each prefix
- * length in use finds the longest, however many there are; it is made when a machine's address or
- * zone changes, not at its heartbeats.
+ * address with the longest prefix. Networks are hashed by prefix, so that one look-up for each
+ * prefix length in use finds the longest, however many there are; it is made when a machine's
+ * address or zone changes, not at its heartbeats.
  */
-#include "internal.h"
+#include "domains.h"
+#include "../subsystem_support/subsystem_memory.h"
 #include <libcidr.h>
+#include <stdio.h>
+#include <string.h>
+#include <sys/types.h>
+#include <utlist.h>
 
 #define IPV4_BITS 32
 #define IPV6_BITS 128
-#define ROOM_BEFORE 32
+#define PADDING_BEFORE 32
 #define IPV4_OFFSET 12 /* of an IPv4 address within libcidr's 16 bytes */
 
 struct ws_failure_domain *ws_failure_domain_find(struct ws_failure_domains *domains,
@@ -22,7 +27,7 @@
 }
 
 /* Shortens a prefix, clearing the bits behind its new length. */
-static void prefix_cut(struct ws_domains_prefix *prefix, int length)
+static void truncate_prefix(struct ws_domains_prefix *prefix, int length)
 {
 	int start = prefix->version == 4 ? IPV4_OFFSET : 0;
 
@@ -39,20 +44,20 @@
 
 /*
  * Parses with libcidr. It looks for the endings of reverse names (.in-addr.arpa) without asking for
- * the length, so it is given a text with room before it: a short one was read out of bounds.
+ * the length, so it is given a text with padding before it: a short one was read out of bounds.
  */
 static CIDR *cidr_parse(const char *text)
 {
-	char room[ROOM_BEFORE + WS_DOMAINS_NAME_MAX] = {0};
+	char padded[PADDING_BEFORE + WS_DOMAINS_NAME_MAX] = {0};
 
 	if (strlen(text) >= WS_DOMAINS_NAME_MAX)
 		return NULL;
-	memcpy(room + ROOM_BEFORE, text, strlen(text) + 1);
-	return cidr_from_str(room + ROOM_BEFORE);
+	memcpy(padded + PADDING_BEFORE, text, strlen(text) + 1);
+	return cidr_from_str(padded + PADDING_BEFORE);
 }
 
 /* An address or network in text; an IPv4 address within IPv6 is taken as IPv4. */
-static bool prefix_read(const char *text, struct ws_domains_prefix *prefix)
+static bool prefix_parse(const char *text, struct ws_domains_prefix *prefix)
 {
 	CIDR *cidr = cidr_parse(text);
 	uint8_t *bytes;
@@ -84,7 +89,7 @@
 	return true;
 }
 
-static struct ws_domains_network *network_find(const struct ws_domains_networks *networks,
+static struct ws_domains_network *find_network(const struct ws_domains_networks *networks,
 					       const struct ws_domains_prefix *prefix)
 {
 	struct ws_domains_network *network;
@@ -94,14 +99,14 @@
 }
 
 /* The declared domain of an address; false if the address can't be read. */
-static bool network_lookup(const struct ws_domains_networks *networks, const char *address,
-			   struct ws_failure_domain **domain)
+static bool look_up_network(const struct ws_domains_networks *networks, const char *address,
+			    struct ws_failure_domain **domain)
 {
 	struct ws_domains_prefix prefix;
 	int bits;
 
 	*domain = NULL;
-	if (!prefix_read(address, &prefix))
+	if (!prefix_parse(address, &prefix))
 		return false;
 	bits = prefix.version == 4 ? IPV4_BITS : IPV6_BITS;
 	if (prefix.length != bits) /* a network where one machine's address should be */
@@ -111,8 +116,8 @@
 
 		if (!networks->used[prefix.version == 6][length])
 			continue;
-		prefix_cut(&prefix, length);
-		network = network_find(networks, &prefix);
+		truncate_prefix(&prefix, length);
+		network = find_network(networks, &prefix);
 		if (network) {
 			*domain = network->domain;
 			return true;
@@ -121,23 +126,21 @@
 	return true;
 }
 
-static enum ws_domains_error_code network_add(struct ws_failure_domains *domains,
+static enum ws_domains_error_code add_network(struct ws_failure_domains *domains,
 					      struct ws_failure_domain *domain, const char *text)
 {
 	struct ws_domains_network *network;
-	struct ws_domains_prefix prefix, cut;
+	struct ws_domains_prefix prefix, masked;
 
-	if (!prefix_read(text, &prefix))
+	if (!prefix_parse(text, &prefix))
 		return WS_DOMAINS_BAD_NETWORK;
-	cut = prefix;
-	prefix_cut(&cut, prefix.length);
-	if (memcmp(&cut, &prefix, sizeof(cut)) != 0)
+	masked = prefix;
+	truncate_prefix(&masked, prefix.length);
+	if (memcmp(&masked, &prefix, sizeof(masked)) != 0)
 		return WS_DOMAINS_HOST_BITS;
-	if (network_find(&domains->networks, &prefix))
+	if (find_network(&domains->networks, &prefix))
 		return WS_DOMAINS_NETWORK_TWICE;
-	network = calloc(1, sizeof(*network));
-	if (!network)
-		abort();
+	network = ws_subsystem_allocate(sizeof(*network));
 	network->prefix = prefix;
 	network->domain = domain;
 	HASH_ADD(hh, domains->networks.table, prefix, sizeof(network->prefix), network);
@@ -145,7 +148,7 @@
 	return WS_DOMAINS_OK;
 }
 
-static enum ws_domains_error_code domain_add(struct ws_failure_domains *domains, const char *name,
+static enum ws_domains_error_code add_domain(struct ws_failure_domains *domains, const char *name,
 					     bool is_zone, struct ws_failure_domain **added)
 {
 	struct ws_failure_domain *domain;
@@ -155,9 +158,7 @@
 		return WS_DOMAINS_BAD_NAME;
 	if (ws_failure_domain_find(domains, name))
 		return WS_DOMAINS_NAME_TWICE;
-	domain = calloc(1, sizeof(*domain));
-	if (!domain)
-		abort();
+	domain = ws_subsystem_allocate(sizeof(*domain));
 	snprintf(domain->name, sizeof(domain->name), "%s", name);
 	domain->is_zone = is_zone;
 	HASH_ADD_STR(domains->by_name, name, domain);
@@ -165,16 +166,16 @@
 	return WS_DOMAINS_OK;
 }
 
-static bool declared_add(struct ws_failure_domains *domains,
+static bool add_declared(struct ws_failure_domains *domains,
 			 const struct ws_domains_declared *declared, struct ws_domains_error *error)
 {
 	struct ws_failure_domain *domain;
 
 	snprintf(error->domain, sizeof(error->domain), "%s", declared->name);
-	error->code = domain_add(domains, declared->name, false, &domain);
+	error->code = add_domain(domains, declared->name, false, &domain);
 	for (size_t i = 0; error->code == WS_DOMAINS_OK && i < declared->network_count; i++) {
 		snprintf(error->network, sizeof(error->network), "%s", declared->networks[i]);
-		error->code = network_add(domains, domain, declared->networks[i]);
+		error->code = add_network(domains, domain, declared->networks[i]);
 	}
 	return error->code == WS_DOMAINS_OK;
 }
@@ -183,40 +184,30 @@
 {
 	struct ws_failure_domain *domain = NULL;
 
-	domain_add(domains, name, true, &domain);
+	add_domain(domains, name, true, &domain);
 	if (domain)
-		domain->since = domain->penalty_at = domain->clean_since = domains->clock_read;
+		domain->since = domain->penalty_at = domain->loss_free_since =
+		    domains->clock_advanced_at;
 	return domain;
 }
 
-bool ws_domains_domains_create(struct ws_failure_domains *domains, struct ws_domains_error *error)
+bool ws_domains_create(struct ws_failure_domains *domains, struct ws_domains_error *error)
 {
 	struct ws_failure_domain *domain;
 
 	memset(error, 0, sizeof(*error));
 	for (size_t i = 0; i < domains->limits.zone_count; i++) /* a zone listed twice is one */
-		domain_add(domains, domains->limits.zones[i], true, &domain);
+		add_domain(domains, domains->limits.zones[i], true, &domain);
 	for (size_t i = 0; i < domains->settings.declared_count; i++)
-		if (!declared_add(domains, &domains->settings.declared[i], error))
+		if (!add_declared(domains, &domains->settings.declared[i], error))
 			return false;
 	return true;
 }
 
-void ws_domains_domains_free(struct ws_failure_domains *domains)
+void ws_domains_clear(struct ws_failure_domains *domains)
 {
-	struct ws_failure_domain *domain = domains->by_name, *next_domain;
-	struct ws_domains_network *network = domains->networks.table, *next_network;
-
-	HASH_CLEAR(hh, domains->by_name);
-	for (; domain; domain = next_domain) {
-		next_domain = domain->hh.next;
-		free(domain);
-	}
-	HASH_CLEAR(hh, domains->networks.table);
-	for (; network; network = next_network) {
-		next_network = network->hh.next;
-		free(network);
-	}
+	WS_SUBSYSTEM_FREE_TABLE(domains->by_name);
+	WS_SUBSYSTEM_FREE_TABLE(domains->networks.table);
 }
 
 void ws_failure_domain_count(struct ws_failure_domain *domain,
@@ -232,7 +223,7 @@
 	}
 }
 
-static void member_add(struct ws_domains_machine *machine, size_t index,
+static void add_member(struct ws_domains_machine *machine, size_t index,
 		       struct ws_failure_domain *domain)
 {
 	struct ws_domains_member *member = &machine->memberships[index];
@@ -268,18 +259,18 @@
 		if (!zone) /* the settings don't list it */
 			zone = ws_domains_add_zone(domains, facts->zone);
 		if (zone && !zone->is_zone) {
-			ws_domains_logf(
-			    domains,
+			ws_subsystem_logf(
+			    domains->log,
 			    "zones: zone name collides with a declared domain machine=%s zone=%s",
 			    facts->name, facts->zone);
 			zone = NULL;
 		}
 	}
 	if (domains->networks.table && facts->address[0] &&
-	    !network_lookup(&domains->networks, facts->address, &declared))
-		ws_domains_logf(domains,
-				"zones: unreadable address, zone only machine=%s address=%s",
-				facts->name, facts->address);
-	member_add(machine, 0, zone);
-	member_add(machine, 1, declared);
+	    !look_up_network(&domains->networks, facts->address, &declared))
+		ws_subsystem_logf(domains->log,
+				  "zones: unreadable address, zone only machine=%s address=%s",
+				  facts->name, facts->address);
+	add_member(machine, 0, zone);
+	add_member(machine, 1, declared);
 }
--- a/src/failure_domains/failure_domains.c
+++ b/src/failure_domains/failure_domains.c
@@ -1,6 +1,17 @@
-/* The zones package's hooks: what the core reports goes to health and plan, requests come back. */
-#include "internal.h"
-#include <stdarg.h>
+/*
+ * Hooks of the failure domains subsystem: passes the core's events on to health and plan, and their
+ * requests to the core.
+ */
+#include "failure_domains.h"
+#include "../subsystem_support/subsystem_memory.h"
+#include "domains.h"
+#include "health.h"
+#include "plan.h"
+#include "records.h"
+#include "state.h"
+#include <math.h>
+#include <stdio.h>
+#include <string.h>
 
 /* Defaults as ratios to the platform's settings. */
 #define STABLE_LEASES 1.0
@@ -8,26 +19,15 @@
 #define HALF_LIFE_LEASES 30.0
 #define PENALTY_MAX 5.0
 #define DARK_SHARE 0.8
-/* A penalty up to this tells of no flap of late. */
-#define FIRST_LOSS 1.0
-/* Operators' holds are read so often, in leases; records of domains in trouble written. */
-#define HOLD_READ_LEASES 0.25
+/* A penalty up to this means no recent flap. */
+#define FIRST_LOSS_PENALTY 1.0
+/* Interval at which operators' holds are read, in leases. */
+#define HOLDS_LEASES 0.25
+/* Interval at which the records of dark and recovering domains are written, in leases. */
 #define RECORD_LEASES 1.0
 /* The golden section: spreads machines evenly over the ramp, in whatever number they come. */
 #define RAMP_STEP 0.6180339887498949
 
-void ws_domains_logf(const struct ws_failure_domains *domains, const char *format, ...)
-{
-	char text[512];
-	va_list arguments;
-
-	va_start(arguments, format);
-	vsnprintf(text, sizeof(text), format, arguments);
-	va_end(arguments);
-	if (domains->log)
-		domains->log(text);
-}
-
 const char *ws_domains_error_text(enum ws_domains_error_code code)
 {
 	switch (code) {
@@ -64,7 +64,7 @@
 }
 
 /* A copy of an array; NULL if it is empty. */
-static void *copy_array(const void *from, size_t count, size_t size)
+static void *copy_array(const void *source, size_t count, size_t size)
 {
 	void *copy;
 
@@ -73,22 +73,22 @@
 	copy = malloc(count * size);
 	if (!copy)
 		abort();
-	memcpy(copy, from, count * size);
+	memcpy(copy, source, count * size);
 	return copy;
 }
 
-static void settings_copy(struct ws_domains_settings *target,
-			  const struct ws_domains_settings *from, double lease_s)
+static void copy_settings(struct ws_domains_settings *target,
+			  const struct ws_domains_settings *source, double lease_s)
 {
-	*target = *from;
+	*target = *source;
 	target->class_order =
-	    copy_array(from->class_order, from->class_count, sizeof(*from->class_order));
+	    copy_array(source->class_order, source->class_count, sizeof(*source->class_order));
 	target->declared =
-	    copy_array(from->declared, from->declared_count, sizeof(*from->declared));
+	    copy_array(source->declared, source->declared_count, sizeof(*source->declared));
 	for (size_t i = 0; i < target->declared_count; i++)
 		target->declared[i].networks =
-		    copy_array(from->declared[i].networks, from->declared[i].network_count,
-			       sizeof(*from->declared[i].networks));
+		    copy_array(source->declared[i].networks, source->declared[i].network_count,
+			       sizeof(*source->declared[i].networks));
 	if (target->stable_s < 0)
 		target->stable_s = STABLE_LEASES * lease_s;
 	if (target->ramp_s < 0)
@@ -99,17 +99,15 @@
 
 struct ws_failure_domains *ws_domains_new(const struct ws_domains_settings *settings,
 					  const struct ws_cluster_limits *limits,
-					  ws_domains_log_fn log, struct ws_domains_error *error)
+					  ws_subsystem_log_fn log, struct ws_domains_error *error)
 {
-	struct ws_failure_domains *domains = calloc(1, sizeof(*domains));
+	struct ws_failure_domains *domains = ws_subsystem_allocate(sizeof(*domains));
 
-	if (!domains)
-		abort();
-	settings_copy(&domains->settings, settings, limits->lease_s);
+	copy_settings(&domains->settings, settings, limits->lease_s);
 	domains->limits = *limits;
 	domains->log = log;
 	snprintf(domains->node_zone, sizeof(domains->node_zone), "%s", limits->node_zone);
-	if (!ws_domains_domains_create(domains, error)) {
+	if (!ws_domains_create(domains, error)) {
 		ws_domains_free(domains);
 		return NULL;
 	}
@@ -123,7 +121,7 @@
 	if (!domains)
 		return;
 	ws_domains_plan_free(domains);
-	ws_domains_domains_free(domains);
+	ws_domains_clear(domains);
 	ws_domains_settings_free(&domains->settings);
 	free(domains);
 }
@@ -150,30 +148,31 @@
 		domain->state = WS_DOMAINS_HEALTHY;
 		domain->evidence = WS_DOMAINS_NO_EVIDENCE;
 		domain->penalty = 0;
-		domain->since = domain->penalty_at = domain->clean_since = domain->recorded_at =
+		domain->since = domain->penalty_at = domain->loss_free_since = domain->recorded_at =
 		    now;
-		domain->held = domain->held_read = domain->record_due = false;
+		domain->held = domain->held_in_listing = domain->record_due = false;
 		domain->removed = 0;
 	}
 	domains->later_format = false;
-	domains->serving = false; /* judge after the first tick that finds it so */
-	domains->clock = domains->judge_from = 0;
-	domains->clock_read = now;
-	domains->hold_read_next = 0;
+	domains->serving = false; /* evaluate after the first serving tick */
+	domains->serving_clock = domains->evaluate_from = 0;
+	domains->clock_advanced_at = now;
+	domains->holds_due_at = 0;
 }
 
-/* The listing of holds is complete: what it did not name is not held. */
-static void holds_read(struct ws_failure_domains *domains)
+/* Applies a complete listing of holds: a domain that it does not name is not held. */
+static void apply_holds(struct ws_failure_domains *domains)
 {
 	for (struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next) {
-		if (domain->held != domain->held_read) {
-			ws_domains_logf(domains, "zones: operator hold changed domain=%s held=%s",
-					domain->name, domain->held_read ? "yes" : "no");
+		if (domain->held != domain->held_in_listing) {
+			ws_subsystem_logf(domains->log,
+					  "zones: operator hold changed domain=%s held=%s",
+					  domain->name, domain->held_in_listing ? "yes" : "no");
 			domain->record_due = true;
 		}
-		domain->held = domain->held_read;
-		domain->held_read = false;
+		domain->held = domain->held_in_listing;
+		domain->held_in_listing = false;
 	}
 }
 
@@ -182,18 +181,18 @@
 	struct ws_failure_domains *domains = self;
 
 	(void)now;
-	holds_read(domains);
+	apply_holds(domains);
 	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
 		if (domain->state != WS_DOMAINS_HEALTHY)
-			ws_domains_logf(
-			    domains, "zones: state loaded domain=%s state=%s penalty=%.2f",
+			ws_subsystem_logf(
+			    domains->log, "zones: state loaded domain=%s state=%s penalty=%.2f",
 			    domain->name, ws_domains_state_name(domain->state), domain->penalty);
 }
 
 static void records_read(void *self, const char *name_prefix)
 {
 	if (!strcmp(name_prefix, "hold/"))
-		holds_read(self);
+		apply_holds(self);
 }
 
 static void stepped_down(void *self)
@@ -208,11 +207,9 @@
 static void *machine_added(void *self, double now, const struct ws_machine_facts *facts)
 {
 	struct ws_failure_domains *domains = self;
-	struct ws_domains_machine *machine = calloc(1, sizeof(*machine));
+	struct ws_domains_machine *machine = ws_subsystem_allocate(sizeof(*machine));
 
 	(void)now;
-	if (!machine)
-		abort();
 	machine->presence = WS_DOMAINS_SINGLE; /* counts from its first heartbeat on */
 	machine->ramp = fmod((double)domains->machine_count++ * RAMP_STEP, 1);
 	ws_domains_join(domains, machine, facts);
@@ -227,7 +224,7 @@
 	ws_domains_join(self, handle, facts);
 }
 
-/* A silent machine that is gone still speaks for its domain's loss. */
+/* A silent machine that was removed still counts for the loss of its domain. */
 static void count_removed(const struct ws_domains_machine *machine)
 {
 	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
@@ -268,7 +265,7 @@
 
 	if (machine->presence == WS_DOMAINS_SILENT)
 		ws_domains_called_off(self, machine);
-	ws_domains_listen(self, now);
+	ws_domains_advance_clock(self, now);
 	ws_domains_set_presence(self, machine, WS_DOMAINS_LIVE);
 }
 
@@ -295,8 +292,8 @@
 }
 
 /* The domain of a zone if it is dark, or recovering within its hold-down; else NULL. */
-static const struct ws_failure_domain *zone_in_trouble(struct ws_failure_domains *domains,
-						       double now, const char *zone)
+static const struct ws_failure_domain *find_unavailable_zone(struct ws_failure_domains *domains,
+							     double now, const char *zone)
 {
 	const struct ws_failure_domain *domain = ws_failure_domain_find(domains, zone);
 
@@ -305,36 +302,36 @@
 	if (domain->state == WS_DOMAINS_DARK)
 		return domain;
 	return domain->state == WS_DOMAINS_RECOVERING &&
-		       now - domain->clean_since < ws_domains_hold_down(domains, domain)
+		       now - domain->loss_free_since < ws_domains_hold_down(domains, domain)
 		   ? domain
 		   : NULL;
 }
 
 static bool zone_avoided(void *self, double now, const char *zone)
 {
-	return zone_in_trouble(self, now, zone) != NULL;
+	return find_unavailable_zone(self, now, zone) != NULL;
 }
 
 /* A machine takes its time to boot, so only a zone that flapped is closed while it recovers. */
 static bool zone_closed(void *self, double now, const char *zone)
 {
-	const struct ws_failure_domain *domain = zone_in_trouble(self, now, zone);
+	const struct ws_failure_domain *domain = find_unavailable_zone(self, now, zone);
 
-	return domain && (domain->state == WS_DOMAINS_DARK || domain->penalty > FIRST_LOSS);
+	return domain && (domain->state == WS_DOMAINS_DARK || domain->penalty > FIRST_LOSS_PENALTY);
 }
 
 /* ---- tick ---- */
 
-static void domains_write(struct ws_failure_domains *domains, double now,
+static void write_domains(struct ws_failure_domains *domains, double now,
 			  struct ws_request_queue *out)
 {
 	for (struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next) {
 		char name[WS_DOMAINS_NAME_MAX + 16];
-		bool trouble =
+		bool unhealthy =
 		    domain->state == WS_DOMAINS_DARK || domain->state == WS_DOMAINS_RECOVERING;
-		bool old =
-		    trouble && now - domain->recorded_at > RECORD_LEASES * domains->limits.lease_s;
+		bool old = unhealthy &&
+			   now - domain->recorded_at > RECORD_LEASES * domains->limits.lease_s;
 
 		if (!domain->record_due && !old)
 			continue;
@@ -355,10 +352,10 @@
 	ws_domains_health_tick(domains, facts);
 	if (!facts->serving)
 		return;
-	domains_write(domains, facts->now, out);
+	write_domains(domains, facts->now, out);
 	ws_domains_plan_tick(domains, facts->now, out);
-	if (facts->now >= domains->hold_read_next) {
-		domains->hold_read_next = facts->now + HOLD_READ_LEASES * domains->limits.lease_s;
+	if (facts->now >= domains->holds_due_at) {
+		domains->holds_due_at = facts->now + HOLDS_LEASES * domains->limits.lease_s;
 		ws_request_read(out, "hold/");
 	}
 }
--- a/src/failure_domains/health.c
+++ b/src/failure_domains/health.c
@@ -4,9 +4,31 @@
  * Live machines stand on one list in the order in which they were last heard, silent ones on
  * another in the order in which they fell silent. A heartbeat moves its machine to the end of the
  * first; a tick takes from the fronts what is overdue. So the work is in proportion to what
- * changed, and each domain is judged by counts alone.
+ * changed, and each domain is evaluated by counts alone.
  */
-#include "internal.h"
+#include "health.h"
+#include "domains.h"
+#include "records.h"
+#include <math.h>
+#include <sys/types.h>
+#include <utlist.h>
+
+/* Fewer machines that fall silent together are single failures. */
+#define MACHINES_MIN 2
+/* Half of a domain: silent for suspicion, live for recovery. */
+#define HALF 0.5
+/* In heartbeat intervals: a machine not heard for longer is silent. */
+#define SILENT_HEARTBEATS 1.5
+/* One that is silent for longer, in a healthy domain, is a single failure. */
+#define SINGLE_HEARTBEATS 3
+/* A suspect domain that stays so for longer is dark. */
+#define CONFIRM_HEARTBEATS 1.5
+/* Time for workers to connect to a new leader. */
+#define SETTLE_HEARTBEATS 3
+/* A longer gap between ticks is a standstill of the process. */
+#define STANDSTILL_HEARTBEATS 0.25
+/* In leases: the length of a lease with clock drift and a margin, as in the core. */
+#define LEASE_MARGIN (1.001 + 1.0 / 32)
 
 /* ---- presence ---- */
 
@@ -40,7 +62,7 @@
 	switch (machine->presence) {
 	case WS_DOMAINS_EXPECTED: return &domains->expected;
 	case WS_DOMAINS_LIVE: return &domains->live;
-	case WS_DOMAINS_SILENT: return machine->kept ? NULL : &domains->silent;
+	case WS_DOMAINS_SILENT: return machine->silent_with_domain ? NULL : &domains->silent;
 	case WS_DOMAINS_SINGLE: break;
 	}
 	return NULL;
@@ -72,8 +94,8 @@
 		list_remove(list, machine);
 	presence_count(domains, machine, -1);
 	machine->presence = presence;
-	machine->changed_at = domains->clock;
-	machine->kept = false;
+	machine->changed_at = domains->serving_clock;
+	machine->silent_with_domain = false;
 	if (presence != WS_DOMAINS_SILENT)
 		machine->unanswered = false;
 	presence_count(domains, machine, 1);
@@ -92,8 +114,8 @@
 			machine->memberships[i].domain->unanswered += unanswered ? 1 : (size_t)-1;
 }
 
-/* Whether one of its domains is in trouble: then its silence is not a single failure. */
-static bool machine_in_trouble(const struct ws_domains_machine *machine)
+/* Whether one of its domains is not healthy: then its silence is not a single failure. */
+static bool machine_in_unhealthy_domain(const struct ws_domains_machine *machine)
 {
 	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
 		const struct ws_failure_domain *domain = machine->memberships[i].domain;
@@ -104,94 +126,93 @@
 	return false;
 }
 
-void ws_domains_listen(struct ws_failure_domains *domains, double now)
+void ws_domains_advance_clock(struct ws_failure_domains *domains, double now)
 {
-	const double standstill = WS_DOMAINS_STANDSTILL_REPORTS * domains->limits.report_s;
+	const double standstill = STANDSTILL_HEARTBEATS * domains->limits.report_s;
 
-	if (domains->serving && now > domains->clock_read)
-		domains->clock += fmin(now - domains->clock_read, standstill);
-	domains->clock_read = now;
+	if (domains->serving && now > domains->clock_advanced_at)
+		domains->serving_clock += fmin(now - domains->clock_advanced_at, standstill);
+	domains->clock_advanced_at = now;
 }
 
-/* Takes from the fronts of the lists what is overdue by the listening clock. */
-static void expire(struct ws_failure_domains *domains)
+/* Takes from the fronts of the lists what is overdue by the serving clock. */
+static void expire_overdue(struct ws_failure_domains *domains)
 {
 	const double report_s = domains->limits.report_s;
-	const double silent_after = WS_DOMAINS_SILENT_REPORTS * report_s;
-	const double single_after = WS_DOMAINS_SINGLE_REPORTS * report_s;
+	const double silent_after = SILENT_HEARTBEATS * report_s;
+	const double single_after = SINGLE_HEARTBEATS * report_s;
 	struct ws_domains_machine *machine;
 
 	while ((machine = domains->live.first) &&
-	       domains->clock - machine->changed_at > silent_after)
+	       domains->serving_clock - machine->changed_at > silent_after)
 		ws_domains_set_presence(domains, machine, WS_DOMAINS_SILENT);
 	while ((machine = domains->expected.first))
 		ws_domains_set_presence(domains, machine, WS_DOMAINS_SILENT);
 	while ((machine = domains->silent.first) &&
-	       domains->clock - machine->changed_at > single_after) {
-		if (!machine_in_trouble(machine)) {
+	       domains->serving_clock - machine->changed_at > single_after) {
+		if (!machine_in_unhealthy_domain(machine)) {
 			ws_domains_set_presence(domains, machine, WS_DOMAINS_SINGLE);
 			continue;
 		}
 		list_remove(&domains->silent, machine);
-		machine->kept = true;
+		machine->silent_with_domain = true;
 	}
 }
 
-/* ---- judgement ---- */
+/* ---- state transitions ---- */
 
-/* Machines of a domain that stopped together, those that are gone since included. */
-static size_t domain_out(const struct ws_failure_domain *domain)
+/* Machines of a domain that fell silent together, including those removed since. */
+static size_t lost_machines(const struct ws_failure_domain *domain)
 {
 	return domain->silent + domain->removed;
 }
 
-static bool domain_out_by(const struct ws_failure_domain *domain, double share)
+static bool lost_share_reaches(const struct ws_failure_domain *domain, double share)
 {
-	size_t out = domain_out(domain);
+	size_t out = lost_machines(domain);
 
-	return out >= WS_DOMAINS_MACHINES_MIN &&
-	       (double)out >= share * (double)(out + domain->live);
+	return out >= MACHINES_MIN && (double)out >= share * (double)(out + domain->live);
 }
 
-static size_t less(size_t left, size_t right)
+static size_t saturating_difference(size_t left, size_t right)
 {
 	return left > right ? left - right : 0;
 }
 
 /*
- * Whether what we see outside a domain speaks for our own connections: most of the rest is live,
- * and it is not our own zone alone that we see while several others fell silent.
+ * Whether this controller's own network connections work: most machines outside the domain are
+ * live, and not only those of the controller's own zone while several other zones fell silent.
  */
 static bool view_is_sound(struct ws_failure_domains *domains,
 			  const struct ws_failure_domain *domain)
 {
 	const struct ws_failure_domain *own = ws_failure_domain_find(domains, domains->node_zone);
-	size_t live = less(domains->live_count, domain->live);
-	size_t silent = less(domains->silent_count, domain->silent);
-	size_t zones_out = 0;
+	size_t live = saturating_difference(domains->live_count, domain->live);
+	size_t silent = saturating_difference(domains->silent_count, domain->silent);
+	size_t zones_lost = 0;
 
 	for (const struct ws_failure_domain *other = domains->by_name; other;
 	     other = other->hh.next) {
 		if (other != domain && other->state == WS_DOMAINS_DARK)
-			silent = less(silent, other->silent);
-		else if (other->is_zone && domain_out_by(other, WS_DOMAINS_HALF))
-			zones_out++;
+			silent = saturating_difference(silent, other->silent);
+		else if (other->is_zone && lost_share_reaches(other, HALF))
+			zones_lost++;
 	}
-	if (!live || (double)live < WS_DOMAINS_HALF * (double)(live + silent))
+	if (!live || (double)live < HALF * (double)(live + silent))
 		return false;
-	return zones_out < 2 || !own || live > own->live;
+	return zones_lost < 2 || !own || live > own->live;
 }
 
-static void enter(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
-		  enum ws_domains_state state, enum ws_domains_evidence evidence, double now)
+static void enter_state(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
+			enum ws_domains_state state, enum ws_domains_evidence evidence, double now)
 {
-	ws_domains_logf(domains,
-			"zones: state changed domain=%s state=%s previous=%s after_s=%.1f live=%zu "
-			"silent=%zu unanswered=%zu gone=%zu evidence=\"%s\"",
-			domain->name, ws_domains_state_name(state),
-			ws_domains_state_name(domain->state), now - domain->since, domain->live,
-			domain->silent, domain->unanswered, domain->removed,
-			ws_domains_evidence_name(evidence));
+	ws_subsystem_logf(
+	    domains->log,
+	    "zones: state changed domain=%s state=%s previous=%s after_s=%.1f live=%zu "
+	    "silent=%zu unanswered=%zu gone=%zu evidence=\"%s\"",
+	    domain->name, ws_domains_state_name(state), ws_domains_state_name(domain->state),
+	    now - domain->since, domain->live, domain->silent, domain->unanswered, domain->removed,
+	    ws_domains_evidence_name(evidence));
 	domain->state = state;
 	domain->evidence = evidence;
 	domain->since = now;
@@ -211,7 +232,7 @@
 	domain->penalty =
 	    fmin(domains->settings.penalty_max, ws_domains_penalty(domains, domain, now) + 1);
 	domain->penalty_at = now;
-	enter(domains, domain, WS_DOMAINS_DARK, evidence, now);
+	enter_state(domains, domain, WS_DOMAINS_DARK, evidence, now);
 }
 
 /* Machines that fell silent with the domain and stayed so are single failures from now on. */
@@ -223,12 +244,13 @@
 	/* a suspicion that passed changed nothing on record */
 	bool recorded = domain->state != WS_DOMAINS_SUSPECT;
 
-	enter(domains, domain, WS_DOMAINS_HEALTHY, evidence, now);
+	enter_state(domains, domain, WS_DOMAINS_HEALTHY, evidence, now);
 	domain->record_due = recorded;
 	domain->removed = 0;
 	DL_FOREACH_SAFE (domain->members, member, next) {
 		domains->steps++;
-		if (member->machine->kept && !machine_in_trouble(member->machine))
+		if (member->machine->silent_with_domain &&
+		    !machine_in_unhealthy_domain(member->machine))
 			ws_domains_set_presence(domains, member->machine, WS_DOMAINS_SINGLE);
 	}
 }
@@ -239,43 +261,43 @@
 	return domains->settings.stable_s * exp2(fmax(0, domain->penalty - 1));
 }
 
-static void judge_suspect(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
-			  double now)
+static void evaluate_suspect(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
+			     double now)
 {
-	double span = now - domain->since;
+	double elapsed_s = now - domain->since;
 
-	if (!domain_out_by(domain, WS_DOMAINS_HALF)) {
+	if (!lost_share_reaches(domain, HALF)) {
 		enter_healthy(domains, domain, WS_DOMAINS_HEARD, now);
 		return;
 	}
-	if (domain->held || !domain_out_by(domain, domains->settings.dark_share))
+	if (domain->held || !lost_share_reaches(domain, domains->settings.dark_share))
 		return;
 	if (view_is_sound(domains, domain)) {
-		if (2 * domain->unanswered >= domain_out(domain))
+		if (2 * domain->unanswered >= lost_machines(domain))
 			enter_dark(domains, domain, WS_DOMAINS_UNANSWERED, now);
-		else if (span > WS_DOMAINS_CONFIRM_REPORTS * domains->limits.report_s)
+		else if (elapsed_s > CONFIRM_HEARTBEATS * domains->limits.report_s)
 			enter_dark(domains, domain, WS_DOMAINS_SILENCE, now);
 	} else if (domains->live_count > domain->live &&
-		   span > domains->limits.lease_s * WS_DOMAINS_LEASE_MARGIN) {
+		   elapsed_s > domains->limits.lease_s * LEASE_MARGIN) {
 		enter_dark(domains, domain, WS_DOMAINS_LEASES_OUT, now);
 	}
 }
 
-static void judge_dark(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
-		       double now)
+static void evaluate_dark(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
+			  double now)
 {
 	size_t left = domain->live + domain->silent;
 
 	if (domain->held)
 		return;
-	if (left && (double)domain->live >= WS_DOMAINS_HALF * (double)left) {
-		domain->clean_since = now;
+	if (left && (double)domain->live >= HALF * (double)left) {
+		domain->loss_free_since = now;
 		domain->removed = 0;
-		enter(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_HEARD, now);
+		enter_state(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_HEARD, now);
 	} else if (!left && now - domain->since > ws_domains_hold_down(domains, domain)) {
-		domain->clean_since = now - ws_domains_hold_down(domains, domain);
+		domain->loss_free_since = now - ws_domains_hold_down(domains, domain);
 		domain->removed = 0;
-		enter(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_NONE_LEFT, now);
+		enter_state(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_NONE_LEFT, now);
 	}
 }
 
@@ -283,17 +305,17 @@
 static double ramp_share(const struct ws_failure_domains *domains,
 			 const struct ws_failure_domain *domain, double now)
 {
-	double span = now - domain->clean_since - ws_domains_hold_down(domains, domain);
+	double elapsed_s = now - domain->loss_free_since - ws_domains_hold_down(domains, domain);
 
-	return domains->settings.ramp_s > 0 ? span / domains->settings.ramp_s : span >= 0;
+	return domains->settings.ramp_s > 0 ? elapsed_s / domains->settings.ramp_s : elapsed_s >= 0;
 }
 
-static void judge_recovering(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
-			     double now)
+static void evaluate_recovering(struct ws_failure_domains *domains,
+				struct ws_failure_domain *domain, double now)
 {
-	if (domain_out_by(domain, WS_DOMAINS_HALF)) {
-		domain->clean_since = now;
-		if (!domain->held && domain_out_by(domain, domains->settings.dark_share) &&
+	if (lost_share_reaches(domain, HALF)) {
+		domain->loss_free_since = now;
+		if (!domain->held && lost_share_reaches(domain, domains->settings.dark_share) &&
 		    view_is_sound(domains, domain))
 			enter_dark(domains, domain, WS_DOMAINS_SILENCE, now);
 		return;
@@ -302,33 +324,34 @@
 		enter_healthy(domains, domain, WS_DOMAINS_STABLE, now);
 }
 
-static void judge(struct ws_failure_domains *domains, struct ws_failure_domain *domain, double now)
+static void evaluate(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
+		     double now)
 {
 	switch (domain->state) {
 	case WS_DOMAINS_HEALTHY:
-		if (domain_out_by(domain, WS_DOMAINS_HALF))
-			enter(domains, domain, WS_DOMAINS_SUSPECT, WS_DOMAINS_SILENCE, now);
+		if (lost_share_reaches(domain, HALF))
+			enter_state(domains, domain, WS_DOMAINS_SUSPECT, WS_DOMAINS_SILENCE, now);
 		break;
-	case WS_DOMAINS_SUSPECT: judge_suspect(domains, domain, now); break;
-	case WS_DOMAINS_DARK: judge_dark(domains, domain, now); break;
-	case WS_DOMAINS_RECOVERING: judge_recovering(domains, domain, now); break;
+	case WS_DOMAINS_SUSPECT: evaluate_suspect(domains, domain, now); break;
+	case WS_DOMAINS_DARK: evaluate_dark(domains, domain, now); break;
+	case WS_DOMAINS_RECOVERING: evaluate_recovering(domains, domain, now); break;
 	}
 }
 
 void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_facts *facts)
 {
-	ws_domains_listen(domains, facts->now);
+	ws_domains_advance_clock(domains, facts->now);
 	if (facts->serving &&
-	    !domains->serving) /* workers that we did not answer come back first */
-		domains->judge_from =
-		    fmax(domains->judge_from,
-			 domains->clock + WS_DOMAINS_SETTLE_REPORTS * domains->limits.report_s);
+	    !domains->serving) /* workers that were not answered reconnect first */
+		domains->evaluate_from =
+		    fmax(domains->evaluate_from,
+			 domains->serving_clock + SETTLE_HEARTBEATS * domains->limits.report_s);
 	domains->serving = facts->serving;
-	if (!facts->serving || domains->clock < domains->judge_from)
+	if (!facts->serving || domains->serving_clock < domains->evaluate_from)
 		return;
-	expire(domains);
+	expire_overdue(domains);
 	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
-		judge(domains, domain, facts->now);
+		evaluate(domains, domain, facts->now);
 }
 
 bool ws_failure_domain_avoids(const struct ws_failure_domains *domains,
--- a/src/failure_domains/plan.c
+++ b/src/failure_domains/plan.c
@@ -1,73 +1,65 @@
 /*
  * The evacuation plan: which jobs lose attempts with a dark domain, in which order they are to be
- * placed again, and room asked for ahead.
+ * placed again, and the capacity reserved for them ahead of that.
  *
- * The order is on record, in parts of a value's size each. Progress is not: each survey derives it
- * from the core's own view of the jobs, so that the two can't disagree after a crash.
+ * The order is on record, in shards of at most a record's size each. Progress is not: each survey
+ * derives it from the core's own view of the jobs, so that the two can't disagree after a crash.
  */
-#include "internal.h"
+#include "plan.h"
+#include "../subsystem_support/subsystem_memory.h"
+#include "../subsystem_support/subsystem_moves.h"
+#include "domains.h"
+#include "health.h"
+#include "records.h"
+#include <math.h>
+#include <stdio.h>
+#include <string.h>
 
 /* Bytes of a plan record besides its entries, and of an entry besides its job's name. */
-#define PART_BYTES 64
+#define SHARD_BYTES 64
 #define ENTRY_BYTES 40
-/* The share of the store's changes in a heartbeat interval that moves may take. */
-#define WINDOW_SHARE 0.25
-#define WINDOW_MIN 8
-/* Progress is written so often at most, in leases. */
+/* Minimum interval between writes of the progress record, in leases. */
 #define PROGRESS_LEASES 0.25
 
 /* ---- entries ---- */
 
-static struct ws_domains_entry *entry_get(struct ws_domains_plan *plan, const char *job)
+static struct ws_domains_plan_entry *find_or_add_entry(struct ws_domains_plan *plan,
+						       const char *job)
 {
-	struct ws_domains_entry *entry;
+	struct ws_domains_plan_entry *entry;
 
 	HASH_FIND_STR(plan->entries, job, entry);
 	if (entry)
 		return entry;
-	entry = calloc(1, sizeof(*entry));
-	if (!entry)
-		abort();
+	entry = ws_subsystem_allocate(sizeof(*entry));
 	snprintf(entry->job, sizeof(entry->job), "%s", job);
-	entry->part = -1;
-	entry->round = plan->surveys;
+	entry->shard = -1;
+	entry->first_survey = plan->surveys;
 	HASH_ADD_STR(plan->entries, job, entry);
 	return entry;
 }
 
-static struct ws_domains_part *part_get(struct ws_domains_plan *plan, int64_t number)
+static struct ws_domains_plan_shard *find_or_add_shard(struct ws_domains_plan *plan, int64_t number)
 {
-	struct ws_domains_part *part;
-
-	HASH_FIND(hh, plan->parts, &number, sizeof(number), part);
-	if (part)
-		return part;
-	part = calloc(1, sizeof(*part));
-	if (!part)
-		abort();
-	part->number = number;
-	HASH_ADD(hh, plan->parts, number, sizeof(part->number), part);
-	if (number >= plan->next_part)
-		plan->next_part = number + 1;
-	return part;
+	struct ws_domains_plan_shard *shard;
+
+	HASH_FIND(hh, plan->shards, &number, sizeof(number), shard);
+	if (shard)
+		return shard;
+	shard = ws_subsystem_allocate(sizeof(*shard));
+	shard->number = number;
+	HASH_ADD(hh, plan->shards, number, sizeof(shard->number), shard);
+	if (number >= plan->next_shard)
+		plan->next_shard = number + 1;
+	return shard;
 }
 
 void ws_domains_plan_free(struct ws_failure_domains *domains)
 {
 	struct ws_domains_plan *plan = &domains->plan;
-	struct ws_domains_entry *entry = plan->entries, *next_entry;
-	struct ws_domains_part *part = plan->parts, *next_part;
 
-	HASH_CLEAR(hh, plan->entries);
-	for (; entry; entry = next_entry) {
-		next_entry = entry->hh.next;
-		free(entry);
-	}
-	HASH_CLEAR(hh, plan->parts);
-	for (; part; part = next_part) {
-		next_part = part->hh.next;
-		free(part);
-	}
+	WS_SUBSYSTEM_FREE_TABLE(plan->entries);
+	WS_SUBSYSTEM_FREE_TABLE(plan->shards);
 	memset(plan, 0, sizeof(*plan));
 }
 
@@ -81,9 +73,9 @@
 	return settings->class_count;
 }
 
-/* Why the entry stands where it does: the first of the rules that speaks for it. */
+/* The ordering rule that decides the place of an entry: the first one that applies. */
 static enum ws_domains_reason reason_of(const struct ws_failure_domains *domains,
-					const struct ws_domains_entry *entry)
+					const struct ws_domains_plan_entry *entry)
 {
 	if (entry->pinned)
 		return WS_DOMAINS_PINNED;
@@ -103,11 +95,16 @@
 	return (left > right) - (left < right);
 }
 
-static int compare_entries(const struct ws_domains_entry *left,
-			   const struct ws_domains_entry *right)
+/*
+ * The order of evacuation. Not the order of recovery after a cold start (cold_start/recovery.c):
+ * here recorded positions and the configured job classes come first, and a first replica goes
+ * before other work of the same guarantee and priority only, while there it goes before all.
+ */
+static int compare_entries(const struct ws_domains_plan_entry *left,
+			   const struct ws_domains_plan_entry *right)
 {
-	if (left->round != right->round)
-		return left->round < right->round ? -1 : 1;
+	if (left->first_survey != right->first_survey)
+		return left->first_survey < right->first_survey ? -1 : 1;
 	if (left->recorded_position != right->recorded_position)
 		return compare_sizes(left->recorded_position, right->recorded_position);
 	if (left->class_position != right->class_position)
@@ -156,13 +153,13 @@
 {
 	struct ws_failure_domains *domains = self;
 	struct ws_domains_plan *plan = &domains->plan;
-	struct ws_domains_entry *entry;
+	struct ws_domains_plan_entry *entry;
 
 	HASH_FIND_STR(plan->entries, facts->id, entry);
 	if (!entry && !facts->affected)
 		return;
-	entry = entry_get(plan, facts->id);
-	entry->seen = plan->surveys;
+	entry = find_or_add_entry(plan, facts->id);
+	entry->last_survey = plan->surveys;
 	entry->affected = facts->affected;
 	entry->waiting = facts->waiting;
 	entry->planned = entry->planned > facts->affected ? entry->planned : facts->affected;
@@ -173,23 +170,24 @@
 	entry->service = facts->service;
 	entry->first_replica = facts->service && !facts->elsewhere;
 	entry->pinned = pinned_to_dark(domains, facts->pinned_zone);
-	if (entry->part < 0) /* what is on record keeps the reason it was given */
+	if (entry->shard < 0) /* a recorded entry keeps its reason */
 		entry->reason = reason_of(domains, entry);
 }
 
-/* Over, or all of it placed anew or heard again, with no request left to take back. */
-static bool entry_finished(const struct ws_domains_plan *plan, const struct ws_domains_entry *entry)
+/* Over, or all of it placed again or heard again, and no move is requested any more. */
+static bool entry_finished(const struct ws_domains_plan *plan,
+			   const struct ws_domains_plan_entry *entry)
 {
-	if (entry->seen != plan->surveys) /* the core has no such job any more */
+	if (entry->last_survey != plan->surveys) /* the core has no such job any more */
 		return true;
-	return !entry->affected && !entry->waiting && !entry->sent.position &&
-	       !entry->sent.reserve_ahead && !entry->sent.replicas_apart;
+	return !entry->affected && !entry->waiting && !entry->requested_move.position &&
+	       !entry->requested_move.reserve_ahead && !entry->requested_move.replicas_apart;
 }
 
-/* Takes finished entries off the plan, as a list linked by `next_finished`. */
-static struct ws_domains_entry *take_finished(struct ws_domains_plan *plan)
+/* Removes finished entries from the plan; returns them as a list linked by `next_finished`. */
+static struct ws_domains_plan_entry *take_finished(struct ws_domains_plan *plan)
 {
-	struct ws_domains_entry *entry, *next, *finished = NULL;
+	struct ws_domains_plan_entry *entry, *next, *finished = NULL;
 
 	HASH_ITER (hh, plan->entries, entry, next) {
 		if (!entry_finished(plan, entry))
@@ -205,17 +203,17 @@
 {
 	struct ws_failure_domains *domains = self;
 	struct ws_domains_plan *plan = &domains->plan;
-	struct ws_domains_entry *finished = take_finished(plan);
+	struct ws_domains_plan_entry *finished = take_finished(plan);
 
 	(void)now;
 	HASH_SORT(plan->entries, compare_entries);
 	while (finished) {
-		struct ws_domains_entry *entry = finished;
+		struct ws_domains_plan_entry *entry = finished;
 
 		finished = entry->next_finished;
 		plan->finished += entry->planned;
-		if (entry->part >= 0) /* its part may go when all of it is finished */
-			part_get(plan, entry->part)->entries--;
+		if (entry->shard >= 0) /* its shard is deleted when all its entries are finished */
+			find_or_add_shard(plan, entry->shard)->entries--;
 		free(entry);
 	}
 	plan->surveyed = true;
@@ -234,100 +232,103 @@
 	return json_pack("{s:i,s:o}", "v", WS_DOMAINS_FORMAT, "jobs", jobs);
 }
 
-static void part_write(struct ws_domains_plan *plan, json_t *jobs, struct ws_request_queue *out)
+static void write_shard(struct ws_domains_plan *plan, json_t *jobs, struct ws_request_queue *out)
 {
 	char name[64];
 
-	snprintf(name, sizeof(name), "plan/%lld", (long long)plan->next_part);
-	part_get(plan, plan->next_part)->entries = json_array_size(jobs);
+	snprintf(name, sizeof(name), "plan/%lld", (long long)plan->next_shard);
+	find_or_add_shard(plan, plan->next_shard)->entries = json_array_size(jobs);
 	ws_request_write(out, name, plan_record(jobs), false);
 }
 
-/* Puts on record what is not yet, in the order of the plan. */
-static void plan_write(struct ws_failure_domains *domains, struct ws_request_queue *out)
+/* Writes the entries that are not on record yet, in the order of the plan. */
+static void write_plan(struct ws_failure_domains *domains, struct ws_request_queue *out)
 {
 	struct ws_domains_plan *plan = &domains->plan;
-	size_t bytes = PART_BYTES;
+	size_t bytes = SHARD_BYTES;
 	json_t *jobs = NULL;
 
-	for (struct ws_domains_entry *entry = plan->entries; entry; entry = entry->hh.next) {
+	for (struct ws_domains_plan_entry *entry = plan->entries; entry; entry = entry->hh.next) {
 		size_t size = ENTRY_BYTES + strlen(entry->job);
 
-		if (entry->part >= 0)
+		if (entry->shard >= 0)
 			continue;
 		if (jobs && bytes + size > domains->limits.value_bytes) {
-			part_write(plan, jobs, out);
+			write_shard(plan, jobs, out);
 			jobs = NULL;
 		}
 		if (!jobs) {
 			jobs = json_array();
-			bytes = PART_BYTES;
+			bytes = SHARD_BYTES;
 		}
 		bytes += size;
-		entry->part = plan->next_part;
+		entry->shard = plan->next_shard;
 		json_array_append_new(jobs,
 				      json_pack("[s,I,s]", entry->job, (json_int_t)entry->planned,
 						ws_domains_reason_name(entry->reason)));
 	}
 	if (jobs)
-		part_write(plan, jobs, out);
+		write_shard(plan, jobs, out);
 }
 
-/* Takes parts without unfinished entries off the plan, as a list linked by `next_finished`. */
-static struct ws_domains_part *take_finished_parts(struct ws_domains_plan *plan)
+/* Removes shards without unfinished entries from the plan; returns them as a list linked by
+ * `next_finished`. */
+static struct ws_domains_plan_shard *take_finished_shards(struct ws_domains_plan *plan)
 {
-	struct ws_domains_part *part, *next, *finished = NULL;
+	struct ws_domains_plan_shard *shard, *next, *finished = NULL;
 
-	HASH_ITER (hh, plan->parts, part, next) {
-		if (part->entries)
+	HASH_ITER (hh, plan->shards, shard, next) {
+		if (shard->entries)
 			continue;
-		HASH_DEL(plan->parts, part);
-		part->next_finished = finished;
-		finished = part;
+		HASH_DEL(plan->shards, shard);
+		shard->next_finished = finished;
+		finished = shard;
 	}
 	return finished;
 }
 
-static void parts_delete(struct ws_domains_plan *plan, struct ws_request_queue *out)
+static void delete_finished_shards(struct ws_domains_plan *plan, struct ws_request_queue *out)
 {
-	struct ws_domains_part *finished = take_finished_parts(plan);
+	struct ws_domains_plan_shard *finished = take_finished_shards(plan);
 
 	while (finished) {
-		struct ws_domains_part *part = finished;
+		struct ws_domains_plan_shard *shard = finished;
 		char name[64];
 
-		finished = part->next_finished;
-		snprintf(name, sizeof(name), "plan/%lld", (long long)part->number);
+		finished = shard->next_finished;
+		snprintf(name, sizeof(name), "plan/%lld", (long long)shard->number);
 		ws_request_delete(out, name);
-		free(part);
+		free(shard);
 	}
 }
 
-/* An earlier leader's order is kept; jobs that are over drop out with the first survey. */
-void ws_domains_plan_loaded(struct ws_failure_domains *domains, const char *number, json_t *value)
+/* The order of an earlier leader is preserved; jobs that are over drop out with the first survey.
+ */
+void ws_domains_plan_loaded(struct ws_failure_domains *domains, const char *number,
+			    const json_t *value)
 {
 	struct ws_domains_plan *plan = &domains->plan;
-	struct ws_domains_part *part = part_get(plan, strtoll(number, NULL, 10));
+	struct ws_domains_plan_shard *shard = find_or_add_shard(plan, strtoll(number, NULL, 10));
 	json_t *jobs = json_object_get(value, "jobs"), *job;
 	size_t i;
 
 	json_array_foreach (jobs, i, job) {
 		const char *id = json_string_value(json_array_get(job, 0));
-		struct ws_domains_entry *entry;
+		struct ws_domains_plan_entry *entry;
 
 		if (!id || strlen(id) >= WS_DOMAINS_NAME_MAX)
 			continue;
-		entry = entry_get(plan, id);
-		if (entry->part >= 0)
+		entry = find_or_add_entry(plan, id);
+		if (entry->shard >= 0)
 			continue;
-		entry->part = part->number;
+		entry->shard = shard->number;
 		entry->recorded_position = HASH_COUNT(plan->entries);
 		entry->planned = (size_t)json_integer_value(json_array_get(job, 1));
-		part->entries++;
+		shard->entries++;
 	}
 }
 
-static void progress_write(struct ws_failure_domains *domains, double now,
+static void write_progress(struct ws_failure_domains *domains, double now,
 			   struct ws_request_queue *out)
 {
 	struct ws_domains_plan *plan = &domains->plan;
@@ -335,7 +336,7 @@
 					       .called_off = plan->called_off};
 	size_t open = 0;
 
-	for (struct ws_domains_entry *entry = plan->entries; entry; entry = entry->hh.next) {
+	for (struct ws_domains_plan_entry *entry = plan->entries; entry; entry = entry->hh.next) {
 		size_t pinned = entry->pinned ? entry->affected + entry->waiting : 0;
 
 		progress.planned += entry->planned;
@@ -347,16 +348,16 @@
 	progress.moved = progress.planned > open + progress.called_off
 			     ? progress.planned - open - progress.called_off
 			     : 0;
-	if (!memcmp(&progress, &plan->told, sizeof(progress)) ||
-	    now - plan->told_at < PROGRESS_LEASES * domains->limits.lease_s)
+	if (!memcmp(&progress, &plan->last_progress, sizeof(progress)) ||
+	    now - plan->last_progress_at < PROGRESS_LEASES * domains->limits.lease_s)
 		return;
-	plan->told = progress;
-	plan->told_at = now;
-	ws_domains_logf(domains,
-			"zones: plan progress planned=%zu moved=%zu called_off=%zu moving=%zu "
-			"waiting=%zu pinned=%zu",
-			progress.planned, progress.moved, progress.called_off, progress.moving,
-			progress.waiting, progress.pinned);
+	plan->last_progress = progress;
+	plan->last_progress_at = now;
+	ws_subsystem_logf(domains->log,
+			  "zones: plan progress planned=%zu moved=%zu called_off=%zu moving=%zu "
+			  "waiting=%zu pinned=%zu",
+			  progress.planned, progress.moved, progress.called_off, progress.moving,
+			  progress.waiting, progress.pinned);
 	ws_request_write(
 	    out, "progress",
 	    json_pack("{s:i,s:I,s:I,s:I,s:I,s:I,s:I}", "v", WS_DOMAINS_FORMAT, "planned",
@@ -367,78 +368,73 @@
 	    false);
 }
 
-/* ---- what the core is asked ---- */
+/* ---- requests to the core ---- */
 
-/* A domain that flaps gets room ahead only after a while, longer with each flap. */
-static bool ahead_due(const struct ws_failure_domains *domains, double now)
+/* Capacity is reserved ahead for a flapping domain only after a delay that grows with each flap. */
+static bool reservation_due(const struct ws_failure_domains *domains, double now)
 {
 	for (const struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next) {
-		double patience = domains->limits.lease_s / 4 * fmax(0, domain->penalty - 1);
+		double wait_s = domains->limits.lease_s / 4 * fmax(0, domain->penalty - 1);
 
 		if (domain->state == WS_DOMAINS_DARK &&
-		    now - domain->since >= fmin(patience, domains->limits.lease_s))
+		    now - domain->since >= fmin(wait_s, domains->limits.lease_s))
 			return true;
 	}
 	return false;
 }
 
-static size_t window(const struct ws_failure_domains *domains)
-{
-	double jobs_max = WINDOW_SHARE * domains->limits.state_write_rps * domains->limits.report_s;
-
-	return jobs_max > WINDOW_MIN ? (size_t)jobs_max : WINDOW_MIN;
-}
-
-/* Whether some service of the plan has no replica that is surely heard. */
+/* Whether some service of the plan may have no live replica. */
 static bool replica_missing(const struct ws_domains_plan *plan)
 {
-	for (const struct ws_domains_entry *entry = plan->entries; entry; entry = entry->hh.next)
+	for (const struct ws_domains_plan_entry *entry = plan->entries; entry;
+	     entry = entry->hh.next)
 		if (entry->first_replica && !entry->pinned)
 			return true;
 	return false;
 }
 
-static void moves_request(struct ws_failure_domains *domains, double now,
+static void request_moves(struct ws_failure_domains *domains, double now,
 			  struct ws_request_queue *out)
 {
-	const size_t moves_max = window(domains);
-	const bool ahead = ahead_due(domains, now);
-	const bool trouble = ws_domains_in_state(domains, WS_DOMAINS_DARK) ||
-			     ws_domains_in_state(domains, WS_DOMAINS_RECOVERING);
-	const bool apart = replica_missing(&domains->plan);
+	const size_t moves_max = ws_subsystem_moves_max(&domains->limits);
+	const bool reserve_ahead = reservation_due(domains, now);
+	const bool unhealthy = ws_domains_in_state(domains, WS_DOMAINS_DARK) ||
+			       ws_domains_in_state(domains, WS_DOMAINS_RECOVERING);
+	const bool replicas_apart = replica_missing(&domains->plan);
 	uint32_t position = 0;
 
-	for (struct ws_domains_entry *entry = domains->plan.entries; entry;
+	for (struct ws_domains_plan_entry *entry = domains->plan.entries; entry;
 	     entry = entry->hh.next) {
 		struct ws_move move = {0};
-		bool open = trouble && !entry->pinned && (entry->affected || entry->waiting);
+		bool open = unhealthy && !entry->pinned && (entry->affected || entry->waiting);
 
 		if (open && position < moves_max)
 			move.position = ++position;
-		if (open && ahead)
+		if (open && reserve_ahead)
 			move.reserve_ahead = (uint32_t)entry->affected;
-		move.replicas_apart = open && apart && entry->service;
-		if (move.position == entry->sent.position &&
-		    move.reserve_ahead == entry->sent.reserve_ahead &&
-		    move.replicas_apart == entry->sent.replicas_apart)
+		move.replicas_apart = open && replicas_apart && entry->service;
+		if (move.position == entry->requested_move.position &&
+		    move.reserve_ahead == entry->requested_move.reserve_ahead &&
+		    move.replicas_apart == entry->requested_move.replicas_apart)
 			continue;
-		entry->sent = move;
+		entry->requested_move = move;
 		move.job = entry->job;
 		ws_request_move(out, &move);
 	}
 }
 
-static void plan_log(const struct ws_failure_domains *domains)
+static void log_plan(const struct ws_failure_domains *domains)
 {
-	const struct ws_domains_entry *first = domains->plan.entries;
+	const struct ws_domains_plan_entry *first = domains->plan.entries;
 	size_t jobs = 0;
 
-	for (const struct ws_domains_entry *entry = first; entry; entry = entry->hh.next)
-		jobs += entry->part < 0;
+	for (const struct ws_domains_plan_entry *entry = first; entry; entry = entry->hh.next)
+		jobs += entry->shard < 0;
 	if (jobs)
-		ws_domains_logf(domains, "zones: plan extended jobs=%zu first_job=%s reason=\"%s\"",
-				jobs, first->job, ws_domains_reason_name(first->reason));
+		ws_subsystem_logf(domains->log,
+				  "zones: plan extended jobs=%zu first_job=%s reason=\"%s\"", jobs,
+				  first->job, ws_domains_reason_name(first->reason));
 }
 
 void ws_domains_plan_tick(struct ws_failure_domains *domains, double now,
@@ -448,20 +444,20 @@
 
 	if (plan->surveyed) {
 		plan->surveyed = false;
-		plan_log(domains);
-		moves_request(domains, now, out);
-		plan_write(domains, out);
-		parts_delete(plan, out);
-		progress_write(domains, now, out);
+		log_plan(domains);
+		request_moves(domains, now, out);
+		write_plan(domains, out);
+		delete_finished_shards(plan, out);
+		write_progress(domains, now, out);
 	}
-	if ((!plan->entries && !plan->parts && !ws_domains_in_state(domains, WS_DOMAINS_DARK)) ||
-	    now < plan->survey_next)
+	if ((!plan->entries && !plan->shards && !ws_domains_in_state(domains, WS_DOMAINS_DARK)) ||
+	    now < plan->survey_due_at)
 		return;
-	if (!plan->entries && !plan->parts) { /* the counts of one trouble, from its beginning */
+	if (!plan->entries && !plan->shards) { /* a new evacuation: count from zero */
 		plan->finished = plan->called_off = 0;
-		plan->told = (struct ws_domains_progress){0};
+		plan->last_progress = (struct ws_domains_progress){0};
 	}
-	plan->survey_next = now + domains->limits.report_s;
+	plan->survey_due_at = now + domains->limits.report_s;
 	plan->surveys++;
 	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
 		for (struct ws_domains_member *member = domain->members; member;
--- a/src/failure_domains/records.c
+++ b/src/failure_domains/records.c
@@ -1,5 +1,17 @@
-/* Records of the zones package: what each holds, and what a leader takes over from them. */
-#include "internal.h"
+/* Records of the failure domains subsystem: their encoding, and what a new leader restores from
+ * them. */
+#include "records.h"
+#include "../subsystem_support/subsystem_records.h"
+#include "domains.h"
+#include "health.h"
+#include "plan.h"
+#include <math.h>
+#include <string.h>
+
+static const struct ws_subsystem_record_format record_format = {
+    .log_name = "zones",
+    .supported = WS_DOMAINS_FORMAT,
+};
 
 static const char *const state_names[] = {
     [WS_DOMAINS_HEALTHY] = "healthy",
@@ -7,6 +19,7 @@
     [WS_DOMAINS_DARK] = "dark",
     [WS_DOMAINS_RECOVERING] = "recovering",
 };
+_Static_assert(WS_DOMAINS_HEALTHY == 0, "the state of an unknown name");
 #define STATES (sizeof(state_names) / sizeof(state_names[0]))
 
 static const char *const evidence_names[] = {
@@ -56,18 +69,15 @@
 			 "gone", (json_int_t)domain->removed);
 }
 
-static enum ws_domains_state state_read(const char *name)
+static enum ws_domains_state state_from_name(const char *name)
 {
-	for (size_t i = 0; name && i < STATES; i++)
-		if (!strcmp(state_names[i], name))
-			return (enum ws_domains_state)i;
-	return WS_DOMAINS_HEALTHY;
+	return (enum ws_domains_state)ws_subsystem_name_index(state_names, STATES, name);
 }
 
 /*
- * An earlier leader's verdict. Whoever led since may not know these records, so it is taken as a
- * start only: heartbeats decide from here on. How long ago it was written can't be known, so the
- * penalty counts as undecayed and the stable time begins anew.
+ * The state that an earlier leader recorded. A leader in between may not know these records, so it
+ * is an initial state only: heartbeats decide from here on. How long ago it was written can't be
+ * known, so the penalty counts as undecayed and the stable time begins anew.
  */
 static void domain_loaded(struct ws_failure_domains *domains, const char *name, json_t *value)
 {
@@ -79,7 +89,7 @@
 		return;
 	domain->penalty = fmin(domains->settings.penalty_max,
 			       fmax(0, json_number_value(json_object_get(value, "penalty"))));
-	domain->state = state_read(json_string_value(json_object_get(value, "state")));
+	domain->state = state_from_name(json_string_value(json_object_get(value, "state")));
 	if (domain->state == WS_DOMAINS_SUSPECT)
 		domain->state = WS_DOMAINS_HEALTHY;
 	domain->evidence = WS_DOMAINS_RECORDED;
@@ -90,23 +100,16 @@
 	struct ws_failure_domain *domain = ws_failure_domain_find(domains, name);
 
 	if (domain)
-		domain->held_read = true;
+		domain->held_in_listing = true;
 }
 
 void ws_domains_record_loaded(void *self, const char *name, json_t *value)
 {
 	struct ws_failure_domains *domains = self;
-	json_int_t format = json_integer_value(json_object_get(value, "v"));
 
-	if (format > WS_DOMAINS_FORMAT) {
-		if (!domains->later_format)
-			ws_domains_logf(domains,
-					"zones: record of a later version, judging nothing "
-					"record=%s format=%lld supported=%d",
-					name, (long long)format, WS_DOMAINS_FORMAT);
-		domains->later_format = true;
+	if (!ws_subsystem_record_supported(&record_format, domains->log, name, value,
+					   &domains->later_format))
 		return;
-	}
 	if (!strncmp(name, "domain/", 7))
 		domain_loaded(domains, name + 7, value);
 	else if (!strncmp(name, "hold/", 5))
--- a/src/failure_domains_command.c
+++ b/src/failure_domains_command.c
@@ -86,8 +86,8 @@
 	for (size_t i = 0; i < platform->zone_count; i++)
 		if (!strcmp(platform->zones[i], name))
 			return true;
-	for (size_t i = 0; i < subsystems->zones.declared_count; i++)
-		if (!strcmp(subsystems->zones.declared[i].name, name))
+	for (size_t i = 0; i < subsystems->failure_domains.declared_count; i++)
+		if (!strcmp(subsystems->failure_domains.declared[i].name, name))
 			return true;
 	return false;
 }
--- a/src/main.c
+++ b/src/main.c
@@ -151,10 +151,10 @@
 {
 	printf("%s: fine: node %s, %zu peers, %zu teams\n", file, settings->node,
 	       settings->peer_count, settings->team_count);
-	if (subsystems->zones_on)
+	if (subsystems->failure_domains_enabled)
 		printf("subsystem zones is on, %zu domains besides the zones\n",
-		       subsystems->zones.declared_count);
-	if (subsystems->coldstart_on)
+		       subsystems->failure_domains.declared_count);
+	if (subsystems->cold_start_enabled)
 		printf("subsystem coldstart is on\n");
 	if (ws_core_replica_age_limit_is_short(settings, policy))
 		printf(
@@ -189,7 +189,8 @@
 		"store limits value_kb=%g transaction_operations=%d writes_per_second=%g",
 		settings->value_kb, settings->txn_ops, settings->state_write_rps);
 	ws_logf(WS_LOG_INFO, "subsystems zones=%s coldstart=%s",
-		subsystems->zones_on ? "on" : "off", subsystems->coldstart_on ? "on" : "off");
+		subsystems->failure_domains_enabled ? "on" : "off",
+		subsystems->cold_start_enabled ? "on" : "off");
 	ev_signal_init(&term, on_stop_signal, SIGTERM);
 	term.data = service;
 	ev_signal_start(loop, &term);
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -9,15 +9,15 @@
 
 void ws_subsystem_defaults(struct ws_subsystem_settings *settings)
 {
-	settings->zones_on = false;
-	ws_domains_defaults(&settings->zones);
-	settings->coldstart_on = false;
-	ws_cold_start_defaults(&settings->coldstart);
+	settings->failure_domains_enabled = false;
+	ws_domains_defaults(&settings->failure_domains);
+	settings->cold_start_enabled = false;
+	ws_cold_start_defaults(&settings->cold_start);
 }
 
 void ws_subsystem_free(struct ws_subsystem_settings *settings)
 {
-	ws_domains_settings_free(&settings->zones);
+	ws_domains_settings_free(&settings->failure_domains);
 }
 
 static void *allocate(size_t count, size_t size)
@@ -43,70 +43,73 @@
 	}
 }
 
-static void read_domains(struct ws_config_reader *reader, struct ws_domains_settings *zones)
+static void read_domains(struct ws_config_reader *reader, struct ws_domains_settings *domains)
 {
 	static const char *const known[] = {"name", "networks"};
 	size_t count = ws_config_count(reader, "zones.domains", SIZE_MAX, false);
 	char path[PATH_LENGTH];
 
-	zones->declared = allocate(count, sizeof(*zones->declared));
+	domains->declared = allocate(count, sizeof(*domains->declared));
 	for (size_t i = 0; i < count && reader->valid; i++) {
 		snprintf(path, sizeof(path), "zones.domains[%zu]", i);
 		ws_config_known_keys(reader, path, known, sizeof(known) / sizeof(known[0]));
 		snprintf(path, sizeof(path), "zones.domains[%zu].name", i);
-		ws_config_text(reader, path, zones->declared[i].name, WS_DOMAINS_NAME_MAX);
-		zones->declared_count = i + 1;
-		read_networks(reader, &zones->declared[i], i);
+		ws_config_text(reader, path, domains->declared[i].name, WS_DOMAINS_NAME_MAX);
+		domains->declared_count = i + 1;
+		read_networks(reader, &domains->declared[i], i);
 	}
 }
 
-static void read_class_order(struct ws_config_reader *reader, struct ws_domains_settings *zones)
+static void read_class_order(struct ws_config_reader *reader, struct ws_domains_settings *domains)
 {
 	size_t count = ws_config_count(reader, "zones.class_order", SIZE_MAX, false);
 
-	zones->class_order = allocate(count, sizeof(*zones->class_order));
-	zones->class_count = count;
+	domains->class_order = allocate(count, sizeof(*domains->class_order));
+	domains->class_count = count;
 	for (size_t i = 0; i < count && reader->valid; i++) {
 		char path[PATH_LENGTH];
 
 		snprintf(path, sizeof(path), "zones.class_order[%zu]", i);
-		ws_config_text(reader, path, zones->class_order[i], WS_DOMAINS_NAME_MAX);
+		ws_config_text(reader, path, domains->class_order[i], WS_DOMAINS_NAME_MAX);
 	}
 }
 
-static void read_zones(struct ws_config_reader *reader, struct ws_subsystem_settings *settings)
+static void read_failure_domains(struct ws_config_reader *reader,
+				 struct ws_subsystem_settings *settings)
 {
 	static const char *const known[] = {"enabled",	   "dark_share",  "stable_s",	 "ramp_s",
 					    "half_life_s", "penalty_max", "class_order", "domains"};
-	struct ws_domains_settings *zones = &settings->zones;
+	struct ws_domains_settings *domains = &settings->failure_domains;
 
 	ws_config_known_keys(reader, "zones", known, sizeof(known) / sizeof(known[0]));
-	if (ws_toml_bool(reader->toml, "zones.enabled", &settings->zones_on) != WS_TOML_OK)
+	if (ws_toml_bool(reader->toml, "zones.enabled", &settings->failure_domains_enabled) !=
+	    WS_TOML_OK)
 		ws_config_invalid(reader, "zones.enabled", "must be true or false");
-	ws_config_number(reader, "zones.dark_share", &zones->dark_share, 0.5, false);
-	if (zones->dark_share > 1)
+	ws_config_number(reader, "zones.dark_share", &domains->dark_share, 0.5, false);
+	if (domains->dark_share > 1)
 		ws_config_invalid(reader, "zones.dark_share", "must be at most 1");
-	ws_config_number(reader, "zones.stable_s", &zones->stable_s, 0, false);
-	ws_config_number(reader, "zones.ramp_s", &zones->ramp_s, 0, false);
-	ws_config_above_zero(reader, "zones.half_life_s", &zones->half_life_s, false);
-	ws_config_number(reader, "zones.penalty_max", &zones->penalty_max, 1, false);
-	if (zones->penalty_max > 16) /* the hold-down doubles with each */
+	ws_config_number(reader, "zones.stable_s", &domains->stable_s, 0, false);
+	ws_config_number(reader, "zones.ramp_s", &domains->ramp_s, 0, false);
+	ws_config_above_zero(reader, "zones.half_life_s", &domains->half_life_s, false);
+	ws_config_number(reader, "zones.penalty_max", &domains->penalty_max, 1, false);
+	if (domains->penalty_max > 16) /* the hold-down doubles with each */
 		ws_config_invalid(reader, "zones.penalty_max", "must be at most 16");
-	read_class_order(reader, zones);
-	read_domains(reader, zones);
+	read_class_order(reader, domains);
+	read_domains(reader, domains);
 }
 
-static void read_coldstart(struct ws_config_reader *reader, struct ws_subsystem_settings *settings)
+static void read_cold_start(struct ws_config_reader *reader, struct ws_subsystem_settings *settings)
 {
 	static const char *const known[] = {"enabled", "keep_s", "heard_share"};
-	struct ws_cold_start_settings *coldstart = &settings->coldstart;
+	struct ws_cold_start_settings *cold_start = &settings->cold_start;
 
 	ws_config_known_keys(reader, "coldstart", known, sizeof(known) / sizeof(known[0]));
-	if (ws_toml_bool(reader->toml, "coldstart.enabled", &settings->coldstart_on) != WS_TOML_OK)
+	if (ws_toml_bool(reader->toml, "coldstart.enabled", &settings->cold_start_enabled) !=
+	    WS_TOML_OK)
 		ws_config_invalid(reader, "coldstart.enabled", "must be true or false");
-	ws_config_number(reader, "coldstart.keep_s", &coldstart->keep_s, 0, false);
-	ws_config_number(reader, "coldstart.heard_share", &coldstart->heard_share, 0.5, false);
-	if (coldstart->heard_share > 1)
+	ws_config_number(reader, "coldstart.keep_s", &cold_start->quarantine_s, 0, false);
+	ws_config_number(reader, "coldstart.heard_share", &cold_start->heard_share, 0.5, false);
+	if (cold_start->heard_share > 1)
 		ws_config_invalid(reader, "coldstart.heard_share", "must be at most 1");
 }
 
@@ -130,8 +133,8 @@
 	if (!ws_config_open(&reader, path, error))
 		return false;
 	ws_config_known_keys(&reader, "", known, sizeof(known) / sizeof(known[0]));
-	read_table(&reader, "zones", read_zones, settings);
-	read_table(&reader, "coldstart", read_coldstart, settings);
+	read_table(&reader, "zones", read_failure_domains, settings);
+	read_table(&reader, "coldstart", read_cold_start, settings);
 	return ws_config_close(&reader);
 }
 
@@ -149,8 +152,9 @@
 		 wrong->network[0] ? ": " : "", wrong->network, ws_domains_error_text(wrong->code));
 }
 
-static bool attach_zones(struct ws_core *core, const struct ws_domains_settings *settings,
-			 const struct ws_cluster_limits *limits, struct ws_startup_error *error)
+static bool attach_failure_domains(struct ws_core *core, const struct ws_domains_settings *settings,
+				   const struct ws_cluster_limits *limits,
+				   struct ws_startup_error *error)
 {
 	struct ws_domains_error wrong;
 	struct ws_failure_domains *domains = ws_domains_new(settings, limits, log_line, &wrong);
@@ -165,8 +169,8 @@
 	return !core;
 }
 
-static bool attach_coldstart(struct ws_core *core, const struct ws_cold_start_settings *settings,
-			     const struct ws_cluster_limits *limits)
+static bool attach_cold_start(struct ws_core *core, const struct ws_cold_start_settings *settings,
+			      const struct ws_cluster_limits *limits)
 {
 	struct ws_cold_start *cold_start = ws_cold_start_new(settings, limits, log_line);
 
@@ -193,8 +197,9 @@
 
 	for (size_t i = 0; i < platform->zone_count; i++)
 		names[i] = platform->zones[i];
-	if ((settings->zones_on || !core) && !attach_zones(core, &settings->zones, &limits, error))
+	if ((settings->failure_domains_enabled || !core) &&
+	    !attach_failure_domains(core, &settings->failure_domains, &limits, error))
 		return false;
-	return !core || !settings->coldstart_on ||
-	       attach_coldstart(core, &settings->coldstart, &limits);
+	return !core || !settings->cold_start_enabled ||
+	       attach_cold_start(core, &settings->cold_start, &limits);
 }
--- a/src/subsystem_settings.h
+++ b/src/subsystem_settings.h
@@ -1,4 +1,4 @@
-/* The file of switches: which subsystems are on, and their settings. */
+/* The subsystems' settings file: which of them are enabled, and their settings. */
 #ifndef WS_SUBSYSTEM_SETTINGS_H
 #define WS_SUBSYSTEM_SETTINGS_H
 #include "core/core.h"
@@ -7,21 +7,21 @@
 #include "failure_domains/failure_domains.h"
 
 struct ws_subsystem_settings {
-	bool zones_on;
-	struct ws_domains_settings zones;
-	bool coldstart_on;
-	struct ws_cold_start_settings coldstart;
+	bool failure_domains_enabled;
+	struct ws_domains_settings failure_domains;
+	bool cold_start_enabled;
+	struct ws_cold_start_settings cold_start;
 };
 
-/* All off. */
+/* Every subsystem disabled, with its default settings. */
 void ws_subsystem_defaults(struct ws_subsystem_settings *settings);
 void ws_subsystem_free(struct ws_subsystem_settings *settings);
 /* Reads the file; false with the first error, which names the key. */
 bool ws_subsystem_read(const char *path, struct ws_subsystem_settings *settings,
 		       struct ws_startup_error *error);
 /*
- * Attaches what is on to a core; with a NULL core the settings are only checked against the
- * platform's. False with the error.
+ * Attaches the enabled subsystems to a core; with a NULL core the settings are only checked against
+ * the platform's. False with the error.
  */
 bool ws_subsystem_attach(struct ws_core *core, const struct ws_subsystem_settings *settings,
 			 const struct ws_settings *platform, struct ws_startup_error *error);
--- /dev/null
+++ b/src/subsystem_support/subsystem_memory.c
@@ -0,0 +1,11 @@
+/* Memory of subsystems: allocation that can't fail. */
+#include "subsystem_memory.h"
+
+void *ws_subsystem_allocate(size_t size)
+{
+	void *memory = calloc(1, size);
+
+	if (!memory)
+		abort();
+	return memory;
+}
--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -1,9 +1,11 @@
 /*
- * The coldstart package by itself: its settings are refused by name, the rule that tells a cold
+ * The cold start subsystem by itself: its settings are refused by name, the rule that tells a cold
  * start has its bounds where the note says, its records read back; and the core merges what several
  * subsystems ask of one job.
  */
-#include "../src/cold_start/internal.h"
+#include "../src/cold_start/quarantine.h"
+#include "../src/cold_start/records.h"
+#include "../src/cold_start/state.h"
 #include "../src/core/core_state.h"
 #include "../src/subsystem_settings.h"
 #include "check.h"
@@ -50,13 +52,13 @@
 		ws_subsystem_free(&settings);
 	}
 	check("off without its table",
-	      read_text("", &settings, error, sizeof(error)) && !settings.coldstart_on);
+	      read_text("", &settings, error, sizeof(error)) && !settings.cold_start_enabled);
 	ws_subsystem_free(&settings);
 	check("all is read",
 	      read_text("[coldstart]\nenabled = true\nkeep_s = 9.0\nheard_share = 1.0\n", &settings,
 			error, sizeof(error)) &&
-		  settings.coldstart_on && settings.coldstart.keep_s == 9 &&
-		  settings.coldstart.heard_share == 1);
+		  settings.cold_start_enabled && settings.cold_start.quarantine_s == 9 &&
+		  settings.cold_start.heard_share == 1);
 	ws_subsystem_free(&settings);
 }
 
@@ -125,7 +127,7 @@
 	struct ws_cold_start *cold_start = package();
 	const struct ws_election_facts facts = {
 	    .now = 100, .term = 50, .unproven_s = INFINITY, .leases_out = 117};
-	const struct ws_reconciliation finding = {
+	const struct ws_reconciliation reconciliation = {
 	    .result = WS_RECONCILED_UNKNOWN_JOB, .machine = "m", .job = "job-000001"};
 	json_t *value;
 
@@ -134,7 +136,8 @@
 	ws_cold_start_ops.record_loaded(cold_start, "kept/job-000001", value);
 	json_decref(value);
 	ws_cold_start_ops.records_loaded(cold_start, 100);
-	check("an unknown job is kept", ws_cold_start_ops.attempt_found(cold_start, 101, &finding));
+	check("an unknown job is kept",
+	      ws_cold_start_ops.attempt_found(cold_start, 101, &reconciliation));
 	value = ws_cold_start_quarantine_record(cold_start->quarantined, 111);
 	check("and for how long it was kept before counts",
 	      fabs(json_number_value(json_object_get(value, "kept_s")) - 41) < 1e-6);
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -3,7 +3,8 @@
  * the longest prefix wins, for IPv4 and IPv6.
  */
 #include "../src/subsystem_settings.h"
-#include "../src/failure_domains/internal.h"
+#include "../src/failure_domains/domains.h"
+#include "../src/failure_domains/state.h"
 #include "check.h"
 #include "subsystem_text.h"
 
@@ -99,10 +100,11 @@
 	struct ws_failure_domains *domains;
 	char error[512];
 
-	check("declared domains are read",
-	      read_text(declared, &settings, error, sizeof(error)) && settings.zones_on &&
-		  settings.zones.declared_count == 4 && settings.zones.class_count == 2);
-	domains = ws_domains_new(&settings.zones, &limits, log_text, &wrong);
+	check("declared domains are read", read_text(declared, &settings, error, sizeof(error)) &&
+					       settings.failure_domains_enabled &&
+					       settings.failure_domains.declared_count == 4 &&
+					       settings.failure_domains.class_count == 2);
+	domains = ws_domains_new(&settings.failure_domains, &limits, log_text, &wrong);
 	check("and taken", domains != NULL);
 	for (size_t i = 0; domains && i < sizeof(lookups) / sizeof(lookups[0]); i++) {
 		const struct ws_machine_facts facts = {
@@ -156,7 +158,7 @@
 	char error[512];
 
 	check("an empty file leaves all off",
-	      read_text("", &settings, error, sizeof(error)) && !settings.zones_on);
+	      read_text("", &settings, error, sizeof(error)) && !settings.failure_domains_enabled);
 	check("a missing file is refused by name",
 	      !read_file("/nowhere.toml", &settings, error, sizeof(error)) &&
 		  strstr(error, "/nowhere.toml"));
--- a/tests/sim_cold_start.c
+++ b/tests/sim_cold_start.c
@@ -28,7 +28,7 @@
 	struct ws_cold_start_settings *settings = &sim->cold_start_settings;
 
 	sim->cold_start_on = true;
-	settings->keep_s = sim_option(text, "keep", settings->keep_s);
+	settings->quarantine_s = sim_option(text, "keep", settings->quarantine_s);
 	settings->heard_share = sim_option(text, "share", settings->heard_share);
 }
 
