--- a/tests/demo_cluster.c
+++ b/tests/demo_cluster.c
@@ -1,7 +1,8 @@
 /*
  * waystep for a newcomer: three real controllers, and stand-ins for all round them. Jobs run, all
  * controllers are killed and started again, and what happens is told as it goes. Called by
- * tools/try. Exit status 0 only if nothing healthy was started again: demo_cluster WAYSTEP SUBSYSTEMS.
+ * tools/try. Exit status 0 only if nothing healthy was started again: demo_cluster WAYSTEP
+ * SUBSYSTEMS.
  */
 #include "loopback.h"
 #include <stdio.h>
@@ -26,22 +27,22 @@
 
 static long long began; /* the term that began the cold start before */
 
-/* Tells the phase of the cold start each time it changes; whether it has ended. */
-static bool phase_told(void)
+/* Prints the phase of the cold start each time it changes; returns whether it has ended. */
+static bool cold_start_ended(void)
 {
-	static char told[32];
+	static char last_phase[32];
 	const char *phase = loopback_record_text("coldstart/phase", "phase");
 
 	if (loopback_record_count("coldstart/phase", "began") == began)
 		return false;
-	if (strcmp(told, phase) != 0) {
-		snprintf(told, sizeof(told), "%s", phase);
+	if (strcmp(last_phase, phase) != 0) {
+		snprintf(last_phase, sizeof(last_phase), "%s", phase);
 		printf("  phase of the cold start: %s\n", phase);
 	}
 	return !strcmp(phase, "ended");
 }
 
-static void tell_what_runs(void)
+static void print_running(void)
 {
 	unsigned count;
 	const struct loopback_job *jobs = loopback_jobs(&count);
@@ -94,7 +95,7 @@
 		return false;
 	}
 	printf("All jobs run:\n");
-	tell_what_runs();
+	print_running();
 	loopback_run(2 * LOOPBACK_HEARTBEAT_S);
 	return true;
 }
@@ -112,7 +113,7 @@
 	loopback_kill_all();
 	loopback_run(DOWN_S);
 	loopback_start_all();
-	loopback_until(phase_told, 2 * LOOPBACK_LEASE_S);
+	loopback_until(cold_start_ended, 2 * LOOPBACK_LEASE_S);
 	loopback_run(LOOPBACK_HEARTBEAT_S);
 	printf("What waystep --cold-start shows:\n");
 	tell_account();
@@ -121,7 +122,7 @@
 	printf("Orders since the kill: %u to run, %u to stop, %u to reap; tasks lost: %u\n",
 	       run_commands, stop_commands, now->reap_commands - before.reap_commands,
 	       now->lost - before.lost);
-	tell_what_runs();
+	print_running();
 	return !run_commands && !stop_commands && now->lost == before.lost && all_run();
 }
 
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -10,7 +10,7 @@
 const char *const loopback_zones[LOOPBACK_NODES] = {"a", "b", "c"};
 struct loopback_node loopback_nodes[LOOPBACK_NODES];
 static struct ev_loop *loop;
-static struct ws_http_server *state, *cloud;
+static struct ws_http_server *store, *cloud;
 static const char *program, *subsystems;
 static ev_timer ticker;
 
@@ -28,7 +28,7 @@
 	(void)loop;
 	(void)timer;
 	(void)events;
-	loopback_state_step();
+	loopback_store_step();
 	loopback_workers_step();
 	loopback_users_step();
 }
@@ -55,7 +55,7 @@
 		"[settings.state]\nrps=400.0\nwrite_rps=100.0\nvalue_kb=4.0\ntxn_ops=12\n"
 		"[settings.cloud]\nrps=5.0\nlist_lag_s=1.0\n"
 		"[settings.machine_limits]\ncore_share=1.0\nram_mb=64.0\nmax_sockets=200\n",
-		ws_server_port(cloud), ws_server_port(state), LOOPBACK_HEARTBEAT_S,
+		ws_server_port(cloud), ws_server_port(store), LOOPBACK_HEARTBEAT_S,
 		LOOPBACK_LEASE_S);
 	fclose(file);
 }
@@ -107,7 +107,7 @@
 	program = binary;
 	subsystems = switches;
 	loop = ev_default_loop(0);
-	state = loopback_state_open(loop, &options);
+	store = loopback_store_open(loop, &options);
 	cloud = loopback_cloud_open(loop, &options);
 	for (int i = 0; i < LOOPBACK_NODES; i++) {
 		loopback_nodes[i].port = free_port();
@@ -155,7 +155,7 @@
 		ws_client_free(loopback_nodes[i].client);
 	}
 	loopback_workers_close();
-	loopback_state_close();
+	loopback_store_close();
 	ws_server_free(cloud);
 	ev_loop_destroy(loop);
 }
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -32,14 +32,14 @@
 	unsigned run_commands, stop_commands, reap_commands;
 };
 
-/* Starts the stand-ins and the controllers, with a file of switches; NULL: none. */
+/* Starts the stand-ins and the controllers, with a settings file of the subsystems; NULL: none. */
 void loopback_start(const char *program, const char *subsystems);
 void loopback_stop(void);
 /* SIGINT and SIGTERM end the controllers, remove their files, and end this process. */
 void loopback_leave_on_signals(void);
-/* Lets everything go on for so long. */
+/* Runs the cluster for some seconds. */
 void loopback_run(double seconds);
-/* Goes on until a condition holds, at most so long; whether it does. */
+/* Runs until a condition holds, for some seconds at most; returns whether it does. */
 bool loopback_until(bool (*condition)(void), double seconds);
 
 struct loopback_job *loopback_submit(const char *job_class, unsigned tasks, bool service,
@@ -63,13 +63,15 @@
 /* A text and a count of a record; "" and 0 without one. */
 const char *loopback_record_text(const char *key, const char *field);
 long long loopback_record_count(const char *key, const char *field);
-/* The store has never heard of it from now on. */
+/* The store loses a record, as if it had never been written. */
 void loopback_lose_record(const char *key);
-/* Runs the program beside the controllers with an option, and an argument of it or NULL; what it
- * printed first goes to `line`; its exit status. */
+/*
+ * Runs the program beside the controllers with an option, and an argument of it or NULL. The first
+ * line that it prints goes to `line`; returns its exit status.
+ */
 int loopback_command(const char *option, const char *argument, char *line, unsigned size);
 const struct loopback_counts *loopback_counts(void);
 struct loopback_job *loopback_jobs(unsigned *count);
-/* Every job that ends was told done. */
+/* Whether the user of every job that ends was answered that it is done. */
 bool loopback_all_done(void);
 #endif
--- a/tests/loopback_cloud.c
+++ b/tests/loopback_cloud.c
@@ -1,43 +1,65 @@
-/* The loopback cluster's cloud: the workers are owned, and there is nothing to rent. */
+/* The loopback cluster's cloud: the workers are owned, and there is no capacity to scale out. */
 #include "loopback_parts.h"
 
 static struct ws_http_server *cloud;
 
-static json_t *hosts(void)
+json_t *loopback_cloud_instance(const char *name, const char *address, const char *zone)
 {
-	json_t *list = json_array();
+	return json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", "nameId", name, "address", address,
+			 "flavour", "std", "hall", zone, "reclaimable", 0, "phase", "running",
+			 "ageS", 100.0);
+}
+
+static json_t *machine_types(json_t *zones)
+{
+	return json_pack("{s:[{s:s,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:O}]}", "flavours", "name",
+			 "std", "vcpus", 16.0, "accelerators", 0.0, "memGb", 64.0, "localGb", 20.0,
+			 "fetchGbPerS", 1.0, "rate", 1.0, "spotPrice", 0.4, "startupS", 30.0,
+			 "halls", zones);
+}
+
+void loopback_cloud_answer(struct ws_http_server *server,
+			   const struct loopback_cloud_request *request, json_t *zones,
+			   json_t *instances)
+{
+	if (!strcmp(request->path, "/machine_types"))
+		loopback_answer(server, request->id, 200, machine_types(zones));
+	else if (!strcmp(request->method, "GET"))
+		loopback_answer(server, request->id, 200,
+				json_pack("{s:O,s:b}", "hosts", instances, "hasNext", 0));
+	else
+		loopback_answer(server, request->id, 503,
+				json_pack("{s:s}", "error", "no capacity"));
+	json_decref(zones);
+	json_decref(instances);
+}
+
+static json_t *worker_instances(void)
+{
+	json_t *instances = json_array();
 
 	for (int i = 0; i < LOOPBACK_WORKERS; i++) {
+		const struct loopback_worker *worker = &loopback_workers[i];
 		char address[32];
 
-		snprintf(address, sizeof(address), "127.0.0.1:%d", loopback_workers[i].port);
+		snprintf(address, sizeof(address), "127.0.0.1:%d", worker->port);
 		json_array_append_new(
-		    list, json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", "nameId",
-				    loopback_workers[i].name, "address", address, "flavour", "std",
-				    "hall", loopback_zones[loopback_workers[i].zone], "reclaimable",
-				    0, "phase", "running", "ageS", 100.0));
+		    instances,
+		    loopback_cloud_instance(worker->name, address, loopback_zones[worker->zone]));
 	}
-	return list;
+	return instances;
 }
 
 static void on_cloud(void *context, uint64_t request_id, const char *method, const char *path,
 		     const char *body, size_t length)
 {
+	const struct loopback_cloud_request request = {request_id, method, path};
+
 	(void)context;
 	(void)body;
 	(void)length;
-	if (!strcmp(path, "/machine_types"))
-		loopback_answer(cloud, request_id, 200,
-				json_pack("{s:[{s:s,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:[s,s,s]}]}",
-					  "flavours", "name", "std", "vcpus", 16.0, "accelerators",
-					  0.0, "memGb", 64.0, "localGb", 20.0, "fetchGbPerS", 1.0,
-					  "rate", 1.0, "spotPrice", 0.4, "startupS", 30.0, "halls",
-					  "a", "b", "c"));
-	else if (!strcmp(method, "GET"))
-		loopback_answer(cloud, request_id, 200,
-				json_pack("{s:o,s:b}", "hosts", hosts(), "hasNext", 0));
-	else
-		loopback_answer(cloud, request_id, 503, json_pack("{s:s}", "error", "no capacity"));
+	loopback_cloud_answer(cloud, &request, json_pack("[s,s,s]", "a", "b", "c"),
+			      worker_instances());
 }
 
 struct ws_http_server *loopback_cloud_open(struct ev_loop *loop,
--- a/tests/loopback_parts.h
+++ b/tests/loopback_parts.h
@@ -51,20 +51,33 @@
 /* Answers a request and drops the body. */
 void loopback_answer(struct ws_http_server *server, uint64_t request_id, int status, json_t *body);
 
-/* loopback_state.c: the store */
-struct ws_http_server *loopback_state_open(struct ev_loop *loop,
+/* loopback_store.c: the store */
+struct ws_http_server *loopback_store_open(struct ev_loop *loop,
 					   const struct ws_http_server_options *options);
-void loopback_state_close(void);
+void loopback_store_close(void);
 /* Ends sessions that were not renewed, answers watches. */
-void loopback_state_step(void);
+void loopback_store_step(void);
 /* Answers watches that have something to tell or are over. */
-void loopback_state_wake_watches(void);
+void loopback_store_wake_watches(void);
 /* How many watches were open at once, at most. */
-unsigned loopback_state_most_watches(void);
+unsigned loopback_store_most_watches(void);
 /* The value on record; NULL: there is none. */
 json_t *loopback_record(const char *key);
 
-/* loopback_cloud.c: a cloud that has nothing to rent */
+/* loopback_cloud.c: a cloud without capacity to scale out */
+struct loopback_cloud_request {
+	uint64_t id;
+	const char *method, *path;
+};
+/*
+ * Answers as a cloud with one machine type in `zones` and with these running instances; takes over
+ * both arrays.
+ */
+void loopback_cloud_answer(struct ws_http_server *server,
+			   const struct loopback_cloud_request *request, json_t *zones,
+			   json_t *instances);
+/* A running instance, for the array above. */
+json_t *loopback_cloud_instance(const char *name, const char *address, const char *zone);
 struct ws_http_server *loopback_cloud_open(struct ev_loop *loop,
 					   const struct ws_http_server_options *options);
 
--- a/tests/loopback_state.c
+++ b/tests/loopback_store.c
@@ -5,7 +5,7 @@
 #define WATCHES 32
 #define SESSIONS 256
 
-static struct ws_http_server *state;
+static struct ws_http_server *store;
 static json_t *records, *removed;
 static json_int_t revision = 1;
 static struct {
@@ -59,20 +59,20 @@
 	return list;
 }
 
-void loopback_state_wake_watches(void)
+void loopback_store_wake_watches(void)
 {
 	for (int i = 0; i < WATCHES; i++) {
-		json_t *news;
+		json_t *changes;
 
 		if (!watches[i].request_id)
 			continue;
-		news = record_list(watches[i].prefix, watches[i].since, true);
-		if (!json_array_size(news) && ws_now() < watches[i].until) {
-			json_decref(news);
+		changes = record_list(watches[i].prefix, watches[i].since, true);
+		if (!json_array_size(changes) && ws_now() < watches[i].until) {
+			json_decref(changes);
 			continue;
 		}
-		loopback_answer(state, watches[i].request_id, 200,
-				json_pack("{s:I,s:o}", "ledgerRev", revision, "news", news));
+		loopback_answer(store, watches[i].request_id, 200,
+				json_pack("{s:I,s:o}", "ledgerRev", revision, "news", changes));
 		watches[i].request_id = 0;
 	}
 }
@@ -98,10 +98,10 @@
 		watches[i].until = ws_now() + atof(strstr(path, "holdMs=") + 7) / 1000;
 		snprintf(watches[i].prefix, sizeof(watches[i].prefix), "%s", prefix);
 		count_watches();
-		loopback_state_wake_watches();
+		loopback_store_wake_watches();
 		return;
 	}
-	loopback_answer(state, request_id, 503, json_object());
+	loopback_answer(store, request_id, 503, json_object());
 }
 
 static bool session_is_live(json_int_t id)
@@ -123,7 +123,7 @@
 			json_array_append_new(failed, json_string(key));
 	}
 	if (json_array_size(failed)) {
-		loopback_answer(state, request_id, 409,
+		loopback_answer(store, request_id, 409,
 				json_pack("{s:o,s:I}", "failed", failed, "ledgerRev", revision));
 		return;
 	}
@@ -138,8 +138,8 @@
 		else
 			record_put(json_string_value(json_object_get(entry, "delete")), NULL, 0);
 	}
-	loopback_answer(state, request_id, 200, json_pack("{s:I}", "ledgerRev", revision));
-	loopback_state_wake_watches();
+	loopback_answer(store, request_id, 200, json_pack("{s:I}", "ledgerRev", revision));
+	loopback_store_wake_watches();
 }
 
 static void session_end(json_int_t id)
@@ -156,7 +156,7 @@
 		revision++;
 		record_put(key, NULL, 0);
 	}
-	loopback_state_wake_watches();
+	loopback_store_wake_watches();
 }
 
 static void on_session(uint64_t request_id, const char *method, const char *path, json_t *body)
@@ -169,16 +169,16 @@
 		id = ++session_count % SESSIONS;
 		sessions[id - 1].live = true;
 	} else if (!session_is_live(id)) {
-		loopback_answer(state, request_id, 404, json_object());
+		loopback_answer(store, request_id, 404, json_object());
 		return;
 	} else if (!strcmp(method, "DELETE")) {
 		session_end(id);
 	}
 	sessions[id - 1].until = ws_now() + sessions[id - 1].ttl_s;
-	loopback_answer(state, request_id, 200, json_pack("{s:I}", "permit", id));
+	loopback_answer(store, request_id, 200, json_pack("{s:I}", "permit", id));
 }
 
-static void on_state(void *context, uint64_t request_id, const char *method, const char *path,
+static void on_store(void *context, uint64_t request_id, const char *method, const char *path,
 		     const char *body, size_t length)
 {
 	json_t *request = length ? json_loadb(body, length, 0, NULL) : NULL;
@@ -188,13 +188,13 @@
 	if (strstr(path, "starts="))
 		sscanf(strstr(path, "starts=") + 7, "%63[^&]", prefix);
 	if (!strncmp(path, "/kv?", 4)) {
-		loopback_answer(state, request_id, 200,
+		loopback_answer(store, request_id, 200,
 				json_pack("{s:o,s:b,s:I}", "entries", record_list(prefix, 0, false),
 					  "hasNext", 0, "ledgerRev", revision));
 	} else if (!strncmp(path, "/kv/", 4)) {
 		json_t *record = json_object_get(records, path + 4);
 
-		loopback_answer(state, request_id, record ? 200 : 404,
+		loopback_answer(store, request_id, record ? 200 : 404,
 				record ? json_pack("{s:s,s:O,s:O}", "k", path + 4, "value",
 						   json_object_get(record, "value"), "stamp",
 						   json_object_get(record, "stamp"))
@@ -209,33 +209,33 @@
 	json_decref(request);
 }
 
-struct ws_http_server *loopback_state_open(struct ev_loop *loop,
+struct ws_http_server *loopback_store_open(struct ev_loop *loop,
 					   const struct ws_http_server_options *options)
 {
 	char error[200];
 
 	records = json_object();
 	removed = json_object();
-	state = ws_server_new(loop, "127.0.0.1", 0, options, on_state, NULL, error, sizeof(error));
-	return state;
+	store = ws_server_new(loop, "127.0.0.1", 0, options, on_store, NULL, error, sizeof(error));
+	return store;
 }
 
-void loopback_state_close(void)
+void loopback_store_close(void)
 {
-	ws_server_free(state);
+	ws_server_free(store);
 	json_decref(records);
 	json_decref(removed);
 }
 
-void loopback_state_step(void)
+void loopback_store_step(void)
 {
 	for (unsigned i = 0; i < session_count; i++)
 		if (sessions[i].live && ws_now() > sessions[i].until)
 			session_end((json_int_t)i + 1);
-	loopback_state_wake_watches();
+	loopback_store_wake_watches();
 }
 
-unsigned loopback_state_most_watches(void)
+unsigned loopback_store_most_watches(void)
 {
 	return most_watches;
 }
@@ -260,5 +260,5 @@
 {
 	revision++;
 	record_put(key, NULL, 0);
-	loopback_state_wake_watches();
+	loopback_store_wake_watches();
 }
--- a/tests/loopback_workers.c
+++ b/tests/loopback_workers.c
@@ -1,6 +1,4 @@
-/* The loopback cluster's workers: heartbeats, commands, leases; the count of all that they are
- * told.
- */
+/* The loopback cluster's workers: heartbeats, commands and leases; counts of the commands. */
 #include "loopback_parts.h"
 
 struct loopback_worker loopback_workers[LOOPBACK_WORKERS];
@@ -53,29 +51,29 @@
 
 static void take_command(struct loopback_worker *worker, json_t *object)
 {
-	const char *verb = json_string_value(json_object_get(object, "verb"));
-	const char *shard = json_string_value(json_object_get(object, "shard"));
+	const char *kind = json_string_value(json_object_get(object, "verb"));
+	const char *task_name = json_string_value(json_object_get(object, "shard"));
 	uint64_t attempt = (uint64_t)json_integer_value(json_object_get(object, "tryNo"));
-	unsigned number = (unsigned)atoi(strrchr(shard, '/') + 1);
+	unsigned number = (unsigned)atoi(strrchr(task_name, '/') + 1);
 	struct loopback_task *task = NULL;
 	char job[32];
 
-	snprintf(job, sizeof(job), "%.*s", (int)strcspn(shard, "/"), shard);
+	snprintf(job, sizeof(job), "%.*s", (int)strcspn(task_name, "/"), task_name);
 	for (unsigned i = 0; i < worker->count; i++)
 		if (worker->tasks[i].attempt == attempt && worker->tasks[i].number == number &&
 		    !strcmp(worker->tasks[i].job, job))
 			task = &worker->tasks[i];
-	if (!strcmp(verb, "run") && !task && worker->count < LOOPBACK_TASKS) {
+	if (!strcmp(kind, "run") && !task && worker->count < LOOPBACK_TASKS) {
 		loopback_count.run_commands++;
 		task = &worker->tasks[worker->count++];
 		*task = (struct loopback_task){
 		    .number = number, .attempt = attempt, .until = ws_now() + 0.1};
 		snprintf(task->job, sizeof(task->job), "%s", job);
-	} else if (!strcmp(verb, "stop") && task && task->state != LOOPBACK_EXITED) {
+	} else if (!strcmp(kind, "stop") && task && task->state != LOOPBACK_EXITED) {
 		loopback_count.stop_commands++;
 		task->state = LOOPBACK_EXITED;
 		task->cause = "stopped";
-	} else if (!strcmp(verb, "reap") && task && task->state == LOOPBACK_EXITED) {
+	} else if (!strcmp(kind, "reap") && task && task->state == LOOPBACK_EXITED) {
 		loopback_count.reap_commands++;
 		*task = worker->tasks[--worker->count];
 	}
@@ -104,7 +102,7 @@
 {
 	struct loopback_worker *worker = context;
 	json_t *message = json_loadb(body, length, 0, NULL);
-	bool ok;
+	bool accepted;
 
 	(void)method;
 	(void)path;
@@ -112,10 +110,10 @@
 		json_decref(message);
 		return;
 	}
-	ok = json_integer_value(json_object_get(message, "tenure")) ==
-		 (json_int_t)worker->incarnation &&
-	     take_commands(worker, message);
-	loopback_answer(worker->server, request_id, ok ? 200 : 409, heartbeat(worker));
+	accepted = json_integer_value(json_object_get(message, "tenure")) ==
+		       (json_int_t)worker->incarnation &&
+		   take_commands(worker, message);
+	loopback_answer(worker->server, request_id, accepted ? 200 : 409, heartbeat(worker));
 	json_decref(message);
 }
 
--- a/tests/random_cold_start.c
+++ b/tests/random_cold_start.c
@@ -6,26 +6,27 @@
  */
 #include "random_parts.h"
 
-static double draw_span(void)
+static double draw_down_time(void)
 {
-	static const int spans[] = {1, 4, 8, 12, 15, 17, 25, 40, 50, 70};
+	static const int durations[] = {1, 4, 8, 12, 15, 17, 25, 40, 50, 70};
 
-	return spans[random_draw(10)] + random_draw(10) / 10.0;
+	return durations[random_draw(10)] + random_draw(10) / 10.0;
 }
 
-static void draw_return(double time, double span)
+static void draw_return(double time, double down_s)
 {
 	if (random_chance(30))
-		random_event(time, "crash-in-turn first=%.1f every=%u", span, 1 + random_draw(30));
+		random_event(time, "crash-in-turn first=%.1f every=%u", down_s,
+			     1 + random_draw(30));
 	else if (random_chance(10))
 		for (unsigned n = 0; n < 3; n++)
-			random_event(time, "freeze %u for=%.1f", n, span + random_draw(4));
+			random_event(time, "freeze %u for=%.1f", n, down_s + random_draw(4));
 	else
-		random_event(time, "crash all for=%.1f", span);
+		random_event(time, "crash all for=%.1f", down_s);
 }
 
-/* What else fails with the site. */
-static void draw_company(double time, double span, unsigned zones)
+/* Other faults around the time of the stop. */
+static void draw_other_faults(double time, double down_s, unsigned zones)
 {
 	if (random_chance(30))
 		random_event(time, "power-loss share=0.%u for=%u", 2 + random_draw(8),
@@ -34,13 +35,14 @@
 		random_event(time, "dark %c for=%u", 'a' + (int)random_draw(zones),
 			     5 + random_draw(50));
 	if (random_chance(20))
-		random_event(time, "state-outage for=%.1f", span + random_draw(10));
+		random_event(time, "state-outage for=%.1f", down_s + random_draw(10));
 	if (random_chance(15))
-		random_event(time + span, "slow-state 0.%u for=10", 1 + random_draw(8));
+		random_event(time + down_s, "slow-state 0.%u for=10", 1 + random_draw(8));
 	if (random_chance(15))
-		random_event(time + span, "refuse %u for=%u", random_draw(3), 3 + random_draw(20));
+		random_event(time + down_s, "refuse %u for=%u", random_draw(3),
+			     3 + random_draw(20));
 	if (random_chance(15))
-		random_event(time + span, "cloud-outage for=20");
+		random_event(time + down_s, "cloud-outage for=20");
 	if (random_chance(20))
 		random_event(time - 6, "copies %u for=8 for-next", 10 + random_draw(30));
 	if (random_chance(15))
@@ -48,24 +50,24 @@
 	if (random_chance(15))
 		random_event(time - 3, "late-writes 0.5 for=4 most=15");
 	if (random_chance(15))
-		random_event(time + span, "crash-on txn %sskip=%u for=3",
+		random_event(time + down_s, "crash-on txn %sskip=%u for=3",
 			     random_chance(50) ? "after " : "", random_draw(6));
 	if (random_chance(25))
-		random_event(time + span + random_draw(8), "crash leader for=%u",
+		random_event(time + down_s + random_draw(8), "crash leader for=%u",
 			     2 + random_draw(20));
 }
 
 static void draw_stop(unsigned jobs, unsigned zones)
 {
-	double at = 25 + random_draw(100), span = draw_span();
+	double at = 25 + random_draw(100), down_s = draw_down_time();
 
-	draw_return(at, span);
-	draw_company(at, span, zones);
+	draw_return(at, down_s);
+	draw_other_faults(at, down_s, zones);
 	if (random_chance(40))
 		random_event(at - random_draw(2), "abort job-%06u", 1 + random_draw(jobs));
 }
 
-static void generate(void)
+void random_generate(void)
 {
 	unsigned zones = 2 + random_draw(3), jobs, stops;
 
@@ -75,15 +77,8 @@
 	if (random_chance(30))
 		random_line("nodes 5");
 	random_cluster(zones);
-	jobs = 4 + random_draw(10);
-	for (unsigned i = 1; i <= jobs; i++)
-		random_job(i, zones);
+	jobs = random_jobs(zones);
 	stops = 1 + random_draw(3);
 	for (unsigned i = 0; i < stops; i++)
 		draw_stop(jobs, zones);
 }
-
-int main(int argc, char **argv)
-{
-	return random_main(argc, argv, generate);
-}
--- a/tests/random_failure_domains.c
+++ b/tests/random_failure_domains.c
@@ -4,15 +4,16 @@
  */
 #include "random_parts.h"
 
-static void draw_trouble(unsigned zones)
+static void draw_outage(unsigned zones)
 {
-	static const int spans[] = {3, 6, 10, 16, 20, 40, 70};
+	static const int durations[] = {3, 6, 10, 16, 20, 40, 70};
 	static const char *const kinds[] = {"", "", "", " only=reports", " only=answers"};
 	static const char *const cuts[] = {"all", "workers", "state", "peers"};
 	double at = 15 + random_draw(110);
 	int zone = 'a' + (int)random_draw(zones);
 
-	random_event(at, "dark %c for=%d%s", zone, spans[random_draw(7)], kinds[random_draw(5)]);
+	random_event(at, "dark %c for=%d%s", zone, durations[random_draw(7)],
+		     kinds[random_draw(5)]);
 	if (random_chance(40))
 		random_event(at + random_draw(20), "crash leader for=%d",
 			     random_chance(50) ? 3 : 20);
@@ -43,23 +44,16 @@
 			     random_chance(50) ? "after " : "", random_draw(5));
 }
 
-static void generate(void)
+void random_generate(void)
 {
-	unsigned zones = 2 + random_draw(3), jobs, troubles;
+	unsigned zones = 2 + random_draw(3), outages;
 
 	random_line("subsystem zones %s", random_chance(50)   ? ""
 					  : random_chance(50) ? "stable=5 ramp=5"
 							      : "stable=60");
 	random_cluster(zones);
-	jobs = 4 + random_draw(10);
-	for (unsigned i = 1; i <= jobs; i++)
-		random_job(i, zones);
-	troubles = 1 + random_draw(5);
-	for (unsigned i = 0; i < troubles; i++)
-		draw_trouble(zones);
-}
-
-int main(int argc, char **argv)
-{
-	return random_main(argc, argv, generate);
+	random_jobs(zones);
+	outages = 1 + random_draw(5);
+	for (unsigned i = 0; i < outages; i++)
+		draw_outage(zones);
 }
--- a/tests/random_parts.c
+++ b/tests/random_parts.c
@@ -1,4 +1,6 @@
-/* Scenarios drawn at random: the generator of numbers, the common parts of a cluster, and the play.
+/*
+ * Scenarios drawn at random: the generator of numbers, the common parts of a cluster, and the main
+ * function of the tests.
  */
 #include "random_parts.h"
 #include <stdarg.h>
@@ -83,7 +85,7 @@
 	random_line("team t %d 240", random_chance(50) ? 40 : 200);
 }
 
-void random_job(unsigned number, unsigned zones)
+static void random_job(unsigned number, unsigned zones)
 {
 	static const char *const tiers[] = {"urgent", "normal", "best"};
 	double at = 5 + random_draw(80);
@@ -110,22 +112,31 @@
 		random_event(at + 1 + random_draw(60), "abort job-%06u", number);
 }
 
-static bool play(unsigned seed, void (*generate)(void))
+unsigned random_jobs(unsigned zones)
 {
-	bool ok;
+	unsigned jobs = 4 + random_draw(10);
+
+	for (unsigned i = 1; i <= jobs; i++)
+		random_job(i, zones);
+	return jobs;
+}
+
+static bool play(unsigned seed)
+{
+	bool passed;
 
 	state = seed * 2654435761ULL + 1;
 	event_count = 0;
 	error[0] = 0;
 	sim = sim_new();
-	generate();
+	random_generate();
 	qsort(events, event_count, sizeof(*events), by_time);
 	for (size_t i = 0; i < event_count; i++)
 		random_line("at %.2f %s", events[i].time, events[i].text);
 	random_line("at %d expect leader", PLAYED_S);
 	random_line("at %d expect all-answered 75", PLAYED_S);
-	ok = !error[0] && sim_play(sim, error, sizeof(error));
-	if (!ok)
+	passed = !error[0] && sim_play(sim, error, sizeof(error));
+	if (!passed)
 		printf("FAIL seed %u: %s\n", seed, error);
 	if (digests) {
 		char name[32];
@@ -134,10 +145,10 @@
 		sim_print_digest(sim, name);
 	}
 	sim_free(sim);
-	return ok;
+	return passed;
 }
 
-int random_main(int argc, char **argv, void (*generate)(void))
+int main(int argc, char **argv)
 {
 	unsigned good = 0, bad = 0;
 	int at = 1;
@@ -149,7 +160,7 @@
 	if (argc != at + 2)
 		return 2;
 	for (unsigned i = 0; i < (unsigned)atoi(argv[at + 1]); i++)
-		play((unsigned)atoi(argv[at]) + i, generate) ? good++ : bad++;
+		play((unsigned)atoi(argv[at]) + i) ? good++ : bad++;
 	printf("%u passed, %u failed\n", good, bad);
 	return bad != 0;
 }
--- a/tests/random_parts.h
+++ b/tests/random_parts.h
@@ -11,12 +11,13 @@
 void random_event(double time, const char *format, ...) __attribute__((format(printf, 2, 3)));
 /* Lease, heartbeat interval, zones, machines and a team. */
 void random_cluster(unsigned zones);
-/* A job of any shape, which its user may cancel. */
-void random_job(unsigned number, unsigned zones);
+/* Some jobs of any shape, each of which its user may cancel; their number. */
+unsigned random_jobs(unsigned zones);
 /*
- * NAME [-v] [-d] FIRST COUNT: plays so many scenarios, a seed each, and tells which fail; -d: with
- * the digest of each, as the runner; the exit
- * status. The simulator checks the rules at every step; `generate` draws what befalls the cluster.
+ * Draws one scenario: defined by each test. The main function is in random_parts.c:
+ * NAME [-v] [-d] FIRST COUNT plays COUNT scenarios from seed FIRST on and prints those that fail;
+ * -v: with the log; -d: with the digest of each, as the runner. The simulator checks the rules at
+ * every step.
  */
-int random_main(int argc, char **argv, void (*generate)(void));
+void random_generate(void);
 #endif
--- a/tests/smoke_test.c
+++ b/tests/smoke_test.c
@@ -56,10 +56,10 @@
 
 static int good, bad;
 
-static void check(const char *what, bool ok)
+static void check(const char *what, bool passed)
 {
-	printf("%s %s\n", ok ? "ok  " : "FAIL", what);
-	ok ? good++ : bad++;
+	printf("%s %s\n", passed ? "ok  " : "FAIL", what);
+	passed ? good++ : bad++;
 }
 
 /* ---- the cloud ---- */
@@ -67,24 +67,14 @@
 static void on_cloud(void *context, uint64_t request_id, const char *method, const char *path,
 		     const char *body, size_t length)
 {
+	const struct loopback_cloud_request request = {request_id, method, path};
+
 	(void)context;
 	(void)body;
 	(void)length;
-	if (!strcmp(path, "/machine_types"))
-		loopback_answer(cloud, request_id, 200,
-				json_pack("{s:[{s:s,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:[s]}]}",
-					  "flavours", "name", "std", "vcpus", 16.0, "accelerators",
-					  0.0, "memGb", 64.0, "localGb", 20.0, "fetchGbPerS", 1.0,
-					  "rate", 1.0, "spotPrice", 0.4, "startupS", 30.0, "halls",
-					  "a"));
-	else if (!strcmp(method, "GET"))
-		loopback_answer(cloud, request_id, 200,
-				json_pack("{s:[{s:s,s:s,s:s,s:s,s:b,s:s,s:f}],s:b}", "hosts",
-					  "nameId", "n-000000", "address", "127.0.0.1:1", "flavour",
-					  "std", "hall", "a", "reclaimable", 0, "phase", "running",
-					  "ageS", 100.0, "hasNext", 0));
-	else
-		loopback_answer(cloud, request_id, 503, json_pack("{s:s}", "error", "no capacity"));
+	loopback_cloud_answer(
+	    cloud, &request, json_pack("[s]", "a"),
+	    json_pack("[o]", loopback_cloud_instance("n-000000", "127.0.0.1:1", "a")));
 }
 
 /* ---- requests ---- */
@@ -103,7 +93,7 @@
 	(void)ticked;
 	(void)timer;
 	(void)events;
-	loopback_state_wake_watches();
+	loopback_store_wake_watches();
 }
 
 /* Sends a request and waits for its answer, which is then in `answer`; its status. */
@@ -240,11 +230,11 @@
  * One worker after another sends a heartbeat on a connection that it would keep: more of them than
  * the node may hold sockets. All must be answered, and users still be served. How many were.
  */
-static int crowd(int *kept)
+static int crowd(int *kept_open)
 {
 	int fds[CROWD], answered = 0;
 
-	*kept = 0;
+	*kept_open = 0;
 	for (int i = 0; i < CROWD; i++) {
 		char text[600], buffer[600] = "";
 
@@ -253,7 +243,7 @@
 		if (status_of(fds[i], 200, 0.005, buffer, sizeof(buffer)) != 200)
 			continue;
 		answered++;
-		*kept += !strstr(buffer, "Connection: close");
+		*kept_open += !strstr(buffer, "Connection: close");
 	}
 	for (int i = 0; i < CROWD; i++)
 		close(fds[i]);
@@ -330,7 +320,7 @@
 	    .max = 64, .backlog = 64, .keep = {64, 64, 64}, .idle = {60, 60, 60}, .slow = 60};
 	char error[200];
 
-	store_port = ws_server_port(loopback_state_open(loop, &options));
+	store_port = ws_server_port(loopback_store_open(loop, &options));
 	cloud = ws_server_new(loop, "127.0.0.1", 0, &options, on_cloud, NULL, error, sizeof(error));
 	cloud_port = ws_server_port(cloud);
 }
@@ -436,11 +426,11 @@
 
 static void test_crowd(void)
 {
-	int kept;
+	int kept_open;
 
-	check("more workers than sockets are all answered", crowd(&kept) == CROWD);
+	check("more workers than sockets are all answered", crowd(&kept_open) == CROWD);
 	check("and as many connections are kept as are for workers",
-	      kept <= CROWD_KEPT_MAX && kept > 0);
+	      kept_open <= CROWD_KEPT_MAX && kept_open > 0);
 	check("and users are served meanwhile", ask("GET", job_path, "") == 200);
 }
 
@@ -463,7 +453,7 @@
 	kill(controller, SIGTERM);
 	waitpid(controller, &status, 0);
 	check("stops when told to", WIFEXITED(status) && WEXITSTATUS(status) == 0);
-	if (loopback_state_most_watches() > WATCHES_MAX)
+	if (loopback_store_most_watches() > WATCHES_MAX)
 		check("a free place for a watch", false);
 }
 
@@ -498,7 +488,7 @@
 	test_stop();
 	ws_client_free(client);
 	ev_timer_stop(loop, &tick);
-	loopback_state_close();
+	loopback_store_close();
 	ws_server_free(cloud);
 	json_decref(answer);
 	unlink(path);
