--- a/src/io/json_reader.cpp
+++ b/src/io/json_reader.cpp
@@ -28,11 +28,11 @@
 	return e;
 }
 
-static ws_json ws_json_of(dom::element e)
+static ws_json ws_json_of(dom::element element)
 {
 	ws_json value;
 
-	memcpy(value.opaque, static_cast<const void *>(&e), sizeof(e));
+	memcpy(value.opaque, static_cast<const void *>(&element), sizeof(element));
 	return value;
 }
 
@@ -160,19 +160,19 @@
 	return true;
 }
 
-extern "C" bool ws_json_number(struct ws_json value, double *to)
+extern "C" bool ws_json_number(struct ws_json value, double *target)
 {
-	return !ws_element(value).get(*to);
+	return !ws_element(value).get(*target);
 }
 
-extern "C" bool ws_json_integer(struct ws_json value, int64_t *to)
+extern "C" bool ws_json_integer(struct ws_json value, int64_t *target)
 {
-	return !ws_element(value).get(*to);
+	return !ws_element(value).get(*target);
 }
 
-extern "C" bool ws_json_bool(struct ws_json value, bool *to)
+extern "C" bool ws_json_bool(struct ws_json value, bool *target)
 {
-	return !ws_element(value).get(*to);
+	return !ws_element(value).get(*target);
 }
 
 extern "C" bool ws_json_elements(struct ws_json array, struct ws_json_elements *elements,
--- a/src/toml.cpp
+++ b/src/toml.cpp
@@ -36,7 +36,7 @@
 	delete toml;
 }
 
-extern "C" enum ws_toml_got ws_toml_string(struct ws_toml *toml, const char *path, char *to,
+extern "C" enum ws_toml_got ws_toml_string(struct ws_toml *toml, const char *path, char *target,
 					   size_t size)
 {
 	auto value = toml->root.at_path(path);
@@ -45,11 +45,11 @@
 	auto text = value.value<std::string>();
 	if (!value.is_string() || !text || text->size() >= size)
 		return WS_TOML_WRONG_TYPE;
-	to[text->copy(to, text->size())] = 0;
+	target[text->copy(target, text->size())] = 0;
 	return WS_TOML_OK;
 }
 
-extern "C" enum ws_toml_got ws_toml_number(struct ws_toml *toml, const char *path, double *to)
+extern "C" enum ws_toml_got ws_toml_number(struct ws_toml *toml, const char *path, double *target)
 {
 	auto value = toml->root.at_path(path);
 	if (!value)
@@ -57,7 +57,7 @@
 	auto number = value.value<double>();
 	if (!value.is_number() || !number)
 		return WS_TOML_WRONG_TYPE;
-	*to = *number;
+	*target = *number;
 	return WS_TOML_OK;
 }
 
@@ -78,7 +78,7 @@
 	return array ? (long)array->size() : -1;
 }
 
-extern "C" bool ws_toml_key(struct ws_toml *toml, const char *path, size_t index, char *to,
+extern "C" bool ws_toml_key(struct ws_toml *toml, const char *path, size_t index, char *target,
 			    size_t size)
 {
 	const toml::table *table = path[0] ? toml->root.at_path(path).as_table() : &toml->root;
@@ -86,13 +86,13 @@
 		return false;
 	for (auto &&entry : *table)
 		if (!index--) {
-			snprintf(to, size, "%s", std::string(entry.first.str()).c_str());
+			snprintf(target, size, "%s", std::string(entry.first.str()).c_str());
 			return true;
 		}
 	return false;
 }
 
-extern "C" enum ws_toml_got ws_toml_bool(struct ws_toml *toml, const char *path, bool *to)
+extern "C" enum ws_toml_got ws_toml_bool(struct ws_toml *toml, const char *path, bool *target)
 {
 	auto value = toml->root.at_path(path);
 	if (!value)
@@ -100,6 +100,6 @@
 	auto truth = value.value<bool>();
 	if (!value.is_boolean() || !truth)
 		return WS_TOML_WRONG_TYPE;
-	*to = *truth;
+	*target = *truth;
 	return WS_TOML_OK;
 }
--- a/src/toml.h
+++ b/src/toml.h
@@ -14,8 +14,8 @@
 /* Reads a file; NULL with the error, of the file or of a line, if that fails. */
 struct ws_toml *ws_toml_open(const char *path, struct ws_startup_error *error);
 void ws_toml_close(struct ws_toml *toml);
-/* Values by path, as toml++ has them: "settings.workers.lease_s", "seeds[0].node". They leave `to`
- * as it is where they don't give WS_TOML_OK. A string fits into `size` bytes. */
+/* Values by path, as toml++ has them: "settings.workers.lease_s", "seeds[0].node". They leave
+ * `target` as it is where they don't give WS_TOML_OK. A string fits into `size` bytes. */
 enum ws_toml_got ws_toml_string(struct ws_toml *toml, const char *path, char *target, size_t size);
 enum ws_toml_got ws_toml_number(struct ws_toml *toml, const char *path, double *target);
 enum ws_toml_got ws_toml_bool(struct ws_toml *toml, const char *path, bool *target);
--- a/tests/check.h
+++ b/tests/check.h
@@ -6,9 +6,9 @@
 
 static int good, bad;
 
-static void check(const char *what, bool ok)
+static void check(const char *what, bool passed)
 {
-	if (ok) {
+	if (passed) {
 		good++;
 	} else {
 		bad++;
--- a/tests/production_abi.h
+++ b/tests/production_abi.h
@@ -327,7 +327,7 @@
 typedef const struct production_core_api *(*production_core_api_fn)(void);
 
 /* Copies a text into an array of `size` bytes; ends the program if it does not fit. */
-static inline void production_copy_text(char *to, size_t size, const char *from)
+static inline void production_copy_text(char *target, size_t size, const char *from)
 {
 	size_t length = strlen(from);
 
@@ -335,9 +335,9 @@
 		fprintf(stderr, "production core: a text of %zu bytes does not fit\n", length);
 		abort();
 	}
-	memcpy(to, from, length + 1);
+	memcpy(target, from, length + 1);
 }
-#define PRODUCTION_COPY_TEXT(to, from) production_copy_text(to, sizeof(to), from)
+#define PRODUCTION_COPY_TEXT(target, from) production_copy_text(target, sizeof(target), from)
 
 /* An array of zeros, never NULL; the caller frees it. Ends the program when memory is out. */
 static inline void *production_allocate(size_t count, size_t size)
--- a/tests/production_adapter.c
+++ b/tests/production_adapter.c
@@ -96,208 +96,210 @@
 
 /* ---- into the core ---- */
 
-static void convert_endpoint(struct ws_endpoint *to, const struct production_endpoint *from)
+static void convert_endpoint(struct ws_endpoint *target, const struct production_endpoint *from)
 {
-	PRODUCTION_COPY_TEXT(to->node, from->node);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	PRODUCTION_COPY_TEXT(to->host, from->address);
-	to->port = from->port;
+	PRODUCTION_COPY_TEXT(target->node, from->node);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	PRODUCTION_COPY_TEXT(target->host, from->address);
+	target->port = from->port;
 }
 
-static void convert_team(struct ws_team_setting *to, const struct production_team *from)
+static void convert_team(struct ws_team_setting *target, const struct production_team *from)
 {
-	PRODUCTION_COPY_TEXT(to->name, from->name);
-	to->cpus = from->cpus;
-	to->cpus_max = from->cpus_max;
-	to->gpus = from->gpus;
-	to->gpus_max = from->gpus_max;
+	PRODUCTION_COPY_TEXT(target->name, from->name);
+	target->cpus = from->cpus;
+	target->cpus_max = from->cpus_max;
+	target->gpus = from->gpus;
+	target->gpus_max = from->gpus_max;
 }
 
-static void convert_objective(struct ws_objective *to, const struct production_objective *from)
+static void convert_objective(struct ws_objective *target, const struct production_objective *from)
 {
-	PRODUCTION_COPY_TEXT(to->kind, from->kind);
-	PRODUCTION_COPY_TEXT(to->job_class, from->job_class);
-	to->within_s = from->within_s;
-	to->share = from->share;
+	PRODUCTION_COPY_TEXT(target->kind, from->kind);
+	PRODUCTION_COPY_TEXT(target->job_class, from->job_class);
+	target->within_s = from->within_s;
+	target->share = from->share;
 }
 
-static void convert_settings_lists(struct ws_settings *to, const struct production_settings *from)
+static void convert_settings_lists(struct ws_settings *target,
+				   const struct production_settings *from)
 {
-	to->npeers = from->peer_count;
+	target->npeers = from->peer_count;
 	for (size_t i = 0; i < from->zone_count; i++)
-		PRODUCTION_COPY_TEXT(to->zones[i], from->zones[i]);
-	to->nzones = from->zone_count;
-	to->nteams = from->team_count;
-	to->nobjectives = from->objective_count;
+		PRODUCTION_COPY_TEXT(target->zones[i], from->zones[i]);
+	target->nzones = from->zone_count;
+	target->nteams = from->team_count;
+	target->nobjectives = from->objective_count;
 	for (size_t i = 0; i < from->peer_count; i++)
-		convert_endpoint(&to->peers[i], &from->peers[i]);
+		convert_endpoint(&target->peers[i], &from->peers[i]);
 	for (size_t i = 0; i < from->team_count; i++)
-		convert_team(&to->teams[i], &from->teams[i]);
+		convert_team(&target->teams[i], &from->teams[i]);
 	for (size_t i = 0; i < from->objective_count; i++)
-		convert_objective(&to->objectives[i], &from->objectives[i]);
-}
-
-static void convert_settings_limits(struct ws_settings *to, const struct production_settings *from)
-{
-	to->report_s = from->heartbeat_s;
-	to->lease_s = from->lease_s;
-	to->cancel_s = from->cancel_s;
-	to->state_rps = from->store_requests_per_s;
-	to->state_write_rps = from->store_writes_per_s;
-	to->value_kb = from->value_kb;
-	to->txn_ops = from->transaction_operations;
-	to->cloud_rps = from->cloud_requests_per_s;
-	to->list_lag_s = from->list_lag_s;
-	to->core_share = from->core_share;
-	to->ram_mb = from->ram_mb;
-	to->max_sockets = from->max_sockets;
-	to->sockets = from->sockets;
-}
-
-static void convert_settings(struct ws_settings *to, const struct production_settings *from)
-{
-	PRODUCTION_COPY_TEXT(to->node, from->node);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	convert_endpoint(&to->bind, &from->bind);
-	convert_endpoint(&to->peer_bind, &from->peer_bind);
-	convert_endpoint(&to->cloud, &from->cloud);
-	convert_endpoint(&to->state, &from->store);
-	convert_settings_lists(to, from);
-	convert_settings_limits(to, from);
-}
-
-static void convert_policy(struct ws_policy *to, const struct production_policy *from)
-{
-	to->delta = from->delta;
-	to->rentals_max = from->scale_out_max;
-	to->wait_max_s = from->wait_max_s;
-	to->latency_bound_s = from->latency_bound_s;
-	to->rental_ceiling = from->instance_ceiling;
-	to->waiting_loads = from->waiting_demand_units;
-	to->empty_wait_s = from->empty_wait_s;
-	to->sizing_period_s = from->sizing_period_s;
-	to->leader_ttl_ratio = from->leader_ttl_ratio;
-	to->silent_ratio = from->silent_ratio;
-	to->boot_patience = from->boot_patience;
-}
-
-static void convert_job_spec(struct ws_spec *to, const struct production_job_spec *from)
-{
-	PRODUCTION_COPY_TEXT(to->id, from->id);
-	PRODUCTION_COPY_TEXT(to->job_class, from->job_class);
-	PRODUCTION_COPY_TEXT(to->team, from->team);
-	to->service = from->service;
-	to->gang = from->gang;
-	to->tier = PRODUCTION_ENUMERATOR(priorities, from->priority);
-	to->tasks = from->tasks;
-	to->cpus = from->cpus;
-	to->gpus = from->gpus;
-	to->mem = from->memory;
-	PRODUCTION_COPY_TEXT(to->image, from->image);
-	to->image_gb = from->image_gb;
-	to->ntypes = from->type_count;
+		convert_objective(&target->objectives[i], &from->objectives[i]);
+}
+
+static void convert_settings_limits(struct ws_settings *target,
+				    const struct production_settings *from)
+{
+	target->report_s = from->heartbeat_s;
+	target->lease_s = from->lease_s;
+	target->cancel_s = from->cancel_s;
+	target->state_rps = from->store_requests_per_s;
+	target->state_write_rps = from->store_writes_per_s;
+	target->value_kb = from->value_kb;
+	target->txn_ops = from->transaction_operations;
+	target->cloud_rps = from->cloud_requests_per_s;
+	target->list_lag_s = from->list_lag_s;
+	target->core_share = from->core_share;
+	target->ram_mb = from->ram_mb;
+	target->max_sockets = from->max_sockets;
+	target->sockets = from->sockets;
+}
+
+static void convert_settings(struct ws_settings *target, const struct production_settings *from)
+{
+	PRODUCTION_COPY_TEXT(target->node, from->node);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	convert_endpoint(&target->bind, &from->bind);
+	convert_endpoint(&target->peer_bind, &from->peer_bind);
+	convert_endpoint(&target->cloud, &from->cloud);
+	convert_endpoint(&target->state, &from->store);
+	convert_settings_lists(target, from);
+	convert_settings_limits(target, from);
+}
+
+static void convert_policy(struct ws_policy *target, const struct production_policy *from)
+{
+	target->delta = from->delta;
+	target->rentals_max = from->scale_out_max;
+	target->wait_max_s = from->wait_max_s;
+	target->latency_bound_s = from->latency_bound_s;
+	target->rental_ceiling = from->instance_ceiling;
+	target->waiting_loads = from->waiting_demand_units;
+	target->empty_wait_s = from->empty_wait_s;
+	target->sizing_period_s = from->sizing_period_s;
+	target->leader_ttl_ratio = from->leader_ttl_ratio;
+	target->silent_ratio = from->silent_ratio;
+	target->boot_patience = from->boot_patience;
+}
+
+static void convert_job_spec(struct ws_spec *target, const struct production_job_spec *from)
+{
+	PRODUCTION_COPY_TEXT(target->id, from->id);
+	PRODUCTION_COPY_TEXT(target->job_class, from->job_class);
+	PRODUCTION_COPY_TEXT(target->team, from->team);
+	target->service = from->service;
+	target->gang = from->gang;
+	target->tier = PRODUCTION_ENUMERATOR(priorities, from->priority);
+	target->tasks = from->tasks;
+	target->cpus = from->cpus;
+	target->gpus = from->gpus;
+	target->mem = from->memory;
+	PRODUCTION_COPY_TEXT(target->image, from->image);
+	target->image_gb = from->image_gb;
+	target->ntypes = from->type_count;
 	for (size_t i = 0; i < from->type_count; i++)
-		PRODUCTION_COPY_TEXT(to->types[i], from->types[i]);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	to->one_zone = from->one_zone;
-	to->spread = from->spread;
-	to->spot = from->preemptible;
-	to->estimate_s = from->estimate_s;
-	to->checkpoint_s = from->checkpoint_s;
-	to->save_s = from->save_s;
-	to->deadline_s = from->deadline_s;
-}
-
-static void convert_machine_type(struct ws_type *to, const struct production_machine_type *from)
-{
-	PRODUCTION_COPY_TEXT(to->name, from->name);
-	to->cpus = from->cpus;
-	to->gpus = from->gpus;
-	to->mem = from->memory;
-	to->local_gb = from->local_gb;
-	to->fetch_gb_s = from->fetch_gb_s;
-	to->price = from->price;
-	to->spot_price = from->preemptible_price;
-	to->boot_s = from->boot_s;
-	to->nzones = from->zone_count;
+		PRODUCTION_COPY_TEXT(target->types[i], from->types[i]);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	target->one_zone = from->one_zone;
+	target->spread = from->spread;
+	target->spot = from->preemptible;
+	target->estimate_s = from->estimate_s;
+	target->checkpoint_s = from->checkpoint_s;
+	target->save_s = from->save_s;
+	target->deadline_s = from->deadline_s;
+}
+
+static void convert_machine_type(struct ws_type *target, const struct production_machine_type *from)
+{
+	PRODUCTION_COPY_TEXT(target->name, from->name);
+	target->cpus = from->cpus;
+	target->gpus = from->gpus;
+	target->mem = from->memory;
+	target->local_gb = from->local_gb;
+	target->fetch_gb_s = from->fetch_gb_s;
+	target->price = from->price;
+	target->spot_price = from->preemptible_price;
+	target->boot_s = from->boot_s;
+	target->nzones = from->zone_count;
 	for (size_t i = 0; i < from->zone_count; i++)
-		PRODUCTION_COPY_TEXT(to->zones[i], from->zones[i]);
+		PRODUCTION_COPY_TEXT(target->zones[i], from->zones[i]);
 }
 
-static void convert_task(struct ws_task_report *to, const struct production_task_status *from)
+static void convert_task(struct ws_task_report *target, const struct production_task_status *from)
 {
-	PRODUCTION_COPY_TEXT(to->job, from->job);
-	to->task = from->task;
-	to->attempt = from->attempt;
-	to->state = PRODUCTION_ENUMERATOR(task_states, from->state);
-	to->why = PRODUCTION_ENUMERATOR(exit_reasons, from->exit_reason);
+	PRODUCTION_COPY_TEXT(target->job, from->job);
+	target->task = from->task;
+	target->attempt = from->attempt;
+	target->state = PRODUCTION_ENUMERATOR(task_states, from->state);
+	target->why = PRODUCTION_ENUMERATOR(exit_reasons, from->exit_reason);
 }
 
-static void convert_heartbeat(struct ws_report *to, const struct production_heartbeat *from)
+static void convert_heartbeat(struct ws_report *target, const struct production_heartbeat *from)
 {
-	PRODUCTION_COPY_TEXT(to->machine, from->machine);
-	PRODUCTION_COPY_TEXT(to->host, from->address);
-	to->port = from->port;
-	PRODUCTION_COPY_TEXT(to->type, from->type);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	to->spot = from->preemptible;
-	to->tenure = from->incarnation;
-	to->counter = from->sequence_number;
-	to->epoch = from->fencing_token;
-	to->notice_s = from->preemption_notice_s;
-	to->ntasks = from->task_count;
-	to->tasks = production_allocate(from->task_count, sizeof(*to->tasks));
+	PRODUCTION_COPY_TEXT(target->machine, from->machine);
+	PRODUCTION_COPY_TEXT(target->host, from->address);
+	target->port = from->port;
+	PRODUCTION_COPY_TEXT(target->type, from->type);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	target->spot = from->preemptible;
+	target->tenure = from->incarnation;
+	target->counter = from->sequence_number;
+	target->epoch = from->fencing_token;
+	target->notice_s = from->preemption_notice_s;
+	target->ntasks = from->task_count;
+	target->tasks = production_allocate(from->task_count, sizeof(*target->tasks));
 	for (size_t i = 0; i < from->task_count; i++)
-		convert_task(&to->tasks[i], &from->tasks[i]);
+		convert_task(&target->tasks[i], &from->tasks[i]);
 }
 
-static void convert_instance(struct ws_host *to, const struct production_instance *from)
+static void convert_instance(struct ws_host *target, const struct production_instance *from)
 {
-	PRODUCTION_COPY_TEXT(to->name, from->name);
-	PRODUCTION_COPY_TEXT(to->host, from->address);
-	to->port = from->port;
-	PRODUCTION_COPY_TEXT(to->type, from->type);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	to->spot = from->preemptible;
-	to->phase = PRODUCTION_ENUMERATOR(instance_phases, from->phase);
-	to->age_s = from->age_s;
+	PRODUCTION_COPY_TEXT(target->name, from->name);
+	PRODUCTION_COPY_TEXT(target->host, from->address);
+	target->port = from->port;
+	PRODUCTION_COPY_TEXT(target->type, from->type);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	target->spot = from->preemptible;
+	target->phase = PRODUCTION_ENUMERATOR(instance_phases, from->phase);
+	target->age_s = from->age_s;
 }
 
-static void convert_record(struct ws_kv *to, const struct production_record *from)
+static void convert_record(struct ws_kv *target, const struct production_record *from)
 {
-	PRODUCTION_COPY_TEXT(to->key, from->key);
-	to->value = from->value;
-	to->stamp = from->revision;
+	PRODUCTION_COPY_TEXT(target->key, from->key);
+	target->value = from->value;
+	target->stamp = from->revision;
 }
 
 /* Values of records are borrowed; clear_result() frees the rest. */
-static void convert_result(struct ws_result *to, const struct production_result *from)
-{
-	to->status = from->status;
-	to->rev = from->revision;
-	to->hold = from->session;
-	to->more = from->more;
-	to->no_capacity = from->no_capacity;
-	to->nkvs = from->record_count;
-	to->kvs = production_allocate(from->record_count, sizeof(*to->kvs));
+static void convert_result(struct ws_result *target, const struct production_result *from)
+{
+	target->status = from->status;
+	target->rev = from->revision;
+	target->hold = from->session;
+	target->more = from->more;
+	target->no_capacity = from->no_capacity;
+	target->nkvs = from->record_count;
+	target->kvs = production_allocate(from->record_count, sizeof(*target->kvs));
 	for (size_t i = 0; i < from->record_count; i++)
-		convert_record(&to->kvs[i], &from->records[i]);
-	to->nfailed = from->failed_key_count;
-	to->failed = production_allocate(from->failed_key_count, sizeof(*to->failed));
+		convert_record(&target->kvs[i], &from->records[i]);
+	target->nfailed = from->failed_key_count;
+	target->failed = production_allocate(from->failed_key_count, sizeof(*target->failed));
 	for (size_t i = 0; i < from->failed_key_count; i++)
-		PRODUCTION_COPY_TEXT(to->failed[i], from->failed_keys[i]);
-	to->ntypes = from->type_count;
-	to->types = production_allocate(from->type_count, sizeof(*to->types));
+		PRODUCTION_COPY_TEXT(target->failed[i], from->failed_keys[i]);
+	target->ntypes = from->type_count;
+	target->types = production_allocate(from->type_count, sizeof(*target->types));
 	for (size_t i = 0; i < from->type_count; i++)
-		convert_machine_type(&to->types[i], &from->types[i]);
-	to->nhosts = from->instance_count;
-	to->hosts = production_allocate(from->instance_count, sizeof(*to->hosts));
+		convert_machine_type(&target->types[i], &from->types[i]);
+	target->nhosts = from->instance_count;
+	target->hosts = production_allocate(from->instance_count, sizeof(*target->hosts));
 	for (size_t i = 0; i < from->instance_count; i++)
-		convert_instance(&to->hosts[i], &from->instances[i]);
-	to->report = NULL;
+		convert_instance(&target->hosts[i], &from->instances[i]);
+	target->report = NULL;
 	if (from->heartbeat) {
-		to->report = production_allocate(1, sizeof(*to->report));
-		convert_heartbeat(to->report, from->heartbeat);
+		target->report = production_allocate(1, sizeof(*target->report));
+		convert_heartbeat(target->report, from->heartbeat);
 	}
 }
 
@@ -314,91 +316,91 @@
 
 /* ---- out of the core ---- */
 
-static void convert_command(struct production_command *to, const struct ws_order *from)
+static void convert_command(struct production_command *target, const struct ws_order *from)
 {
-	to->kind = PRODUCTION_ENUMERATOR(command_kinds, from->verb);
-	PRODUCTION_COPY_TEXT(to->job, from->job);
-	to->task = from->task;
-	to->attempt = from->attempt;
-	to->grace_s = from->grace_s;
+	target->kind = PRODUCTION_ENUMERATOR(command_kinds, from->verb);
+	PRODUCTION_COPY_TEXT(target->job, from->job);
+	target->task = from->task;
+	target->attempt = from->attempt;
+	target->grace_s = from->grace_s;
 }
 
-static void convert_compare(struct production_compare *to, const struct ws_cond *from)
+static void convert_compare(struct production_compare *target, const struct ws_cond *from)
 {
-	PRODUCTION_COPY_TEXT(to->key, from->key);
-	to->revision = from->stamp;
+	PRODUCTION_COPY_TEXT(target->key, from->key);
+	target->revision = from->stamp;
 }
 
-static void convert_operation(struct production_operation *to, const struct ws_op *from)
+static void convert_operation(struct production_operation *target, const struct ws_op *from)
 {
-	PRODUCTION_COPY_TEXT(to->key, from->key);
-	to->value = from->value;
-	to->session = from->hold;
+	PRODUCTION_COPY_TEXT(target->key, from->key);
+	target->value = from->value;
+	target->session = from->hold;
 }
 
-static void convert_call_lists(struct production_call *to, const struct ws_call *from)
+static void convert_call_lists(struct production_call *target, const struct ws_call *from)
 {
-	to->compare_count = from->nconds;
-	to->compares = production_allocate(from->nconds, sizeof(*to->compares));
+	target->compare_count = from->nconds;
+	target->compares = production_allocate(from->nconds, sizeof(*target->compares));
 	for (size_t i = 0; i < from->nconds; i++)
-		convert_compare(&to->compares[i], &from->conds[i]);
-	to->operation_count = from->nops;
-	to->operations = production_allocate(from->nops, sizeof(*to->operations));
+		convert_compare(&target->compares[i], &from->conds[i]);
+	target->operation_count = from->nops;
+	target->operations = production_allocate(from->nops, sizeof(*target->operations));
 	for (size_t i = 0; i < from->nops; i++)
-		convert_operation(&to->operations[i], &from->ops[i]);
-	to->name_count = from->nnames;
-	to->names = production_allocate(from->nnames, sizeof(*to->names));
+		convert_operation(&target->operations[i], &from->ops[i]);
+	target->name_count = from->nnames;
+	target->names = production_allocate(from->nnames, sizeof(*target->names));
 	for (size_t i = 0; i < from->nnames; i++)
-		PRODUCTION_COPY_TEXT(to->names[i], from->names[i]);
-	to->command_count = from->norders;
-	to->commands = production_allocate(from->norders, sizeof(*to->commands));
+		PRODUCTION_COPY_TEXT(target->names[i], from->names[i]);
+	target->command_count = from->norders;
+	target->commands = production_allocate(from->norders, sizeof(*target->commands));
 	for (size_t i = 0; i < from->norders; i++)
-		convert_command(&to->commands[i], &from->orders[i]);
-}
-
-static void convert_call(struct production_call *to, struct ws_call *from)
-{
-	to->kind = PRODUCTION_ENUMERATOR(call_kinds, from->kind);
-	PRODUCTION_COPY_TEXT(to->key, from->key);
-	PRODUCTION_COPY_TEXT(to->after, from->after);
-	to->since = from->since;
-	to->duration_ms = from->ms;
-	to->session = from->hold;
-	PRODUCTION_COPY_TEXT(to->type, from->type);
-	PRODUCTION_COPY_TEXT(to->zone, from->zone);
-	to->preemptible = from->spot;
-	to->count = from->count;
-	PRODUCTION_COPY_TEXT(to->address, from->host);
-	to->port = from->port;
-	to->fencing_token = from->epoch;
-	to->incarnation = from->tenure;
-	to->urgent = from->urgent;
-	to->paced = from->paced;
-	to->made_at = from->made;
-	convert_call_lists(to, from);
-	to->origin = from;
-}
-
-static void convert_effect(struct production_effect *to, const struct ws_action *from)
-{
-	to->kind = PRODUCTION_ENUMERATOR(effect_kinds, from->kind);
-	to->token = from->token;
-	to->status = from->status;
-	to->retry_after = from->retry_after;
-	PRODUCTION_COPY_TEXT(to->name, from->name);
-	to->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
-	to->done = from->done;
-	to->running = from->running;
-	to->has_counts = from->counts;
-	to->pinned = from->pinned;
-	to->fencing_token = from->epoch;
-	to->command_count = from->norders;
-	to->commands = production_allocate(from->norders, sizeof(*to->commands));
+		convert_command(&target->commands[i], &from->orders[i]);
+}
+
+static void convert_call(struct production_call *target, struct ws_call *from)
+{
+	target->kind = PRODUCTION_ENUMERATOR(call_kinds, from->kind);
+	PRODUCTION_COPY_TEXT(target->key, from->key);
+	PRODUCTION_COPY_TEXT(target->after, from->after);
+	target->since = from->since;
+	target->duration_ms = from->ms;
+	target->session = from->hold;
+	PRODUCTION_COPY_TEXT(target->type, from->type);
+	PRODUCTION_COPY_TEXT(target->zone, from->zone);
+	target->preemptible = from->spot;
+	target->count = from->count;
+	PRODUCTION_COPY_TEXT(target->address, from->host);
+	target->port = from->port;
+	target->fencing_token = from->epoch;
+	target->incarnation = from->tenure;
+	target->urgent = from->urgent;
+	target->paced = from->paced;
+	target->made_at = from->made;
+	convert_call_lists(target, from);
+	target->origin = from;
+}
+
+static void convert_effect(struct production_effect *target, const struct ws_action *from)
+{
+	target->kind = PRODUCTION_ENUMERATOR(effect_kinds, from->kind);
+	target->token = from->token;
+	target->status = from->status;
+	target->retry_after = from->retry_after;
+	PRODUCTION_COPY_TEXT(target->name, from->name);
+	target->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
+	target->done = from->done;
+	target->running = from->running;
+	target->has_counts = from->counts;
+	target->pinned = from->pinned;
+	target->fencing_token = from->epoch;
+	target->command_count = from->norders;
+	target->commands = production_allocate(from->norders, sizeof(*target->commands));
 	for (size_t i = 0; i < from->norders; i++)
-		convert_command(&to->commands[i], &from->orders[i]);
+		convert_command(&target->commands[i], &from->orders[i]);
 	if (from->call) {
-		to->call = production_allocate(1, sizeof(*to->call));
-		convert_call(to->call, from->call);
+		target->call = production_allocate(1, sizeof(*target->call));
+		convert_call(target->call, from->call);
 	}
 }
 
