--- a/src/config.c
+++ b/src/config.c
@@ -15,6 +15,14 @@
 #define MAX_SOCKETS_MAX 1000000
 #define MACHINES_MAX 10000
 
+/* Writes the path of a field of an array's entry: "seeds[0].node"; returns `path`. */
+static const char *entry_path(char path[PATH_MAX_LENGTH], const char *array, size_t index,
+			      const char *field)
+{
+	snprintf(path, PATH_MAX_LENGTH, "%s[%zu].%s", array, index, field);
+	return path;
+}
+
 static void read_addresses(struct ws_config_reader *reader, struct ws_settings *settings)
 {
 	char path[PATH_MAX_LENGTH];
@@ -27,12 +35,12 @@
 	ws_config_endpoint(reader, "services.state", &settings->state);
 	settings->peer_count = ws_config_count(reader, "seeds", WS_MAX_PEERS, false);
 	for (size_t i = 0; i < settings->peer_count && reader->valid; i++) {
-		snprintf(path, sizeof(path), "seeds[%zu].node", i);
-		ws_config_text(reader, path, settings->peers[i].node, WS_NAME_MAX);
-		snprintf(path, sizeof(path), "seeds[%zu].endpoint", i);
-		ws_config_endpoint(reader, path, &settings->peers[i]);
-		snprintf(path, sizeof(path), "seeds[%zu].zone", i);
-		ws_config_optional_text(reader, path, settings->peers[i].zone, WS_NAME_MAX);
+		ws_config_text(reader, entry_path(path, "seeds", i, "node"),
+			       settings->peers[i].node, WS_NAME_MAX);
+		ws_config_endpoint(reader, entry_path(path, "seeds", i, "endpoint"),
+				   &settings->peers[i]);
+		ws_config_optional_text(reader, entry_path(path, "seeds", i, "zone"),
+					settings->peers[i].zone, WS_NAME_MAX);
 	}
 	settings->zone_count = ws_config_count(reader, "settings.zones", WS_MAX_ZONES, true);
 	for (size_t i = 0; i < settings->zone_count && reader->valid; i++) {
@@ -45,16 +53,16 @@
 {
 	char path[PATH_MAX_LENGTH];
 
-	snprintf(path, sizeof(path), "settings.teams[%zu].name", index);
-	ws_config_text(reader, path, team->name, WS_NAME_MAX);
-	snprintf(path, sizeof(path), "settings.teams[%zu].cpus", index);
-	ws_config_number(reader, path, &team->cpus, 0, true);
-	snprintf(path, sizeof(path), "settings.teams[%zu].cpus_max", index);
-	ws_config_number(reader, path, &team->cpus_max, 0, true);
-	snprintf(path, sizeof(path), "settings.teams[%zu].gpus", index);
-	ws_config_number(reader, path, &team->gpus, 0, false);
-	snprintf(path, sizeof(path), "settings.teams[%zu].gpus_max", index);
-	ws_config_number(reader, path, &team->gpus_max, 0, false);
+	ws_config_text(reader, entry_path(path, "settings.teams", index, "name"), team->name,
+		       WS_NAME_MAX);
+	ws_config_number(reader, entry_path(path, "settings.teams", index, "cpus"), &team->cpus, 0,
+			 true);
+	ws_config_number(reader, entry_path(path, "settings.teams", index, "cpus_max"),
+			 &team->cpus_max, 0, true);
+	ws_config_number(reader, entry_path(path, "settings.teams", index, "gpus"), &team->gpus, 0,
+			 false);
+	ws_config_number(reader, entry_path(path, "settings.teams", index, "gpus_max"),
+			 &team->gpus_max, 0, false);
 }
 
 static void read_objective(struct ws_config_reader *reader, struct ws_objective *objective,
@@ -62,14 +70,14 @@
 {
 	char path[PATH_MAX_LENGTH];
 
-	snprintf(path, sizeof(path), "settings.objectives[%zu].kind", index);
-	ws_config_text(reader, path, objective->kind, sizeof(objective->kind));
-	snprintf(path, sizeof(path), "settings.objectives[%zu].class", index);
-	ws_config_optional_text(reader, path, objective->job_class, WS_NAME_MAX);
-	snprintf(path, sizeof(path), "settings.objectives[%zu].within_s", index);
-	ws_config_number(reader, path, &objective->within_s, 0, false);
-	snprintf(path, sizeof(path), "settings.objectives[%zu].share", index);
-	ws_config_number(reader, path, &objective->share, 0, false);
+	ws_config_text(reader, entry_path(path, "settings.objectives", index, "kind"),
+		       objective->kind, sizeof(objective->kind));
+	ws_config_optional_text(reader, entry_path(path, "settings.objectives", index, "class"),
+				objective->job_class, WS_NAME_MAX);
+	ws_config_number(reader, entry_path(path, "settings.objectives", index, "within_s"),
+			 &objective->within_s, 0, false);
+	ws_config_number(reader, entry_path(path, "settings.objectives", index, "share"),
+			 &objective->share, 0, false);
 }
 
 static void read_users(struct ws_config_reader *reader, struct ws_settings *settings)
--- a/src/config_reader.h
+++ b/src/config_reader.h
@@ -5,7 +5,7 @@
 #include "startup_error.h"
 #include "toml.h"
 
-/* A file being read. Once a field was wrong, `ok` stays false and later errors are dropped. */
+/* A file being read. Once a field was wrong, `valid` stays false and later errors are dropped. */
 struct ws_config_reader {
 	struct ws_toml *toml;
 	const char *file;
@@ -26,10 +26,10 @@
 
 /* A string that must be there and not be empty. */
 void ws_config_text(struct ws_config_reader *reader, const char *path, char *target, size_t size);
-/* A string that may be missing; then `to` stays as it is. */
+/* A string that may be missing; then `target` stays as it is. */
 void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *target,
 			     size_t size);
-/* A number of at least `least`; if it is missing and not needed, `to` stays as it is. */
+/* A number of at least `least`; if it is missing and not needed, `target` stays as it is. */
 void ws_config_number(struct ws_config_reader *reader, const char *path, double *target,
 		      double least, bool needed);
 /* A time or a share of which there must be some. */
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -314,11 +314,11 @@
 {
 	struct connection *connection = watcher->data;
 	char bytes[WS_READ_SIZE];
-	ssize_t count = recv(connection->fd, bytes, sizeof(bytes), 0);
+	ssize_t count;
 
 	(void)loop;
 	(void)events;
-	if (count < 0 && (errno == EAGAIN || errno == EINTR))
+	if (!ws_socket_receive(connection->fd, bytes, sizeof(bytes), &count))
 		return;
 	if (count <= 0 || connection->busy) { /* pipelining is not allowed */
 		close_and_free(connection);
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -287,9 +287,8 @@
 		close_connection(connection);
 		return;
 	}
-	count = recv(connection->fd, connection->in + connection->in_length,
-		     connection->in_capacity - connection->in_length, 0);
-	if (count < 0 && (errno == EAGAIN || errno == EINTR))
+	if (!ws_socket_receive(connection->fd, connection->in + connection->in_length,
+			       connection->in_capacity - connection->in_length, &count))
 		return;
 	if (count <= 0) {
 		close_connection(connection);
--- a/src/io/sockets.c
+++ b/src/io/sockets.c
@@ -82,6 +82,12 @@
 	return !error;
 }
 
+bool ws_socket_receive(int socket_fd, void *bytes, size_t size, ssize_t *count)
+{
+	*count = recv(socket_fd, bytes, size, 0);
+	return *count >= 0 || (errno != EAGAIN && errno != EINTR);
+}
+
 bool ws_socket_would_block(void)
 {
 	return errno == EAGAIN;
--- a/src/io/sockets.h
+++ b/src/io/sockets.h
@@ -4,6 +4,7 @@
 #include <netinet/in.h>
 #include <stdbool.h>
 #include <stddef.h>
+#include <sys/types.h>
 
 /* -1 with errno if there is none to be had. */
 int ws_socket_open(void);
@@ -19,6 +20,11 @@
 int ws_socket_accept(int listener_fd);
 /* Whether a connection under way came about; false: it failed. */
 bool ws_socket_connected(int socket_fd);
+/*
+ * Receives what has arrived, up to `size` bytes; false if there is nothing to receive yet. `count`
+ * becomes the number of bytes, 0 at the end of the connection, or negative with errno on an error.
+ */
+bool ws_socket_receive(int socket_fd, void *bytes, size_t size, ssize_t *count);
 /* Whether errno says that the socket is to be waited for. */
 bool ws_socket_would_block(void);
 #endif
