--- a/src/cold_start/cold_start.c
+++ b/src/cold_start/cold_start.c
@@ -135,8 +135,8 @@
 }
 
 /*
- * A phase on record goes on if nobody else led since: an earlier leader that is proven to have
- * lived of late must be the one that wrote it.
+ * A recorded phase is resumed if there was no other leader since: an earlier leader that is proven
+ * to have lived of late must be the one that wrote it.
  */
 static void records_loaded(void *self, double now)
 {
--- a/src/cold_start/observation.c
+++ b/src/cold_start/observation.c
@@ -1,6 +1,7 @@
 /*
- * Observation: which of the machines that ought to answer have, zone by zone. A zone has answered
- * when the wanted share of them has shown this leader's token, or when their leases are surely out.
+ * Observation: which of the expected machines have answered, zone by zone. A zone has answered when
+ * the configured share of them has sent this leader's fencing token, or when all their leases have
+ * expired.
  */
 #include "observation.h"
 #include "../subsystem_support/subsystem_memory.h"
@@ -78,7 +79,7 @@
 	free(machine);
 }
 
-/* A machine that is gone will not answer, so nobody waits for it. */
+/* A machine that is gone will not answer: it is not expected any more. */
 void ws_cold_start_machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss)
 {
 	struct ws_cold_start_machine *machine = handle;
