--- a/src/core/api/heartbeat_requests.c
+++ b/src/core/api/heartbeat_requests.c
@@ -121,10 +121,7 @@
 		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
 	}
-	if (!forwarded)
-		core->leadership.forwarded_only_since = 0;
-	else if (!core->leadership.forwarded_only_since)
-		core->leadership.forwarded_only_since = core->now;
+	ws_leadership_saw_worker(core, forwarded);
 	if (!ws_fleet_heartbeat(core, heartbeat, request_id)) {
 		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -57,6 +57,4 @@
 	memset(autoscaler->capacity_errors, 0, sizeof(autoscaler->capacity_errors));
 	autoscaler->scale_ins_due = 0;
 	autoscaler->measured_at = 0;
-	autoscaler->units_arrived = autoscaler->units_completed = 0;
-	autoscaler->busy_unit_seconds = autoscaler->busy_units = 0;
 }
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -64,12 +64,9 @@
 	struct ws_capacity_error capacity_errors[WS_MAX_TYPES][WS_MAX_ZONES]
 						[2]; /* ordinary, preemptible */
 	int units_waiting;			     /* demand units that wait, at the last pass */
-	/* the queue model: its result, and what is measured for it, in demand units */
+	/* the queue model: its result, in demand units, and when it is measured for */
 	int unit_limit; /* the paper's k; below 0: not known yet */
 	double measured_at, next_measurement_at;
-	double units_arrived, units_completed, busy_unit_seconds; /* since the last measurement */
-	double busy_units, busy_counted_at; /* held by attempts, and counted up to then */
-	double boot_seconds, boots;
 };
 
 /* ---- autoscaler.c ---- */
--- a/src/core/autoscaler/queue_measurements.c
+++ b/src/core/autoscaler/queue_measurements.c
@@ -55,28 +55,18 @@
 }
 
 /* Boots of one machine in a second: as measured, or by the catalog while none is. */
-static double ws_boot_rate(const struct ws_core *core)
+static double ws_boot_rate(const struct ws_core *core, const struct ws_workload_stats *stats)
 {
 	const struct ws_catalog *catalog = &core->catalog;
 	double mean_boot_s = 0;
 
-	if (core->autoscaler.boots > 0)
-		return core->autoscaler.boots / core->autoscaler.boot_seconds;
+	if (stats->boots > 0)
+		return stats->boots / stats->boot_seconds;
 	for (size_t i = 0; i < catalog->type_count; i++)
 		mean_boot_s += catalog->types[i].boot_s / (double)catalog->type_count;
 	return mean_boot_s > 0 ? 1 / mean_boot_s : 0;
 }
 
-/* Counts the busy units up to now. */
-static void ws_busy_units_count(struct ws_core *core)
-{
-	struct ws_autoscaler *autoscaler = &core->autoscaler;
-
-	autoscaler->busy_unit_seconds +=
-	    autoscaler->busy_units * (core->now - autoscaler->busy_counted_at);
-	autoscaler->busy_counted_at = core->now;
-}
-
 /* Fills in the operators' settings, or what is derived for those that are not set. */
 static void ws_measurement_set_policy(const struct ws_core *core,
 				      struct ws_queue_measurement *measurement)
@@ -107,6 +97,7 @@
 			      struct ws_queue_measurement *measurement)
 {
 	struct ws_autoscaler *autoscaler = &core->autoscaler;
+	struct ws_workload_stats stats;
 	double period_s;
 
 	if (core->leadership.role != WS_LEADER || core->policy.rental_ceiling < 0 ||
@@ -117,19 +108,14 @@
 		return false;
 	}
 	period_s = now - autoscaler->measured_at;
-	ws_busy_units_count(core);
+	stats = ws_stats_take(core);
 	memset(measurement, 0, sizeof(*measurement));
-	measurement->arrival_rate = autoscaler->units_arrived / period_s;
+	measurement->arrival_rate = stats.units_arrived / period_s;
 	measurement->service_rate =
-	    autoscaler->busy_unit_seconds > 0
-		? autoscaler->units_completed / autoscaler->busy_unit_seconds
-		: 0;
-	measurement->boot_rate = ws_boot_rate(core);
+	    stats.busy_unit_seconds > 0 ? stats.units_completed / stats.busy_unit_seconds : 0;
+	measurement->boot_rate = ws_boot_rate(core, &stats);
 	measurement->owned = ws_owned_units(core);
 	ws_measurement_set_policy(core, measurement);
-	autoscaler->units_arrived = 0;
-	autoscaler->units_completed = 0;
-	autoscaler->busy_unit_seconds = 0;
 	ws_measurement_restart(core, now);
 	return measurement->arrival_rate > 0 && measurement->service_rate > 0 &&
 	       measurement->boot_rate > 0;
@@ -147,5 +133,5 @@
 		       "mean_wait_s=%.2f",
 		       limit, core->autoscaler.unit_limit, mean_scaled_out, mean_wait_s);
 	core->autoscaler.unit_limit = limit;
-	core->scheduler.pass_wanted = true;
+	ws_core_request_pass(core);
 }
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -91,7 +91,7 @@
 	ws_log(core, WS_LOG_INFO, "scale-in machine=%s reason=\"%s\"", machine->name,
 	       scale_in_reason_names[reason]);
 	machine->scale_in_requested = true;
-	core->scheduler.pass_wanted = true;
+	ws_core_request_pass(core);
 }
 
 static bool ws_scale_in_is_due(const struct ws_core *core, const struct ws_machine *machine)
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -153,7 +153,7 @@
 		request->state = WS_SCALE_OUT_RECORDED;
 		request->next_attempt_at = ws_cloud_call_retry_at(core);
 	}
-	core->scheduler.pass_wanted = true;
+	ws_core_request_pass(core);
 }
 
 static void ws_scale_out_send(struct ws_core *core, struct ws_scale_out *request)
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -48,7 +48,7 @@
 		catalog->types_edition++;
 		catalog->request_in_flight = false;
 		catalog->next_request_at = core->now + core->settings->lease_s * REFRESH_LEASES;
-		core->scheduler.pass_wanted = true;
+		ws_core_request_pass(core);
 		return;
 	}
 	if (!catalog->type_count) {
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -121,6 +121,7 @@
 	ws_fleet_clear(core);
 	ws_jobs_clear(core);
 	ws_autoscaler_reset(core);
+	ws_stats_reset(core);
 	ws_images_clear(core);
 	ws_scheduler_reset(core);
 	ws_writer_reset(core);
@@ -128,8 +129,20 @@
 	core->catalog.types_recorded = false;
 }
 
+void ws_core_request_pass(struct ws_core *core)
+{
+	core->scheduler.pass_wanted = true;
+}
+
+void ws_core_instance_gone(struct ws_core *core)
+{
+	core->autoscaler.instances_stale = true;
+}
+
 void ws_core_elected(struct ws_core *core)
 {
+	core->jobs.attempt_sequence = 0;
+	core->autoscaler.request_sequence = 0;
 	ws_subsystems_elected(core);
 	ws_loader_start(core);
 }
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -28,6 +28,7 @@
 #include "store/writer.h"
 #include "tombstones.h"
 #include "transaction.h"
+#include "workload_stats.h"
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -62,6 +63,7 @@
 	struct ws_fleet fleet;
 	struct ws_scheduler scheduler;
 	struct ws_autoscaler autoscaler;
+	struct ws_workload_stats stats;
 	struct ws_subsystems subsystems;
 };
 
@@ -80,6 +82,10 @@
 /*
  * What a part has to say upwards goes through these, which stand above all parts.
  */
+/* Something changed that may let tasks be placed: the scheduler is to make a pass. */
+void ws_core_request_pass(struct ws_core *core);
+/* The fleet: a machine is gone, so records of scale-out requests may be out of date. */
+void ws_core_instance_gone(struct ws_core *core);
 /* Leadership: this node was elected; its records are to be read. */
 void ws_core_elected(struct ws_core *core);
 /* The job watch: the record of a job changed, for the leader's replica. */
--- a/src/core/extension/subsystem_requests.c
+++ b/src/core/extension/subsystem_requests.c
@@ -184,7 +184,7 @@
 	ws_job_moves_merge(job);
 	job->lost_recorded_attempts = false;
 	core->subsystems.moves = true;
-	core->scheduler.pass_wanted = true;
+	ws_core_request_pass(core);
 }
 
 /* A job that a subsystem asks about: the context of the reads that this takes. */
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -195,7 +195,7 @@
 		      heartbeat->sequence > machine->sequence) ||
 		     !machine->reported;
 
-	core->leadership.forwarded_only_since = 0; /* the machine can be reached from here */
+	ws_leadership_saw_worker(core, false); /* the machine can be reached from here */
 	machine->unreachable = false;
 	if (!newer)
 		return;
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -6,14 +6,12 @@
 {
 	machine->reported = true;
 	machine->up_at = core->now;
-	if (!machine->owned && core->now - machine->first_seen > core->settings->report_s) {
-		core->autoscaler.boot_seconds += core->now - machine->first_seen;
-		core->autoscaler.boots += 1;
-	}
+	if (!machine->owned && core->now - machine->first_seen > core->settings->report_s)
+		ws_stats_booted(core, core->now - machine->first_seen);
 	ws_log(core, WS_LOG_INFO, "machine up machine=%s type=%s zone=%s preemptible=%s owned=%s",
 	       machine->name, machine->type_name, machine->zone,
 	       machine->preemptible ? "yes" : "no", machine->owned ? "yes" : "no");
-	core->scheduler.pass_wanted = true;
+	ws_core_request_pass(core);
 }
 
 /* What a machine is, and where it is reached. */
@@ -72,7 +70,7 @@
 	machine->preempted_at = core->now + notice_s;
 	ws_log(core, WS_LOG_INFO, "preemption notice machine=%s notice_s=%.0f", machine->name,
 	       notice_s);
-	core->scheduler.pass_wanted = true;
+	ws_core_request_pass(core);
 }
 
 /* Releases the attempts that a machine's newest heartbeat does not name. */
--- a/src/core/fleet/machine_leases.c
+++ b/src/core/fleet/machine_leases.c
@@ -105,7 +105,7 @@
 			 core->now + core->settings->lease_s +
 			     RETURNED_LIST_LAGS * core->settings->list_lag_s);
 	ws_machine_release_attempts(core, machine, WS_RECONCILED_MACHINE_GONE);
-	core->autoscaler.instances_stale = true;
+	ws_core_instance_gone(core);
 	if (machine->shard >= 0)
 		ws_shard_mark_dirty(core, machine->shard);
 }
--- a/src/core/fleet/quarantine.c
+++ b/src/core/fleet/quarantine.c
@@ -15,7 +15,7 @@
 	attempt->machine->quarantine.running--;
 	attempt->task_state = WS_TASK_EXITED;
 	attempt->exit_reason = WS_EXIT_DONE;
-	core->scheduler.pass_wanted = true; /* its machine may take tasks again */
+	ws_core_request_pass(core); /* its machine may take tasks again */
 }
 
 /* Ends the quarantine of an attempt and the attempt. */
--- a/src/core/fleet/task_reports.c
+++ b/src/core/fleet/task_reports.c
@@ -77,7 +77,7 @@
 	if (!job)
 		return;
 	if (attempt->running_at > 0)
-		core->autoscaler.units_completed += ws_demand_units_of(core, &job->spec);
+		ws_stats_completed(core, ws_demand_units_of(core, &job->spec));
 	ws_job_task_done(core, job, attempt->task);
 }
 
--- a/src/core/jobs/attempts.c
+++ b/src/core/jobs/attempts.c
@@ -10,20 +10,13 @@
 #include "../core_state.h"
 
 /*
- * Demand units of array jobs that are in attempts, integrated over time for the service rate of the
- * queue model. An attempt counts from its plan to its release, so with fetches and lost work.
+ * Demand units of array jobs that are in attempts, for the service rate of the queue model. An
+ * attempt counts from its plan to its release, so with fetches and lost work.
  */
-static void ws_busy_units_add(struct ws_core *core, const struct ws_job_spec *spec, int sign)
+static void ws_attempt_count_units(struct ws_core *core, const struct ws_job_spec *spec, int sign)
 {
-	struct ws_autoscaler *autoscaler = &core->autoscaler;
-
-	if (spec->service)
-		return;
-	autoscaler->busy_unit_seconds +=
-	    autoscaler->busy_units * (core->now - autoscaler->busy_counted_at);
-	autoscaler->busy_counted_at = core->now;
-	autoscaler->busy_units =
-	    fmax(0, autoscaler->busy_units + sign * ws_demand_units_of(core, spec));
+	if (!spec->service)
+		ws_stats_held(core, sign * ws_demand_units_of(core, spec));
 }
 
 /* An attempt as its machine counts it. */
@@ -77,7 +70,7 @@
 	machine->attempt_count += (uint32_t)sign;
 	if (!job)
 		return;
-	ws_busy_units_add(core, &job->spec, sign);
+	ws_attempt_count_units(core, &job->spec, sign);
 	ws_attempt_count_machine(attempt, sign);
 	if (job->team) {
 		job->team->used_cpus += sign * job->spec.cpus;
@@ -133,7 +126,7 @@
 	ws_attempt_count(core, attempt, -1);
 	if (!machine->attempt_count)
 		machine->empty_since = core->now;
-	core->scheduler.pass_wanted = true;
+	ws_core_request_pass(core);
 	if (attempt->unrecorded || !job) {
 		ws_attempt_free(attempt);
 	} else {
--- a/src/core/jobs/jobs.c
+++ b/src/core/jobs/jobs.c
@@ -192,8 +192,7 @@
 	if (job->phase == WS_JOB_CANCELLED)
 		ws_job_check_end(core, job);
 	else if (!job->spec.service)
-		core->autoscaler.units_arrived +=
-		    job->spec.tasks * ws_demand_units_of(core, &job->spec);
+		ws_stats_arrived(core, job->spec.tasks * ws_demand_units_of(core, &job->spec));
 }
 
 /* Adds the job of a record that was not known before. */
@@ -212,7 +211,7 @@
 	ws_core_job_known(core, job);
 	if (core->leadership.role == WS_LEADER)
 		ws_job_arrived(core, job);
-	core->scheduler.pass_wanted = true;
+	ws_core_request_pass(core);
 }
 
 void ws_job_record_changed(struct ws_core *core, const char *id, json_t *value, uint64_t revision)
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -7,41 +7,7 @@
  * write of a leader is conditioned on the revision of the leader key, so one that comes late has no
  * effect.
  */
-#include "../core_state.h"
-
-/* Renewals under way at once. */
-#define RENEWALS_MAX 4
-
-/*
- * How old a leader's view of what users cancelled may be when it answers a heartbeat: the answer
- * renews the lease of a cancelled task for the last time, and that lease must be out within
- * cancel_s.
- */
-double ws_core_replica_age_limit(const struct ws_settings *settings)
-{
-	return settings->cancel_s - ws_lease_length(settings);
-}
-
-/* Whether that is shorter than what a leader is served by its watch at the latest. */
-bool ws_core_replica_age_limit_is_short(const struct ws_settings *settings,
-					const struct ws_policy *policy)
-{
-	return ws_core_replica_age_limit(settings) <
-	       WS_REPLICA_AGE_TTLS * settings->lease_s * policy->leader_ttl_ratio;
-}
-
-/* How old the leader's replica of the jobs may be while the store serves it. */
-double ws_replica_age_max(const struct ws_core *core)
-{
-	return fmax(core->leadership.replica_age_limit_s,
-		    WS_REPLICA_AGE_TTLS * core->leadership.session_ttl_s);
-}
-
-bool ws_core_is_entitled(const struct ws_core *core, double now)
-{
-	return core->leadership.role == WS_LEADER && now < core->leadership.entitled_until &&
-	       now < core->job_watch.replica_current_at + ws_replica_age_max(core);
-}
+#include "leadership_internal.h"
 
 bool ws_core_is_leader(const struct ws_core *core)
 {
@@ -64,11 +30,6 @@
 		       fmax(0, leadership->replica_age_limit_s));
 }
 
-bool ws_is_entitled(const struct ws_core *core)
-{
-	return ws_core_is_entitled(core, core->now);
-}
-
 static void ws_become_follower(struct ws_core *core, double after)
 {
 	core->leadership.role = WS_FOLLOWER;
@@ -83,35 +44,6 @@
 	(void)result;
 }
 
-/*
- * Proof that a leader lived. The store removes a key `ttl` after its last renewal, unless
- * it was out meanwhile: then all sessions have their full time again. So a key that was read for
- * longer than that, without a refusal in between, was renewed within that time. A key that was just
- * written proves that somebody was elected, and not yet that he served anybody. Times are those at
- * which the question was asked: whoever stood still meanwhile has no newer proof.
- */
-static void ws_leader_proven(struct ws_core *core, double alive_at, uint64_t term)
-{
-	if (core->leadership.proof.exists && alive_at <= core->leadership.proof.alive_at)
-		return;
-	core->leadership.proof.exists = true;
-	core->leadership.proof.alive_at = alive_at;
-	core->leadership.proof.term = term;
-}
-
-static void ws_leader_key_read(struct ws_core *core, double asked_at)
-{
-	struct ws_leader_proof *proof = &core->leadership.proof;
-	const double proof_s = WS_PROOF_TTLS * core->leadership.session_ttl_s;
-
-	if (core->leadership.leader_revision != proof->leader_revision) {
-		proof->leader_revision = core->leadership.leader_revision;
-		proof->key_since = asked_at;
-	} else if (proof->leader_revision && asked_at - proof->key_since > proof_s) {
-		ws_leader_proven(core, asked_at - proof_s, proof->leader_revision);
-	}
-}
-
 void ws_step_down(struct ws_core *core, const char *reason)
 {
 	struct ws_leadership *leadership = &core->leadership;
@@ -221,8 +153,6 @@
 	    core->now +
 	    (call->transaction.compares[0].revision ? core->leadership.session_ttl_s : 0);
 	core->leadership.fencing_token = result->transaction.revision << WS_FENCING_TOKEN_SHIFT;
-	core->jobs.attempt_sequence = 0;
-	core->autoscaler.request_sequence = 0;
 	core->leadership.leader_revision = result->transaction.revision;
 	snprintf(core->leadership.leader_node, sizeof(core->leadership.leader_node), "%s",
 		 core->settings->node);
@@ -304,46 +234,6 @@
 	call->watch.timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
 }
 
-/* ---- keeping leadership ---- */
-
-static void ws_session_renewed(struct ws_core *core, struct ws_call *call,
-			       const struct ws_result *result)
-{
-	if (call->generation != core->generation)
-		return;
-	core->leadership.renewals_in_flight--;
-	if (result->outcome == WS_OUTCOME_OK) {
-		double until = call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT);
-
-		if (until > core->leadership.entitled_until)
-			core->leadership.entitled_until = until;
-		if (core->leadership.in_outage) {
-			ws_log(core, WS_LOG_INFO, "store is available again");
-			core->leadership.store_served_at = core->now;
-		}
-		core->leadership.in_outage = core->leadership.paused = false;
-		core->scheduler.pass_wanted = true;
-		core->leadership.next_renewal_at =
-		    fmax(core->leadership.next_renewal_at,
-			 call->created_at + core->leadership.session_ttl_s / 4);
-	} else if (result->outcome == WS_OUTCOME_NOT_FOUND) {
-		ws_step_down(core, "store session expired");
-	} else {
-		if (!core->leadership.renewals_in_flight)
-			core->leadership.next_renewal_at =
-			    core->now + core->leadership.session_ttl_s / 16;
-		/* an old word, if a later renewal was granted */
-		if (result->outcome == WS_OUTCOME_UNAVAILABLE && !core->leadership.in_outage &&
-		    core->leadership.role == WS_LEADER &&
-		    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT) >=
-			core->leadership.entitled_until) {
-			core->leadership.in_outage = true;
-			core->leadership.votes.next_round_at = core->now;
-			ws_log(core, WS_LOG_INFO, "store is unavailable to this node");
-		}
-	}
-}
-
 /* A follower campaigns when nobody leads, or the key is left over from our own last life. */
 static void ws_follower_tick(struct ws_core *core)
 {
@@ -357,60 +247,29 @@
 }
 
 /*
- * Renews the session. A renewal that is slow is not waited for: each counts from when it was sent,
- * and at a store that takes half of ttl for an answer one after the other came too late.
+ * Workers reach the others but not us: one of them should lead. Counted from the first heartbeat
+ * forwarded, since before it there may have been no worker at all.
  */
-static void ws_session_renew(struct ws_core *core)
+static bool ws_workers_elsewhere(const struct ws_core *core)
 {
-	struct ws_call *call;
-
-	if (!core->leadership.session || core->leadership.renewals_in_flight >= RENEWALS_MAX ||
-	    core->now < core->leadership.next_renewal_at)
-		return;
-	call = ws_call_new(core, WS_CALL_SESSION_RENEW, ws_session_renewed);
-	call->session.id = core->leadership.session;
-	call->urgent = true;
-	core->leadership.renewals_in_flight++;
-	core->leadership.next_renewal_at = core->now + core->leadership.session_ttl_s / 4;
+	return core->leadership.role == WS_LEADER && core->leadership.forwarded_only_since > 0 &&
+	       core->now - core->leadership.forwarded_only_since > 2.5 * core->settings->report_s &&
+	       !core->leadership.in_outage;
 }
 
-/* In an outage without the word of all peers: pauses, and gives up after a while. */
-static void ws_pause_or_step_down(struct ws_core *core)
+void ws_leadership_assume(struct ws_core *core)
 {
-	if (core->leadership.role == WS_LEADER && !core->leadership.paused) {
-		core->leadership.paused = true;
-		core->leadership.pause_until = core->leadership.entitled_until +
-					       core->settings->lease_s * (1 - WS_DRIFT) -
-					       core->leadership.session_ttl_s;
-		ws_log(core, WS_LOG_INFO,
-		       "paused: store unavailable, outage not confirmed by all peers");
-	}
-	if (core->leadership.role != WS_LEADER || core->now >= core->leadership.pause_until)
-		ws_step_down(core, "store unavailable, outage not confirmed by all peers");
+	core->leadership.role = WS_LEADER;
 }
 
-/* Why leadership can't be kept; NULL: it can. */
-static const char *ws_leadership_lost_reason(const struct ws_core *core)
+void ws_leadership_saw_worker(struct ws_core *core, bool forwarded)
 {
-	if (core->now >= core->leadership.entitled_until && !core->leadership.in_outage)
-		return "store session not renewed in time";
-	if (core->leadership.role == WS_LEADER && !core->leadership.in_outage &&
-	    core->now >=
-		fmax(core->job_watch.replica_current_at, core->leadership.store_served_at) +
-		    ws_replica_age_max(core))
-		return "job watch is stalled";
-	return NULL;
-}
+	struct ws_leadership *leadership = &core->leadership;
 
-/*
- * Workers reach the others but not us: one of them should lead. Counted from the first heartbeat
- * forwarded, since before it there may have been no worker at all.
- */
-static bool ws_workers_elsewhere(const struct ws_core *core)
-{
-	return core->leadership.role == WS_LEADER && core->leadership.forwarded_only_since > 0 &&
-	       core->now - core->leadership.forwarded_only_since > 2.5 * core->settings->report_s &&
-	       !core->leadership.in_outage;
+	if (!forwarded)
+		leadership->forwarded_only_since = 0;
+	else if (!leadership->forwarded_only_since)
+		leadership->forwarded_only_since = core->now;
 }
 
 bool ws_leadership_tick(struct ws_core *core)
--- /dev/null
+++ b/src/core/leadership/entitlement.c
@@ -0,0 +1,134 @@
+/*
+ * Entitlement: until when this node may act as the leader.
+ *
+ * The store session counts from when the last granted renewal was sent, less the drift of clocks;
+ * and the replica of the jobs must be fresh. In an outage of the store outage.c draws it out.
+ */
+#include "leadership_internal.h"
+
+/* Renewals in flight at once. */
+#define RENEWALS_MAX 4
+/* A session is renewed each quarter of its time; after a failure, sooner. */
+#define RENEWALS_PER_TTL 4
+#define RETRIES_PER_TTL 16
+
+/*
+ * How old a leader's view of what users cancelled may be when it answers a heartbeat: the answer
+ * renews the lease of a cancelled task for the last time, and that lease must be out within
+ * cancel_s.
+ */
+double ws_core_replica_age_limit(const struct ws_settings *settings)
+{
+	return settings->cancel_s - ws_lease_length(settings);
+}
+
+/* Whether that is shorter than what a leader is served by its watch at the latest. */
+bool ws_core_replica_age_limit_is_short(const struct ws_settings *settings,
+					const struct ws_policy *policy)
+{
+	return ws_core_replica_age_limit(settings) <
+	       WS_REPLICA_AGE_TTLS * settings->lease_s * policy->leader_ttl_ratio;
+}
+
+/* How old the leader's replica of the jobs may be while the store serves it. */
+double ws_replica_age_max(const struct ws_core *core)
+{
+	return fmax(core->leadership.replica_age_limit_s,
+		    WS_REPLICA_AGE_TTLS * core->leadership.session_ttl_s);
+}
+
+bool ws_core_is_entitled(const struct ws_core *core, double now)
+{
+	return core->leadership.role == WS_LEADER && now < core->leadership.entitled_until &&
+	       now < core->job_watch.replica_current_at + ws_replica_age_max(core);
+}
+
+bool ws_is_entitled(const struct ws_core *core)
+{
+	return ws_core_is_entitled(core, core->now);
+}
+
+static void ws_session_renewed(struct ws_core *core, struct ws_call *call,
+			       const struct ws_result *result)
+{
+	if (call->generation != core->generation)
+		return;
+	core->leadership.renewals_in_flight--;
+	if (result->outcome == WS_OUTCOME_OK) {
+		double until = call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT);
+
+		if (until > core->leadership.entitled_until)
+			core->leadership.entitled_until = until;
+		if (core->leadership.in_outage) {
+			ws_log(core, WS_LOG_INFO, "store is available again");
+			core->leadership.store_served_at = core->now;
+		}
+		core->leadership.in_outage = core->leadership.paused = false;
+		ws_core_request_pass(core);
+		core->leadership.next_renewal_at =
+		    fmax(core->leadership.next_renewal_at,
+			 call->created_at + core->leadership.session_ttl_s / RENEWALS_PER_TTL);
+	} else if (result->outcome == WS_OUTCOME_NOT_FOUND) {
+		ws_step_down(core, "store session expired");
+	} else {
+		if (!core->leadership.renewals_in_flight)
+			core->leadership.next_renewal_at =
+			    core->now + core->leadership.session_ttl_s / RETRIES_PER_TTL;
+		/* an old word, if a later renewal was granted */
+		if (result->outcome == WS_OUTCOME_UNAVAILABLE && !core->leadership.in_outage &&
+		    core->leadership.role == WS_LEADER &&
+		    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT) >=
+			core->leadership.entitled_until) {
+			core->leadership.in_outage = true;
+			core->leadership.votes.next_round_at = core->now;
+			ws_log(core, WS_LOG_INFO, "store is unavailable to this node");
+		}
+	}
+}
+
+/*
+ * Renews the session. A renewal that is slow is not waited for: each counts from when it was sent,
+ * and at a store that takes half of ttl for an answer one after the other came too late.
+ */
+void ws_session_renew(struct ws_core *core)
+{
+	struct ws_call *call;
+
+	if (!core->leadership.session || core->leadership.renewals_in_flight >= RENEWALS_MAX ||
+	    core->now < core->leadership.next_renewal_at)
+		return;
+	call = ws_call_new(core, WS_CALL_SESSION_RENEW, ws_session_renewed);
+	call->session.id = core->leadership.session;
+	call->urgent = true;
+	core->leadership.renewals_in_flight++;
+	core->leadership.next_renewal_at =
+	    core->now + core->leadership.session_ttl_s / RENEWALS_PER_TTL;
+}
+
+/* In an outage without the word of all peers: pauses, and gives up after a while. */
+void ws_pause_or_step_down(struct ws_core *core)
+{
+	if (core->leadership.role == WS_LEADER && !core->leadership.paused) {
+		core->leadership.paused = true;
+		core->leadership.pause_until = core->leadership.entitled_until +
+					       core->settings->lease_s * (1 - WS_DRIFT) -
+					       core->leadership.session_ttl_s;
+		ws_log(core, WS_LOG_INFO,
+		       "paused: store unavailable, outage not confirmed by all peers");
+	}
+	if (core->leadership.role != WS_LEADER || core->now >= core->leadership.pause_until)
+		ws_step_down(core, "store unavailable, outage not confirmed by all peers");
+}
+
+/* Why leadership can't be kept; NULL: it can. */
+const char *ws_leadership_lost_reason(const struct ws_core *core)
+{
+	if (core->now >= core->leadership.entitled_until && !core->leadership.in_outage)
+		return "store session not renewed in time";
+	if (core->leadership.role == WS_LEADER && !core->leadership.in_outage &&
+	    core->now >=
+		fmax(core->job_watch.replica_current_at, core->leadership.store_served_at) +
+		    ws_replica_age_max(core))
+		return "job watch is stalled";
+	return NULL;
+}
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -27,7 +27,7 @@
 	WS_LEADER,
 };
 
-/* What proves that some leader lived, see election.c. */
+/* What proves that some leader lived, see leader_proof.c. */
 struct ws_leader_proof {
 	uint64_t leader_revision; /* revision of the leader key that was last read; 0: none, or
 				     refused since */
@@ -81,6 +81,11 @@
 /* Campaigns, renews the session, gives up. True: this node leads, and is to keep its replica of the
  * jobs current. */
 bool ws_leadership_tick(struct ws_core *core);
+/* All records are read: this node leads from now on. */
+void ws_leadership_assume(struct ws_core *core);
+/* A worker was heard, directly or by another node: where all come by others, one of these should
+ * lead. */
+void ws_leadership_saw_worker(struct ws_core *core, bool forwarded);
 /* Whether this node may act as the leader now. */
 bool ws_is_entitled(const struct ws_core *core);
 /* Gives up leadership, or the campaign for it, and forgets all that is the leader's. NULL: at the
--- a/src/core/store/loader.c
+++ b/src/core/store/loader.c
@@ -32,8 +32,8 @@
 /* All is read: the node leads. */
 static void ws_loader_finish(struct ws_core *core)
 {
-	core->leadership.role = WS_LEADER;
-	core->scheduler.pass_wanted = true;
+	ws_leadership_assume(core);
+	ws_core_request_pass(core);
 	ws_record_sources_loaded(core);
 }
 
