--- a/src/core/autoscaler/instance_list.c
+++ b/src/core/autoscaler/instance_list.c
@@ -56,7 +56,7 @@
 	return !machine->owned &&
 	       (machine->in_instance_list || ws_machine_should_be_listed(core, machine)) &&
 	       machine->instance_list_mark != core->autoscaler.list_mark &&
-	       !machine->scale_in_requested && core->now - machine->last_heard_at > silence_s &&
+	       !machine->scale_in.requested && core->now - machine->last_heard_at > silence_s &&
 	       core->now - core->leadership.elected_at > silence_s && core->fleet.owned_recorded;
 }
 
@@ -69,7 +69,7 @@
 		if (!ws_machine_is_missing(core, machine))
 			continue;
 		ws_log(core, WS_LOG_INFO, "instance no longer listed machine=%s", machine->name);
-		machine->scale_in_requested = true;
+		machine->scale_in.requested = true;
 	}
 }
 
--- a/src/core/autoscaler/queue_measurements.c
+++ b/src/core/autoscaler/queue_measurements.c
@@ -16,7 +16,7 @@
 
 	HASH_ITER (hh, core->fleet.machines, machine, next_machine) {
 		if (machine->owned || machine->gone || machine->failed ||
-		    machine->scale_in_requested || ws_boot_is_late(core, machine))
+		    machine->scale_in.requested || ws_boot_is_late(core, machine))
 			continue;
 		totals.units += ws_demand_units_of_machine(core, machine->type);
 		totals.machine_count += 1;
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -76,8 +76,8 @@
 
 		if (!machine)
 			continue;
-		machine->scale_in_in_flight = false;
-		machine->next_scale_in_at = ws_cloud_call_retry_at(core);
+		machine->scale_in.in_flight = false;
+		machine->scale_in.next_attempt_at = ws_cloud_call_retry_at(core);
 		if (result->outcome == WS_OUTCOME_OK) {
 			ws_capacity_error_scaled_in(core, machine);
 			ws_machine_mark_gone(core, machine, "scaled in");
@@ -90,14 +90,14 @@
 {
 	ws_log(core, WS_LOG_INFO, "scale-in machine=%s reason=\"%s\"", machine->name,
 	       scale_in_reason_names[reason]);
-	machine->scale_in_requested = true;
+	machine->scale_in.requested = true;
 	ws_core_request_pass(core);
 }
 
 static bool ws_scale_in_is_due(const struct ws_core *core, const struct ws_machine *machine)
 {
-	return machine->scale_in_requested && !machine->gone && !machine->scale_in_in_flight &&
-	       !machine->owned && core->now >= machine->next_scale_in_at;
+	return machine->scale_in.requested && !machine->gone && !machine->scale_in.in_flight &&
+	       !machine->owned && core->now >= machine->scale_in.next_attempt_at;
 }
 
 /*
@@ -218,7 +218,7 @@
 			call = ws_scale_in_call_new(core);
 		snprintf(call->scale_in.machine_names[call->scale_in.count++], WS_NAME_MAX, "%s",
 			 machine->name);
-		machine->scale_in_in_flight = true;
+		machine->scale_in.in_flight = true;
 		core->autoscaler.scale_ins_due--;
 		if (call->scale_in.count == SCALE_IN_CALL_MAX)
 			break;
@@ -234,7 +234,7 @@
 	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		enum ws_scale_in_reason reason;
 
-		if (machine->owned || machine->gone || machine->scale_in_requested)
+		if (machine->owned || machine->gone || machine->scale_in.requested)
 			continue;
 		reason = ws_scale_in_reason_of(core, machine, &contact);
 		if (reason != WS_SCALE_IN_NONE)
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -46,7 +46,7 @@
 					       .preemptible = machine->preemptible};
 
 		if (machine->owned || machine->gone || machine->failed ||
-		    machine->scale_in_requested || !machine->type ||
+		    machine->scale_in.requested || !machine->type ||
 		    !ws_machine_is_coming_up(core, machine))
 			continue;
 		kind.zone_index = ws_zone_index(core, machine->zone);
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -170,7 +170,7 @@
 	if (ws_machine_echoes_token(machine) && !ws_heartbeat_overdue(core, machine->last_heard_at))
 		return false;
 	if (!machine->port || !machine->address[0] || machine->gone ||
-	    machine->scale_in_requested || machine->commands.in_flight ||
+	    machine->scale_in.requested || machine->commands.in_flight ||
 	    core->now < machine->commands.next_probe_at)
 		return false;
 	machine->commands.next_probe_at = core->now + core->settings->report_s;
@@ -262,7 +262,7 @@
 static bool ws_machine_takes_commands(const struct ws_core *core, const struct ws_machine *machine)
 {
 	return machine->reported && machine->port && !machine->commands.in_flight &&
-	       !machine->commands.late_token && !machine->gone && !machine->scale_in_requested &&
+	       !machine->commands.late_token && !machine->gone && !machine->scale_in.requested &&
 	       ws_is_entitled(core) &&
 	       core->now - machine->last_heard_at <= LISTENING_INTERVALS * core->settings->report_s;
 }
--- a/src/core/fleet/fleet.h
+++ b/src/core/fleet/fleet.h
@@ -60,6 +60,13 @@
 	uint32_t running;
 };
 
+/* The return of a rented machine to the cloud. */
+struct ws_machine_scale_in {
+	bool requested; /* the machine is never used again */
+	bool in_flight;
+	double next_attempt_at;
+};
+
 /* A machine that this leader knows. It is freed when it is gone and no attempt is left on it. */
 struct ws_machine {
 	/* what it is, and where it is reached */
@@ -88,9 +95,7 @@
 	double first_seen, up_at;
 
 	/* scale-in and preemption */
-	bool scale_in_requested; /* never used again */
-	bool scale_in_in_flight;
-	double next_scale_in_at;
+	struct ws_machine_scale_in scale_in;
 	bool preemption_noticed;
 	double preempted_at; /* the cloud takes it then; 0: no notice */
 	double empty_since;
--- a/src/core/fleet/gang_attempts.c
+++ b/src/core/fleet/gang_attempts.c
@@ -47,7 +47,7 @@
 		if (attempt->state == WS_ATTEMPT_GONE)
 			continue;
 		if (attempt->unrecorded || attempt->stopping ||
-		    attempt->number == job->gang_ended_attempt ||
+		    attempt->number == job->gang.ended_attempt ||
 		    (*number && *number != attempt->number) || !ws_gang_task_is_assembling(attempt))
 			return false;
 		*number = attempt->number;
@@ -61,7 +61,7 @@
 static bool ws_machine_is_reachable(const struct ws_core *core, const struct ws_machine *machine)
 {
 	return machine->reported && machine->port && !machine->commands.in_flight &&
-	       !machine->commands.late_token && !machine->gone && !machine->scale_in_requested &&
+	       !machine->commands.late_token && !machine->gone && !machine->scale_in.requested &&
 	       !machine->unreachable && ws_machine_echoes_token(machine) &&
 	       !ws_heartbeat_overdue(core, machine->last_heard_at);
 }
@@ -105,7 +105,7 @@
 	const struct ws_job_spec *spec = &attempt->job->spec;
 
 	if (spec->gang) {
-		attempt->job->gang_preemptions++;
+		attempt->job->gang.preemptions++;
 		ws_gang_stop(core, attempt->job, spec->save_s + core->settings->gang_peer_s,
 			     reason);
 	} else {
@@ -157,9 +157,9 @@
 /* A gang that ran has lost a task. The others end by themselves; those that did not are told. */
 static void ws_gang_stop_broken(struct ws_core *core, struct ws_job *job)
 {
-	if (!job->gang_broken_at)
-		job->gang_broken_at = core->now;
-	else if (core->now - job->gang_broken_at >
+	if (!job->gang.broken_at)
+		job->gang.broken_at = core->now;
+	else if (core->now - job->gang.broken_at >
 		 core->settings->gang_peer_s + BROKEN_INTERVALS * core->settings->report_s)
 		ws_gang_stop(core, job, 0, WS_STOP_GANG_LOST_TASK);
 }
@@ -167,7 +167,7 @@
 void ws_gang_check_progress(struct ws_core *core, struct ws_job *job)
 {
 	struct ws_gang_progress progress = ws_gang_progress(core, job);
-	bool has_run = progress.number == job->gang_ended_attempt;
+	bool has_run = progress.number == job->gang.ended_attempt;
 
 	if (progress.stopping == progress.members)
 		return;
--- a/src/core/fleet/machine_leases.c
+++ b/src/core/fleet/machine_leases.c
@@ -57,7 +57,7 @@
 {
 	return ws_machine_echoes_token(machine) && !machine->unreachable &&
 	       !machine->invalid_name && !machine->quarantine.running && machine->reported &&
-	       machine->type && !machine->gone && !machine->scale_in_requested &&
+	       machine->type && !machine->gone && !machine->scale_in.requested &&
 	       !machine->failed && machine->incarnation &&
 	       core->now - machine->last_heard_at < SILENT_INTERVALS * core->settings->report_s &&
 	       ws_machine_heartbeats_arrive(core, machine) &&
--- a/src/core/fleet/task_reports.c
+++ b/src/core/fleet/task_reports.c
@@ -116,7 +116,7 @@
 	case WS_EXIT_GANG_INCOMPLETE:
 		/* a gang's attempt broke up; neither machine nor job is to blame here */
 		if (job && job->spec.gang && !attempt->unrecorded)
-			job->gang_ended_attempt = attempt->number;
+			job->gang.ended_attempt = attempt->number;
 		break;
 	}
 	ws_attempt_release(core, attempt);
@@ -180,7 +180,7 @@
 	}
 	if (attempt->job && attempt->job->spec.gang && !attempt->unrecorded &&
 	    (status->state == WS_TASK_RUNNING || status->state == WS_TASK_SAVING))
-		attempt->job->gang_ended_attempt = attempt->number;
+		attempt->job->gang.ended_attempt = attempt->number;
 	if (status->state == WS_TASK_RUNNING && attempt->task_state != WS_TASK_RUNNING)
 		ws_attempt_began_to_run(core, machine, attempt);
 	attempt->task_state = status->state;
--- a/src/core/jobs/attempts.c
+++ b/src/core/jobs/attempts.c
@@ -149,7 +149,7 @@
 	return attempt->state == WS_ATTEMPT_RECORDED && !attempt->stopping && !attempt->reported &&
 	       !attempt->unrecorded && attempt->incarnation == attempt->machine->incarnation &&
 	       !core->leadership.in_outage && attempt->job && !ws_job_is_over(attempt->job) &&
-	       !attempt->machine->scale_in_requested;
+	       !attempt->machine->scale_in.requested;
 }
 
 void ws_attempt_mark_stopping(struct ws_attempt *attempt)
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -48,6 +48,16 @@
 	uint32_t continuation_count; /* continuation records of the job */
 };
 
+/* Of a gang: how its attempts and reservations go. Times on the core's clock; 0: not so. */
+struct ws_job_gang {
+	uint64_t ended_attempt; /* the attempt that ran, or broke up */
+	double reserving_since; /* it has reservations from then on, for a while */
+	bool was_starved;	/* at that time */
+	double broken_at;	/* its attempt was seen to have lost a task */
+	uint32_t preemptions;	/* how often it was stopped for other work */
+	int reservation_zone;	/* the zone of its reservations, from 1 */
+};
+
 /* A live job, or one that is over and not archived yet. */
 struct ws_job {
 	struct ws_job_spec spec;
@@ -85,13 +95,7 @@
 	double last_placed_at; /* when a task of it was last placed */
 	double unmet_since;    /* tasks of it have found no room since then; 0: none */
 
-	/* of a gang */
-	uint64_t gang_ended_attempt; /* the attempt that ran, or broke up */
-	double gang_reserving_since; /* it has reservations from then on, for a while */
-	bool gang_was_starved;	     /* at that time */
-	double gang_broken_at;	     /* its attempt was seen to have lost a task; 0: no */
-	uint32_t gang_preemptions;   /* how often it was stopped for other work */
-	int gang_reservation_zone;   /* the zone of its reservations, from 1 */
+	struct ws_job_gang gang; /* where it is one */
 
 	/* as subsystems ask for it to be served; see struct ws_move */
 	struct ws_job_move moves[WS_SUBSYSTEMS_MAX]; /* the last request of each */
--- a/src/core/scheduler/gang_placement.c
+++ b/src/core/scheduler/gang_placement.c
@@ -145,7 +145,7 @@
 						attempt_number, &record_bytes_left);
 	if (!unplaced) {
 		job->last_placed_at = core->now;
-		job->unmet_since = job->gang_broken_at = job->gang_reserving_since = 0;
+		job->unmet_since = job->gang.broken_at = job->gang.reserving_since = 0;
 		ws_job_mark_dirty(core, job, true);
 		return true;
 	}
@@ -167,7 +167,7 @@
 	score += WS_ZONE_SCORE_CAPACITY * (with_capacity < tasks ? with_capacity : tasks);
 	if (ws_zone_can_scale_out(pass->core, job, zone))
 		score += WS_ZONE_SCORE_CAN_SCALE_OUT * tasks;
-	if (job->gang_reservation_zone == zone + 1)
+	if (job->gang.reservation_zone == zone + 1)
 		score += WS_ZONE_SCORE_RESERVED * tasks;
 	return score;
 }
@@ -195,7 +195,7 @@
 	}
 	if (best_zone < 0)
 		return 0;
-	placement->job->gang_reservation_zone = best_zone + 1;
+	placement->job->gang.reservation_zone = best_zone + 1;
 	return 1u << best_zone;
 }
 
@@ -205,11 +205,11 @@
 {
 	double span_s = core->settings->gang_wait_s;
 
-	if (!job->gang_reserving_since || core->now - job->gang_reserving_since >= 2 * span_s ||
-	    (job->starved && !job->gang_was_starved))
-		job->gang_reserving_since = core->now;
-	job->gang_was_starved = job->starved;
-	return core->now - job->gang_reserving_since < span_s;
+	if (!job->gang.reserving_since || core->now - job->gang.reserving_since >= 2 * span_s ||
+	    (job->starved && !job->gang.was_starved))
+		job->gang.reserving_since = core->now;
+	job->gang.was_starved = job->starved;
+	return core->now - job->gang.reserving_since < span_s;
 }
 
 static void ws_gang_count_capacity(struct ws_scheduling_pass *pass,
--- a/src/core/scheduler/preemption.c
+++ b/src/core/scheduler/preemption.c
@@ -61,7 +61,7 @@
 	if (spec->gang && spec->checkpoint_s > 0)
 		lost_s = spec->checkpoint_s + spec->save_s + core->settings->gang_peer_s;
 	if (spec->gang)
-		lost_s *= job->attempt_count * (1 + job->gang_preemptions);
+		lost_s *= job->attempt_count * (1 + job->gang.preemptions);
 	return lost_s * spec->cpus * (job->guaranteed ? WS_GUARANTEED_COST_FACTOR : 1);
 }
 
