--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -72,6 +72,7 @@
 
 /* ---- user_answers.c ---- */
 
+/* Answers a user without counts. */
 void ws_user_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
 		    const char *id, enum ws_job_phase phase);
 /* The store does not serve us: a peer may do better, unless the request came from one. */
@@ -98,6 +99,7 @@
 
 /* Loads the cache, and keeps it current while queries wait, or else now and then. */
 void ws_status_cache_tick(struct ws_core *core);
+/* Forgets all of it; it is loaded anew. */
 void ws_status_cache_clear(struct ws_core *core);
 /* What a watch of the jobs brought: only what is newer than the cache. */
 void ws_status_cache_apply(struct ws_core *core, const struct ws_call *call,
@@ -118,21 +120,30 @@
 /* Answers with an archived record. */
 void ws_query_archived_read(struct ws_core *core, struct ws_call *call,
 			    const struct ws_result *result);
+/* Frees waiting queries and kept answers, at the end of the core. */
 void ws_queries_free(struct ws_core *core);
 
 /* ---- outage_votes.c ---- */
 
+/*
+ * Jobs cancelled after a revision, as the job status cache has them, the first ones by revision and
+ * id, from behind `after` on where that is one of the revision itself. The caller frees the list.
+ * False: the cache can't tell.
+ */
 bool ws_cancellations_since(struct ws_core *core, uint64_t since, const char *after,
 			    struct ws_cancellation **list, size_t *count, size_t limit,
 			    bool *has_more);
 
 /* ---- heartbeat_requests.c ---- */
 
+/* Answers a heartbeat that is not taken in; with the leader's name where it is to go there. */
 void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
 			 const char *leader);
+/* A heartbeat that reached a node that does not lead: forwarded, or sent to the leader. */
 void ws_follower_heartbeat(struct ws_core *core, uint64_t request_id,
 			   const struct ws_heartbeat *heartbeat, bool forwarded);
 
+/* Forgets workers that were sent to the leader long ago; frees all. */
 void ws_redirects_tick(struct ws_core *core);
 void ws_redirects_free(struct ws_core *core);
 #endif
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -88,6 +88,7 @@
 void ws_scale_out_mark_dirty(struct ws_core *core, struct ws_scale_out *request);
 /* The request's record was written, or deleted: then the request is freed. */
 void ws_scale_out_written(struct ws_core *core, struct ws_scale_out *request, bool deleted);
+/* Takes a request off all lists and frees it. */
 void ws_scale_out_free(struct ws_core *core, struct ws_scale_out *request);
 
 /* ---- scale_in.c ---- */
@@ -102,6 +103,7 @@
 
 /* ---- scale_out_records.c ---- */
 
+/* A request's record. */
 json_t *ws_record_scale_out(const struct ws_scale_out *request);
 /* False: the record can't be decoded; the request may own instances all the same. */
 bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *request);
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -454,6 +454,7 @@
 
 /* Whether the node can serve: it knows the machine types, and the store or a peer answers. */
 bool ws_core_is_ready(const struct ws_core *core);
+/* Whether this node leads; it may act only while ws_core_is_entitled(). */
 bool ws_core_is_leader(const struct ws_core *core);
 /* Whether what only a leader may say may leave now. */
 bool ws_core_is_entitled(const struct ws_core *core, double now);
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -69,12 +69,14 @@
 
 /* ---- core.c ---- */
 
+/* A line for the log sink; cut at 511 bytes. */
 void ws_log(struct ws_core *core, enum ws_log_level level, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
 /* Adds an effect to those that leave the core, and returns it to be filled in. */
 struct ws_effect *ws_effect_new(struct ws_core *core, enum ws_effect_kind kind);
 /* The same for a call, whose result goes to a function. */
 struct ws_call *ws_call_new(struct ws_core *core, enum ws_call_kind kind, ws_result_fn on_result);
+/* Frees a call with all that its kind holds, and its context. NULL is none. */
 void ws_call_free(struct ws_call *call);
 /* Forgets all that is the leader's; called when leadership ends. */
 void ws_core_forget_cluster(struct ws_core *core);
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -159,6 +159,16 @@
 	return call;
 }
 
+/* Whether a machine is to be probed now; asked of every machine at each sweep. */
+static inline bool ws_probe_is_due(const struct ws_core *core, const struct ws_machine *machine)
+{
+	if (ws_machine_echoes_token(machine) && !ws_heartbeat_overdue(core, machine->last_heard_at))
+		return false;
+	return machine->port && machine->address[0] && !machine->gone &&
+	       !machine->scale_in.requested && !machine->commands.in_flight &&
+	       core->now >= machine->commands.next_probe_at;
+}
+
 /*
  * Probed are machines that have not proved yet that they hear this leader, and those whose
  * heartbeat is overdue. The answer is the machine's state with the token in it, and a worker that
@@ -167,11 +177,7 @@
  */
 bool ws_machine_send_probe(struct ws_core *core, struct ws_machine *machine)
 {
-	if (ws_machine_echoes_token(machine) && !ws_heartbeat_overdue(core, machine->last_heard_at))
-		return false;
-	if (!machine->port || !machine->address[0] || machine->gone ||
-	    machine->scale_in.requested || machine->commands.in_flight ||
-	    core->now < machine->commands.next_probe_at)
+	if (!ws_probe_is_due(core, machine))
 		return false;
 	machine->commands.next_probe_at = core->now + core->settings->report_s;
 	ws_commands_call_new(core, machine);
@@ -298,8 +304,9 @@
 
 	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		core->fleet.sweep_steps++;
-		if (!ws_machine_send_probe(core, machine))
+		if (!ws_probe_is_due(core, machine))
 			continue;
+		ws_machine_send_probe(core, machine);
 		remaining--;
 		if (remaining <= 0)
 			break;
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -97,6 +97,7 @@
 
 /* ---- outage.c ---- */
 
+/* In an outage: asks the peers for their votes when the next round is due. */
 void ws_outage_tick(struct ws_core *core);
 
 #endif
--- a/src/core/record_sources.h
+++ b/src/core/record_sources.h
@@ -13,5 +13,6 @@
 extern const struct ws_record_source ws_subsystem_records;
 extern const struct ws_record_source ws_urgent_subsystem_records;
 
+/* Whether a key begins with a prefix. */
 bool ws_key_has_prefix(const char *key, const char *prefix);
 #endif
--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -165,6 +165,7 @@
 	uint32_t instance_count;
 };
 
+/* A scale-out request's record. */
 json_t *ws_scale_out_record_encode(const struct ws_scale_out_record *record);
 
 /* The strings are those of `value`. */
@@ -179,6 +180,7 @@
 	uint64_t process_incarnation; /* tells two processes of one node apart; below 2^63 */
 };
 
+/* The leader key's value. */
 json_t *ws_leader_record_encode(const struct ws_leader_record *record);
 
 /* The node is a string of `value`; a record without an incarnation has 0. */
@@ -189,6 +191,7 @@
 
 /* ---- machine_type_record.c: types ---- */
 
+/* The record of all machine types. */
 json_t *ws_record_types(const struct ws_machine_type *types, size_t count);
 
 /* Decodes up to WS_MAX_TYPES types and returns their number; those that are malformed are left
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -67,5 +67,6 @@
 	double boot_patience;	 /* times the type's boot time before a boot counts as failed */
 };
 
+/* The policy of operators who set nothing. */
 void ws_policy_defaults(struct ws_policy *policy);
 #endif
--- a/src/core/workload_stats.h
+++ b/src/core/workload_stats.h
@@ -17,12 +17,16 @@
 	double boot_seconds, boots;
 };
 
+/* A job of so many demand units became known. */
 void ws_stats_arrived(struct ws_core *core, double units);
+/* A task of so many demand units completed. */
 void ws_stats_completed(struct ws_core *core, double units);
 /* An attempt holds units from now on, or (below 0) no longer. */
 void ws_stats_held(struct ws_core *core, double units);
+/* A machine sent its first heartbeat so long after it was first seen. */
 void ws_stats_booted(struct ws_core *core, double boot_s);
 /* The figures up to now; arrivals, completions and unit-seconds begin anew. */
 struct ws_workload_stats ws_stats_take(struct ws_core *core);
+/* At step-down. */
 void ws_stats_reset(struct ws_core *core);
 #endif
