--- a/src/core/jobs/attempts.c
+++ b/src/core/jobs/attempts.c
@@ -137,13 +137,6 @@
 		ws_job_check_end(core, job);
 }
 
-bool ws_attempt_matches(const struct ws_attempt *attempt, const char *job_id, uint32_t task,
-			uint64_t number)
-{
-	return attempt->number == number && attempt->task == task &&
-	       !strcmp(attempt->job_id, job_id);
-}
-
 bool ws_attempt_is_runnable(const struct ws_core *core, const struct ws_attempt *attempt)
 {
 	return attempt->state == WS_ATTEMPT_RECORDED && !attempt->stopping && !attempt->reported &&
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -17,6 +17,7 @@
 #include "../core.h"
 #include "../extension/hooks.h"
 #include "../tombstones.h"
+#include <string.h>
 
 struct ws_attempt;
 struct ws_machine;
@@ -229,9 +230,14 @@
 				  const char *job_id, uint32_t task, uint64_t number);
 /* An attempt begins (1) or ceases (-1) to count against machine, team, job and task. */
 void ws_attempt_count(struct ws_core *core, struct ws_attempt *attempt, int sign);
-/* Whether an attempt is that of a job's task with a number. */
-bool ws_attempt_matches(const struct ws_attempt *attempt, const char *job_id, uint32_t task,
-			uint64_t number);
+/* Whether an attempt is that of a job's task with a number; asked of each pair of an attempt on a
+ * machine and a task in its heartbeat. */
+static inline bool ws_attempt_matches(const struct ws_attempt *attempt, const char *job_id,
+				      uint32_t task, uint64_t number)
+{
+	return attempt->number == number && attempt->task == task &&
+	       !strcmp(attempt->job_id, job_id);
+}
 /* Whether a command to run it may be sent. */
 bool ws_attempt_is_runnable(const struct ws_core *core, const struct ws_attempt *attempt);
 /* An attempt is to end: its capacity will become free. */
