--- a/src/core/catalog/catalog.c
+++ b/src/core/catalog/catalog.c
@@ -1,10 +1,10 @@
-/* Machine types, zones and images by name and number, and what fits the machines of a type. */
+/* Lookup of machine types, zones and images by name, and which tasks fit a machine type. */
 #include "../core_state.h"
 
-/* Sums of resources may be off by this much. */
-#define ROUNDING_MARGIN 1e-9
+/* Sums of resource amounts may have rounding errors of this size. */
+#define WS_RESOURCE_TOLERANCE 1e-9
 
-/* Adds an image under the next number. */
+/* Adds an image with the next free index. */
 static struct ws_image *ws_image_add(struct ws_catalog *catalog, const char *name)
 {
 	struct ws_image *image = calloc(1, sizeof(*image));
@@ -69,7 +69,7 @@
 	return NULL;
 }
 
-/* Whether a job names a machine type, or leaves it open. */
+/* Returns true if a job lists a machine type, or lists none and so allows all. */
 static bool ws_job_allows_type(const struct ws_job_spec *spec, const struct ws_machine_type *type)
 {
 	if (spec->type_count == 0)
@@ -80,7 +80,7 @@
 	return false;
 }
 
-/* Whether machines of a type are to be had in the zone that a job names, if it names one. */
+/* Returns true if a machine type is offered in a zone, or if the zone's name is empty. */
 static bool ws_machine_type_is_in_zone(const struct ws_machine_type *type, const char *zone)
 {
 	if (!zone[0])
@@ -94,9 +94,9 @@
 bool ws_machine_type_fits(const struct ws_machine_type *type, const struct ws_job_spec *spec)
 {
 	return ws_job_allows_type(spec, type) && ws_machine_type_is_in_zone(type, spec->zone) &&
-	       spec->cpus <= type->cpus + ROUNDING_MARGIN &&
-	       spec->gpus <= type->gpus + ROUNDING_MARGIN &&
-	       spec->mem_gb <= type->mem_gb + ROUNDING_MARGIN;
+	       spec->cpus <= type->cpus + WS_RESOURCE_TOLERANCE &&
+	       spec->gpus <= type->gpus + WS_RESOURCE_TOLERANCE &&
+	       spec->mem_gb <= type->mem_gb + WS_RESOURCE_TOLERANCE;
 }
 
 void ws_images_clear(struct ws_core *core)
@@ -119,10 +119,10 @@
 	double fit = limit;
 
 	if (spec->cpus > 0)
-		fit = fmin(fit, floor((cpus + ROUNDING_MARGIN) / spec->cpus));
+		fit = fmin(fit, floor((cpus + WS_RESOURCE_TOLERANCE) / spec->cpus));
 	if (spec->gpus > 0)
-		fit = fmin(fit, floor((gpus + ROUNDING_MARGIN) / spec->gpus));
+		fit = fmin(fit, floor((gpus + WS_RESOURCE_TOLERANCE) / spec->gpus));
 	if (spec->mem_gb > 0)
-		fit = fmin(fit, floor((mem_gb + ROUNDING_MARGIN) / spec->mem_gb));
+		fit = fmin(fit, floor((mem_gb + WS_RESOURCE_TOLERANCE) / spec->mem_gb));
 	return fit > 0 ? (uint32_t)fit : 0;
 }
--- a/src/core/catalog/catalog.h
+++ b/src/core/catalog/catalog.h
@@ -1,20 +1,22 @@
 /*
- * The catalog: machine types, zones and images that this node knows, each numbered by its place.
+ * The catalog lists the machine types, zones and images known to this node. Other modules refer to
+ * them by their index in the list.
  *
- * Owns these three lists. Every node has one, leader or not. Types come from the cloud or, while it
- * is out, from the store; zones are those of the settings first; images are numbered as jobs and
- * machines name them, and forgotten at step-down.
+ * The catalog owns the three lists. Every node has a catalog, whether it leads or not. Machine
+ * types come from the cloud or, while the cloud is unavailable, from a record in the store. The
+ * zones of the settings come first in the list of zones. Images are added when a job or a machine
+ * names them, and removed at step-down.
  *
- * Promises: types and zones are never removed, so their numbers and addresses stay valid; an
- * image's number is valid until step-down. Resources are CPUs, GPUs and gigabytes of memory, times
- * seconds on the core's clock. Functions abort the process when memory runs out. The core is
- * single-threaded: the I/O layer's lock is held round each call into it.
+ * Machine types and zones are never removed, so their indexes and addresses stay valid. An image's
+ * index is valid until step-down. Resources are given in CPUs, GPUs and gigabytes of memory, times
+ * in seconds on the core's clock. A failed memory allocation aborts the process. The core is
+ * single-threaded: the I/O layer holds its lock during each call into it.
  */
 #ifndef WS_CATALOG_H
 #define WS_CATALOG_H
 #include "../core.h"
 
-/* An image; images are compared by number. */
+/* An image that jobs run and machines cache. Images are compared by index. */
 struct ws_image {
 	char name[WS_NAME_MAX];
 	int id;
@@ -25,8 +27,8 @@
 	/* machine types */
 	struct ws_machine_type types[WS_MAX_TYPES];
 	size_t type_count;
-	int types_edition;   /* rises whenever the types change */
-	bool types_recorded; /* the record of the types is current */
+	int types_edition;   /* incremented when the types may have changed */
+	bool types_recorded; /* the types are stored, or too large to be stored */
 	bool request_in_flight;
 	double next_request_at;
 
@@ -34,33 +36,35 @@
 	int zone_count;
 
 	struct ws_image *images;
-	const char **image_names; /* by number */
+	const char **image_names; /* by index */
 	int image_count;
 };
 
 /* ---- catalog.c ---- */
 
-/* The number of an image, which is added if it is new. */
+/* Returns the index of an image. Adds the image if it is new. */
 int ws_image_index(struct ws_core *core, const char *name);
-/* The number of a zone, which is added if it is new; -1: no name, or too many zones. */
+/* Returns the index of a zone, which is added if it is new. Returns -1 if the name is empty or the
+ * list is full. */
 int ws_zone_index(struct ws_core *core, const char *name);
-/* Forgets all images, at step-down. */
+/* Removes all images; called at step-down. */
 void ws_images_clear(struct ws_core *core);
 
-/* The type of a name; NULL: it is not known. */
+/* Returns the machine type with a name, or NULL if no such type is known. */
 const struct ws_machine_type *ws_machine_type_find(const struct ws_core *core, const char *name);
-/* Whether a task of a job fits an empty machine of a type that the job allows. */
+/* Returns true if a job allows a machine type and one of its tasks fits an empty machine of it. */
 bool ws_machine_type_fits(const struct ws_machine_type *type, const struct ws_job_spec *spec);
-/* How many such tasks fit into free capacity, up to a number. */
+/* Returns how many tasks of a job fit into the given capacity, at most the limit. */
 uint32_t ws_tasks_fit(const struct ws_job_spec *spec, double cpus, double gpus, double mem_gb,
 		      uint32_t limit);
-/* Mean of the CPUs of the machine types; 0 while no type is known. */
+/* Returns the mean number of CPUs of the known machine types, or 0 if none is known. */
 double ws_mean_machine_cpus(const struct ws_core *core);
-/* A task in demand units: a share of the mean CPUs of a machine. */
+/* Returns the demand of one task: its CPUs as a fraction of the mean CPUs of a machine type. */
 double ws_demand_units_of(const struct ws_core *core, const struct ws_job_spec *spec);
 
 /* ---- machine_types.c ---- */
 
-/* Asks the cloud, or the store, for the types when that is due: nothing is decided without them. */
+/* Requests the machine types from the cloud when that is due. A node without types requests them
+ * whether it leads or not, since no job can be accepted or placed without them. */
 void ws_machine_types_tick(struct ws_core *core);
 #endif
--- a/src/core/catalog/machine_type_records.c
+++ b/src/core/catalog/machine_type_records.c
@@ -1,4 +1,4 @@
-/* The record of the machine types, for nodes that start while the cloud is out. */
+/* Stores the machine types for nodes that start while the cloud is unavailable. */
 #include "../core_state.h"
 #include "../record_sources.h"
 
@@ -13,8 +13,10 @@
 		ws_write_batch_set(batch, WS_KEY_MACHINE_TYPES, value);
 		return;
 	}
-	/* one written under a higher limit stays readable */
-	ws_log(core, WS_LOG_ERROR, "machine types record too large, not written");
+	/* a record that was written under a higher limit stays in the store and can be read */
+	ws_log(core, WS_LOG_ERROR,
+	       "machine types record not written, too large for the store value_limit_bytes=%.0f",
+	       core->writer.value_bytes_max);
 	json_decref(value);
 	core->catalog.types_recorded = true;
 }
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -1,13 +1,12 @@
-/* Reads the machine types: from the cloud, or from the record that an earlier leader wrote. */
+/* Reads the machine types from the cloud, or from the record that an earlier leader wrote. */
 #include "../core_state.h"
 
-/* Status code of a good answer. */
-/* The leader asks again after this many leases: prices change. */
-#define REFRESH_LEASES 8
+/* The leader requests the types again after this many lease durations, since prices change. */
+#define WS_TYPES_REFRESH_LEASES 8
 
-/* The answer of the store, which has what an earlier leader wrote. */
-static void ws_types_record_read(struct ws_core *core, struct ws_call *call,
-				 const struct ws_result *result)
+/* Handles the store's response to the read of the record that an earlier leader wrote. */
+static void ws_types_record_received(struct ws_core *core, struct ws_call *call,
+				     const struct ws_result *result)
 {
 	(void)call;
 	core->catalog.request_in_flight = false;
@@ -20,7 +19,7 @@
 		core->catalog.next_request_at = core->now + core->settings->report_s / 2;
 }
 
-/* Takes over a type as the cloud describes it. Pointers to known types stay valid. */
+/* Adds a machine type that the cloud listed, or updates it in place so that pointers stay valid. */
 static void ws_machine_type_update(struct ws_core *core, const struct ws_machine_type *type)
 {
 	struct ws_catalog *catalog = &core->catalog;
@@ -35,9 +34,9 @@
 		       type->name, WS_MAX_TYPES);
 }
 
-/* The cloud's answer. While the cloud is out and no type is known, the stored record is read. */
-static void ws_types_listed(struct ws_core *core, struct ws_call *call,
-			    const struct ws_result *result)
+/* Handles the cloud's response. If it has no types and none is known, reads the stored record. */
+static void ws_types_received(struct ws_core *core, struct ws_call *call,
+			      const struct ws_result *result)
 {
 	struct ws_catalog *catalog = &core->catalog;
 
@@ -47,12 +46,14 @@
 			ws_machine_type_update(core, &result->types.list[i]);
 		catalog->types_edition++;
 		catalog->request_in_flight = false;
-		catalog->next_request_at = core->now + core->settings->lease_s * REFRESH_LEASES;
+		catalog->next_request_at =
+		    core->now + core->settings->lease_s * WS_TYPES_REFRESH_LEASES;
 		ws_core_request_pass(core);
 		return;
 	}
 	if (!catalog->type_count) {
-		struct ws_call *record_call = ws_call_new(core, WS_CALL_GET, ws_types_record_read);
+		struct ws_call *record_call =
+		    ws_call_new(core, WS_CALL_GET, ws_types_record_received);
 
 		snprintf(record_call->read.key, sizeof(record_call->read.key), "%s",
 			 WS_KEY_MACHINE_TYPES);
@@ -68,5 +69,5 @@
 	    (core->catalog.type_count && core->leadership.role != WS_LEADER))
 		return;
 	core->catalog.request_in_flight = true;
-	ws_call_new(core, WS_CALL_MACHINE_TYPES, ws_types_listed);
+	ws_call_new(core, WS_CALL_MACHINE_TYPES, ws_types_received);
 }
