--- a/src/core/scheduler/array_placement.c
+++ b/src/core/scheduler/array_placement.c
@@ -1,12 +1,12 @@
 /*
- * Placement of arrays, whose tasks run independently of each other: bin packing by first fit.
- * Machines that have the job's image go before others of the same owner, and owned machines before
- * rented ones. A latency-sensitive job, whose class has a start objective, takes machines with its
- * image first, whoever owns them.
+ * Places arrays, whose tasks run independently of each other, by first-fit bin packing. Owned
+ * machines are preferred to rented ones, and among each of these the machines that have the job's
+ * image cached. A latency-sensitive job, whose class has a start objective, prefers machines with
+ * its image whether they are owned or rented.
  */
 #include "pass.h"
 
-/* Ranks of machines with capacity: the sum of these, the lowest goes first. */
+/* Penalties of candidate machines. A machine's rank is their sum; the lowest rank is used first. */
 #define WS_CANDIDATE_LACKS_IMAGE 1
 #define WS_CANDIDATE_IS_RENTED 2
 #define WS_CANDIDATE_RANKS 4
@@ -14,15 +14,16 @@
 /* A job whose tasks are being placed in this pass. */
 struct ws_array_placement {
 	struct ws_job *job;
-	double start_objective_s; /* within how long its class should start; 0: no objective */
-	uint64_t attempt_number;  /* number of the attempts that are planned now */
-	uint32_t unplaced;	  /* tasks to be placed that have no capacity yet */
-	size_t record_bytes_left; /* for attempts, in its record; 0: it can name no more */
-	size_t candidate_count;	  /* machines with capacity, in the pass's scratch */
+	double start_objective_s; /* start latency objective of its class; 0: none */
+	uint64_t attempt_number;  /* of the attempts that this pass plans */
+	uint32_t unplaced;	  /* tasks that still need capacity */
+	size_t record_bytes_left; /* for further attempts in the job's record; 0: full */
+	size_t candidate_count;	  /* entries of the pass's list of candidates */
 };
 
-/* A machine that is full for any task that waits is not looked at again in this pass. */
-static void ws_open_machines_compact(struct ws_scheduling_pass *pass)
+/* Removes machines that lack the CPUs for even the smallest waiting task from the list of open
+ * machines, so that the rest of the pass skips them. */
+static void ws_remove_full_machines(struct ws_scheduling_pass *pass)
 {
 	size_t kept = 0;
 
@@ -37,15 +38,15 @@
 	pass->open_count = kept;
 }
 
-/* Lists machines with capacity and ranks them, until those of the first rank hold all tasks. */
+/* Lists and ranks machines with capacity. Stops once those of the best rank fit all tasks. */
 static void ws_find_candidates(struct ws_scheduling_pass *pass,
 			       struct ws_array_placement *placement)
 {
 	struct ws_core *core = pass->core;
 	struct ws_job *job = placement->job;
-	size_t preferred_tasks = 0; /* that fit machines of the first rank */
+	size_t preferred_tasks = 0; /* tasks that fit on machines of the best rank */
 
-	ws_open_machines_compact(pass);
+	ws_remove_full_machines(pass);
 	for (size_t i = 0; i < pass->open_count && preferred_tasks < placement->unplaced; i++) {
 		struct ws_machine *machine = pass->open_machines[i];
 
@@ -65,8 +66,7 @@
 	}
 }
 
-/* Whether the fetch of the image alone exceeds the start objective on each machine with capacity.
- */
+/* Returns true if the image fetch alone exceeds the start objective on every candidate. */
 static bool ws_fetch_exceeds_objective(const struct ws_scheduling_pass *pass,
 				       const struct ws_array_placement *placement)
 {
@@ -80,7 +80,7 @@
 	return placement->candidate_count > 0;
 }
 
-/* Places tasks on the candidates of one rank. */
+/* Places as many tasks as possible on the candidates of one rank. */
 static void ws_place_on_rank(struct ws_scheduling_pass *pass, struct ws_array_placement *placement,
 			     int rank)
 {
@@ -93,9 +93,9 @@
 			    placement->attempt_number, &placement->record_bytes_left);
 }
 
-/* Places tasks on the candidates, by rank. Before a latency-sensitive production job goes where its
- * image must be fetched first, it preempts others where the image is, if the fetch takes too long.
- */
+/* Places tasks on the candidates in order of rank. If the image fetch would miss the start
+ * objective of a latency-sensitive production job, it first preempts other work on machines that
+ * have the image. */
 static void ws_place_on_candidates(struct ws_scheduling_pass *pass,
 				   struct ws_array_placement *placement)
 {
@@ -118,9 +118,10 @@
 	}
 }
 
-/* Takes planned capacity of tasks that were told to stop: it need not be made again. */
-static void ws_await_stopping_capacity(struct ws_scheduling_pass *pass,
-				       struct ws_array_placement *placement)
+/* Assigns capacity that stopping tasks will free to unplaced tasks, so that they need neither
+ * preemption nor scale-out. */
+static void ws_assign_stopping_capacity(struct ws_scheduling_pass *pass,
+					struct ws_array_placement *placement)
 {
 	struct ws_job *job = placement->job;
 
@@ -139,7 +140,7 @@
 	}
 }
 
-static void ws_log_unmet(struct ws_core *core, struct ws_job *job, uint32_t tasks)
+static void ws_log_unplaced(struct ws_core *core, struct ws_job *job, uint32_t tasks)
 {
 	if (!ws_wait_log_is_due(core, job))
 		return;
@@ -149,14 +150,14 @@
 	       job->spec.allows_preemptible ? "allowed" : "no");
 }
 
-/* Tasks that found no free capacity wait for that of stopping tasks, or preempt others, or become
- * unmet demand. */
+/* Handles tasks for which no capacity is free: they wait for capacity of stopping tasks, preempt
+ * other work, or are added to the unmet demand. */
 static void ws_place_unplaced(struct ws_scheduling_pass *pass, struct ws_array_placement *placement)
 {
 	struct ws_core *core = pass->core;
 	struct ws_job *job = placement->job;
 
-	ws_await_stopping_capacity(pass, placement);
+	ws_assign_stopping_capacity(pass, placement);
 	if (placement->unplaced && ws_preemption_is_due(core, job, placement->start_objective_s))
 		placement->unplaced -= ws_preempt(
 		    pass, &(struct ws_preemption_request){
@@ -170,11 +171,11 @@
 		return;
 	}
 	ws_unmet_demand_add(core, job, placement->unplaced, ws_eligible_zones(core, job));
-	ws_log_unmet(core, job, placement->unplaced);
+	ws_log_unplaced(core, job, placement->unplaced);
 }
 
-/* How many tasks of a job are to be placed: no more than its team's limit allows, since more
- * machines would not help. */
+/* Returns how many tasks of a job to place. Tasks above the team's limit are left out, since
+ * further machines would not help them. */
 static uint32_t ws_tasks_to_place(struct ws_core *core, struct ws_job *job)
 {
 	uint32_t tasks = ws_tasks_within_team_limit(job);
@@ -203,8 +204,7 @@
 		job->last_placed_at = core->now;
 		ws_job_mark_dirty(core, job, true);
 	}
-	/* else the record names as many as it can: the rest is placed when some of these are over
-	 */
+	/* A full record cannot name further attempts: the other tasks are placed when some end. */
 	if (placement.record_bytes_left)
 		ws_place_unplaced(pass, &placement);
 }
--- a/src/core/scheduler/capacity.c
+++ b/src/core/scheduler/capacity.c
@@ -1,13 +1,14 @@
 /*
- * Capacity: which zones and machines a job may use, and what they have left for its tasks.
+ * Determines which zones and machines a job may use, and how much capacity machines have left.
  *
- * A machine's free capacity is what nothing uses that may be alive there. Its planned capacity is
- * what a pass may give away: the free capacity and that of tasks told to stop, less what the pass
- * has given to attempts or reserved.
+ * A machine's free capacity is its size minus the resources of all attempts that may be alive on
+ * it. Its planned capacity is what a pass may allocate: the free capacity plus that of stopping
+ * tasks, minus what the pass has already allocated to attempts or reserved.
  */
 #include "pass.h"
 
-/* At most half of the tasks of a spread job, rounded up, may be in one zone. */
+/* A job with one_zone keeps to the zone of its attempts. A job with spread may have at most half of
+ * its tasks, rounded up, in one zone. */
 bool ws_zone_is_eligible(const struct ws_core *core, const struct ws_job *job, int zone)
 {
 	if (zone < 0 || (job->pinned_zone >= 0 && job->pinned_zone != zone))
@@ -34,7 +35,8 @@
 	return zone >= 0 && (zones >> zone & 1);
 }
 
-/* It has found no other capacity for the length of a lease, or its zones are all avoided. */
+/* Avoided machines are allowed if the job has lacked capacity for longer than a lease, or if all of
+ * its eligible zones are avoided. */
 bool ws_job_may_use_avoided(const struct ws_core *core, const struct ws_job *job)
 {
 	uint32_t avoided = core->subsystems.zones_avoided;
--- a/src/core/scheduler/consolidation.c
+++ b/src/core/scheduler/consolidation.c
@@ -1,14 +1,15 @@
 /*
- * Consolidation of replicas: with nothing waiting, a rented machine that holds replicas of services
- * alone is emptied onto owned machines with capacity, a replica at a time. Otherwise the rented
+ * Consolidates service replicas. While no task is waiting, a rented machine that runs only service
+ * replicas is drained to owned machines with capacity, one replica at a time. Otherwise the rented
  * machine would be paid for as long as the services run.
  */
 #include "pass.h"
 
-/* A replica is down while its new machine fetches the image: for so many heartbeat intervals at
- * most. */
+/* Heartbeat intervals that the image fetch on the new machine may take, since the replica is down
+ * during the fetch. */
 #define WS_MOVE_FETCH_HEARTBEATS 2
 
+/* Returns true if a machine has the job's image or can fetch it within the limit. */
 static bool ws_replica_moves_quickly(const struct ws_core *core, const struct ws_machine *machine,
 				     const struct ws_job *job)
 {
@@ -17,7 +18,8 @@
 		   machine->type->fetch_gb_s * WS_MOVE_FETCH_HEARTBEATS * core->settings->report_s;
 }
 
-/* Whether an attempt is a replica that has run for long enough for its start to count. */
+/* Returns true if an attempt is a running service replica that has run long enough for its start to
+ * count. */
 static bool ws_replica_is_settled(const struct ws_core *core, const struct ws_attempt *attempt)
 {
 	return attempt->job && attempt->job->spec.service && !attempt->stopping &&
@@ -25,7 +27,7 @@
 	       attempt->running_at > 0 && core->now - attempt->running_at > WS_START_COUNTS_S;
 }
 
-/* The first owned machine that a replica of a job can move to; NULL: there is none. */
+/* Returns the first owned machine that a replica of a job can move to, or NULL. */
 static struct ws_machine *ws_find_owned_machine(const struct ws_core *core,
 						const struct ws_job *job,
 						struct ws_machine **machines, size_t machine_count)
@@ -40,7 +42,8 @@
 	return NULL;
 }
 
-/* The same for a replica, whose zone counts as if the replica had left it. */
+/* Returns the first owned machine that a replica can move to, or NULL. The replica itself does not
+ * count against the limits on attempts in its zone. */
 static struct ws_machine *ws_find_move_target(const struct ws_core *core,
 					      const struct ws_attempt *replica,
 					      struct ws_machine **machines, size_t machine_count)
@@ -57,7 +60,7 @@
 	return target;
 }
 
-/* The replica to be moved off a rented machine first; NULL unless all that is there can move. */
+/* Returns a replica to move off a rented machine, or NULL unless every attempt on it can move. */
 static struct ws_attempt *ws_find_replica_to_move(const struct ws_core *core,
 						  const struct ws_machine *rented,
 						  struct ws_machine **machines,
@@ -94,7 +97,7 @@
 		struct ws_attempt *replica;
 
 		if (machines[i]->owned)
-			break; /* owned ones come first in the order */
+			break; /* owned machines come first in the list */
 		replica = ws_find_replica_to_move(core, machines[i], machines, machine_count);
 		if (!replica)
 			continue;
--- a/src/core/scheduler/first_fit_order.c
+++ b/src/core/scheduler/first_fit_order.c
@@ -1,6 +1,7 @@
 /*
- * First fit order: owned machines before rented ones, of these preemptible before ordinary ones, so
- * that the more expensive ones become empty and are scaled in; among equals by name.
+ * Sorts machines in first-fit order: owned machines, then rented preemptible ones, then other
+ * rented ones, each by name. The more expensive machines come last, so that they become empty and
+ * are scaled in.
  */
 #include "../memory.h"
 #include "pass.h"
@@ -17,7 +18,8 @@
 	return strcmp(first->name, second->name);
 }
 
-/* How many characters the names of all machines begin with; less than any of the names. */
+/* Returns the length of the common prefix of all machine names, which is always shorter than the
+ * shortest name. */
 static size_t ws_shared_name_length(struct ws_machine *const *machines, size_t count)
 {
 	size_t shared = count ? strlen(machines[0]->name) - 1 : 0;
--- a/src/core/scheduler/gang_placement.c
+++ b/src/core/scheduler/gang_placement.c
@@ -1,43 +1,47 @@
 /*
- * Gang scheduling: a gang is placed whole or not at all. What it lacks is reserved: what is free in
- * its zones, or will be, is kept from jobs that come after it, for good if it is enough for the
- * whole and else half of the time, so that neither can starve the other. For the rest others are
- * preempted, if that frees capacity for all of it, or it becomes unmet demand.
+ * Gang scheduling: all tasks of a gang are placed at once, or none.
+ *
+ * While there is not enough free capacity, the capacity in the gang's zones that is free or being
+ * freed is reserved for it, so that later jobs cannot use it. The reservation lasts if it covers
+ * the whole gang, and otherwise only half of the time, so that neither the gang nor the other jobs
+ * can starve. For the remaining tasks other work is preempted if that frees enough for all of them;
+ * otherwise they become unmet demand.
  */
 #include "pass.h"
 
-/* Ranks of machines for a gang: the sum of these, less the tasks that fit; the lowest goes first.
- */
-#define WS_GANG_RANK_FAILED 50000 /* it failed tasks of late */
-#define WS_GANG_RANK_FETCH 2000	  /* for each image that is fetched there, this one included */
+/* Penalties of machines for a gang. A machine's rank is their sum minus the number of tasks that
+ * fit on it; the lowest rank is used first. */
+#define WS_GANG_RANK_FAILED 50000 /* its most recent tasks failed */
+#define WS_GANG_RANK_FETCH 2000	  /* for each image fetch there, including that of this gang */
 #define WS_GANG_RANK_RENTED 1000
 #define WS_GANG_RANK_TASKS_MAX 999
-/* Fetches under way on a machine that are told apart. */
+/* Limit of the fetches in progress on a machine that count for its rank. */
 #define WS_FETCHES_COUNTED_MAX 9
 
-/* Weights of a zone in which a gang that must share one is to reserve capacity, a task. */
-#define WS_ZONE_SCORE_CAPACITY 2      /* there is, or will be, planned capacity for it */
-#define WS_ZONE_SCORE_CAN_SCALE_OUT 2 /* machines can be asked for */
-#define WS_ZONE_SCORE_RESERVED 1      /* it is reserved there already */
+/* Weights per task, used to choose the zone in which a gang with one_zone reserves capacity. */
+#define WS_ZONE_SCORE_CAPACITY 2      /* planned capacity exists for the task */
+#define WS_ZONE_SCORE_CAN_SCALE_OUT 2 /* machines can be requested there */
+#define WS_ZONE_SCORE_RESERVED 1      /* the gang's reservation is there already */
 
-/* Capacity for a gang, by zone, in tasks. */
+/* Capacity for a gang in each zone, as the number of its tasks that fit. */
 struct ws_gang_capacity {
-	uint32_t free[WS_MAX_ZONES];		 /* free */
-	uint32_t free_or_stopping[WS_MAX_ZONES]; /* free, or told to end */
-	uint32_t free_with_image[WS_MAX_ZONES];	 /* free, where its image is */
-	uint32_t placeable_zones; /* zones in which it can be placed at once; 0: none */
+	uint32_t free[WS_MAX_ZONES];		 /* free now */
+	uint32_t free_or_stopping[WS_MAX_ZONES]; /* free now or used by stopping tasks */
+	uint32_t free_with_image[WS_MAX_ZONES];	 /* free now on machines with the image */
+	uint32_t placeable_zones; /* zones where the whole gang fits now, as a bit mask */
 };
 
 /* A gang that is being placed in this pass. */
 struct ws_gang_placement {
 	struct ws_job *job;
-	double start_objective_s; /* within how long its class should start; 0: no objective */
-	uint32_t zones;		  /* eligible ones, a bit each */
-	bool keeps_reservation;	  /* also what is not enough yet is kept from others */
+	double start_objective_s; /* start latency objective of its class; 0: none */
+	uint32_t zones;		  /* eligible zones, as a bit mask */
+	bool keeps_reservation;	  /* capacity is reserved even if it is not enough yet */
 	struct ws_gang_capacity capacity;
 };
 
-/* Machines that a gang may be on: one that is silent would keep the whole waiting. */
+/* Returns true if a machine may run tasks of a gang. A machine whose heartbeat is overdue may not,
+ * since the whole gang would have to wait for it. */
 static bool ws_gang_machine_is_eligible(const struct ws_core *core, const struct ws_job *job,
 					const struct ws_machine *machine, uint32_t zones)
 {
@@ -56,7 +60,8 @@
 	return strcmp(first->name, second->name);
 }
 
-/* Fetches of other images under way on a machine, up to a number: they share its rate. */
+/* Returns the number of other images that a machine is fetching, up to a limit. Concurrent fetches
+ * share the machine's fetch rate. */
 static int ws_fetches_in_flight(const struct ws_machine *machine, int image)
 {
 	int fetches = 0, last_image = image;
@@ -74,9 +79,10 @@
 }
 
 /*
- * Where the image is first, or few others are fetched, then where most of the gang fits on one
- * machine, since it starts with its last fetch and ends with its first loss; a machine that failed
- * a task of late only if there is no other.
+ * Returns the rank of a machine for a gang. Machines with the image or with few fetches in progress
+ * are preferred, since a gang starts only after its last fetch. Then machines that fit many of its
+ * tasks are preferred, since the loss of any machine stops the gang. Machines whose most recent
+ * tasks failed are used last.
  */
 static int ws_gang_machine_rank(const struct ws_job *job, const struct ws_machine *machine,
 				uint32_t fit)
@@ -92,7 +98,7 @@
 	return rank;
 }
 
-/* Lists machines with capacity for tasks of a gang, sorted by rank; how many. */
+/* Lists machines with capacity for tasks of a gang, sorted by rank. Returns their number. */
 static size_t ws_gang_find_candidates(struct ws_scheduling_pass *pass, const struct ws_job *job,
 				      uint32_t zones)
 {
@@ -117,7 +123,7 @@
 	return count;
 }
 
-/* Takes back the attempts that were planned just now. */
+/* Removes the attempts that this pass planned for a gang. */
 static void ws_gang_unplace(struct ws_core *core, struct ws_job *job)
 {
 	struct ws_attempt *attempt, *next_attempt;
@@ -131,7 +137,7 @@
 		}
 }
 
-/* Plans attempts for all tasks that a gang lacks, or for none. */
+/* Plans attempts for all waiting tasks of a gang, or for none. Returns true if it planned them. */
 static bool ws_gang_place_whole(struct ws_scheduling_pass *pass, struct ws_job *job, uint32_t zones,
 				uint64_t attempt_number)
 {
@@ -155,7 +161,7 @@
 	return false;
 }
 
-/* How well a zone suits the reservation of a gang that must share one; above 0. */
+/* Returns how well a zone suits the reservation of a gang with one_zone; always above 0. */
 static uint32_t ws_gang_zone_score(struct ws_scheduling_pass *pass,
 				   const struct ws_gang_placement *placement, int zone)
 {
@@ -172,8 +178,8 @@
 	return score;
 }
 
-/* The zones in which a gang reserves capacity: one, if its tasks must share it, and that for long.
- */
+/* Returns the zones in which a gang reserves capacity. For a gang with one_zone this is a single
+ * zone; the score of the current one is raised so that the choice seldom changes. */
 static uint32_t ws_gang_reservation_zones(struct ws_scheduling_pass *pass,
 					  const struct ws_gang_placement *placement)
 {
@@ -199,19 +205,21 @@
 	return 1u << best_zone;
 }
 
-/* Whether capacity that is not yet enough for a gang is kept for it: half of the time, and when it
- * becomes starved. */
+/* Returns true if capacity is reserved for a gang even though it is not enough yet. This holds for
+ * the first half of each cycle; a new cycle begins when the gang becomes starved. */
 static bool ws_gang_keeps_reservation(const struct ws_core *core, struct ws_job *job)
 {
-	double span_s = core->settings->gang_wait_s;
+	double half_cycle_s = core->settings->gang_wait_s;
 
-	if (!job->gang.reserving_since || core->now - job->gang.reserving_since >= 2 * span_s ||
+	if (!job->gang.reserving_since ||
+	    core->now - job->gang.reserving_since >= 2 * half_cycle_s ||
 	    (job->starved && !job->gang.was_starved))
 		job->gang.reserving_since = core->now;
 	job->gang.was_starved = job->starved;
-	return core->now - job->gang.reserving_since < span_s;
+	return core->now - job->gang.reserving_since < half_cycle_s;
 }
 
+/* Counts the tasks of a gang that fit into the capacity of each eligible zone. */
 static void ws_gang_count_capacity(struct ws_scheduling_pass *pass,
 				   struct ws_gang_placement *placement)
 {
@@ -235,7 +243,8 @@
 	pass->core->scheduler.steps += pass->machine_count;
 }
 
-/* Limits the capacity of a zone to the tasks that may be there: half of a gang that is spread. */
+/* Limits the capacity of a zone to the number of tasks allowed in it, which for a gang with spread
+ * is half of its tasks, rounded up. */
 static void ws_gang_limit_zone_capacity(const struct ws_job *job, int zone,
 					struct ws_gang_capacity *capacity)
 {
@@ -248,7 +257,8 @@
 		capacity->free_or_stopping[zone] = limit;
 }
 
-/* Whether a zone holds more of a gang's image than the one chosen so far, if there is one. */
+/* Returns true if no zone is chosen yet, or if more of the gang fits on machines with its image in
+ * this zone than in the chosen one. */
 static bool ws_zone_has_more_of_image(const struct ws_gang_capacity *capacity, int zone)
 {
 	return !capacity->placeable_zones ||
@@ -256,7 +266,8 @@
 		   capacity->free_with_image[__builtin_ctz(capacity->placeable_zones)];
 }
 
-/* The zones that hold all of a gang now: the one with most of its image, if it must share one. */
+/* Finds the zones in which the whole gang fits now. For a gang with one_zone, chooses the zone with
+ * the most capacity on machines that have its image. */
 static void ws_gang_choose_zones(const struct ws_core *core, struct ws_gang_placement *placement)
 {
 	const struct ws_job *job = placement->job;
@@ -276,32 +287,32 @@
 		capacity->placeable_zones = placement->zones;
 }
 
-/* Reserves planned capacity for tasks of a gang, or only keeps machines for it that are empty; how
- * many tasks have none. */
+/* Reserves planned capacity for tasks of a gang if takes_capacity is set. In either case protects
+ * empty machines that the gang could use from scale-in. Returns how many tasks do not fit. */
 static uint32_t ws_gang_reserve(struct ws_scheduling_pass *pass, struct ws_job *job, uint32_t zones,
 				uint32_t tasks, bool takes_capacity)
 {
 	struct ws_core *core = pass->core;
-	uint32_t lacking = tasks;
+	uint32_t missing = tasks;
 
-	for (size_t i = 0; i < pass->machine_count && lacking; i++) {
+	for (size_t i = 0; i < pass->machine_count && missing; i++) {
 		struct ws_machine *machine = pass->machines[i];
 		uint32_t fit;
 
 		if (!ws_has_planned_capacity(job, machine) ||
 		    !ws_gang_machine_is_eligible(core, job, machine, zones))
 			continue;
-		fit = ws_tasks_fit_planned(job, machine, lacking);
-		lacking -= fit;
+		fit = ws_tasks_fit_planned(job, machine, missing);
+		missing -= fit;
 		if (!machine->attempt_count && fit)
 			machine->reserved_until = core->now + core->settings->report_s;
 		for (uint32_t k = 0; takes_capacity && k < fit; k++)
 			ws_planned_capacity_take(job, machine);
 	}
-	return lacking;
+	return missing;
 }
 
-/* Tasks for which there is, or will be, capacity in some zones. */
+/* Returns the number of tasks for which capacity in the given zones is free or being freed. */
 static uint32_t ws_gang_tasks_with_capacity(const struct ws_core *core,
 					    const struct ws_gang_capacity *capacity, uint32_t zones)
 {
@@ -313,8 +324,8 @@
 	return tasks;
 }
 
-/* A gang for which there is not enough capacity yet: it is reserved, freed by preemption or asked
- * for. */
+/* Handles a gang for which there is not enough free capacity: reserves what there is, preempts
+ * other work, and adds the rest to the unmet demand. */
 static void ws_gang_await_capacity(struct ws_scheduling_pass *pass,
 				   const struct ws_gang_placement *placement)
 {
@@ -322,29 +333,30 @@
 	struct ws_job *job = placement->job;
 	uint32_t zones = ws_gang_reservation_zones(pass, placement);
 	uint32_t with_capacity = ws_gang_tasks_with_capacity(core, &placement->capacity, zones);
-	uint32_t lacking = job->waiting;
+	uint32_t missing = job->waiting;
 	bool takes_capacity;
 	char reason[128];
 
-	if (with_capacity < lacking && !job->spec.spread &&
+	if (with_capacity < missing && !job->spec.spread &&
 	    ws_preemption_is_due(core, job, placement->start_objective_s))
-		lacking -= ws_preempt(pass, &(struct ws_preemption_request){
+		missing -= ws_preempt(pass, &(struct ws_preemption_request){
 						.job = job,
-						.tasks = lacking - with_capacity,
+						.tasks = missing - with_capacity,
 						.zones = zones,
 					    });
-	takes_capacity = placement->keeps_reservation || with_capacity >= lacking;
-	lacking = ws_gang_reserve(pass, job, zones, lacking, takes_capacity);
-	if (lacking)
-		ws_unmet_demand_add(core, job, lacking, zones);
+	takes_capacity = placement->keeps_reservation || with_capacity >= missing;
+	missing = ws_gang_reserve(pass, job, zones, missing, takes_capacity);
+	if (missing)
+		ws_unmet_demand_add(core, job, missing, zones);
 	snprintf(reason, sizeof(reason),
 		 "gang capacity for %u of %u tasks free or expected, %u missing%s",
-		 with_capacity < job->waiting ? with_capacity : job->waiting, job->waiting, lacking,
+		 with_capacity < job->waiting ? with_capacity : job->waiting, job->waiting, missing,
 		 takes_capacity ? ", reserved" : "");
 	ws_log_wait_reason(core, job, reason);
 }
 
-/* Its team is at its limit: what it lacks of that is reserved for it. */
+/* Handles a gang whose team is at its limit. If the gang keeps a reservation, a part of the limit
+ * is reserved for its waiting tasks. */
 static void ws_gang_at_team_limit(struct ws_core *core, struct ws_job *job, bool keeps_reservation)
 {
 	ws_team_limit_reached(core, job);
@@ -354,7 +366,8 @@
 	job->team->reserved_gpus += job->waiting * job->spec.gpus;
 }
 
-/* A gang that lost tasks before it ran, and can't replace them: stopped if that lasts too long. */
+/* Stops a gang that lost tasks before it ran if they could not be replaced for a quarter of the
+ * gang's maximum wait. */
 static void ws_gang_check_incomplete(struct ws_core *core, struct ws_job *job,
 				     double assembling_since)
 {
@@ -370,7 +383,8 @@
 	double assembling_since = 0;
 
 	if (job->attempt_count && !ws_gang_is_assembling(job, &attempt_number, &assembling_since)) {
-		job->unmet_since = 0; /* it waits for its last attempt to end, not for capacity */
+		/* it waits for its previous attempt to end, not for capacity */
+		job->unmet_since = 0;
 		return;
 	}
 	if (!job->unmet_since)
@@ -390,7 +404,7 @@
 		return;
 	if (job->attempt_count)
 		ws_gang_check_incomplete(core, job, assembling_since);
-	else if (placement.capacity.placeable_zones) /* too many for its record: no reservation */
+	else if (placement.capacity.placeable_zones) /* its record is full: no reservation */
 		ws_unmet_demand_add(core, job, job->waiting,
 				    ws_gang_reservation_zones(pass, &placement));
 	else
--- a/src/core/scheduler/preemption.c
+++ b/src/core/scheduler/preemption.c
@@ -1,25 +1,25 @@
 /*
- * Preemption: stops running work to free capacity for work of a higher scheduling rank. On each
- * machine the victims are the tasks that lose least, and the machines on which least is lost go
- * first.
+ * Preemption stops running tasks to free capacity for work of a higher scheduling rank. On each
+ * machine the tasks whose preemption costs least are the victims, and the machines with the lowest
+ * total cost are used first.
  */
 #include "pass.h"
 
-/* Cost of a preemption that can't free capacity. */
+/* Returned in place of a cost if preemption cannot free enough capacity. */
 #define WS_PREEMPTION_IMPOSSIBLE (-1.0)
-/* By how much the work of a guaranteed job counts for more. */
+/* Factor by which the preemption of a guaranteed job costs more. */
 #define WS_GUARANTEED_COST_FACTOR 4
 
-/* Whether a job is of the kinds that preempt at all. */
+/* Returns true if a job is of a kind that may preempt other jobs. */
 static bool ws_job_can_preempt(const struct ws_job *job)
 {
 	return job->guaranteed || job->latency_sensitive ||
 	       job->spec.priority == WS_PRIORITY_PRODUCTION;
 }
 
-/* A gang's start is expensive: it is given the time to count, and all of the gang must be told at
- * once.
- */
+/* Returns true if the gang of an attempt may be preempted. The start of a gang is expensive, so it
+ * is left running until the start counts. All of its machines must be reachable, since the whole
+ * gang is stopped at once. */
 static bool ws_gang_can_be_preempted(const struct ws_core *core, const struct ws_attempt *attempt)
 {
 	double started_at = fmax(attempt->planned_at, attempt->running_at);
@@ -28,7 +28,7 @@
 	       ws_gang_is_reachable(core, attempt->job);
 }
 
-/* Whether a job may preempt an attempt. */
+/* Returns true if a job may preempt an attempt. */
 static bool ws_may_preempt(const struct ws_core *core, const struct ws_job *job,
 			   const struct ws_attempt *attempt)
 {
@@ -48,9 +48,10 @@
 }
 
 /*
- * What a preemption loses, in CPU seconds. Of a gang all stop, wherever they are: if they save,
- * that is the time until they run again, at most the work since the last checkpoint, and more each
- * time.
+ * Returns the cost of preempting an attempt: the work lost, in CPU seconds. Preempting one task of
+ * a gang stops all of its tasks on all machines. A gang with checkpoints loses at most one
+ * checkpoint interval plus the time to save and stop. The cost of a gang rises with each earlier
+ * preemption.
  */
 static double ws_preemption_cost(const struct ws_core *core, const struct ws_attempt *attempt)
 {
@@ -65,7 +66,7 @@
 	return lost_s * spec->cpus * (job->guaranteed ? WS_GUARANTEED_COST_FACTOR : 1);
 }
 
-/* The attempt on a machine that loses least, of those not chosen yet; NULL: there is none. */
+/* Returns the attempt on a machine that costs least to preempt and is not chosen yet, or NULL. */
 static struct ws_attempt *ws_cheapest_victim(struct ws_core *core, const struct ws_job *job,
 					     const struct ws_machine *machine, double *victim_cost)
 {
@@ -88,7 +89,8 @@
 	return victim;
 }
 
-/* Whether an attempt stops when a victim on the same machine does: of a gang all do. */
+/* Returns true if an attempt stops together with a victim on the same machine: it is the victim, or
+ * belongs to the same gang. */
 static bool ws_stops_with_victim(const struct ws_attempt *attempt, const struct ws_attempt *victim)
 {
 	if (attempt == victim)
@@ -97,7 +99,7 @@
 	       !attempt->unrecorded && attempt->state != WS_ATTEMPT_GONE;
 }
 
-/* Marks what stops with a victim as chosen, and adds its share to a capacity. */
+/* Marks the attempts that stop with a victim as chosen and adds their resources to a capacity. */
 static void ws_choose_victim(const struct ws_core *core, const struct ws_machine *machine,
 			     const struct ws_attempt *victim, struct ws_capacity *capacity)
 {
@@ -112,7 +114,7 @@
 	}
 }
 
-/* Stops a victim; its capacity is planned with from now on. */
+/* Stops a victim and adds the capacity that this frees to the machine's planned capacity. */
 static void ws_stop_victim(struct ws_core *core, const struct ws_job *job,
 			   struct ws_machine *machine, struct ws_attempt *victim)
 {
@@ -124,8 +126,8 @@
 		     job->guaranteed ? WS_STOP_FOR_GUARANTEE : WS_STOP_FOR_PRODUCTION);
 }
 
-/* The cost of preempting on a machine until a task fits; the victims are stopped only if asked for.
- */
+/* Returns the cost of preempting on a machine until a task of a job fits, or
+ * WS_PREEMPTION_IMPOSSIBLE. The victims are stopped only if stop_victims is set. */
 static double ws_preempt_for_task(struct ws_core *core, const struct ws_job *job,
 				  struct ws_machine *machine, bool stop_victims)
 {
@@ -134,7 +136,7 @@
 
 	if (ws_subsystems_defer(core, WS_DEFER_PREEMPTION, machine->zone_index))
 		return WS_PREEMPTION_IMPOSSIBLE;
-	core->fleet.mark++; /* attempts with this mark are chosen */
+	core->fleet.mark++; /* attempts with the new mark are chosen */
 	while (!ws_capacity_holds_task(&capacity, job)) {
 		double victim_cost;
 		struct ws_attempt *victim = ws_cheapest_victim(core, job, machine, &victim_cost);
@@ -149,7 +151,7 @@
 	return cost;
 }
 
-/* Whether this pass has found that there is nothing to preempt for such a job. */
+/* Returns true if an earlier search of this pass shows that no victim exists for a request. */
 static bool ws_preemption_is_infeasible(const struct ws_scheduling_pass *pass,
 					const struct ws_preemption_request *request)
 {
@@ -165,8 +167,9 @@
 	       !(request->zones & ~infeasible->zones);
 }
 
-static void ws_remember_infeasible(struct ws_scheduling_pass *pass,
-				   const struct ws_preemption_request *request)
+/* Stores the requirements of a request for which no victim was found. */
+static void ws_store_infeasible(struct ws_scheduling_pass *pass,
+				const struct ws_preemption_request *request)
 {
 	const struct ws_job *job = request->job;
 
@@ -180,7 +183,7 @@
 	};
 }
 
-/* Whether a machine has work and may be used for what is requested. */
+/* Returns true if a machine has attempts and may be used for a request. */
 static bool ws_may_preempt_on(const struct ws_preemption_request *request,
 			      const struct ws_machine *machine)
 {
@@ -191,8 +194,8 @@
 	       (!request->only_cached_image || ws_image_is_cached(machine, job->image_index));
 }
 
-/* Lists machines on which there is something to preempt; how many. Of a large fleet only a part is
- * looked at, from another machine on each time. */
+/* Lists machines on which preemption can free capacity for a task. Returns their number. In a large
+ * fleet each search starts at a different machine, since it ends once it has found enough. */
 static size_t ws_find_preemption_candidates(struct ws_scheduling_pass *pass,
 					    const struct ws_preemption_request *request)
 {
@@ -229,8 +232,8 @@
 	return 0;
 }
 
-/* Preempts on a machine and takes the capacity that this makes, which often holds more tasks than
- * one; for how many. */
+/* Preempts on a machine and reserves the freed capacity, which often fits more than one task.
+ * Returns the number of tasks that fit. */
 static uint32_t ws_preempt_on_machine(struct ws_scheduling_pass *pass, struct ws_job *job,
 				      struct ws_machine *machine, uint32_t limit)
 {
@@ -251,7 +254,7 @@
 {
 	const struct ws_scheduler *scheduler = &pass->core->scheduler;
 	struct ws_job *job = request->job;
-	uint32_t with_room = 0;
+	uint32_t fitting_tasks = 0;
 	size_t count;
 
 	if (scheduler->steps > pass->step_limit ||
@@ -260,20 +263,22 @@
 		return 0;
 	count = ws_find_preemption_candidates(pass, request);
 	if (!count && !request->only_cached_image && scheduler->steps <= pass->step_limit)
-		ws_remember_infeasible(pass, request);
+		ws_store_infeasible(pass, request);
 	if (job->spec.gang && count < request->tasks)
 		return 0;
 	qsort(pass->preemption_candidates, count, sizeof(*pass->preemption_candidates),
 	      ws_preemption_candidate_compare);
-	for (size_t i = 0; i < count && with_room < request->tasks; i++)
-		with_room += ws_preempt_on_machine(
-		    pass, job, pass->preemption_candidates[i].machine, request->tasks - with_room);
-	return with_room;
+	for (size_t i = 0; i < count && fitting_tasks < request->tasks; i++)
+		fitting_tasks +=
+		    ws_preempt_on_machine(pass, job, pass->preemption_candidates[i].machine,
+					  request->tasks - fitting_tasks);
+	return fitting_tasks;
 }
 
 /*
- * Seconds that a job waits before it preempts: half of the wait that is promised to work within its
- * guarantee, or to its class if that is less, once the image's fetch is taken off.
+ * Returns the seconds that a job waits before it preempts others: the wait promised to guaranteed
+ * work, or the start objective of the job's class if that is shorter, minus the time to fetch the
+ * image, divided by two.
  */
 static double ws_preemption_delay(const struct ws_core *core, const struct ws_job *job,
 				  double start_objective_s)
@@ -285,7 +290,8 @@
 	return fmax(0, bound_s - ws_image_fetch_s(core, job)) / 2;
 }
 
-/* Other work ends all the time: it is preempted only when waiting for that takes too long. */
+/* Running tasks end and free capacity all the time, so jobs other than production preempt only
+ * after they have waited for that. */
 bool ws_preemption_is_due(const struct ws_core *core, const struct ws_job *job,
 			  double start_objective_s)
 {
--- a/src/core/scheduler/queue_order.c
+++ b/src/core/scheduler/queue_order.c
@@ -1,23 +1,24 @@
 /*
- * The order in which waiting jobs are served, and what is within its team's guarantee (its quota):
- * production goes first, then starved jobs, then work within its guarantee, then by priority class,
+ * Orders the queue of waiting jobs and determines which jobs are within their team's guarantee (its
+ * quota). Production jobs come first, then starved jobs, then guaranteed jobs, then the others by
+ * priority class. Within a rank, jobs that a subsystem moves come first, then jobs are ordered by
  * deadline and age.
  *
- * What may preempt other work must also be served before it, or the two take the same capacity from
- * each other for ever: both follow the scheduling rank.
+ * Queue order and preemption both follow the scheduling rank. A job that may preempt another must
+ * also be served before it; otherwise the two would take the same capacity from each other forever.
  */
 #include "pass.h"
 
-/* Scheduling ranks; to that of guaranteed work its priority class is added. */
+/* Scheduling ranks. The priority class is added to the rank of guaranteed work. */
 #define WS_RANK_PRODUCTION 100
 #define WS_RANK_STARVED 99
 #define WS_RANK_GUARANTEED 50
-/* Deadline of a job that has none, in seconds after its submission. */
+/* Deadline assumed for a job without one, in seconds after its submission. */
 #define WS_NO_DEADLINE_S 1e9
-/* Leases for which a job waits until it is starved. */
+/* Lease durations without a placement after which a job is starved. */
 #define WS_STARVED_LEASES 2
-/* The share of its start objective that a gang waits until it is starved. */
-#define WS_STARVED_GANG_SHARE 4
+/* Divisor of a gang's start objective, minus the image fetch: the wait until it is starved. */
+#define WS_STARVED_GANG_DIVISOR 4
 
 int ws_scheduling_rank(const struct ws_job *job)
 {
@@ -45,12 +46,13 @@
 }
 
 /*
- * No job waits for ever behind those that keep coming: one of which no task was placed for two
- * leases is served before all other arrays until one is. What it then takes no array may preempt,
- * or the two would do so in turn. Production and the rules of preemption stay as they are.
+ * Prevents a job from waiting forever behind a stream of newer jobs. A job of which no task was
+ * placed for two lease durations is starved: it is served before all jobs except production until
+ * one of its tasks is placed. Only production may preempt the attempts placed while it was starved,
+ * since otherwise two jobs would preempt each other in turn. Its own right to preempt is unchanged.
  *
- * A gang needs more capacity at once than comes free between others: it is starved after a quarter
- * of its start objective, less the fetch.
+ * A gang needs more capacity at once than becomes free while other jobs are served first. It is
+ * therefore starved already after a quarter of its start objective, minus the image fetch.
  */
 bool ws_job_is_starved(const struct ws_core *core, const struct ws_job *job)
 {
@@ -60,20 +62,20 @@
 
 	if (start_objective_s > 0 && job->unmet_since > 0 &&
 	    core->now - job->unmet_since >
-		fmax(0, start_objective_s - ws_image_fetch_s(core, job)) / WS_STARVED_GANG_SHARE)
+		fmax(0, start_objective_s - ws_image_fetch_s(core, job)) / WS_STARVED_GANG_DIVISOR)
 		return true;
 	return core->now - waiting_since > WS_STARVED_LEASES * core->settings->lease_s &&
 	       job->retry_not_before <= core->now;
 }
 
-/* When a job should be done, by the time of day. */
-static double ws_latest_end(const struct ws_job *job)
+/* Returns the deadline of a job as wall-clock time. */
+static double ws_job_deadline(const struct ws_job *job)
 {
 	return job->submitted_at_wall +
 	       (job->spec.deadline_s >= 0 ? job->spec.deadline_s : WS_NO_DEADLINE_S);
 }
 
-/* Older jobs first; of the same age, by name. */
+/* Compares two jobs by age, oldest first, then by name. */
 static int ws_job_age_order(const struct ws_job *first, const struct ws_job *second)
 {
 	if (first->submitted_at_wall != second->submitted_at_wall)
@@ -85,16 +87,17 @@
 {
 	const struct ws_job *first = *(struct ws_job *const *)left;
 	const struct ws_job *second = *(struct ws_job *const *)right;
-	double first_end = ws_latest_end(first);
-	double second_end = ws_latest_end(second);
+	double first_deadline = ws_job_deadline(first);
+	double second_deadline = ws_job_deadline(second);
 
 	if (ws_queue_rank(first) != ws_queue_rank(second))
 		return ws_queue_rank(first) > ws_queue_rank(second) ? -1 : 1;
-	/* those that a subsystem moves, in its order; 0 stands for none and wraps to the largest */
+	/* Jobs that a subsystem moves are served in its order. Position 0 means none: the
+	 * subtraction wraps it to the largest value, so that it comes last. */
 	if (first->move_position != second->move_position)
 		return first->move_position - 1 < second->move_position - 1 ? -1 : 1;
-	if (first_end != second_end)
-		return first_end < second_end ? -1 : 1;
+	if (first_deadline != second_deadline)
+		return first_deadline < second_deadline ? -1 : 1;
 	return ws_job_age_order(first, second);
 }
 
@@ -103,7 +106,8 @@
 	return ws_job_age_order(*(struct ws_job *const *)left, *(struct ws_job *const *)right);
 }
 
-/* A job is guaranteed while it fits its team's guarantee along with the team's earlier jobs. */
+/* A job is guaranteed if all its tasks, along with those of the team's older jobs, fit into the
+ * team's guarantee. */
 void ws_mark_guaranteed(struct ws_core *core, struct ws_job **jobs, size_t count)
 {
 	double cpus[WS_MAX_TEAMS] = {0}, gpus[WS_MAX_TEAMS] = {0};
--- a/src/core/scheduler/reservations.c
+++ b/src/core/scheduler/reservations.c
@@ -1,11 +1,13 @@
 /*
- * Reservations ahead: capacity for tasks whose attempts will surely end on machines that went
- * silent together. It is taken out of what stays free elsewhere, so that nothing else takes it
- * before the tasks may be placed. Nothing is placed here and nothing is preempted.
+ * Advance reservations: when a group of machines becomes unreachable, capacity elsewhere is
+ * reserved for the tasks whose attempts on them will end, so that no other work uses it before
+ * these tasks may be placed again. Only capacity that the pass has left over is reserved; nothing
+ * is placed or preempted here.
  */
 #include "pass.h"
 
-/* Whether a job's attempts may move to a zone, as if those in avoided zones were gone. */
+/* Returns true if a job's tasks may be placed in a zone once its attempts in avoided zones have
+ * ended. */
 static bool ws_may_move_to_zone(const struct ws_core *core, const struct ws_job *job, int zone,
 				uint32_t zones_with_attempts)
 {
@@ -18,7 +20,8 @@
 	return !job->spec.spread || job->attempts_by_zone[zone] < (job->spec.tasks + 1) / 2;
 }
 
-/* The zones of which that is true, a bit each. */
+/* Returns the zones in which a job's tasks may be placed once its attempts in avoided zones have
+ * ended, as a bit mask. */
 static uint32_t ws_reservation_zones(const struct ws_core *core, const struct ws_job *job)
 {
 	uint32_t open_zones = ~core->subsystems.zones_avoided;
@@ -33,14 +36,14 @@
 	return zones;
 }
 
-/* Reserves planned capacity for tasks; how many found none. */
+/* Reserves planned capacity for tasks of a job. Returns the number of tasks that do not fit. */
 static uint32_t ws_reserve_capacity(struct ws_scheduling_pass *pass, struct ws_job *job,
 				    uint32_t zones, uint32_t tasks)
 {
 	struct ws_core *core = pass->core;
-	uint32_t lacking = tasks;
+	uint32_t missing = tasks;
 
-	for (size_t i = pass->reservation_scan_from; i < pass->machine_count && lacking && zones;
+	for (size_t i = pass->reservation_scan_from; i < pass->machine_count && missing && zones;
 	     i++) {
 		struct ws_machine *machine = pass->machines[i];
 		uint32_t fit;
@@ -52,14 +55,14 @@
 		if (!ws_machine_is_eligible(job, machine) ||
 		    !ws_zone_is_among(machine->zone_index, zones))
 			continue;
-		fit = ws_tasks_fit_planned(job, machine, lacking);
-		if (fit && !machine->attempt_count) /* it does not go back as empty meanwhile */
+		fit = ws_tasks_fit_planned(job, machine, missing);
+		if (fit && !machine->attempt_count) /* protects the empty machine from scale-in */
 			machine->reserved_until = core->now + core->settings->report_s;
-		lacking -= fit;
+		missing -= fit;
 		for (uint32_t k = 0; k < fit; k++)
 			ws_planned_capacity_take(job, machine);
 	}
-	return lacking;
+	return missing;
 }
 
 bool ws_has_live_replica(const struct ws_core *core, const struct ws_job *job)
@@ -73,7 +76,8 @@
 	return false;
 }
 
-/* Services whose replicas may all be alive still, on silent machines: capacity for one of each. */
+/* Reserves capacity for one replica of each service whose replicas all have attempts that may be
+ * alive, but only on machines with overdue heartbeats. */
 void ws_reserve_first_replicas(struct ws_scheduling_pass *pass)
 {
 	struct ws_core *core = pass->core;
@@ -86,8 +90,8 @@
 			    1 - ws_reserve_capacity(pass, job, ws_reservation_zones(core, job), 1);
 }
 
-/* Attempts of a job that may be alive on silent machines. */
-static uint32_t ws_silent_attempts(const struct ws_core *core, const struct ws_job *job)
+/* Returns the number of attempts of a job that may be alive on machines with overdue heartbeats. */
+static uint32_t ws_unreachable_attempts(const struct ws_core *core, const struct ws_job *job)
 {
 	const struct ws_attempt *attempt;
 	uint32_t count = 0;
@@ -99,25 +103,28 @@
 }
 
 /*
- * Reserves capacity for a job; what has none becomes unmet demand. The subsystem's number of tasks
- * may be a survey old: meanwhile some may be gone, and wait as tasks already, or be heard again.
+ * Reserves capacity for a job and adds tasks that do not fit to the unmet demand. The number of
+ * tasks that a subsystem requested dates from its last survey. It is limited to the attempts that
+ * are unreachable now, since the others may have ended, so that their tasks are waiting already, or
+ * may be reachable again.
  */
 static void ws_reserve_for_job(struct ws_scheduling_pass *pass, struct ws_job *job)
 {
 	uint32_t zones = ws_reservation_zones(pass->core, job);
-	uint32_t tasks = ws_silent_attempts(pass->core, job);
-	uint32_t lacking;
+	uint32_t tasks = ws_unreachable_attempts(pass->core, job);
+	uint32_t missing;
 
 	if (tasks > job->reserve_ahead)
 		tasks = job->reserve_ahead;
 	tasks = tasks > job->reserved_ahead ? tasks - job->reserved_ahead : 0;
-	lacking = ws_reserve_capacity(pass, job, zones, tasks);
+	missing = ws_reserve_capacity(pass, job, zones, tasks);
 	job->reserved_ahead = 0;
-	if (lacking && zones)
-		ws_unmet_demand_add(pass->core, job, lacking, zones);
+	if (missing && zones)
+		ws_unmet_demand_add(pass->core, job, missing, zones);
 }
 
-/* Lists the jobs that a subsystem wants capacity reserved for, in queue order; how many. */
+/* Lists the jobs for which a subsystem requested advance reservations, in queue order. Returns
+ * their number. */
 static size_t ws_list_jobs_with_reservations(struct ws_scheduling_pass *pass)
 {
 	struct ws_job *job, *next_job;
--- a/src/core/scheduler/scheduler.c
+++ b/src/core/scheduler/scheduler.c
@@ -1,24 +1,26 @@
 /*
- * The scheduling pass: brings jobs and machines up to date, places waiting jobs in queue order,
- * reserves capacity ahead and, once the scale-out is planned by what found no capacity,
- * consolidates replicas.
+ * The scheduling pass: updates the state of jobs and machines, places waiting jobs in queue order
+ * and makes advance reservations. After the caller has planned the scale-out for the unmet demand,
+ * the pass ends with the consolidation of replicas.
  */
 #include "pass.h"
 
 /*
- * Steps a pass may spend for each machine. When a full fleet meets hundreds of jobs that wait, each
- * in search of preemption victims, a pass took longer than the session lasts and leaders followed
- * one another. Who comes too late for this pass is served in one of the next.
+ * Steps of work per machine after which a pass searches for no more preemption victims. Without
+ * this limit, a full fleet and hundreds of waiting jobs that each search for victims made a pass
+ * longer than the leader's session TTL, so that one leader after another lost its session. Jobs
+ * that reach the limit continue in a later pass.
  */
 #define WS_PASS_STEPS 100
-/* Lists of machines in the scratch memory: usable, open and stopping ones, and candidates. */
+/* Machine lists in the scratch memory: usable, open and stopping machines, and candidates. */
 #define WS_PASS_MACHINE_LISTS 4
 
 /*
- * Memory for the lists of one pass, which is allocated anew only when the fleet or the jobs have
- * outgrown it: allocating and clearing it each time took a noticeable share of short passes.
+ * Returns the scratch memory for the lists of one pass. It is reallocated only if it is too small
+ * for the fleet and the jobs, since allocating and clearing it each time took a noticeable part of
+ * short passes.
  */
-static void *ws_pass_memory(struct ws_core *core, size_t machine_count, size_t job_count)
+static void *ws_pass_scratch(struct ws_core *core, size_t machine_count, size_t job_count)
 {
 	struct ws_scheduler *scheduler = &core->scheduler;
 	size_t bytes = (machine_count + 1) * (sizeof(struct ws_preemption_candidate) +
@@ -35,13 +37,13 @@
 	return scheduler->scratch;
 }
 
-/* Parts the scratch memory into the lists of a pass. */
-static void ws_pass_lists(struct ws_core *core, struct ws_scheduling_pass *pass)
+/* Divides the scratch memory into the lists of a pass. */
+static void ws_pass_init_lists(struct ws_core *core, struct ws_scheduling_pass *pass)
 {
 	size_t machine_count = core->fleet.first_fit_count;
 
 	pass->preemption_candidates =
-	    ws_pass_memory(core, machine_count, HASH_COUNT(core->jobs.by_id));
+	    ws_pass_scratch(core, machine_count, HASH_COUNT(core->jobs.by_id));
 	pass->machines = (struct ws_machine **)(pass->preemption_candidates + machine_count);
 	pass->candidates = pass->machines + machine_count;
 	pass->open_machines = pass->candidates + machine_count;
@@ -49,17 +51,17 @@
 	pass->jobs = (struct ws_job **)(pass->stopping_machines + machine_count);
 }
 
-/* Lists and figures of a pass, and what teams' limits have to keep for attempts of unknown teams.
- */
+/* Initializes the lists and limits of a pass, and reserves capacity within each team's limit for
+ * attempts of unknown teams. */
 static void ws_pass_begin(struct ws_core *core, struct ws_scheduling_pass *pass)
 {
 	double reserved_cpus, reserved_gpus;
-	uint64_t limit_machines;
+	uint64_t machines_searched;
 
 	ws_first_fit_order_update(core);
-	ws_pass_lists(core, pass);
-	limit_machines = (uint64_t)core->fleet.first_fit_count + WS_VICTIM_CANDIDATES;
-	pass->step_limit = core->scheduler.steps + WS_PASS_STEPS * limit_machines;
+	ws_pass_init_lists(core, pass);
+	machines_searched = (uint64_t)core->fleet.first_fit_count + WS_VICTIM_CANDIDATES;
+	pass->step_limit = core->scheduler.steps + WS_PASS_STEPS * machines_searched;
 	core->scheduler.pass_wanted = false;
 	core->scheduler.next_pass_at = core->now + ws_sweep_interval(core) / 2;
 	core->scheduler.pass_began_at = core->now;
@@ -69,32 +71,33 @@
 		core->jobs.teams[i].reserved_gpus = reserved_gpus;
 	}
 	ws_log_unknown_teams(core, reserved_cpus);
-	if (!core->scheduler.teams_logged) /* the first pass goes by the records alone */
+	/* in the first pass after the election, usage follows from the records alone */
+	if (!core->scheduler.teams_logged)
 		ws_log_teams(core);
 	core->scheduler.teams_logged = true;
 }
 
-/* Whether a subsystem holds first starts, and the job's are such. */
-static bool ws_first_start_is_held(const struct ws_core *core, const struct ws_job *job)
+/* Returns true if a subsystem defers first starts and nothing of the job was started yet. */
+static bool ws_first_start_is_deferred(const struct ws_core *core, const struct ws_job *job)
 {
 	return ws_subsystems_defer(core, WS_DEFER_FIRST_START, -1) && job->phase == WS_JOB_QUEUED &&
 	       !job->attempt_count && !job->done_count;
 }
 
-/* Brings a job up to date for a pass; whether tasks of it wait. */
+/* Updates the scheduling state of a job for a pass. Returns true if it has tasks to place. */
 static bool ws_pass_update_job(struct ws_scheduling_pass *pass, struct ws_job *job)
 {
 	struct ws_core *core = pass->core;
 
 	if (job->spec.gang && job->attempt_count)
 		ws_gang_check_progress(core, job);
-	/* also of those that only run: they may have to move */
+	/* also for jobs without waiting tasks, whose attempts may have to move */
 	ws_job_update_eligible_types(core, job);
 	if (job->attempt_count && ws_scheduling_rank(job) < pass->lowest_running_rank)
 		pass->lowest_running_rank = ws_scheduling_rank(job);
 	job->starved = job->waiting && ws_job_is_starved(core, job);
 	job->may_use_avoided = ws_job_may_use_avoided(core, job);
-	if (ws_first_start_is_held(core, job))
+	if (ws_first_start_is_deferred(core, job))
 		return false;
 	if (job->waiting)
 		pass->smallest_task_cpus = fmin(pass->smallest_task_cpus, job->spec.cpus);
@@ -103,7 +106,7 @@
 	return job->waiting > 0;
 }
 
-/* Lists the live jobs with tasks that wait, in the order in which they are served; how many. */
+/* Lists the live jobs that have waiting tasks, in queue order. Returns their number. */
 static size_t ws_pass_list_jobs(struct ws_scheduling_pass *pass)
 {
 	struct ws_core *core = pass->core;
@@ -122,7 +125,7 @@
 	return waiting;
 }
 
-/* Lists the machines that can be used, and what each has left. */
+/* Lists the usable machines and computes the planned capacity of each. */
 static void ws_pass_list_machines(struct ws_scheduling_pass *pass)
 {
 	struct ws_core *core = pass->core;
@@ -149,6 +152,7 @@
 	}
 }
 
+/* Places waiting tasks of a job, unless its team is unknown or it is in backoff after failures. */
 static void ws_place_job(struct ws_scheduling_pass *pass, struct ws_job *job)
 {
 	double start_objective_s = ws_start_objective(pass->core, job->spec.job_class);
@@ -164,19 +168,20 @@
 		ws_place_array(pass, job, start_objective_s);
 }
 
-/* Whether a service's first replica goes before other replicas of its rank. */
-static bool ws_replicas_are_apart(const struct ws_core *core, const struct ws_job *job)
+/* Returns true if a service's first replica is placed in the first round and its other replicas in
+ * the second round of its rank. */
+static bool ws_places_replicas_in_two_rounds(const struct ws_core *core, const struct ws_job *job)
 {
 	return job->replicas_apart || (job->spec.service && job->lost_recorded_attempts &&
 				       ws_subsystems_defer(core, WS_DEFER_SECOND_REPLICA, -1));
 }
 
-/* First round of a rank: of a service with its replicas apart only the first replica, if it has
- * none. */
+/* Places a job in the first round of its rank. Of a service whose replicas are placed in two
+ * rounds, this places one replica if none is alive. */
 static void ws_place_first_round(struct ws_scheduling_pass *pass, struct ws_job *job)
 {
 	job->waiting_before = job->waiting;
-	job->deferred_to_second_round = ws_replicas_are_apart(pass->core, job);
+	job->deferred_to_second_round = ws_places_replicas_in_two_rounds(pass->core, job);
 	job->placement_limit = job->deferred_to_second_round ? 1 : 0;
 	if (!job->deferred_to_second_round || !ws_has_live_replica(pass->core, job))
 		ws_place_job(pass, job);
@@ -184,8 +189,9 @@
 }
 
 /*
- * Places what waits, in order. Of a service with its replicas apart the first is placed in its
- * turn, the others after all else of the same rank.
+ * Places waiting jobs in queue order, in two rounds for each rank. Some services place only their
+ * first replica in the first round; their other replicas follow in the second, after all other jobs
+ * of the rank.
  */
 static void ws_place_jobs(struct ws_scheduling_pass *pass, size_t job_count)
 {
@@ -258,8 +264,9 @@
 	ws_unmet_demand_free(scheduler);
 }
 
-/* Placement takes a third of the time at the most, however long what waits; if the process stood
- * still meanwhile, that was no pass. */
+/* Delays the next pass by twice the duration of the last one, so that passes take at most a third
+ * of the time. The delay is at most half of the session TTL, since the duration also includes any
+ * time for which the process was suspended. */
 void ws_core_pass_ended(struct ws_core *core, double (*clock)(void))
 {
 	struct ws_scheduler *scheduler = &core->scheduler;
--- a/src/core/scheduler/task_placement.c
+++ b/src/core/scheduler/task_placement.c
@@ -1,12 +1,13 @@
 /*
- * Placement of tasks on one machine: plans their attempts, as many as the job's record can name,
- * and logs why jobs wait.
+ * Places tasks on one machine by planning attempts, as many as fit into the job's record, and logs
+ * why jobs wait.
  */
 #include "pass.h"
 
-/* Bytes of a job's record for its description, besides the names in it. */
+/* Bytes of a job's record for the job's description, excluding the names in it. */
 #define WS_RECORD_DESCRIPTION_BYTES 640
-/* Bytes in which a gang's record names its tasks: they are done together, in one range. */
+/* Bytes of a gang's record for its completed tasks. All tasks of a gang complete together, so a
+ * single range lists them. */
 #define WS_RECORD_GANG_TASKS_BYTES 64
 
 uint64_t ws_attempt_number_new(struct ws_core *core)
@@ -16,8 +17,8 @@
 	return (term << WS_ATTEMPT_SHIFT) + ++core->jobs.attempt_sequence;
 }
 
-/* Attempts of an array have three quarters of what the description leaves, the rest goes to the
- * tasks that are done. */
+/* In the record of an array, attempts may use three quarters of the space that the description
+ * leaves; the rest is for the list of completed tasks. */
 size_t ws_record_bytes_left(const struct ws_core *core, const struct ws_job *job)
 {
 	size_t names =
@@ -25,18 +26,18 @@
 	double limit = core->writer.value_bytes_max - WS_RECORD_DESCRIPTION_BYTES - (double)names -
 		       WS_NAME_MAX / 4.0 * (double)job->spec.type_count;
 	double used = 0;
-	const struct ws_attempt *attempt, *before = NULL;
+	const struct ws_attempt *attempt, *previous = NULL;
 
 	limit = job->spec.gang ? limit - WS_RECORD_GANG_TASKS_BYTES : limit * 3 / 4;
 	DL_FOREACH2 (job->attempts, attempt, job_next)
 		if (attempt->state != WS_ATTEMPT_GONE && !attempt->unrecorded) {
-			used += (double)ws_record_attempt_size(core, before, attempt);
-			before = attempt;
+			used += (double)ws_record_attempt_size(core, previous, attempt);
+			previous = attempt;
 		}
 	return limit > used ? (size_t)(limit - used) : 0;
 }
 
-/* The first task that waits; the number of tasks if none does. */
+/* Returns the first waiting task, or the job's number of tasks if none is waiting. */
 static uint32_t ws_next_waiting_task(struct ws_job *job)
 {
 	uint32_t task = job->lowest_waiting;
@@ -47,7 +48,7 @@
 	return task;
 }
 
-/* Plans an attempt of a task. False: the record can't name it, and it is not planned. */
+/* Plans an attempt of a task. Returns false and plans nothing if the job's record has no space. */
 static bool ws_place_task(struct ws_core *core, struct ws_job *job, struct ws_machine *machine,
 			  uint32_t task, uint64_t attempt_number, size_t *record_bytes_left)
 {
--- a/src/core/scheduler/team_limits.c
+++ b/src/core/scheduler/team_limits.c
@@ -1,13 +1,13 @@
 /*
- * Limits of teams: what a team may still use, and what the log tells of it.
+ * Enforces the resource limits of teams and logs their usage.
  *
- * A team's use counts all its attempts that may be alive; besides, so much is reserved as attempts
- * of unknown teams may use, and as gangs of the team wait for.
+ * A team's usage counts all of its attempts that may be alive. In addition, capacity within its
+ * limit is reserved for attempts of unknown teams and for the team's waiting gangs.
  */
 #include "pass.h"
 
-/* From this share of its limit on, a team's starts are logged with its use. */
-#define NEAR_LIMIT_SHARE 0.9
+/* Fraction of its CPU limit above which a team's usage is logged when its tasks are placed. */
+#define WS_NEAR_LIMIT_FRACTION 0.9
 
 uint32_t ws_tasks_within_team_limit(const struct ws_job *job)
 {
@@ -36,7 +36,8 @@
 {
 	const struct ws_team *team = job->team;
 
-	if (team->used_cpus + team->reserved_cpus > NEAR_LIMIT_SHARE * team->settings->cpus_max)
+	if (team->used_cpus + team->reserved_cpus >
+	    WS_NEAR_LIMIT_FRACTION * team->settings->cpus_max)
 		ws_log(core, WS_LOG_DEBUG,
 		       "team near limit team=%s job=%s used_cpus=%.2f reserved_cpus=%.2f "
 		       "limit_cpus=%.2f used_gpus=%.2f limit_gpus=%.2f",
@@ -53,8 +54,8 @@
 		return;
 	scheduler->logged_reserve_cpus = reserved_cpus;
 	scheduler->reserve_logged_at = core->now;
-	ws_log(core, WS_LOG_INFO, "reserved for unknown teams cpus=%.2f attempts=%u", reserved_cpus,
-	       core->jobs.attempts_of_unknown_teams);
+	ws_log(core, WS_LOG_INFO, "capacity reserved for unknown teams cpus=%.2f attempts=%u",
+	       reserved_cpus, core->jobs.attempts_of_unknown_teams);
 }
 
 void ws_log_teams(struct ws_core *core)
--- a/src/core/scheduler/unmet_demand.c
+++ b/src/core/scheduler/unmet_demand.c
@@ -1,11 +1,11 @@
 /*
- * Unmet demand: the tasks for which a pass found no capacity. The autoscaler, which stands above
- * the scheduler, reads the list between a pass and its end.
+ * The list of unmet demand: tasks for which a pass found no capacity. The autoscaler, a module in a
+ * higher layer, reads the list before the scheduler finishes the pass.
  */
 #include "../memory.h"
 #include "pass.h"
 
-/* Entries that the list has memory for at first; it doubles when they are used up. */
+/* Initial capacity of the list, in entries. The capacity doubles when the list is full. */
 #define WS_UNMET_DEMAND_INITIAL 64
 
 /* Grows the list if it is full. */
@@ -26,7 +26,7 @@
 	if (!job->unmet_since)
 		job->unmet_since = core->now;
 	if (zones && !(zones &= ~core->subsystems.zones_closed))
-		return; /* it waits for zones in which there is no scale-out now */
+		return; /* all of its zones are closed to scale-out at present */
 	ws_unmet_demand_grow(scheduler);
 	scheduler->unmet_demand[scheduler->unmet_count++] =
 	    (struct ws_unmet_demand){job, tasks, zones};
