--- a/src/core/store/job_watch.h
+++ b/src/core/store/job_watch.h
@@ -1,9 +1,9 @@
 /*
  * The job watch: keeps the leader's replica of the jobs current.
  *
- * The replica begins with the listing that the loader read; from its revision on a watch of the job
- * records is kept open. A leader may act only while its replica is recent, since users cancel jobs
- * through any node.
+ * The replica starts from the listing that the loader reads. From the revision of that listing on,
+ * a watch of the job records is kept open. A leader may act only while its replica is recent, since
+ * users cancel jobs through any node.
  */
 #ifndef WS_STORE_JOB_WATCH_H
 #define WS_STORE_JOB_WATCH_H
@@ -14,28 +14,28 @@
 struct ws_call;
 struct ws_result;
 
-/* Written by job_watch.c alone. Times are those of the core's clock, in seconds. */
+/* Modified only by job_watch.c. Times are in seconds on the core's clock. */
 struct ws_job_watch {
-	bool open;		   /* a watch is under way */
-	uint64_t revision;	   /* that the replica holds */
-	double next_at;		   /* the next watch is opened then */
-	double replica_current_at; /* the replica is no older than this */
+	bool open;		   /* a watch request is in flight */
+	uint64_t revision;	   /* store revision of the replica */
+	double next_at;		   /* earliest time to open the next watch */
+	double replica_current_at; /* the replica contained all changes up to then */
 };
 
-/* At step-down: no watch is under way. */
+/* Resets the watch at step-down. */
 void ws_job_watch_reset(struct ws_core *core);
 
-/* The jobs were listed as of a revision, by a request sent at asked_at: watches begin there. */
-void ws_job_watch_start(struct ws_core *core, uint64_t revision, double asked_at);
+/* Starts watching from the revision of a listing of the jobs that was requested at requested_at. */
+void ws_job_watch_start(struct ws_core *core, uint64_t revision, double requested_at);
 
-/* Keeps a watch of the jobs open while this node leads. */
+/* Keeps a watch of the jobs open while this node is the leader. */
 void ws_job_watch_tick(struct ws_core *core);
 
-/* The changes that a watch of the jobs brought, whoever opened it: for the replica and for the job
- * status cache. */
+/* Applies the result of a watch of the jobs, also one that another module opened, to the replica
+ * and to the job status cache. */
 void ws_job_watch_apply(struct ws_core *core, const struct ws_call *call,
 			const struct ws_result *result);
 
-/* It is known otherwise that the replica held everything at a time. */
+/* Notes that the replica is known from another source to have been current at a time. */
 void ws_job_watch_confirm(struct ws_core *core, double current_at);
 #endif
--- a/src/core/store/loader.c
+++ b/src/core/store/loader.c
@@ -1,14 +1,15 @@
-/* What a new leader reads back: listings by prefix, page by page. */
+/* Loads the stored records of a new leader: lists them by key prefix, page by page. */
 #include "../core_state.h"
 #include "record_source.h"
 
-static void ws_loader_page(struct ws_core *core, struct ws_call *call,
-			   const struct ws_result *result);
+static void ws_loader_page_received(struct ws_core *core, struct ws_call *call,
+				    const struct ws_result *result);
 
-/* Asks for the records of a prefix whose keys come after one; empty: from the first. */
+/* Requests a page of the records under a prefix whose keys follow `after`; an empty string requests
+ * the first page. */
 static void ws_loader_list(struct ws_core *core, const char *prefix, const char *after)
 {
-	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_loader_page);
+	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_loader_page_received);
 
 	snprintf(call->read.key, sizeof(call->read.key), "%s", prefix);
 	snprintf(call->read.after, sizeof(call->read.after), "%s", after);
@@ -30,7 +31,7 @@
 	}
 }
 
-/* All is read: the node leads. */
+/* Makes this node the leader once all records are loaded. */
 static void ws_loader_finish(struct ws_core *core)
 {
 	ws_leadership_assume(core);
@@ -38,8 +39,9 @@
 	ws_record_sources_loaded(core);
 }
 
-/* All records of a prefix are read: the next of the sequence, or one listing less is open. */
-static void ws_loader_next(struct ws_core *core, const char *prefix)
+/* Handles the end of a prefix's listing: starts the next listing of the sequence, or finishes
+ * loading after the last open listing. */
+static void ws_loader_prefix_done(struct ws_core *core, const char *prefix)
 {
 	struct ws_loader *loader = &core->loader;
 	const char *current = ws_load_sequence_prefix(loader->position), *next = NULL;
@@ -52,16 +54,17 @@
 		ws_loader_finish(core);
 }
 
-/* A page could not be read: it is asked for again for as long as the session lasts. */
+/* Requests a page again that could not be read; steps down once the leadership session has expired.
+ */
 static void ws_loader_retry(struct ws_core *core, const struct ws_call *call)
 {
 	if (core->now > core->leadership.entitled_until)
-		ws_step_down(core, "records not loaded in time");
+		ws_step_down(core, "records not loaded before the session expired");
 	else
 		ws_loader_list(core, call->read.key, call->read.after);
 }
 
-static void ws_loader_record(struct ws_core *core, const struct ws_kv *record)
+static void ws_loader_deliver_record(struct ws_core *core, const struct ws_kv *record)
 {
 	const struct ws_record_source *source = ws_record_source_of(core, record->key);
 
@@ -69,8 +72,8 @@
 		source->load(core, record);
 }
 
-static void ws_loader_page(struct ws_core *core, struct ws_call *call,
-			   const struct ws_result *result)
+static void ws_loader_page_received(struct ws_core *core, struct ws_call *call,
+				    const struct ws_result *result)
 {
 	const struct ws_record_source *source;
 
@@ -88,10 +91,10 @@
 	if (source && source->listed && !call->read.after[0])
 		source->listed(core, result->records.revision, call->created_at);
 	for (size_t i = 0; i < result->records.entry_count; i++)
-		ws_loader_record(core, &result->records.entries[i]);
+		ws_loader_deliver_record(core, &result->records.entries[i]);
 	if (result->records.has_more && result->records.entry_count)
 		ws_loader_list(core, call->read.key,
 			       result->records.entries[result->records.entry_count - 1].key);
 	else
-		ws_loader_next(core, call->read.key);
+		ws_loader_prefix_done(core, call->read.key);
 }
--- a/src/core/store/loader.h
+++ b/src/core/store/loader.h
@@ -1,8 +1,8 @@
 /*
- * The loader: a new leader reads back all records before it leads.
+ * The loader: after an election, loads all records from the store before the node acts as leader.
  *
- * The core's own records are listed prefix by prefix in a fixed order; listings of other prefixes
- * run beside that sequence. Each record goes to its source, see record_source.h.
+ * The core's own records are listed prefix by prefix in a fixed sequence; listings of other
+ * prefixes run in parallel to it. Each record is passed to its source, see record_source.h.
  */
 #ifndef WS_STORE_LOADER_H
 #define WS_STORE_LOADER_H
@@ -10,14 +10,14 @@
 
 struct ws_core;
 
-/* Written by loader.c alone. */
+/* Modified only by loader.c. */
 struct ws_loader {
-	size_t position;      /* of the listing of the sequence that is under way */
-	size_t open_listings; /* under way: the sequence counts as one */
+	size_t position;      /* index of the current listing in the sequence */
+	size_t open_listings; /* listings in progress; the sequence counts as one */
 	double started_at;    /* on the core's clock, in seconds */
 };
 
-/* After the election: begins to read. The node leads once the last record is read, and steps down
- * if the records can't be read while its session lasts. */
+/* Starts loading after an election was won. The node becomes the leader once all records are
+ * loaded, and steps down if its session expires before. */
 void ws_loader_start(struct ws_core *core);
 #endif
--- a/src/core/store/write_batch.c
+++ b/src/core/store/write_batch.c
@@ -7,7 +7,7 @@
 	struct ws_call *call = ws_alloc(1, sizeof(*call));
 
 	call->kind = WS_CALL_TRANSACTION;
-	/* the leader key's compare, up to two for each operation, and one operation to spare */
+	/* one compare of the leader key and up to two for each operation; one operation is spare */
 	ws_transaction_reserve(call, 2 * operations_max + 2, operations_max + 1);
 	*batch = (struct ws_write_batch){.call = call, .operations_max = operations_max};
 }
--- a/src/core/store/write_counts.c
+++ b/src/core/store/write_counts.c
@@ -1,4 +1,4 @@
-/* Counts of the records written, so that operators see what the changes are spent on. */
+/* Counts written records by kind, so that operators see what uses the store's write rate. */
 #include "../core_state.h"
 
 void ws_write_counts_add(struct ws_core *core, enum ws_write_kind kind)
--- a/src/core/store/write_counts.h
+++ b/src/core/store/write_counts.h
@@ -1,4 +1,4 @@
-/* What the leader's changes are spent on: records written by kind, logged now and then. */
+/* Counts of the records that the leader writes, by kind; logged once per lease duration. */
 #ifndef WS_WRITE_COUNTS_H
 #define WS_WRITE_COUNTS_H
 #include <stdint.h>
@@ -14,7 +14,7 @@
 };
 #define WS_WRITE_KINDS 5
 
-/* Written by write_counts.c alone. */
+/* Modified only by write_counts.c. */
 struct ws_write_counts {
 	uint32_t by_kind[WS_WRITE_KINDS]; /* since the last log line */
 	double next_log_at;		  /* on the core's clock, in seconds */
@@ -23,6 +23,6 @@
 /* Counts one record of a kind. */
 void ws_write_counts_add(struct ws_core *core, enum ws_write_kind kind);
 
-/* Logs the counts and begins anew, if that is due. */
+/* Logs and resets the counts if the log interval has passed. */
 void ws_write_counts_log(struct ws_core *core);
 #endif
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -1,25 +1,25 @@
-/* The leader's transactions: one at a time, within its share of changes. */
+/* Sends the leader's transactions one at a time, within its share of the store's write rate. */
 #include "../core_state.h"
 #include "record_source.h"
 
-/* Of the changes a second that the store allows, the leader takes up to this share while
- * nobody is refused any, and has the other one for sure. */
+/* The leader's share of the store's write rate: up to the maximum while the store refuses none of
+ * its writes, and never below the minimum. */
 #define RATE_SHARE_MAX 0.8
 #define RATE_SHARE_MIN 0.5
-/* Factor of the rate after a refusal, and the time in which it rises from nothing to its most. */
+/* A refusal multiplies the rate by this factor; a rise from 0 to the maximum takes this time. */
 #define RATE_DECREASE 0.8
 #define RATE_RECOVERY_S 32
-/* The bucket holds the changes of this time. */
-#define BUCKET_S 0.5
-/* Less than this share of a second's changes in the bucket: changes are short. */
-#define SPARE_SHARE 0.25
-/* What becomes due by the clock is looked for so often in a ttl; the first back-off is twice that
- * interval. */
+/* Capacity of the token bucket, in seconds at the current rate. */
+#define TOKEN_BUCKET_S 0.5
+/* There is spare budget while the bucket holds more than this fraction of a second's writes. */
+#define SPARE_RATE_SHARE 0.25
+/* Number of polls per session TTL for records that became due by time; the first backoff is two
+ * poll intervals. */
 #define POLLS_PER_TTL 64
 #define BACKOFF_DOUBLINGS_MAX 5
-/* Limits are not lowered below these. */
-#define OPERATIONS_FLOOR 2
-#define VALUE_BYTES_FLOOR 512
+/* The limits are never lowered below these values. */
+#define OPERATIONS_MIN 2
+#define VALUE_BYTES_MIN 512
 
 void ws_writer_reset(struct ws_core *core)
 {
@@ -40,16 +40,16 @@
 
 bool ws_writer_has_spare_budget(const struct ws_core *core)
 {
-	return core->writer.tokens > core->writer.rate * SPARE_SHARE;
+	return core->writer.tokens > core->writer.rate * SPARE_RATE_SHARE;
 }
 
 /* ---- outcome of a transaction ---- */
 
-static void ws_writer_read_again(struct ws_core *core, const char *key);
+static void ws_writer_send_read(struct ws_core *core, const char *key);
 
-/* A record whose compare failed was read again. */
-static void ws_writer_reread(struct ws_core *core, struct ws_call *call,
-			     const struct ws_result *result)
+/* Passes a record that was read again after a failed compare to its source. */
+static void ws_writer_read_done(struct ws_core *core, struct ws_call *call,
+				const struct ws_result *result)
 {
 	const struct ws_record_source *source;
 	bool found = result->outcome == WS_OUTCOME_OK;
@@ -57,7 +57,7 @@
 	if (call->generation != core->generation)
 		return;
 	if (!found && result->outcome != WS_OUTCOME_NOT_FOUND) {
-		ws_writer_read_again(core, call->read.key);
+		ws_writer_send_read(core, call->read.key);
 		return;
 	}
 	source = ws_record_source_of(core, call->read.key);
@@ -68,9 +68,9 @@
 				       : 0);
 }
 
-static void ws_writer_read_again(struct ws_core *core, const char *key)
+static void ws_writer_send_read(struct ws_core *core, const char *key)
 {
-	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_writer_reread);
+	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_writer_read_done);
 
 	snprintf(call->read.key, sizeof(call->read.key), "%s", key);
 }
@@ -92,7 +92,7 @@
 	}
 }
 
-/* The compare of a key if the store says that it failed, else NULL. */
+/* Returns the compare of a key if the store reported that it failed, otherwise NULL. */
 static const struct ws_compare *ws_writer_failed_compare(const struct ws_call *call,
 							 const char *key,
 							 const struct ws_result *result)
@@ -107,7 +107,8 @@
 	return NULL;
 }
 
-/* The write did not happen, or not surely: what it held is due again. */
+/* Notifies the sources that their operations were not committed or that the outcome is unknown; the
+ * records become due again. */
 static void ws_writer_not_committed(struct ws_core *core, const struct ws_call *call,
 				    const struct ws_result *result)
 {
@@ -120,17 +121,18 @@
 			failed_compare = ws_writer_failed_compare(call, operation->key, result);
 		if (source && source->not_written &&
 		    source->not_written(core, operation, failed_compare))
-			ws_writer_read_again(core, operation->key);
+			ws_writer_send_read(core, operation->key);
 	}
 }
 
 /*
- * Too much for the store, by limits lower than those we plan by. It was not carried out;
- * what it held is written anew in smaller transactions, then in smaller records, never unchanged.
+ * Lowers the limits after the store rejected a transaction as too large, since its limits are lower
+ * than the configured ones. The records are written again in transactions with fewer operations,
+ * then with smaller values; the same transaction is never repeated.
  */
 static void ws_writer_lower_limits(struct ws_core *core, const struct ws_call *call)
 {
-	size_t largest_bytes = 0, all_bytes = 0, largest = 0;
+	size_t largest_bytes = 0, all_bytes = 0, largest_index = 0;
 	struct ws_writer *writer = &core->writer;
 
 	for (size_t i = 0; i < call->transaction.operation_count; i++) {
@@ -141,26 +143,25 @@
 		all_bytes += bytes;
 		if (bytes > largest_bytes) {
 			largest_bytes = bytes;
-			largest = i;
+			largest_index = i;
 		}
 	}
-	if (call->transaction.operation_count > OPERATIONS_FLOOR)
+	if (call->transaction.operation_count > OPERATIONS_MIN)
 		writer->operations_max =
-		    (int)(call->transaction.operation_count / 2 > OPERATIONS_FLOOR
+		    (int)(call->transaction.operation_count / 2 > OPERATIONS_MIN
 			      ? call->transaction.operation_count / 2
-			      : OPERATIONS_FLOOR);
-	else if (largest_bytes > VALUE_BYTES_FLOOR)
-		core->writer.value_bytes_max =
-		    fmax(VALUE_BYTES_FLOOR, (double)largest_bytes * 3 / 4);
+			      : OPERATIONS_MIN);
+	else if (largest_bytes > VALUE_BYTES_MIN)
+		core->writer.value_bytes_max = fmax(VALUE_BYTES_MIN, (double)largest_bytes * 3 / 4);
 	ws_log(core, WS_LOG_ERROR,
 	       "write batch rejected, limits lowered operations=%zu bytes=%zu largest_key=%s "
 	       "largest_bytes=%zu transaction_limit=%d value_limit_bytes=%.0f",
 	       call->transaction.operation_count, all_bytes,
-	       call->transaction.operations[largest].key, largest_bytes, writer->operations_max,
-	       core->writer.value_bytes_max);
+	       call->transaction.operations[largest_index].key, largest_bytes,
+	       writer->operations_max, core->writer.value_bytes_max);
 }
 
-static bool ws_writer_lost_lead(const struct ws_result *result)
+static bool ws_writer_lost_leadership(const struct ws_result *result)
 {
 	for (size_t i = 0; i < result->transaction.failed_count; i++)
 		if (!strcmp(result->transaction.failed_keys[i], "leader"))
@@ -168,7 +169,7 @@
 	return false;
 }
 
-/* Others write as well: less for a while. */
+/* Lowers the rate after the store refused a write, since other nodes use the write rate as well. */
 static void ws_writer_throttled(struct ws_core *core)
 {
 	struct ws_writer *writer = &core->writer;
@@ -200,8 +201,8 @@
 		ws_writer_committed(core, call, result->transaction.revision);
 		return;
 	}
-	if (result->outcome == WS_OUTCOME_CONFLICT && ws_writer_lost_lead(result)) {
-		ws_step_down(core, "write rejected, another node leads");
+	if (result->outcome == WS_OUTCOME_CONFLICT && ws_writer_lost_leadership(result)) {
+		ws_step_down(core, "write rejected, another node is the leader");
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_REJECTED)
@@ -216,8 +217,9 @@
 /* ---- sending ---- */
 
 /*
- * Changes a second are the scarcest thing in a large deployment. The leader has half of them for
- * sure, and takes up to four fifths while nobody is refused any.
+ * Refills the token bucket. The store's write rate is the scarcest resource of a large deployment:
+ * the leader always has half of it, and uses up to four fifths while the store refuses none of its
+ * writes.
  */
 static void ws_writer_refill(struct ws_core *core)
 {
@@ -228,11 +230,12 @@
 	if (!writer->rate)
 		writer->rate = rate_max;
 	writer->rate = fmin(rate_max, writer->rate + elapsed * rate_max / RATE_RECOVERY_S);
-	writer->tokens = fmin(writer->rate * BUCKET_S, writer->tokens + elapsed * writer->rate);
+	writer->tokens =
+	    fmin(writer->rate * TOKEN_BUCKET_S, writer->tokens + elapsed * writer->rate);
 	writer->refilled_at = core->now;
 }
 
-/* Whether a transaction may be sent now, and something may be due. */
+/* Whether a transaction may be sent now and records may be due. */
 static bool ws_writer_is_ready(const struct ws_core *core)
 {
 	const struct ws_writer *writer = &core->writer;
--- a/src/core/store/writer.h
+++ b/src/core/store/writer.h
@@ -1,9 +1,9 @@
 /*
- * The writer: carries the leader's records to the store.
+ * The writer: writes the leader's records to the store.
  *
- * One transaction is under way at a time. Each is conditioned on the leader key, so that a write of
- * a former leader has no effect, and keeps to the leader's share of the changes a second that the
- * store allows. The records come from the sources, see record_source.h.
+ * At most one transaction is in flight. Each transaction compares the leader key, so that a write
+ * by a former leader has no effect. A token bucket keeps the writer within the leader's share of
+ * the store's write rate. The records come from the record sources, see record_source.h.
  */
 #ifndef WS_STORE_WRITER_H
 #define WS_STORE_WRITER_H
@@ -13,30 +13,31 @@
 
 struct ws_core;
 
-/* Written by writer.c alone. Times are those of the core's clock, in seconds. */
+/* Modified only by writer.c. Times are in seconds on the core's clock. */
 struct ws_writer {
-	bool in_flight;		/* a transaction is under way */
-	bool woken;		/* something became due by an event since the last collection */
-	double next_poll_at;	/* what became due by the clock is looked for then */
-	double retry_at;	/* back-off: no transaction before then */
-	int failures;		/* in a row; the back-off doubles with each, up to a limit */
-	int operations_max;	/* of a transaction: less than the settings' once one was refused */
-	double value_bytes_max; /* of a value that is planned by; lowered in the same way */
-	double rate;		/* token bucket: changes a second that are the leader's */
-	double tokens;		/* changes that it may make now */
-	double refilled_at;	/* when the bucket was last filled up */
-	uint64_t empty_passes;	/* collections that found nothing due; counted for tests */
+	bool in_flight;		/* a transaction is in flight */
+	bool woken;		/* an event has made a record due since the last collection */
+	double next_poll_at;	/* next check for records that became due by time */
+	double retry_at;	/* no transaction is sent before then (backoff) */
+	int failures;		/* consecutive failures; each doubles the backoff, up to a limit */
+	int operations_max;	/* limit of a transaction; lowered if one is too large */
+	double value_bytes_max; /* limit of a value; lowered in the same way */
+	double rate;		/* writes per second that refill the token bucket */
+	double tokens;	       /* writes that may be sent now; negative after a large transaction */
+	double refilled_at;    /* when the token bucket was last refilled */
+	uint64_t empty_passes; /* collections that found no record due; read by tests only */
 };
 
-/* At start and at step-down: nothing is under way, and the limits are those of the settings. */
+/* Resets the writer at start and at step-down: no transaction is in flight, and the limits are
+ * those of the settings. */
 void ws_writer_reset(struct ws_core *core);
 
-/* Something became due by an event: the next tick collects. */
+/* Makes the next tick collect records, after an event has made one due. */
 void ws_writer_wake(struct ws_core *core);
 
-/* Sends a transaction with what is due, if the leader may write now. */
+/* Sends a transaction with the records that are due, if the leader may write now. */
 void ws_writer_tick(struct ws_core *core);
 
-/* Whether there are changes to spare for what can wait. */
+/* Whether enough write budget is left for records that are not urgent. */
 bool ws_writer_has_spare_budget(const struct ws_core *core);
 #endif
