--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -73,7 +73,7 @@
 	for (size_t i = 0; i < core->scheduler.unmet_count; i++) {
 		const struct ws_unmet_demand *demand = &core->scheduler.unmet_demand[i];
 		const struct ws_job_spec *spec = &demand->job->spec;
-		double task_units = ws_demand_units_of(core, spec);
+		double task_units = ws_task_demand_units(core, spec);
 
 		unit_seconds_waited +=
 		    (core->now - demand->job->unmet_since) * task_units * demand->tasks;
--- a/src/core/autoscaler/scale_out_records.c
+++ b/src/core/autoscaler/scale_out_records.c
@@ -101,7 +101,7 @@
 	struct ws_scale_out *request, *next;
 
 	DL_FOREACH_SAFE2 (core->autoscaler.dirty_requests, request, next, dirty_next) {
-		if (!ws_write_batch_room(batch) || ws_write_batch_is_full(batch))
+		if (!ws_write_batch_operations_left(batch) || ws_write_batch_is_full(batch))
 			break;
 		if (!request->write_in_flight)
 			ws_scale_out_add(core, batch, request);
--- a/src/core/catalog/catalog.c
+++ b/src/core/catalog/catalog.c
@@ -15,8 +15,8 @@
 	if (!image || !catalog->image_names)
 		abort();
 	snprintf(image->name, sizeof(image->name), "%s", name);
-	image->id = catalog->image_count;
-	catalog->image_names[image->id] = image->name;
+	image->index = catalog->image_count;
+	catalog->image_names[image->index] = image->name;
 	catalog->image_count++;
 	HASH_ADD_STR(catalog->images, name, image);
 	return image;
@@ -29,7 +29,7 @@
 	HASH_FIND_STR(core->catalog.images, name, image);
 	if (!image)
 		image = ws_image_add(&core->catalog, name);
-	return image->id;
+	return image->index;
 }
 
 int ws_zone_index(struct ws_core *core, const char *name)
@@ -54,7 +54,7 @@
 	return mean_cpus;
 }
 
-double ws_demand_units_of(const struct ws_core *core, const struct ws_job_spec *spec)
+double ws_task_demand_units(const struct ws_core *core, const struct ws_job_spec *spec)
 {
 	double mean_cpus = ws_mean_machine_cpus(core);
 
--- a/src/core/catalog/catalog.h
+++ b/src/core/catalog/catalog.h
@@ -19,7 +19,7 @@
 /* An image that jobs run and machines cache. Images are compared by index. */
 struct ws_image {
 	char name[WS_NAME_MAX];
-	int id;
+	int index;
 	UT_hash_handle hh;
 };
 
@@ -27,7 +27,7 @@
 	/* machine types */
 	struct ws_machine_type types[WS_MAX_TYPES];
 	size_t type_count;
-	int types_edition;   /* incremented when the types may have changed */
+	int types_version;   /* incremented when the types may have changed */
 	bool types_recorded; /* the types are stored, or too large to be stored */
 	bool request_in_flight;
 	double next_request_at;
@@ -60,7 +60,7 @@
 /* Returns the mean number of CPUs of the known machine types, or 0 if none is known. */
 double ws_mean_machine_cpus(const struct ws_core *core);
 /* Returns the demand of one task: its CPUs as a fraction of the mean CPUs of a machine type. */
-double ws_demand_units_of(const struct ws_core *core, const struct ws_job_spec *spec);
+double ws_task_demand_units(const struct ws_core *core, const struct ws_job_spec *spec);
 
 /* ---- machine_types.c ---- */
 
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -14,7 +14,7 @@
 	    !core->catalog.type_count)
 		core->catalog.type_count =
 		    ws_record_read_types(result->records.entries[0].value, core->catalog.types);
-	core->catalog.types_edition++;
+	core->catalog.types_version++;
 	if (!core->catalog.type_count)
 		core->catalog.next_request_at = core->now + core->settings->report_s / 2;
 }
@@ -44,7 +44,7 @@
 	if (result->outcome == WS_OUTCOME_OK && result->types.count) {
 		for (size_t i = 0; i < result->types.count; i++)
 			ws_machine_type_update(core, &result->types.list[i]);
-		catalog->types_edition++;
+		catalog->types_version++;
 		catalog->request_in_flight = false;
 		catalog->next_request_at =
 		    core->now + core->settings->lease_s * WS_TYPES_REFRESH_LEASES;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -103,7 +103,7 @@
 
 void ws_core_request_pass(struct ws_core *core)
 {
-	core->scheduler.pass_wanted = true;
+	core->scheduler.pass_requested = true;
 }
 
 void ws_core_instance_gone(struct ws_core *core)
@@ -232,8 +232,8 @@
 		ws_fleet_tick(core);
 		ws_subsystems_tick(core);
 		if (core->now > core->scheduler.next_pass_at + core->settings->report_s / 4)
-			core->scheduler.pass_wanted = true; /* back-offs end without an event */
-		if (core->scheduler.pass_wanted && core->now >= core->scheduler.next_pass_at &&
+			core->scheduler.pass_requested = true; /* back-offs end without an event */
+		if (core->scheduler.pass_requested && core->now >= core->scheduler.next_pass_at &&
 		    ws_is_entitled(core) && !core->leadership.in_outage)
 			ws_core_run_pass(core);
 		ws_autoscaler_tick(core);
--- a/src/core/event_counts.c
+++ b/src/core/event_counts.c
@@ -41,7 +41,7 @@
 		return;
 	for (size_t event = 0; event < WS_EVENT_KINDS; event++)
 		ws_event_counts_add(line, "", names[event], counts->by_event[event]);
-	for (size_t evidence = 0; evidence < WS_RELEASE_EVIDENCE_KINDS; evidence++)
+	for (size_t evidence = 0; evidence < WS_RELEASE_EVIDENCE_COUNT; evidence++)
 		ws_event_counts_add(line, "released_", ws_release_evidence_text(evidence),
 				    counts->by_evidence[evidence]);
 	if (line[0])
--- a/src/core/event_counts.h
+++ b/src/core/event_counts.h
@@ -24,7 +24,7 @@
 /* Written by event_counts.c alone. */
 struct ws_event_counts {
 	uint32_t by_event[WS_EVENT_KINDS];		 /* since the last line */
-	uint32_t by_evidence[WS_RELEASE_EVIDENCE_KINDS]; /* releases */
+	uint32_t by_evidence[WS_RELEASE_EVIDENCE_COUNT]; /* releases */
 	double next_log_at;				 /* on the core's clock, in seconds */
 };
 
--- a/src/core/extension/subsystem_records.c
+++ b/src/core/extension/subsystem_records.c
@@ -133,7 +133,7 @@
 	if (!core->subsystems.dirty_records)
 		return;
 	HASH_ITER (hh, core->subsystems.records, record, next) {
-		if (!ws_write_batch_room(batch) || ws_write_batch_is_full(batch))
+		if (!ws_write_batch_operations_left(batch) || ws_write_batch_is_full(batch))
 			return;
 		if (record->dirty && !record->write_in_flight && record->urgent == urgent)
 			ws_subsystem_record_add(core, batch, record);
--- a/src/core/extension/subsystem_requests.c
+++ b/src/core/extension/subsystem_requests.c
@@ -103,7 +103,7 @@
 	DL_FOREACH2 (job->attempts, attempt, job_next) {
 		void *machine = attempt->machine->subsystem_handles[index];
 
-		if (attempt->state == WS_ATTEMPT_GONE || attempt->unrecorded)
+		if (attempt->state == WS_ATTEMPT_RELEASED || attempt->unrecorded)
 			continue;
 		if (machine && subsystem->ops->attempt_surveyed(subsystem->self, machine))
 			facts.affected++;
@@ -120,7 +120,7 @@
 	struct ws_job *job, *next;
 
 	HASH_ITER (hh, core->jobs.by_id, job, next)
-		if (!ws_job_is_over(job))
+		if (!ws_job_is_finished(job))
 			ws_survey_job(subsystem, index, job);
 	subsystem->ops->survey_done(subsystem->self, core->now);
 }
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -83,7 +83,7 @@
 /* Whether an attempt is to be stopped and its worker may have it. */
 static bool ws_attempt_needs_stop(const struct ws_attempt *attempt)
 {
-	return attempt->stopping && attempt->state != WS_ATTEMPT_GONE &&
+	return attempt->stopping && attempt->state != WS_ATTEMPT_RELEASED &&
 	       attempt->incarnation == attempt->machine->incarnation &&
 	       (attempt->maybe_sent || attempt->reported);
 }
@@ -195,7 +195,7 @@
 static bool ws_attempt_stop_unsent(const struct ws_attempt *attempt)
 {
 	return attempt->stopping && !attempt->stop_command_sent &&
-	       attempt->state != WS_ATTEMPT_GONE &&
+	       attempt->state != WS_ATTEMPT_RELEASED &&
 	       attempt->incarnation == attempt->machine->incarnation;
 }
 
--- a/src/core/fleet/fleet.c
+++ b/src/core/fleet/fleet.c
@@ -49,7 +49,7 @@
 	struct ws_attempt *attempt;
 
 	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next) {
-		if (!attempt->job || attempt->state == WS_ATTEMPT_GONE)
+		if (!attempt->job || attempt->state == WS_ATTEMPT_RELEASED)
 			continue;
 		if (machine->zone_index >= 0)
 			attempt->job->attempts_by_zone[machine->zone_index]--;
--- a/src/core/fleet/fleet_sweep.c
+++ b/src/core/fleet/fleet_sweep.c
@@ -29,8 +29,9 @@
 
 	for (attempt = machine->attempts; attempt; attempt = next) {
 		next = attempt->machine_next;
-		if (attempt->state == WS_ATTEMPT_GONE || attempt->stopping || attempt->unrecorded ||
-		    !attempt->job || !ws_attempt_drains_on_notice(core, attempt))
+		if (attempt->state == WS_ATTEMPT_RELEASED || attempt->stopping ||
+		    attempt->unrecorded || !attempt->job ||
+		    !ws_attempt_drains_on_notice(core, attempt))
 			continue;
 		ws_task_stop(core, attempt, WS_STOP_PREEMPTION_NOTICE);
 		stopped_any = true;
--- a/src/core/fleet/gang_attempts.c
+++ b/src/core/fleet/gang_attempts.c
@@ -25,7 +25,7 @@
 /* Whether an attempt may be alive and is on its job's record. */
 static bool ws_gang_has_member(const struct ws_attempt *attempt)
 {
-	return attempt->state != WS_ATTEMPT_GONE && !attempt->unrecorded;
+	return attempt->state != WS_ATTEMPT_RELEASED && !attempt->unrecorded;
 }
 
 /* Whether a task has surely not begun to run: not sent yet, or reported as fetching or waiting. */
@@ -44,10 +44,10 @@
 	*number = 0;
 	*since = NEVER;
 	DL_FOREACH2 (job->attempts, attempt, job_next) {
-		if (attempt->state == WS_ATTEMPT_GONE)
+		if (attempt->state == WS_ATTEMPT_RELEASED)
 			continue;
 		if (attempt->unrecorded || attempt->stopping ||
-		    attempt->number == job->gang.ended_attempt ||
+		    attempt->number == job->gang.last_run_attempt ||
 		    (*number && *number != attempt->number) || !ws_gang_task_is_assembling(attempt))
 			return false;
 		*number = attempt->number;
@@ -71,7 +71,7 @@
 	const struct ws_attempt *attempt;
 
 	DL_FOREACH2 (job->attempts, attempt, job_next) {
-		if (attempt->state == WS_ATTEMPT_GONE ||
+		if (attempt->state == WS_ATTEMPT_RELEASED ||
 		    (!attempt->maybe_sent && !attempt->reported))
 			continue;
 		if (attempt->unrecorded || !ws_machine_is_reachable(core, attempt->machine))
@@ -90,7 +90,7 @@
 	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
 		if (ws_gang_has_member(attempt) && !attempt->stopping) {
 			attempt->machine->commands.pending = true;
-			ws_attempt_stop(core, attempt, grace_s, WS_STOP_LOGGED);
+			ws_attempt_stop(core, attempt, grace_s, WS_STOP_ALREADY_LOGGED);
 			stopped++;
 		}
 	if (!stopped)
@@ -157,9 +157,9 @@
 /* A gang that ran has lost a task. The others end by themselves; those that did not are told. */
 static void ws_gang_stop_broken(struct ws_core *core, struct ws_job *job)
 {
-	if (!job->gang.broken_at)
-		job->gang.broken_at = core->now;
-	else if (core->now - job->gang.broken_at >
+	if (!job->gang.member_lost_at)
+		job->gang.member_lost_at = core->now;
+	else if (core->now - job->gang.member_lost_at >
 		 core->settings->gang_peer_s + BROKEN_INTERVALS * core->settings->report_s)
 		ws_gang_stop(core, job, 0, WS_STOP_GANG_LOST_TASK);
 }
@@ -167,7 +167,7 @@
 void ws_gang_check_progress(struct ws_core *core, struct ws_job *job)
 {
 	struct ws_gang_progress progress = ws_gang_progress(core, job);
-	bool has_run = progress.number == job->gang.ended_attempt;
+	bool has_run = progress.number == job->gang.last_run_attempt;
 
 	if (progress.stopping == progress.members)
 		return;
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -79,7 +79,7 @@
 	for (struct ws_attempt *attempt = machine->attempts, *next_attempt; attempt;
 	     attempt = next_attempt) {
 		next_attempt = attempt->machine_next;
-		if (attempt->state == WS_ATTEMPT_GONE || attempt->mark == core->fleet.mark ||
+		if (attempt->state == WS_ATTEMPT_RELEASED || attempt->mark == core->fleet.mark ||
 		    attempt->incarnation != machine->incarnation)
 			continue;
 		if (ws_machine_echoes_token(machine))
--- a/src/core/fleet/machine_shard_records.c
+++ b/src/core/fleet/machine_shard_records.c
@@ -77,7 +77,7 @@
 /* One shard at a time, in a transaction that is not full: what users wait for goes first. */
 static void ws_machine_shard_collect(struct ws_core *core, struct ws_write_batch *batch)
 {
-	if (!ws_write_batch_room(batch) || batch->bytes >= WS_TRANSACTION_BYTES ||
+	if (!ws_write_batch_operations_left(batch) || batch->bytes >= WS_TRANSACTION_FILL_BYTES ||
 	    core->now < core->fleet.next_shard_write_at)
 		return;
 	for (int i = 0; i < core->fleet.shard_count; i++)
--- a/src/core/fleet/quarantine.c
+++ b/src/core/fleet/quarantine.c
@@ -13,7 +13,7 @@
 	if (attempt->task_state == WS_TASK_EXITED)
 		return;
 	attempt->machine->quarantine.running--;
-	ws_unknown_team_settled(core, attempt);
+	ws_attempt_clear_unknown_team(core, attempt);
 	attempt->task_state = WS_TASK_EXITED;
 	attempt->exit_reason = WS_EXIT_DONE;
 	ws_core_request_pass(core); /* its machine may take tasks again */
@@ -23,7 +23,7 @@
 static void ws_quarantine_stop(struct ws_core *core, struct ws_attempt *attempt, double grace_s,
 			       enum ws_stop_reason reason)
 {
-	ws_quarantine_drop(core, attempt);
+	ws_quarantine_remove(core, attempt);
 	if (attempt->task_state == WS_TASK_EXITED) {
 		ws_attempt_release(
 		    core, attempt,
@@ -104,7 +104,7 @@
 {
 	struct ws_attempt *other, *next;
 
-	ws_quarantine_drop(core, attempt);
+	ws_quarantine_remove(core, attempt);
 	attempt->unrecorded = false;
 	DL_FOREACH_SAFE2 (attempt->job->attempts, other, next, job_next)
 		if (other != attempt && other->task == attempt->task)
@@ -120,7 +120,7 @@
 	if (ws_reconcile_unrecorded(attempt) == WS_RECONCILED_UNRECORDED)
 		ws_quarantine_adopt(core, attempt);
 	else
-		ws_quarantine_stop(core, attempt, 0, WS_STOP_OVER_OR_REPLACED);
+		ws_quarantine_stop(core, attempt, 0, WS_STOP_ENDED_OR_SUPERSEDED);
 }
 
 /* Whether all tasks of a gang are quarantined, under one attempt number: it can go on. */
@@ -152,7 +152,7 @@
 		} else if (gang_is_whole) {
 			ws_quarantine_adopt(core, attempt);
 		} else if (job->spec.gang) {
-			ws_quarantine_stop(core, attempt, 0, WS_STOP_GANG_NOT_WHOLE);
+			ws_quarantine_stop(core, attempt, 0, WS_STOP_GANG_INCOMPLETE);
 		} else {
 			ws_quarantine_reported(core, attempt);
 		}
@@ -205,7 +205,7 @@
 	const struct ws_attempt *attempt;
 
 	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next)
-		if (attempt->job && attempt->reported && attempt->state != WS_ATTEMPT_GONE) {
+		if (attempt->job && attempt->reported && attempt->state != WS_ATTEMPT_RELEASED) {
 			free_cpus -= attempt->job->spec.cpus;
 			free_gpus -= attempt->job->spec.gpus;
 		}
--- a/src/core/fleet/reconciliation.c
+++ b/src/core/fleet/reconciliation.c
@@ -34,7 +34,7 @@
 /* The job, or the task, needs no attempt any more; also of a task that it does not have. */
 static bool ws_task_over(const struct ws_job *job, uint32_t task)
 {
-	return ws_job_is_over(job) || task >= job->spec.tasks || job->tasks[task].done;
+	return ws_job_is_finished(job) || task >= job->spec.tasks || job->tasks[task].done;
 }
 
 void ws_attempt_reconcile_status(struct ws_core *core, struct ws_attempt *attempt,
@@ -63,7 +63,7 @@
 		return WS_RECONCILED_OVER;
 	DL_FOREACH2 (attempt->job->attempts, other, job_next) {
 		if (other == attempt || other->task != attempt->task ||
-		    other->state == WS_ATTEMPT_GONE)
+		    other->state == WS_ATTEMPT_RELEASED)
 			continue;
 		if (other->number == attempt->number)
 			return WS_RECONCILED_TWO_MACHINES;
--- a/src/core/fleet/task_reports.c
+++ b/src/core/fleet/task_reports.c
@@ -77,7 +77,7 @@
 	if (!job)
 		return;
 	if (attempt->running_at > 0)
-		ws_stats_completed(core, ws_demand_units_of(core, &job->spec));
+		ws_stats_completed(core, ws_task_demand_units(core, &job->spec));
 	ws_job_task_done(core, job, attempt->task);
 }
 
@@ -116,7 +116,7 @@
 	case WS_EXIT_GANG_INCOMPLETE:
 		/* a gang's attempt broke up; neither machine nor job is to blame here */
 		if (job && job->spec.gang && !attempt->unrecorded)
-			job->gang.ended_attempt = attempt->number;
+			job->gang.last_run_attempt = attempt->number;
 		break;
 	}
 	ws_attempt_release(core, attempt, WS_RELEASE_EXIT_REPORTED);
@@ -129,7 +129,7 @@
 	struct ws_attempt *attempt;
 
 	for (attempt = machine->attempts; attempt; attempt = attempt->machine_next)
-		if (attempt->state != WS_ATTEMPT_GONE &&
+		if (attempt->state != WS_ATTEMPT_RELEASED &&
 		    ws_attempt_matches(attempt, status->job, status->task, status->attempt))
 			return attempt;
 	return NULL;
@@ -147,7 +147,7 @@
 	if (!job)
 		return;
 	ws_image_cache_touch(core, machine, job->image_index);
-	if (!job->started && !ws_job_is_over(job)) {
+	if (!job->started && !ws_job_is_finished(job)) {
 		job->started = true;
 		job->phase = WS_JOB_RUNNING;
 		ws_job_mark_dirty(core, job, false);
@@ -180,7 +180,7 @@
 	}
 	if (attempt->job && attempt->job->spec.gang && !attempt->unrecorded &&
 	    (status->state == WS_TASK_RUNNING || status->state == WS_TASK_SAVING))
-		attempt->job->gang.ended_attempt = attempt->number;
+		attempt->job->gang.last_run_attempt = attempt->number;
 	if (status->state == WS_TASK_RUNNING && attempt->task_state != WS_TASK_RUNNING)
 		ws_attempt_began_to_run(core, machine, attempt);
 	attempt->task_state = status->state;
--- a/src/core/jobs/attempts.c
+++ b/src/core/jobs/attempts.c
@@ -18,7 +18,7 @@
 static void ws_attempt_account_units(struct ws_core *core, const struct ws_job_spec *spec, int sign)
 {
 	if (!spec->service)
-		ws_stats_held(core, sign * ws_demand_units_of(core, spec));
+		ws_stats_held(core, sign * ws_task_demand_units(core, spec));
 }
 
 /* Adds (1) or removes (-1) an attempt's resources in its machine's usage. */
@@ -56,15 +56,15 @@
 		job->waiting--;
 	else if (!task->done && !task->live_attempts)
 		job->waiting++;
-	if (!task->live_attempts && attempt->task < job->lowest_waiting)
-		job->lowest_waiting = attempt->task;
+	if (!task->live_attempts && attempt->task < job->lowest_waiting_task)
+		job->lowest_waiting_task = attempt->task;
 	if (sign > 0 && (!task->newest_attempt || task->newest_attempt->number < attempt->number))
 		task->newest_attempt = attempt;
 	else if (sign < 0 && task->newest_attempt == attempt)
 		task->newest_attempt = NULL;
 }
 
-void ws_attempt_count(struct ws_core *core, struct ws_attempt *attempt, int sign)
+void ws_attempt_account(struct ws_core *core, struct ws_attempt *attempt, int sign)
 {
 	struct ws_machine *machine = attempt->machine;
 	struct ws_job *job = attempt->job;
@@ -100,25 +100,25 @@
 	machine->attempts = attempt;
 	if (attempt->job)
 		DL_APPEND2(attempt->job->attempts, attempt, job_prev, job_next);
-	ws_attempt_count(core, attempt, 1);
+	ws_attempt_account(core, attempt, 1);
 	return attempt;
 }
 
 void ws_attempt_set_job(struct ws_core *core, struct ws_attempt *attempt, struct ws_job *job)
 {
-	bool is_counted = attempt->state != WS_ATTEMPT_GONE;
+	bool is_counted = attempt->state != WS_ATTEMPT_RELEASED;
 
 	if (is_counted)
-		ws_attempt_count(core, attempt, -1);
+		ws_attempt_account(core, attempt, -1);
 	if (attempt->job)
 		DL_DELETE2(attempt->job->attempts, attempt, job_prev, job_next);
 	attempt->job = job;
 	if (job) {
 		DL_APPEND2(job->attempts, attempt, job_prev, job_next);
-		ws_unknown_team_settled(core, attempt);
+		ws_attempt_clear_unknown_team(core, attempt);
 	}
 	if (is_counted)
-		ws_attempt_count(core, attempt, 1);
+		ws_attempt_account(core, attempt, 1);
 }
 
 void ws_attempt_free(struct ws_attempt *attempt)
@@ -136,7 +136,7 @@
 
 const char *ws_release_evidence_text(enum ws_release_evidence evidence)
 {
-	static const char *const texts[WS_RELEASE_EVIDENCE_KINDS] = {
+	static const char *const texts[WS_RELEASE_EVIDENCE_COUNT] = {
 	    [WS_RELEASE_NEVER_SENT] = "never_sent",
 	    [WS_RELEASE_EXIT_REPORTED] = "exit_reported",
 	    [WS_RELEASE_NOT_REPORTED] = "not_reported",
@@ -154,7 +154,7 @@
 	struct ws_machine *machine = attempt->machine;
 	struct ws_job *job = attempt->job;
 
-	if (attempt->state == WS_ATTEMPT_GONE)
+	if (attempt->state == WS_ATTEMPT_RELEASED)
 		return;
 	ws_event_count_release(core, evidence);
 	ws_log(core, WS_LOG_DEBUG,
@@ -163,16 +163,16 @@
 	       machine->name, attempt->job_id, attempt->task, (unsigned long long)attempt->number,
 	       ws_release_evidence_text(evidence), (unsigned long long)machine->incarnation,
 	       (unsigned long long)machine->sequence, (unsigned long long)machine->echoed_token);
-	ws_quarantine_drop(core, attempt);
-	ws_unknown_team_settled(core, attempt);
-	ws_attempt_count(core, attempt, -1);
+	ws_quarantine_remove(core, attempt);
+	ws_attempt_clear_unknown_team(core, attempt);
+	ws_attempt_account(core, attempt, -1);
 	if (!machine->attempt_count)
 		machine->empty_since = core->now;
 	ws_core_request_pass(core);
 	if (attempt->unrecorded || !job) {
 		ws_attempt_free(attempt);
 	} else {
-		attempt->state = WS_ATTEMPT_GONE;
+		attempt->state = WS_ATTEMPT_RELEASED;
 		ws_job_mark_dirty(core, job, false);
 	}
 	if (job)
@@ -183,7 +183,7 @@
 {
 	return attempt->state == WS_ATTEMPT_RECORDED && !attempt->stopping && !attempt->reported &&
 	       !attempt->unrecorded && attempt->incarnation == attempt->machine->incarnation &&
-	       !core->leadership.in_outage && attempt->job && !ws_job_is_over(attempt->job) &&
+	       !core->leadership.in_outage && attempt->job && !ws_job_is_finished(attempt->job) &&
 	       !attempt->machine->scale_in.requested;
 }
 
@@ -199,16 +199,16 @@
 
 const char *ws_stop_reason_text(enum ws_stop_reason reason)
 {
-	static const char *const texts[WS_STOP_REASONS] = {
+	static const char *const texts[WS_STOP_REASON_COUNT] = {
 	    [WS_STOP_UNRECORDED] = "unrecorded attempt",
 	    [WS_STOP_UNKNOWN_JOB] = "unrecorded job",
-	    [WS_STOP_OVER_OR_REPLACED] = "job ended or attempt superseded",
+	    [WS_STOP_ENDED_OR_SUPERSEDED] = "job ended or attempt superseded",
 	    [WS_STOP_SUPERSEDED] = "superseded",
 	    [WS_STOP_PREEMPTION_NOTICE] = "preemption notice",
 	    [WS_STOP_FOR_GUARANTEE] = "preempted for guaranteed work",
 	    [WS_STOP_FOR_PRODUCTION] = "preempted for production work",
 	    [WS_STOP_CONSOLIDATION] = "consolidation",
-	    [WS_STOP_GANG_NOT_WHOLE] = "gang incomplete",
+	    [WS_STOP_GANG_INCOMPLETE] = "gang incomplete",
 	    [WS_STOP_GANG_STOPPING] = "other gang members stopped",
 	    [WS_STOP_GANG_LOST_TASK] = "gang member lost",
 	    [WS_STOP_GANG_UNREACHABLE] = "gang member unreachable for too long",
@@ -221,10 +221,10 @@
 void ws_attempt_stop(struct ws_core *core, struct ws_attempt *attempt, double grace_s,
 		     enum ws_stop_reason reason)
 {
-	if (attempt->state == WS_ATTEMPT_GONE)
+	if (attempt->state == WS_ATTEMPT_RELEASED)
 		return;
-	ws_quarantine_drop(core, attempt);
-	if (!attempt->stopping && reason != WS_STOP_LOGGED)
+	ws_quarantine_remove(core, attempt);
+	if (!attempt->stopping && reason != WS_STOP_ALREADY_LOGGED)
 		ws_log(core, WS_LOG_INFO, "task stopping machine=%s job=%s task=%u reason=\"%s\"",
 		       attempt->machine->name, attempt->job_id, attempt->task,
 		       ws_stop_reason_text(reason));
--- a/src/core/jobs/job_record_size.c
+++ b/src/core/jobs/job_record_size.c
@@ -18,13 +18,14 @@
 	return ws_attempt_list_growth(before, attempt, core->fleet.shared_name_length);
 }
 
-json_t *ws_record_job(const struct ws_core *core, const struct ws_job *job, size_t limit)
+json_t *ws_core_encode_job_record(const struct ws_core *core, const struct ws_job *job,
+				  size_t limit)
 {
 	return ws_job_record_encode(job, core->catalog.zone_count, limit);
 }
 
-bool ws_gang_recordable(const struct ws_core *core, const struct ws_job_spec *spec,
-			const struct ws_machine_type *type)
+bool ws_gang_fits_record(const struct ws_core *core, const struct ws_job_spec *spec,
+			 const struct ws_machine_type *type)
 {
 	uint32_t per_machine;
 	double machines;
--- a/src/core/jobs/job_records.c
+++ b/src/core/jobs/job_records.c
@@ -72,7 +72,7 @@
 {
 	if (!job->record.write_urgent)
 		return WS_JOB_RANK_PROGRESS;
-	if (job->spec.service || job->spec.gang || !job->started || ws_job_is_over(job) ||
+	if (job->spec.service || job->spec.gang || !job->started || ws_job_is_finished(job) ||
 	    core->now - job->record.dirty_since >
 		core->settings->lease_s / PORTION_DELAY_LEASE_DIVISOR)
 		return WS_JOB_RANK_WHOLE_JOB;
@@ -89,8 +89,8 @@
 	snprintf(key, sizeof(key), "%s%s", WS_KEY_PREFIX_JOB, job->spec.id);
 	ws_write_batch_set_if(batch, key, job->record.revision, NULL);
 	/* those that do not fit into this transaction are deleted by the next leader as orphaned */
-	for (uint32_t i = 0; i < job->record.continuation_count && ws_write_batch_room(batch);
-	     i++) {
+	for (uint32_t i = 0;
+	     i < job->record.continuation_count && ws_write_batch_operations_left(batch); i++) {
 		snprintf(key, sizeof(key), "%s%s/%u", WS_KEY_PREFIX_JOB_CONTINUATION, job->spec.id,
 			 i);
 		ws_write_batch_set(batch, key, NULL);
@@ -112,12 +112,12 @@
 
 static void ws_job_add_live(struct ws_core *core, struct ws_write_batch *batch, struct ws_job *job)
 {
-	json_t *value = ws_record_job(core, job, ws_record_size_limit(core));
+	json_t *value = ws_core_encode_job_record(core, job, ws_record_size_limit(core));
 	char key[WS_KEY_MAX];
 
 	if (!value) {
 		ws_job_release_planned(core, job);
-		value = ws_record_job(core, job, ws_record_size_limit(core));
+		value = ws_core_encode_job_record(core, job, ws_record_size_limit(core));
 	}
 	if (!value) {
 		job->record.write_in_flight = false;
@@ -133,12 +133,12 @@
 				struct ws_job *job)
 {
 	/* archived only once all attempts are released: until then they count against its team */
-	bool finished = ws_job_is_over(job) && !job->attempt_count;
+	bool finished = ws_job_is_finished(job) && !job->attempt_count;
 
 	DL_DELETE2(core->jobs.dirty, job, dirty_prev, dirty_next);
 	ws_write_counts_add(core, finished		     ? WS_WRITE_ENDS
 				  : job->record.write_urgent ? WS_WRITE_STARTS
-							     : WS_WRITE_LATER);
+							     : WS_WRITE_JOBS_DEFERRED);
 	job->record.dirty = job->record.write_urgent = false;
 	if (job->phase == WS_JOB_CANCELLED && !finished)
 		return; /* the stored phase is already "cancelled"; due again after the last
@@ -156,7 +156,7 @@
 
 	for (int rank = WS_JOB_RANK_WHOLE_JOB; rank >= WS_JOB_RANK_PROGRESS; rank--)
 		DL_FOREACH_SAFE2 (core->jobs.dirty, job, next, dirty_next) {
-			if (ws_write_batch_room(batch) < JOB_OPERATIONS ||
+			if (ws_write_batch_operations_left(batch) < JOB_OPERATIONS ||
 			    ws_write_batch_is_full(batch))
 				break;
 			if ((int)ws_job_write_rank(core, job) == rank && ws_job_is_due(core, job))
@@ -172,7 +172,7 @@
 	struct ws_attempt *attempt, *next;
 
 	DL_FOREACH_SAFE2 (job->attempts, attempt, next, job_next) {
-		if (attempt->state == WS_ATTEMPT_GONE && !attempt->write_in_flight) {
+		if (attempt->state == WS_ATTEMPT_RELEASED && !attempt->write_in_flight) {
 			ws_attempt_free(attempt); /* the record no longer lists it */
 			continue;
 		}
--- a/src/core/jobs/jobs.c
+++ b/src/core/jobs/jobs.c
@@ -20,7 +20,7 @@
 	return job;
 }
 
-bool ws_job_is_over(const struct ws_job *job)
+bool ws_job_is_finished(const struct ws_job *job)
 {
 	return job->phase == WS_JOB_DONE || job->phase == WS_JOB_CANCELLED;
 }
@@ -40,13 +40,13 @@
 
 void ws_job_update_eligible_types(const struct ws_core *core, struct ws_job *job)
 {
-	if (job->eligible_types_edition == core->catalog.types_edition)
+	if (job->eligible_types_version == core->catalog.types_version)
 		return;
-	job->eligible_types_edition = core->catalog.types_edition;
+	job->eligible_types_version = core->catalog.types_version;
 	job->eligible_types = 0;
 	for (size_t i = 0; i < core->catalog.type_count; i++)
 		if (ws_machine_type_fits(&core->catalog.types[i], &job->spec) &&
-		    ws_gang_recordable(core, &job->spec, &core->catalog.types[i]))
+		    ws_gang_fits_record(core, &job->spec, &core->catalog.types[i]))
 			job->eligible_types |= 1u << i;
 }
 
@@ -56,14 +56,14 @@
 		struct ws_attempt *attempt = job->attempts;
 
 		ws_attempt_set_job(core, attempt, NULL);
-		ws_quarantine_drop(core, attempt);
+		ws_quarantine_remove(core, attempt);
 		if (attempt->state == WS_ATTEMPT_RECORDED) {
 			/* its record is deleted, but it may still run: stop it */
 			attempt->stopping = attempt->unrecorded = true;
 			continue;
 		}
 		if (attempt->state == WS_ATTEMPT_PLANNED)
-			ws_attempt_count(core, attempt, -1);
+			ws_attempt_account(core, attempt, -1);
 		ws_attempt_free(attempt);
 	}
 	if (job->record.dirty)
@@ -81,7 +81,7 @@
 		ws_log(core, WS_LOG_INFO, "job done job=%s", job->spec.id);
 		ws_job_mark_dirty(core, job, true);
 	}
-	if (ws_job_is_over(job) && !job->attempt_count)
+	if (ws_job_is_finished(job) && !job->attempt_count)
 		ws_job_mark_dirty(core, job, true);
 }
 
@@ -116,9 +116,9 @@
 	ws_log(core, WS_LOG_INFO, "job cancelled job=%s stopping=%u", job->spec.id,
 	       job->attempt_count);
 	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
-		if (attempt->state != WS_ATTEMPT_GONE) {
+		if (attempt->state != WS_ATTEMPT_RELEASED) {
 			attempt->machine->commands.pending = true;
-			ws_attempt_stop(core, attempt, 0, WS_STOP_LOGGED);
+			ws_attempt_stop(core, attempt, 0, WS_STOP_ALREADY_LOGGED);
 		}
 	ws_core_job_commands_due(core, job);
 	ws_job_check_end(core, job);
@@ -154,7 +154,7 @@
 		return;
 	if (phase != WS_JOB_CANCELLED)
 		return;
-	if (!ws_job_is_over(job)) {
+	if (!ws_job_is_finished(job)) {
 		ws_job_cancel(core, job);
 	} else if (job->phase == WS_JOB_DONE) {
 		/* the cancellation was acknowledged before "done" could be recorded, so it prevails
@@ -177,9 +177,9 @@
 	job->team = ws_team_find(core, job->spec.team);
 	job->pinned_zone = ws_zone_index(core, job->spec.zone);
 	job->image_index = ws_image_index(core, job->spec.image);
-	job->eligible_types_edition = NO_TYPES_VERSION;
+	job->eligible_types_version = NO_TYPES_VERSION;
 	job->waiting = job->spec.tasks - job->done_count;
-	job->known_at = core->now;
+	job->first_seen_at = core->now;
 	return job;
 }
 
@@ -191,7 +191,7 @@
 	if (job->phase == WS_JOB_CANCELLED)
 		ws_job_check_end(core, job);
 	else if (!job->spec.service)
-		ws_stats_arrived(core, job->spec.tasks * ws_demand_units_of(core, &job->spec));
+		ws_stats_arrived(core, job->spec.tasks * ws_task_demand_units(core, &job->spec));
 }
 
 /* Adds a job to the replica from a record that was not in it. */
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -54,12 +54,12 @@
 /* A gang's attempts and capacity reservations. A time of 0 means that the event has not occurred.
  */
 struct ws_job_gang {
-	uint64_t ended_attempt; /* newest attempt number that has run or failed */
-	double reserving_since; /* start of the current reservation period */
-	bool was_starved;	/* whether the job was starved at the last check */
-	double broken_at;	/* when its running attempt was found to have lost a task */
-	uint32_t preemptions;	/* number of times it was preempted */
-	int reservation_zone;	/* index of the zone of its reservations, plus 1; 0 if none */
+	uint64_t last_run_attempt; /* newest attempt number that has run or failed */
+	double reserving_since;	   /* start of the current reservation period */
+	bool was_starved;	   /* whether the job was starved at the last check */
+	double member_lost_at;	   /* when its running attempt was found to have lost a task */
+	uint32_t preemptions;	   /* number of times it was preempted */
+	int reservation_zone;	   /* index of the zone of its reservations, plus 1; 0 if none */
 };
 
 /* A live job, or a done or cancelled job that is not archived yet. */
@@ -68,7 +68,7 @@
 	enum ws_job_phase phase;  /* as last read or written */
 	bool started;		  /* recorded as running */
 	double submitted_at_wall; /* wall-clock time, for deadlines and queue order */
-	double known_at;	  /* when this leader added the job */
+	double first_seen_at;	  /* when this leader added the job */
 	struct ws_job_record_state record;
 	struct ws_job *dirty_prev, *dirty_next;
 
@@ -78,15 +78,15 @@
 	struct ws_attempt *attempts; /* includes released ones that the record still lists */
 	uint32_t attempt_count;	     /* live attempts */
 	uint32_t attempts_by_zone[WS_MAX_ZONES]; /* live attempts in each zone */
-	uint32_t waiting;	 /* tasks that are neither completed nor in a live attempt */
-	uint32_t lowest_waiting; /* lower bound of the waiting tasks' indexes */
-	uint32_t waiting_before; /* number of waiting tasks at the start of the pass */
+	uint32_t waiting;		/* tasks that are neither completed nor in a live attempt */
+	uint32_t lowest_waiting_task;	/* lower bound of the waiting tasks' indexes */
+	uint32_t waiting_at_pass_start; /* number of waiting tasks at the start of the pass */
 
 	/* placement constraints and team */
 	int pinned_zone;	    /* index of the only allowed zone; -1 if any zone is allowed */
 	int image_index;	    /* index of its image */
 	uint32_t eligible_types;    /* bit mask of the machine types allowed */
-	int eligible_types_edition; /* version of the catalog's types in the mask */
+	int eligible_types_version; /* version of the catalog's types in the mask */
 	struct ws_team *team;	    /* NULL if the settings have no such team */
 	bool guaranteed; /* fits into its team's guarantee together with the team's earlier jobs */
 
@@ -120,26 +120,26 @@
 enum ws_attempt_state {
 	WS_ATTEMPT_PLANNED,  /* in memory only, not yet in its job's record */
 	WS_ATTEMPT_RECORDED, /* in its job's record, so its run command may be sent */
-	WS_ATTEMPT_GONE,     /* released; its job's record may still list it */
+	WS_ATTEMPT_RELEASED, /* released; its job's record may still list it */
 };
 
 /* Why an attempt, or all attempts of a gang, are stopped. */
 enum ws_stop_reason {
-	WS_STOP_LOGGED, /* the caller has already logged the reason */
+	WS_STOP_ALREADY_LOGGED, /* the caller has already logged the reason */
 	WS_STOP_UNRECORDED,
 	WS_STOP_UNKNOWN_JOB,
-	WS_STOP_OVER_OR_REPLACED,
+	WS_STOP_ENDED_OR_SUPERSEDED,
 	WS_STOP_SUPERSEDED,
 	WS_STOP_PREEMPTION_NOTICE, /* the cloud will reclaim the machine */
 	WS_STOP_FOR_GUARANTEE,	   /* preempted by work within its team's guarantee */
 	WS_STOP_FOR_PRODUCTION,	   /* preempted by other work of higher rank */
 	WS_STOP_CONSOLIDATION,	   /* a replica is moved off a rented machine */
-	WS_STOP_GANG_NOT_WHOLE,
+	WS_STOP_GANG_INCOMPLETE,
 	WS_STOP_GANG_STOPPING,
 	WS_STOP_GANG_LOST_TASK,
 	WS_STOP_GANG_UNREACHABLE,
 	WS_STOP_GANG_NOT_REPLACED, /* it lost tasks before it ran and can't replace them in time */
-	WS_STOP_REASONS,
+	WS_STOP_REASON_COUNT,
 };
 
 /* Evidence that an attempt does not run and can't start. */
@@ -150,7 +150,7 @@
 	WS_RELEASE_LATER_INCARNATION, /* its machine lost its lease and began a new incarnation */
 	WS_RELEASE_LEASE_EXPIRED,     /* its machine's lease has expired, clock drift included */
 	WS_RELEASE_MACHINE_GONE,      /* the cloud reports its machine as terminated or failed */
-	WS_RELEASE_EVIDENCE_KINDS,
+	WS_RELEASE_EVIDENCE_COUNT,
 };
 
 /* One attempt to run a task on one machine. */
@@ -221,7 +221,7 @@
 /* Returns NULL if the settings have no such team. */
 struct ws_team *ws_team_find(struct ws_core *core, const char *name);
 /* Whether a job is done or cancelled. */
-bool ws_job_is_over(const struct ws_job *job);
+bool ws_job_is_finished(const struct ws_job *job);
 /* Applies a job's record that was loaded after the election or delivered by the job watch. A NULL
  * value means that the record was deleted. */
 void ws_job_record_changed(struct ws_core *core, const char *id, json_t *value, uint64_t revision);
@@ -249,7 +249,7 @@
 struct ws_attempt *ws_attempt_add(struct ws_core *core, struct ws_machine *machine,
 				  const char *job_id, uint32_t task, uint64_t number);
 /* Adds (1) or removes (-1) an attempt in the usage of its machine, team, job and task. */
-void ws_attempt_count(struct ws_core *core, struct ws_attempt *attempt, int sign);
+void ws_attempt_account(struct ws_core *core, struct ws_attempt *attempt, int sign);
 /* Assigns an attempt to a job and counts it there; NULL if its job is unknown. */
 void ws_attempt_set_job(struct ws_core *core, struct ws_attempt *attempt, struct ws_job *job);
 /* Whether an attempt has this job, task and attempt number. Compares numbers first, since it is
@@ -286,10 +286,10 @@
 /* Marks an attempt as quarantined and counts it. */
 void ws_quarantine_add(struct ws_core *core, struct ws_attempt *attempt);
 /* Ends the quarantine of an attempt, if any: it is adopted, stopped or released. */
-void ws_quarantine_drop(struct ws_core *core, struct ws_attempt *attempt);
+void ws_quarantine_remove(struct ws_core *core, struct ws_attempt *attempt);
 /* Stops counting an attempt against every team's limit, once its team is known or it is released.
  * The end of its quarantine is not enough, since it may take long to save and stop. */
-void ws_unknown_team_settled(struct ws_core *core, struct ws_attempt *attempt);
+void ws_attempt_clear_unknown_team(struct ws_core *core, struct ws_attempt *attempt);
 /* Discards the counts of quarantined attempts at step-down. */
 void ws_quarantine_clear(struct ws_core *core);
 
@@ -298,7 +298,8 @@
 /* Returns the maximum size in bytes of a job's record, with a reserve below the store's limit. */
 size_t ws_record_size_limit(const struct ws_core *core);
 /* Calls ws_job_record_encode() with the catalog's number of zones. */
-json_t *ws_record_job(const struct ws_core *core, const struct ws_job *job, size_t limit);
+json_t *ws_core_encode_job_record(const struct ws_core *core, const struct ws_job *job,
+				  size_t limit);
 /* Calls ws_attempt_list_growth() with the shared prefix of the machine names. */
 size_t ws_record_attempt_size(const struct ws_core *core, const struct ws_attempt *before,
 			      const struct ws_attempt *attempt);
@@ -306,6 +307,6 @@
  * Whether a record can list all attempts of a gang on machines of a type, since a gang is recorded
  * as a whole. It takes about 8 bytes for each machine, in addition to the description.
  */
-bool ws_gang_recordable(const struct ws_core *core, const struct ws_job_spec *spec,
-			const struct ws_machine_type *type);
+bool ws_gang_fits_record(const struct ws_core *core, const struct ws_job_spec *spec,
+			 const struct ws_machine_type *type);
 #endif
--- a/src/core/jobs/quarantined_jobs.c
+++ b/src/core/jobs/quarantined_jobs.c
@@ -40,7 +40,7 @@
 	core->jobs.attempts_of_unknown_teams += (uint32_t)sign;
 }
 
-void ws_unknown_team_settled(struct ws_core *core, struct ws_attempt *attempt)
+void ws_attempt_clear_unknown_team(struct ws_core *core, struct ws_attempt *attempt)
 {
 	if (attempt->of_unknown_team)
 		ws_unknown_team_count(core, attempt, -1);
@@ -58,7 +58,7 @@
 		ws_unknown_team_count(core, attempt, 1);
 }
 
-void ws_quarantine_drop(struct ws_core *core, struct ws_attempt *attempt)
+void ws_quarantine_remove(struct ws_core *core, struct ws_attempt *attempt)
 {
 	struct ws_quarantined_job *quarantined_job;
 
--- a/src/core/records/attempt_list.c
+++ b/src/core/records/attempt_list.c
@@ -87,7 +87,7 @@
 
 static bool ws_attempt_listed(const struct ws_attempt *attempt)
 {
-	return attempt->state != WS_ATTEMPT_GONE && !attempt->unrecorded;
+	return attempt->state != WS_ATTEMPT_RELEASED && !attempt->unrecorded;
 }
 
 /* Whether two tasks are written behind one name: one machine, incarnation and attempt. */
--- a/src/core/scheduler/array_placement.c
+++ b/src/core/scheduler/array_placement.c
@@ -135,7 +135,7 @@
 			continue;
 		fit = ws_tasks_fit_planned(job, machine, placement->unplaced);
 		for (uint32_t k = 0; k < fit; k++)
-			ws_planned_capacity_take(job, machine);
+			ws_planned_capacity_reserve(job, machine);
 		placement->unplaced -= fit;
 	}
 }
@@ -181,7 +181,7 @@
 	uint32_t tasks = ws_tasks_within_team_limit(job);
 
 	if (tasks < job->waiting)
-		ws_team_limit_reached(core, job);
+		ws_report_team_limit(core, job);
 	if (job->placement_limit && tasks > job->placement_limit)
 		tasks = job->placement_limit;
 	return tasks;
@@ -199,7 +199,7 @@
 	placement.attempt_number = ws_attempt_number_new(core);
 	ws_find_candidates(pass, &placement);
 	ws_place_on_candidates(pass, &placement);
-	if (job->waiting < job->waiting_before) {
+	if (job->waiting < job->waiting_at_pass_start) {
 		ws_log_team_near_limit(core, job);
 		job->last_placed_at = core->now;
 		ws_job_mark_dirty(core, job, true);
--- a/src/core/scheduler/capacity.c
+++ b/src/core/scheduler/capacity.c
@@ -30,7 +30,7 @@
 	return zones;
 }
 
-bool ws_zone_is_among(int zone, uint32_t zones)
+bool ws_zone_in_mask(int zone, uint32_t zones)
 {
 	return zone >= 0 && (zones >> zone & 1);
 }
@@ -53,7 +53,7 @@
 	       (!machine->avoided || job->may_use_avoided);
 }
 
-bool ws_capacity_holds_task(const struct ws_capacity *capacity, const struct ws_job *job)
+bool ws_capacity_fits_task(const struct ws_capacity *capacity, const struct ws_job *job)
 {
 	return job->spec.cpus <= capacity->cpus + WS_CAPACITY_TOLERANCE &&
 	       job->spec.gpus <= capacity->gpus + WS_CAPACITY_TOLERANCE &&
@@ -79,17 +79,17 @@
 {
 	struct ws_capacity planned = ws_planned_capacity(machine);
 
-	return ws_capacity_holds_task(&planned, job);
+	return ws_capacity_fits_task(&planned, job);
 }
 
-void ws_planned_capacity_take(const struct ws_job *job, struct ws_machine *machine)
+void ws_planned_capacity_reserve(const struct ws_job *job, struct ws_machine *machine)
 {
 	machine->planned_cpus -= job->spec.cpus;
 	machine->planned_gpus -= job->spec.gpus;
 	machine->planned_mem -= job->spec.mem_gb;
 }
 
-void ws_planned_capacity_give(const struct ws_job *job, struct ws_machine *machine)
+void ws_planned_capacity_release(const struct ws_job *job, struct ws_machine *machine)
 {
 	machine->planned_cpus += job->spec.cpus;
 	machine->planned_gpus += job->spec.gpus;
--- a/src/core/scheduler/consolidation.c
+++ b/src/core/scheduler/consolidation.c
@@ -24,7 +24,7 @@
 {
 	return attempt->job && attempt->job->spec.service && !attempt->stopping &&
 	       !attempt->unrecorded && attempt->task_state == WS_TASK_RUNNING &&
-	       attempt->running_at > 0 && core->now - attempt->running_at > WS_START_COUNTS_S;
+	       attempt->running_at > 0 && core->now - attempt->running_at > WS_MIN_COUNTED_RUN_S;
 }
 
 /* Returns the first owned machine that a replica of a job can move to, or NULL. */
@@ -74,14 +74,14 @@
 	     attempt = attempt->machine_next) {
 		struct ws_machine *target;
 
-		if (attempt->state == WS_ATTEMPT_GONE)
+		if (attempt->state == WS_ATTEMPT_RELEASED)
 			continue;
 		if (!ws_replica_is_settled(core, attempt))
 			return NULL;
 		target = ws_find_move_target(core, attempt, machines, machine_count);
 		if (!target)
 			return NULL;
-		ws_planned_capacity_take(attempt->job, target);
+		ws_planned_capacity_reserve(attempt->job, target);
 		replica = attempt;
 	}
 	return replica;
--- a/src/core/scheduler/gang_placement.c
+++ b/src/core/scheduler/gang_placement.c
@@ -46,7 +46,7 @@
 					const struct ws_machine *machine, uint32_t zones)
 {
 	return ws_machine_is_eligible(job, machine) &&
-	       ws_zone_is_among(machine->zone_index, zones) &&
+	       ws_zone_in_mask(machine->zone_index, zones) &&
 	       !ws_heartbeat_overdue(core, machine->last_heard_at);
 }
 
@@ -68,7 +68,7 @@
 
 	for (const struct ws_attempt *attempt = machine->attempts;
 	     attempt && fetches < WS_FETCHES_COUNTED_MAX; attempt = attempt->machine_next)
-		if (attempt->job && attempt->state != WS_ATTEMPT_GONE &&
+		if (attempt->job && attempt->state != WS_ATTEMPT_RELEASED &&
 		    attempt->task_state == WS_TASK_FETCHING &&
 		    attempt->job->image_index != last_image && attempt->job->image_index != image &&
 		    !ws_image_is_cached(machine, attempt->job->image_index)) {
@@ -131,8 +131,8 @@
 	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
 		if (attempt->state == WS_ATTEMPT_PLANNED && attempt->planned_at == core->now &&
 		    !attempt->write_in_flight) {
-			ws_planned_capacity_give(job, attempt->machine);
-			ws_attempt_count(core, attempt, -1);
+			ws_planned_capacity_release(job, attempt->machine);
+			ws_attempt_account(core, attempt, -1);
 			ws_attempt_free(attempt);
 		}
 }
@@ -151,7 +151,7 @@
 						attempt_number, &record_bytes_left);
 	if (!unplaced) {
 		job->last_placed_at = core->now;
-		job->unmet_since = job->gang.broken_at = job->gang.reserving_since = 0;
+		job->unmet_since = job->gang.member_lost_at = job->gang.reserving_since = 0;
 		ws_job_mark_dirty(core, job, true);
 		return true;
 	}
@@ -191,7 +191,7 @@
 	for (int zone = 0; zone < pass->core->catalog.zone_count; zone++) {
 		uint32_t score;
 
-		if (!ws_zone_is_among(zone, placement->zones))
+		if (!ws_zone_in_mask(zone, placement->zones))
 			continue;
 		score = ws_gang_zone_score(pass, placement, zone);
 		if (score > best_score) {
@@ -275,7 +275,7 @@
 	uint32_t free_in_all_zones = 0;
 
 	for (int zone = 0; zone < core->catalog.zone_count; zone++) {
-		if (!ws_zone_is_among(zone, placement->zones))
+		if (!ws_zone_in_mask(zone, placement->zones))
 			continue;
 		ws_gang_limit_zone_capacity(job, zone, capacity);
 		free_in_all_zones += capacity->free[zone];
@@ -307,7 +307,7 @@
 		if (!machine->attempt_count && fit)
 			machine->reserved_until = core->now + core->settings->report_s;
 		for (uint32_t k = 0; takes_capacity && k < fit; k++)
-			ws_planned_capacity_take(job, machine);
+			ws_planned_capacity_reserve(job, machine);
 	}
 	return missing;
 }
@@ -319,7 +319,7 @@
 	uint32_t tasks = 0;
 
 	for (int zone = 0; zone < core->catalog.zone_count; zone++)
-		if (ws_zone_is_among(zone, zones))
+		if (ws_zone_in_mask(zone, zones))
 			tasks += capacity->free_or_stopping[zone];
 	return tasks;
 }
@@ -359,7 +359,7 @@
  * is reserved for its waiting tasks. */
 static void ws_gang_at_team_limit(struct ws_core *core, struct ws_job *job, bool keeps_reservation)
 {
-	ws_team_limit_reached(core, job);
+	ws_report_team_limit(core, job);
 	if (!keeps_reservation)
 		return;
 	job->team->reserved_cpus += job->waiting * job->spec.cpus;
--- a/src/core/scheduler/pass.h
+++ b/src/core/scheduler/pass.h
@@ -6,7 +6,7 @@
 /* Tolerance for comparing capacities, which are sums and differences of fractions. */
 #define WS_CAPACITY_TOLERANCE 1e-9
 /* The protocol counts a task's start only if no stop command follows within this many seconds. */
-#define WS_START_COUNTS_S 30
+#define WS_MIN_COUNTED_RUN_S 30
 /* A search for preemption victims ends after it has found this many candidate machines plus twice
  * the number of tasks. */
 #define WS_VICTIM_CANDIDATES 64
@@ -31,7 +31,7 @@
  * none either.
  */
 struct ws_infeasible_preemption {
-	bool known;
+	bool valid;
 	int rank;
 	struct ws_capacity task;
 	bool allows_preemptible;
@@ -66,7 +66,7 @@
 	int lowest_running_rank;
 	struct ws_infeasible_preemption infeasible_preemption; /* latest one found */
 	/* machines at lower indexes have no capacity left for advance reservations */
-	size_t reservation_scan_from;
+	size_t reservation_scan_start;
 	/* CPUs of the smallest task with an advance reservation; 0: not determined yet */
 	double smallest_reserved_cpus;
 };
@@ -89,7 +89,7 @@
 /* Sets for each job whether it is within its team's guarantee. Sorts the list by age. */
 void ws_mark_guaranteed(struct ws_core *core, struct ws_job **jobs, size_t count);
 /* Returns the mean time in seconds to fetch a job's image, over all machine types. */
-double ws_image_fetch_s(const struct ws_core *core, const struct ws_job *job);
+double ws_mean_image_fetch_s(const struct ws_core *core, const struct ws_job *job);
 
 /* ---- capacity.c ---- */
 
@@ -98,14 +98,14 @@
 /* Returns the zones in which a job may have one more attempt, as a bit mask. */
 uint32_t ws_eligible_zones(const struct ws_core *core, const struct ws_job *job);
 /* Returns true if a bit mask of zones contains a zone index. An index of -1 is an unknown zone. */
-bool ws_zone_is_among(int zone, uint32_t zones);
+bool ws_zone_in_mask(int zone, uint32_t zones);
 /* Returns true if a job may use machines that a subsystem has asked to avoid. */
 bool ws_job_may_use_avoided(const struct ws_core *core, const struct ws_job *job);
 /* Returns true if a job may use a machine, given its type, whether it is preemptible and whether a
  * subsystem has asked to avoid it. */
 bool ws_machine_is_eligible(const struct ws_job *job, const struct ws_machine *machine);
 /* Returns true if a task of a job fits into a capacity. */
-bool ws_capacity_holds_task(const struct ws_capacity *capacity, const struct ws_job *job);
+bool ws_capacity_fits_task(const struct ws_capacity *capacity, const struct ws_job *job);
 /* Returns true if a task of a job fits into the free capacity of a machine. */
 bool ws_has_free_capacity(const struct ws_job *job, const struct ws_machine *machine);
 /* Returns the planned capacity of a machine: free capacity plus that of stopping tasks, minus what
@@ -114,8 +114,8 @@
 /* Returns true if a task of a job fits into the planned capacity of a machine. */
 bool ws_has_planned_capacity(const struct ws_job *job, const struct ws_machine *machine);
 /* Subtracts the resources of a task from a machine's planned capacity, or adds them back. */
-void ws_planned_capacity_take(const struct ws_job *job, struct ws_machine *machine);
-void ws_planned_capacity_give(const struct ws_job *job, struct ws_machine *machine);
+void ws_planned_capacity_reserve(const struct ws_job *job, struct ws_machine *machine);
+void ws_planned_capacity_release(const struct ws_job *job, struct ws_machine *machine);
 /* Returns how many tasks fit into the planned capacity, up to a limit. */
 uint32_t ws_tasks_fit_planned(const struct ws_job *job, const struct ws_machine *machine,
 			      uint32_t limit);
@@ -152,14 +152,14 @@
  * reserved for gangs and for attempts of unknown teams is not available. */
 uint32_t ws_tasks_within_team_limit(const struct ws_job *job);
 /* Counts that tasks of a job wait because its team is at its limit; logs this at a limited rate. */
-void ws_team_limit_reached(struct ws_core *core, struct ws_job *job);
+void ws_report_team_limit(struct ws_core *core, struct ws_job *job);
 /* Logs the usage of a job's team if it is near the limit. Called after placing tasks of the job. */
 void ws_log_team_near_limit(struct ws_core *core, const struct ws_job *job);
 /* Logs the CPUs reserved for attempts of unknown teams if they have changed, at most once per
  * heartbeat interval. */
-void ws_log_unknown_teams(struct ws_core *core, double reserved_cpus);
+void ws_log_unknown_team_reserve(struct ws_core *core, double reserved_cpus);
 /* Logs the usage of each team that uses or has reserved CPUs. */
-void ws_log_teams(struct ws_core *core);
+void ws_log_team_usage(struct ws_core *core);
 
 /* ---- preemption.c ---- */
 
@@ -197,7 +197,7 @@
 /* Reserves capacity for one replica of each service that may have lost all of its replicas. */
 void ws_reserve_first_replicas(struct ws_scheduling_pass *pass);
 /* Reserves capacity for tasks whose attempts are on machines with overdue heartbeats. */
-void ws_reserve_ahead(struct ws_scheduling_pass *pass);
+void ws_make_advance_reservations(struct ws_scheduling_pass *pass);
 /* Returns true if a replica of a service may be alive on a machine without an overdue heartbeat. */
 bool ws_has_live_replica(const struct ws_core *core, const struct ws_job *job);
 
--- a/src/core/scheduler/preemption.c
+++ b/src/core/scheduler/preemption.c
@@ -24,7 +24,7 @@
 {
 	double started_at = fmax(attempt->planned_at, attempt->running_at);
 
-	return core->now - started_at >= WS_START_COUNTS_S &&
+	return core->now - started_at >= WS_MIN_COUNTED_RUN_S &&
 	       ws_gang_is_reachable(core, attempt->job);
 }
 
@@ -35,7 +35,7 @@
 	const struct ws_job *victim_job = attempt->job;
 
 	if (!victim_job || attempt->stopping || attempt->unrecorded ||
-	    attempt->state == WS_ATTEMPT_GONE)
+	    attempt->state == WS_ATTEMPT_RELEASED)
 		return false;
 	if (ws_scheduling_rank(job) <= ws_scheduling_rank(victim_job) ||
 	    (attempt->starved && job->spec.priority != WS_PRIORITY_PRODUCTION) ||
@@ -96,7 +96,7 @@
 	if (attempt == victim)
 		return true;
 	return victim->job->spec.gang && attempt->job == victim->job && !attempt->stopping &&
-	       !attempt->unrecorded && attempt->state != WS_ATTEMPT_GONE;
+	       !attempt->unrecorded && attempt->state != WS_ATTEMPT_RELEASED;
 }
 
 /* Marks the attempts that stop with a victim as chosen and adds their resources to a capacity. */
@@ -121,7 +121,7 @@
 	for (struct ws_attempt *attempt = machine->attempts; attempt;
 	     attempt = attempt->machine_next)
 		if (ws_stops_with_victim(attempt, victim))
-			ws_planned_capacity_give(attempt->job, machine);
+			ws_planned_capacity_release(attempt->job, machine);
 	ws_task_stop(core, victim,
 		     job->guaranteed ? WS_STOP_FOR_GUARANTEE : WS_STOP_FOR_PRODUCTION);
 }
@@ -137,7 +137,7 @@
 	if (ws_subsystems_defer(core, WS_DEFER_PREEMPTION, machine->zone_index))
 		return WS_PREEMPTION_IMPOSSIBLE;
 	core->fleet.mark++; /* attempts with the new mark are chosen */
-	while (!ws_capacity_holds_task(&capacity, job)) {
+	while (!ws_capacity_fits_task(&capacity, job)) {
 		double victim_cost;
 		struct ws_attempt *victim = ws_cheapest_victim(core, job, machine, &victim_cost);
 
@@ -158,7 +158,7 @@
 	const struct ws_infeasible_preemption *infeasible = &pass->infeasible_preemption;
 	const struct ws_job *job = request->job;
 
-	return infeasible->known && !job->may_use_avoided &&
+	return infeasible->valid && !job->may_use_avoided &&
 	       ws_scheduling_rank(job) <= infeasible->rank &&
 	       job->spec.cpus >= infeasible->task.cpus && job->spec.gpus >= infeasible->task.gpus &&
 	       job->spec.mem_gb >= infeasible->task.mem_gb &&
@@ -174,7 +174,7 @@
 	const struct ws_job *job = request->job;
 
 	pass->infeasible_preemption = (struct ws_infeasible_preemption){
-	    .known = true,
+	    .valid = true,
 	    .rank = ws_scheduling_rank(job),
 	    .task = {job->spec.cpus, job->spec.gpus, job->spec.mem_gb},
 	    .allows_preemptible = job->spec.allows_preemptible,
@@ -190,7 +190,7 @@
 	const struct ws_job *job = request->job;
 
 	return machine->attempt_count && ws_machine_is_eligible(job, machine) &&
-	       ws_zone_is_among(machine->zone_index, request->zones) &&
+	       ws_zone_in_mask(machine->zone_index, request->zones) &&
 	       (!request->only_cached_image || ws_image_is_cached(machine, job->image_index));
 }
 
@@ -245,7 +245,7 @@
 	ws_preempt_for_task(pass->core, job, machine, true);
 	fit = ws_tasks_fit_planned(job, machine, limit);
 	for (uint32_t i = 0; i < fit; i++)
-		ws_planned_capacity_take(job, machine);
+		ws_planned_capacity_reserve(job, machine);
 	ws_machine_send_commands(pass->core, machine);
 	return fit;
 }
@@ -287,7 +287,7 @@
 
 	if (start_objective_s > 0 && start_objective_s < bound_s)
 		bound_s = start_objective_s;
-	return fmax(0, bound_s - ws_image_fetch_s(core, job)) / 2;
+	return fmax(0, bound_s - ws_mean_image_fetch_s(core, job)) / 2;
 }
 
 /* Running tasks end and free capacity all the time, so jobs other than production preempt only
--- a/src/core/scheduler/queue_order.c
+++ b/src/core/scheduler/queue_order.c
@@ -34,7 +34,7 @@
 	return job->starved && rank < WS_RANK_STARVED ? WS_RANK_STARVED : rank;
 }
 
-double ws_image_fetch_s(const struct ws_core *core, const struct ws_job *job)
+double ws_mean_image_fetch_s(const struct ws_core *core, const struct ws_job *job)
 {
 	double fetch_s = 0;
 
@@ -58,11 +58,12 @@
 {
 	double start_objective_s =
 	    job->spec.gang ? ws_start_objective(core, job->spec.job_class) : 0;
-	double waiting_since = fmax(job->known_at, job->last_placed_at);
+	double waiting_since = fmax(job->first_seen_at, job->last_placed_at);
 
 	if (start_objective_s > 0 && job->unmet_since > 0 &&
 	    core->now - job->unmet_since >
-		fmax(0, start_objective_s - ws_image_fetch_s(core, job)) / WS_STARVED_GANG_DIVISOR)
+		fmax(0, start_objective_s - ws_mean_image_fetch_s(core, job)) /
+		    WS_STARVED_GANG_DIVISOR)
 		return true;
 	return core->now - waiting_since > WS_STARVED_LEASES * core->settings->lease_s &&
 	       job->retry_not_before <= core->now;
--- a/src/core/scheduler/reservations.c
+++ b/src/core/scheduler/reservations.c
@@ -11,7 +11,7 @@
 static bool ws_may_move_to_zone(const struct ws_core *core, const struct ws_job *job, int zone,
 				uint32_t zones_with_attempts)
 {
-	if (!ws_zone_is_among(zone, ~core->subsystems.zones_avoided))
+	if (!ws_zone_in_mask(zone, ~core->subsystems.zones_avoided))
 		return false;
 	if (job->pinned_zone >= 0 && job->pinned_zone != zone)
 		return false;
@@ -28,7 +28,7 @@
 	uint32_t zones_with_attempts = 0, zones = 0;
 
 	for (int zone = 0; zone < core->catalog.zone_count; zone++)
-		if (job->attempts_by_zone[zone] && ws_zone_is_among(zone, open_zones))
+		if (job->attempts_by_zone[zone] && ws_zone_in_mask(zone, open_zones))
 			zones_with_attempts |= 1u << zone;
 	for (int zone = 0; zone < core->catalog.zone_count; zone++)
 		if (ws_may_move_to_zone(core, job, zone, zones_with_attempts))
@@ -43,24 +43,24 @@
 	struct ws_core *core = pass->core;
 	uint32_t missing = tasks;
 
-	for (size_t i = pass->reservation_scan_from; i < pass->machine_count && missing && zones;
+	for (size_t i = pass->reservation_scan_start; i < pass->machine_count && missing && zones;
 	     i++) {
 		struct ws_machine *machine = pass->machines[i];
 		uint32_t fit;
 
 		core->scheduler.steps++;
-		if (i == pass->reservation_scan_from &&
+		if (i == pass->reservation_scan_start &&
 		    machine->planned_cpus + WS_CAPACITY_TOLERANCE < pass->smallest_reserved_cpus)
-			pass->reservation_scan_from++;
+			pass->reservation_scan_start++;
 		if (!ws_machine_is_eligible(job, machine) ||
-		    !ws_zone_is_among(machine->zone_index, zones))
+		    !ws_zone_in_mask(machine->zone_index, zones))
 			continue;
 		fit = ws_tasks_fit_planned(job, machine, missing);
 		if (fit && !machine->attempt_count) /* protects the empty machine from scale-in */
 			machine->reserved_until = core->now + core->settings->report_s;
 		missing -= fit;
 		for (uint32_t k = 0; k < fit; k++)
-			ws_planned_capacity_take(job, machine);
+			ws_planned_capacity_reserve(job, machine);
 	}
 	return missing;
 }
@@ -70,7 +70,7 @@
 	const struct ws_attempt *attempt;
 
 	DL_FOREACH2 (job->attempts, attempt, job_next)
-		if (attempt->state != WS_ATTEMPT_GONE && !attempt->stopping &&
+		if (attempt->state != WS_ATTEMPT_RELEASED && !attempt->stopping &&
 		    !ws_heartbeat_overdue(core, attempt->machine->last_heard_at))
 			return true;
 	return false;
@@ -85,7 +85,7 @@
 
 	HASH_ITER (hh, core->jobs.by_id, job, next_job)
 		if (job->replicas_apart && job->reserve_ahead && !job->waiting && job->team &&
-		    !ws_job_is_over(job) && !ws_has_live_replica(core, job))
+		    !ws_job_is_finished(job) && !ws_has_live_replica(core, job))
 			job->reserved_ahead =
 			    1 - ws_reserve_capacity(pass, job, ws_reservation_zones(core, job), 1);
 }
@@ -97,7 +97,7 @@
 	uint32_t count = 0;
 
 	DL_FOREACH2 (job->attempts, attempt, job_next)
-		count += attempt->state != WS_ATTEMPT_GONE && !attempt->stopping &&
+		count += attempt->state != WS_ATTEMPT_RELEASED && !attempt->stopping &&
 			 ws_heartbeat_overdue(core, attempt->machine->last_heard_at);
 	return count;
 }
@@ -131,14 +131,14 @@
 	size_t count = 0;
 
 	HASH_ITER (hh, pass->core->jobs.by_id, job, next_job)
-		if (job->reserve_ahead && job->team && !ws_job_is_over(job))
+		if (job->reserve_ahead && job->team && !ws_job_is_finished(job))
 			pass->jobs[count++] = job;
 	if (count)
 		qsort(pass->jobs, count, sizeof(*pass->jobs), ws_queue_order_compare);
 	return count;
 }
 
-void ws_reserve_ahead(struct ws_scheduling_pass *pass)
+void ws_make_advance_reservations(struct ws_scheduling_pass *pass)
 {
 	size_t count;
 
--- a/src/core/scheduler/scheduler.c
+++ b/src/core/scheduler/scheduler.c
@@ -62,7 +62,7 @@
 	ws_pass_init_lists(core, pass);
 	machines_searched = (uint64_t)core->fleet.first_fit_count + WS_VICTIM_CANDIDATES;
 	pass->step_limit = core->scheduler.steps + WS_PASS_STEPS * machines_searched;
-	core->scheduler.pass_wanted = false;
+	core->scheduler.pass_requested = false;
 	core->scheduler.next_pass_at = core->now + ws_sweep_interval(core) / 2;
 	core->scheduler.pass_began_at = core->now;
 	ws_quarantine_reserved(core, &reserved_cpus, &reserved_gpus);
@@ -70,11 +70,11 @@
 		core->jobs.teams[i].reserved_cpus = reserved_cpus;
 		core->jobs.teams[i].reserved_gpus = reserved_gpus;
 	}
-	ws_log_unknown_teams(core, reserved_cpus);
+	ws_log_unknown_team_reserve(core, reserved_cpus);
 	/* in the first pass after the election, usage follows from the records alone */
-	if (!core->scheduler.teams_logged)
-		ws_log_teams(core);
-	core->scheduler.teams_logged = true;
+	if (!core->scheduler.team_usage_logged)
+		ws_log_team_usage(core);
+	core->scheduler.team_usage_logged = true;
 }
 
 /* Returns true if a subsystem defers first starts and nothing of the job was started yet. */
@@ -114,7 +114,7 @@
 	size_t live = 0, waiting = 0;
 
 	HASH_ITER (hh, core->jobs.by_id, job, next_job)
-		if (!ws_job_is_over(job))
+		if (!ws_job_is_finished(job))
 			pass->jobs[live++] = job;
 	ws_mark_guaranteed(core, pass->jobs, live);
 	ws_subsystems_begin_pass(core);
@@ -180,7 +180,7 @@
  * rounds, this places one replica if none is alive. */
 static void ws_place_first_round(struct ws_scheduling_pass *pass, struct ws_job *job)
 {
-	job->waiting_before = job->waiting;
+	job->waiting_at_pass_start = job->waiting;
 	job->deferred_to_second_round = ws_places_replicas_in_two_rounds(pass->core, job);
 	job->placement_limit = job->deferred_to_second_round ? 1 : 0;
 	if (!job->deferred_to_second_round || !ws_has_live_replica(pass->core, job))
@@ -228,7 +228,7 @@
 	waiting_jobs = ws_pass_list_jobs(&pass);
 	ws_pass_list_machines(&pass);
 	ws_place_jobs(&pass, waiting_jobs);
-	ws_reserve_ahead(&pass);
+	ws_make_advance_reservations(&pass);
 	core->scheduler.unfinished_pass = (struct ws_unfinished_pass){
 	    .machines = pass.machines,
 	    .machine_count = pass.machine_count,
@@ -259,8 +259,8 @@
 	scheduler->scratch = NULL;
 	scheduler->scratch_size = 0;
 	scheduler->next_pass_at = scheduler->pass_began_at = 0;
-	scheduler->teams_logged = false;
-	scheduler->logged_reserve_cpus = scheduler->reserve_logged_at = 0;
+	scheduler->team_usage_logged = false;
+	scheduler->unknown_team_cpus_logged = scheduler->unknown_teams_logged_at = 0;
 	ws_unmet_demand_free(scheduler);
 }
 
--- a/src/core/scheduler/scheduler.h
+++ b/src/core/scheduler/scheduler.h
@@ -29,11 +29,11 @@
 };
 
 struct ws_scheduler {
-	bool pass_wanted;
-	bool teams_logged;	    /* team usage was logged since the election */
-	double logged_reserve_cpus; /* CPUs for unknown teams, as last logged */
-	double reserve_logged_at;   /* when that was logged */
-	double next_pass_at;	    /* earliest time of the next pass */
+	bool pass_requested;
+	bool team_usage_logged;		 /* team usage was logged since the election */
+	double unknown_team_cpus_logged; /* CPUs for unknown teams, as last logged */
+	double unknown_teams_logged_at;	 /* when that was logged */
+	double next_pass_at;		 /* earliest time of the next pass */
 	/* start of a pass whose end the I/O layer has not reported yet; 0: none */
 	double pass_began_at;
 	double next_consolidation_at;
--- a/src/core/scheduler/task_placement.c
+++ b/src/core/scheduler/task_placement.c
@@ -30,7 +30,7 @@
 
 	limit = job->spec.gang ? limit - WS_RECORD_GANG_TASKS_BYTES : limit * 3 / 4;
 	DL_FOREACH2 (job->attempts, attempt, job_next)
-		if (attempt->state != WS_ATTEMPT_GONE && !attempt->unrecorded) {
+		if (attempt->state != WS_ATTEMPT_RELEASED && !attempt->unrecorded) {
 			used += (double)ws_record_attempt_size(core, previous, attempt);
 			previous = attempt;
 		}
@@ -40,11 +40,11 @@
 /* Returns the first waiting task, or the job's number of tasks if none is waiting. */
 static uint32_t ws_next_waiting_task(struct ws_job *job)
 {
-	uint32_t task = job->lowest_waiting;
+	uint32_t task = job->lowest_waiting_task;
 
 	while (task < job->spec.tasks && (job->tasks[task].done || job->tasks[task].live_attempts))
 		task++;
-	job->lowest_waiting = task;
+	job->lowest_waiting_task = task;
 	return task;
 }
 
@@ -58,14 +58,14 @@
 	    core, attempt->job_prev != attempt ? attempt->job_prev : NULL, attempt);
 
 	if (size > *record_bytes_left) {
-		ws_attempt_count(core, attempt, -1);
+		ws_attempt_account(core, attempt, -1);
 		ws_attempt_free(attempt);
 		*record_bytes_left = 0;
 		return false;
 	}
 	*record_bytes_left -= size;
 	attempt->starved = job->starved;
-	ws_planned_capacity_take(job, machine);
+	ws_planned_capacity_reserve(job, machine);
 	core->scheduler.steps++;
 	ws_log(core, WS_LOG_DEBUG, "task placed job=%s task=%u attempt=%llu machine=%s",
 	       job->spec.id, task, (unsigned long long)attempt_number, machine->name);
--- a/src/core/scheduler/team_limits.c
+++ b/src/core/scheduler/team_limits.c
@@ -26,7 +26,7 @@
 	return tasks > 0 ? (uint32_t)tasks : 0;
 }
 
-void ws_team_limit_reached(struct ws_core *core, struct ws_job *job)
+void ws_report_team_limit(struct ws_core *core, struct ws_job *job)
 {
 	ws_event_count(core, WS_EVENT_AT_TEAM_LIMIT);
 	ws_log_wait_reason(core, job, "team limit reached");
@@ -45,20 +45,20 @@
 		       team->settings->cpus_max, team->used_gpus, team->settings->gpus_max);
 }
 
-void ws_log_unknown_teams(struct ws_core *core, double reserved_cpus)
+void ws_log_unknown_team_reserve(struct ws_core *core, double reserved_cpus)
 {
 	struct ws_scheduler *scheduler = &core->scheduler;
 
-	if (reserved_cpus == scheduler->logged_reserve_cpus ||
-	    core->now < scheduler->reserve_logged_at + core->settings->report_s)
+	if (reserved_cpus == scheduler->unknown_team_cpus_logged ||
+	    core->now < scheduler->unknown_teams_logged_at + core->settings->report_s)
 		return;
-	scheduler->logged_reserve_cpus = reserved_cpus;
-	scheduler->reserve_logged_at = core->now;
+	scheduler->unknown_team_cpus_logged = reserved_cpus;
+	scheduler->unknown_teams_logged_at = core->now;
 	ws_log(core, WS_LOG_INFO, "capacity reserved for unknown teams cpus=%.2f attempts=%u",
 	       reserved_cpus, core->jobs.attempts_of_unknown_teams);
 }
 
-void ws_log_teams(struct ws_core *core)
+void ws_log_team_usage(struct ws_core *core)
 {
 	for (size_t i = 0; i < core->settings->team_count; i++) {
 		const struct ws_team *team = &core->jobs.teams[i];
--- a/src/core/store/write_batch.c
+++ b/src/core/store/write_batch.c
@@ -12,7 +12,7 @@
 	*batch = (struct ws_write_batch){.call = call, .operations_max = operations_max};
 }
 
-size_t ws_write_batch_room(const struct ws_write_batch *batch)
+size_t ws_write_batch_operations_left(const struct ws_write_batch *batch)
 {
 	size_t used = batch->call->transaction.operation_count;
 
@@ -21,7 +21,7 @@
 
 bool ws_write_batch_is_full(const struct ws_write_batch *batch)
 {
-	return batch->bytes > WS_TRANSACTION_BYTES;
+	return batch->bytes > WS_TRANSACTION_FILL_BYTES;
 }
 
 void ws_write_batch_compare(struct ws_write_batch *batch, const char *key, uint64_t revision)
--- a/src/core/store/write_batch.h
+++ b/src/core/store/write_batch.h
@@ -5,7 +5,7 @@
 
 /* No record is added to a transaction above this size. The store accepts 64 KiB; the rest is left
  * for the last record added. */
-#define WS_TRANSACTION_BYTES 32768
+#define WS_TRANSACTION_FILL_BYTES 32768
 
 struct ws_write_batch {
 	struct ws_call *call;  /* the transaction, owned by the batch until it is sent */
@@ -17,7 +17,7 @@
 void ws_write_batch_begin(struct ws_write_batch *batch, size_t operations_max);
 
 /* Returns how many operations can still be added. */
-size_t ws_write_batch_room(const struct ws_write_batch *batch);
+size_t ws_write_batch_operations_left(const struct ws_write_batch *batch);
 
 /* Returns whether the estimated size exceeds the limit for adding records. */
 bool ws_write_batch_is_full(const struct ws_write_batch *batch);
--- a/src/core/store/write_counts.h
+++ b/src/core/store/write_counts.h
@@ -8,16 +8,16 @@
 enum ws_write_kind {
 	WS_WRITE_STARTS,
 	WS_WRITE_ENDS,
-	WS_WRITE_LATER,
+	WS_WRITE_JOBS_DEFERRED,
 	WS_WRITE_FLEET,
 	WS_WRITE_SCALE_OUTS
 };
-#define WS_WRITE_KINDS 5
+#define WS_WRITE_KIND_COUNT 5
 
 /* Modified only by write_counts.c. */
 struct ws_write_counts {
-	uint32_t by_kind[WS_WRITE_KINDS]; /* since the last log line */
-	double next_log_at;		  /* on the core's clock, in seconds */
+	uint32_t by_kind[WS_WRITE_KIND_COUNT]; /* since the last log line */
+	double next_log_at;		       /* on the core's clock, in seconds */
 };
 
 /* Counts one record of a kind. */
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -272,7 +272,7 @@
 			       core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT);
 	ws_record_sources_collect(core, &batch);
 	if (!batch.call->transaction.operation_count) {
-		writer->empty_passes++;
+		writer->empty_collections++;
 		ws_call_free(batch.call);
 		return;
 	}
--- a/src/core/store/writer.h
+++ b/src/core/store/writer.h
@@ -23,9 +23,9 @@
 	int operations_max;	/* limit of a transaction; lowered if one is too large */
 	double value_bytes_max; /* limit of a value; lowered in the same way */
 	double rate;		/* writes per second that refill the token bucket */
-	double tokens;	       /* writes that may be sent now; negative after a large transaction */
-	double refilled_at;    /* when the token bucket was last refilled */
-	uint64_t empty_passes; /* collections that found no record due; read by tests only */
+	double tokens;	    /* writes that may be sent now; negative after a large transaction */
+	double refilled_at; /* when the token bucket was last refilled */
+	uint64_t empty_collections; /* collections that found no record due; read by tests only */
 };
 
 /* Resets the writer at start and at step-down: no transaction is in flight, and the limits are
--- a/tests/sim_expect.c
+++ b/tests/sim_expect.c
@@ -286,7 +286,7 @@
 	if (!core)
 		return false;
 	if (!strcmp(name, "idle-looks"))
-		*cost = (double)core->writer.empty_passes;
+		*cost = (double)core->writer.empty_collections;
 	else if (!strcmp(name, "machines"))
 		*cost = (double)core->fleet.sweep_steps;
 	else
