--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -1,11 +1,11 @@
 /*
- * Who is the leader, and how leadership is kept.
+ * Leader election, and how a leader keeps its role.
  *
- * The leader is whoever attached the key `leader` to a session of its own. Its fencing token is the
- * key's revision, shifted, so every leader's fencing token is above those before it. It acts only
- * until the end of its session as reckoned from when the last granted renewal was sent, and every
- * write of a leader is conditioned on the revision of the leader key, so one that comes late has no
- * effect.
+ * The leader is the node whose store session holds the key `leader`. Its fencing token is the
+ * shifted revision of that key, so each leader's token is higher than those of earlier leaders. The
+ * leader acts only until its session ends, counted from when its last successful renewal was sent.
+ * Each write of a leader has the revision of the leader key as a precondition, so a write that
+ * arrives after another node's election has no effect.
  */
 #include "leadership_internal.h"
 
@@ -24,16 +24,16 @@
 	leadership->replica_age_limit_s = ws_core_replica_age_limit(core->settings);
 	if (ws_core_replica_age_limit_is_short(core->settings, &core->policy))
 		ws_log(core, WS_LOG_ERROR,
-		       "cancel_s is short for lease_s cancel_s=%.3g lease_s=%.3g "
+		       "cancel_s is too short for lease_s cancel_s=%.3g lease_s=%.3g "
 		       "outage_heartbeats_s=%.3g",
 		       core->settings->cancel_s, core->settings->lease_s,
 		       fmax(0, leadership->replica_age_limit_s));
 }
 
-static void ws_become_follower(struct ws_core *core, double after)
+static void ws_become_follower(struct ws_core *core, double retry_after_s)
 {
 	core->leadership.role = WS_FOLLOWER;
-	core->leadership.next_attempt_at = core->now + after;
+	core->leadership.next_attempt_at = core->now + retry_after_s;
 }
 
 static void ws_ignore_result(struct ws_core *core, struct ws_call *call,
@@ -71,17 +71,17 @@
 	ws_become_follower(core, 0);
 }
 
-/* The node is about to stop: whoever comes next need not wait for the session to end. */
+/* Closes the session, so the next leader need not wait for it to expire. */
 void ws_core_resign(struct ws_core *core, double now)
 {
 	if (now > core->now)
 		core->now = now;
 	core->leadership.campaign_after = 1e18;
 	if (core->leadership.role != WS_FOLLOWER)
-		ws_step_down(core, "stopping");
+		ws_step_down(core, "process is stopping");
 }
 
-/* ---- who is the leader ---- */
+/* ---- election ---- */
 
 static void ws_leader_changed(struct ws_core *core, json_t *value, uint64_t revision)
 {
@@ -115,7 +115,7 @@
 	core->leadership.session = result->session;
 	if (core->leadership.leader_node[0] &&
 	    strcmp(core->leadership.leader_node, core->settings->node)) {
-		/* another was elected meanwhile: our write must not be conditioned on its key */
+		/* another node was elected: its key must not be the precondition of our write */
 		ws_step_down(core, "another node was elected");
 		return;
 	}
@@ -125,7 +125,7 @@
 	transaction = ws_call_new(core, WS_CALL_TRANSACTION, ws_election_answered);
 	transaction->urgent = true;
 	ws_transaction_reserve(transaction, 1, 1);
-	/* none, or the key of our own earlier life */
+	/* the key does not exist, or was written by an earlier process of this node */
 	ws_transaction_compare(transaction, WS_KEY_LEADER, core->leadership.leader_revision);
 	ws_transaction_set(transaction, WS_KEY_LEADER, ws_leader_record_encode(&record))->session =
 	    core->leadership.session;
@@ -137,9 +137,8 @@
 	if (call->generation != core->generation || core->leadership.role != WS_CANDIDATE)
 		return;
 	if (result->outcome != WS_OUTCOME_OK) {
-		/* lost, or unknown: the session is given up, so that a late write of ours ends with
-		 * it
-		 */
+		/* the election is lost or its result unknown: closing the session deletes the key
+		 * if our write still arrives */
 		ws_step_down(core, "election lost");
 		ws_become_follower(core, result->outcome == WS_OUTCOME_CONFLICT
 					     ? 0
@@ -147,8 +146,8 @@
 		return;
 	}
 	core->leadership.role = WS_LOADING;
-	/* a key left over from our own last life tells nothing of when another's hold ended, and a
-	 * paused leader may have answered for as long as a session lasts */
+	/* a key left by an earlier process of this node does not show when another leader's session
+	 * ended, and a paused leader may have answered for up to the session TTL */
 	core->leadership.elected_at =
 	    core->now +
 	    (call->transaction.compares[0].revision ? core->leadership.session_ttl_s : 0);
@@ -205,16 +204,17 @@
 		core->leadership.next_attempt_at = core->now + core->leadership.session_ttl_s / 4;
 		return;
 	}
-	bool any = false;
-	core->leadership.leader_known = true; /* the revision of a new store may be 0 */
+	bool leader_exists = false;
+	core->leadership.leader_known =
+	    true; /* not derived from the revision, which may be 0 in a new store */
 	core->leadership.watch_revision = result->records.revision;
 	for (size_t i = 0; i < result->records.entry_count; i++)
 		if (!strcmp(result->records.entries[i].key, WS_KEY_LEADER)) {
-			any = true;
+			leader_exists = true;
 			ws_leader_changed(core, result->records.entries[i].value,
 					  result->records.entries[i].revision);
 		}
-	if (!any)
+	if (!leader_exists)
 		ws_leader_changed(core, NULL, 0);
 	ws_leader_key_read(core, call->created_at);
 }
@@ -237,23 +237,23 @@
 	call->watch.timeout_ms = (uint32_t)(core->leadership.session_ttl_s * 1000);
 }
 
-/* A follower campaigns when nobody leads, or the key is left over from our own last life. */
+/* A follower campaigns if there is no leader, or an earlier process of this node left its key. */
 static void ws_follower_tick(struct ws_core *core)
 {
-	bool own = core->leadership.leader_node[0] &&
-		   !strcmp(core->leadership.leader_node, core->settings->node);
+	bool key_is_own = core->leadership.leader_node[0] &&
+			  !strcmp(core->leadership.leader_node, core->settings->node);
 
-	if (core->leadership.leader_known && (!core->leadership.leader_node[0] || own) &&
+	if (core->leadership.leader_known && (!core->leadership.leader_node[0] || key_is_own) &&
 	    core->now >= core->leadership.campaign_after &&
 	    core->now >= core->leadership.next_attempt_at && core->catalog.type_count)
 		ws_campaign(core);
 }
 
 /*
- * Workers reach the others but not us: one of them should lead. Counted from the first heartbeat
- * forwarded, since before it there may have been no worker at all.
+ * Whether workers reach only other nodes, one of which should then lead. The time counts from the
+ * first forwarded heartbeat, because before it there may have been no workers.
  */
-static bool ws_workers_elsewhere(const struct ws_core *core)
+static bool ws_workers_reach_only_peers(const struct ws_core *core)
 {
 	return core->leadership.role == WS_LEADER && core->leadership.forwarded_only_since > 0 &&
 	       core->now - core->leadership.forwarded_only_since > 2.5 * core->settings->report_s &&
@@ -277,7 +277,7 @@
 
 bool ws_leadership_tick(struct ws_core *core)
 {
-	const char *lost;
+	const char *lost_reason;
 
 	ws_watch_leader(core);
 	if (core->leadership.role == WS_FOLLOWER) {
@@ -288,9 +288,9 @@
 	if (core->leadership.role != WS_LEADER && core->leadership.role != WS_LOADING)
 		return false;
 	ws_outage_tick(core);
-	lost = ws_leadership_lost_reason(core);
-	if (lost) {
-		ws_step_down(core, lost);
+	lost_reason = ws_leadership_lost_reason(core);
+	if (lost_reason) {
+		ws_step_down(core, lost_reason);
 		return false;
 	}
 	if (core->leadership.in_outage && core->now >= core->leadership.entitled_until) {
@@ -299,9 +299,9 @@
 	}
 	if (!core->leadership.paused)
 		core->leadership.pause_until = core->leadership.entitled_until;
-	if (ws_workers_elsewhere(core)) {
+	if (ws_workers_reach_only_peers(core)) {
 		core->leadership.campaign_after = core->now + core->settings->lease_s;
-		ws_step_down(core, "workers reach other nodes only");
+		ws_step_down(core, "workers reach only other nodes");
 		return false;
 	}
 	return core->leadership.role == WS_LEADER;
--- a/src/core/leadership/entitlement.c
+++ b/src/core/leadership/entitlement.c
@@ -1,28 +1,28 @@
 /*
- * Entitlement: until when this node may act as the leader.
+ * Entitlement: the time until which this node may act as the leader.
  *
- * The store session counts from when the last granted renewal was sent, less the drift of clocks;
- * and the replica of the jobs must be fresh. In an outage of the store outage.c draws it out.
+ * It ends one session TTL, less the clock drift, after the last successful renewal was sent, and
+ * earlier if the job replica is too old. During a store outage, outage.c may extend it.
  */
 #include "leadership_internal.h"
 
-/* Renewals in flight at once. */
+/* Maximum number of renewals in flight. */
 #define RENEWALS_MAX 4
-/* A session is renewed each quarter of its time; after a failure, sooner. */
+/* A session is renewed four times per TTL; after a failure, the retry comes sooner. */
 #define RENEWALS_PER_TTL 4
 #define RETRIES_PER_TTL 16
 
 /*
- * How old a leader's view of what users cancelled may be when it answers a heartbeat: the answer
- * renews the lease of a cancelled task for the last time, and that lease must be out within
- * cancel_s.
+ * The maximum age of the leader's job replica when it answers a heartbeat. With a replica of that
+ * age the answer may renew the lease of a task that has been cancelled since, and that lease must
+ * expire within cancel_s of the cancellation.
  */
 double ws_core_replica_age_limit(const struct ws_settings *settings)
 {
 	return settings->cancel_s - ws_lease_length(settings);
 }
 
-/* Whether that is shorter than what a leader is served by its watch at the latest. */
+/* Whether that maximum is below the longest update interval of a working job watch. */
 bool ws_core_replica_age_limit_is_short(const struct ws_settings *settings,
 					const struct ws_policy *policy)
 {
@@ -30,7 +30,7 @@
 	       WS_REPLICA_AGE_TTLS * settings->lease_s * policy->leader_ttl_ratio;
 }
 
-/* How old the leader's replica of the jobs may be while the store serves it. */
+/* The maximum age of the leader's job replica while the store is available. */
 double ws_replica_age_max(const struct ws_core *core)
 {
 	return fmax(core->leadership.replica_age_limit_s,
@@ -78,7 +78,7 @@
 		if (!core->leadership.renewals_in_flight)
 			core->leadership.next_renewal_at =
 			    core->now + core->leadership.session_ttl_s / RETRIES_PER_TTL;
-		/* an old word, if a later renewal was granted */
+		/* outdated if a later renewal has succeeded */
 		if (result->outcome == WS_OUTCOME_UNAVAILABLE && !core->leadership.in_outage &&
 		    core->leadership.role == WS_LEADER &&
 		    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT) >=
@@ -91,8 +91,8 @@
 }
 
 /*
- * Renews the session. A renewal that is slow is not waited for: each counts from when it was sent,
- * and at a store that takes half of ttl for an answer one after the other came too late.
+ * Renews the session. Renewals overlap, because each counts from when it was sent: with a store
+ * that takes half of the TTL to reply, sequential renewals came too late.
  */
 void ws_session_renew(struct ws_core *core)
 {
@@ -109,7 +109,7 @@
 	    core->now + core->leadership.session_ttl_s / RENEWALS_PER_TTL;
 }
 
-/* In an outage without the word of all peers: pauses, and gives up after a while. */
+/* In an outage that not all peers confirmed: pauses, and steps down when the pause ends. */
 void ws_pause_or_step_down(struct ws_core *core)
 {
 	if (core->leadership.role == WS_LEADER && !core->leadership.paused) {
@@ -124,7 +124,7 @@
 		ws_step_down(core, "store unavailable, outage not confirmed by all peers");
 }
 
-/* Why leadership can't be kept; NULL: it can. */
+/* Returns the reason why leadership is lost, or NULL if it is not. */
 const char *ws_leadership_lost_reason(const struct ws_core *core)
 {
 	if (core->now >= core->leadership.entitled_until && !core->leadership.in_outage)
--- a/src/core/leadership/leader_proof.c
+++ b/src/core/leadership/leader_proof.c
@@ -1,12 +1,13 @@
-/* What proves that some leader lived: how long a cluster was without one is reckoned from it. */
+/* Proof that a leader was active; the time without a leader is counted from it. */
 #include "leadership_internal.h"
 
 /*
- * Proof that a leader lived. The store removes a key `ttl` after its last renewal, unless
- * it was out meanwhile: then all sessions have their full time again. So a key that was read for
- * longer than that, without a refusal in between, was renewed within that time. A key that was just
- * written proves that somebody was elected, and not yet that he served anybody. Times are those at
- * which the question was asked: whoever stood still meanwhile has no newer proof.
+ * Records that a leader was active at a time. The store deletes a leader key one session TTL after
+ * its last renewal, except that all sessions get their full TTL again after a store outage. So a
+ * key that was read for longer than that, without a failed request in between, was renewed within
+ * that time. A key that was just written shows an election, but not that the leader served any
+ * request. Times are those at which a request was sent, so a stall of this process can't make a
+ * proof look newer than it is.
  */
 void ws_leader_proven(struct ws_core *core, double alive_at, uint64_t term)
 {
@@ -17,15 +18,15 @@
 	core->leadership.proof.term = term;
 }
 
-void ws_leader_key_read(struct ws_core *core, double asked_at)
+void ws_leader_key_read(struct ws_core *core, double sent_at)
 {
 	struct ws_leader_proof *proof = &core->leadership.proof;
 	const double proof_s = WS_PROOF_TTLS * core->leadership.session_ttl_s;
 
 	if (core->leadership.leader_revision != proof->leader_revision) {
 		proof->leader_revision = core->leadership.leader_revision;
-		proof->key_since = asked_at;
-	} else if (proof->leader_revision && asked_at - proof->key_since > proof_s) {
-		ws_leader_proven(core, asked_at - proof_s, proof->leader_revision);
+		proof->key_since = sent_at;
+	} else if (proof->leader_revision && sent_at - proof->key_since > proof_s) {
+		ws_leader_proven(core, sent_at - proof_s, proof->leader_revision);
 	}
 }
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -1,43 +1,42 @@
 /*
- * Leadership: who leads, how long this node is entitled to act as the leader, and how it goes on in
- * an outage of the store.
+ * Leadership: which node leads, how long this node is entitled to act as the leader, and how a
+ * leader continues during a store outage.
  *
- * The leader is whoever bound the key `leader` to a store session of its own. Its fencing token is
- * the key's revision, shifted, so every leader's is above those before it.
+ * The leader is the node whose store session holds the key `leader`. Its fencing token is the
+ * shifted revision of that key, so each leader's token is higher than those of earlier leaders.
  */
 #ifndef WS_LEADERSHIP_H
 #define WS_LEADERSHIP_H
 #include "../core.h"
 
-/* A leader key that was read for longer than this, in session times, proves that its holder renewed
- * it. */
+/* A leader key that was read for longer than this, in session TTLs, was renewed by its holder. */
 #define WS_PROOF_TTLS 1.25
-/* Bits of the fencing token kept for the leader's own sequence, below the leader key's revision. */
+/* Low bits of the fencing token, below the leader key's revision: the leader's own sequence. */
 #define WS_FENCING_TOKEN_SHIFT 20
-/* A leader whose watch of the jobs brought nothing for so many session times no longer knows what
- * was cancelled: twice the time a watch is left open, with its time-out and a second try. */
+/* Maximum age of the job replica, in session TTLs; an older one may lack cancellations. It is twice
+ * the time that a watch stays open, with its timeout and one retry. */
 #define WS_REPLICA_AGE_TTLS 6
-/* Cancellations that a frame of an outage vote carries. */
+/* Maximum number of cancellations in one outage vote reply. */
 #define WS_VOTE_CANCELLATIONS_MAX 64
 
 enum ws_role {
 	WS_FOLLOWER,
-	WS_CANDIDATE, /* opens a session and writes the leader key */
-	WS_LOADING,   /* elected, reads the records */
+	WS_CANDIDATE, /* is opening a session and writing the leader key */
+	WS_LOADING,   /* was elected and is reading the stored records */
 	WS_LEADER,
 };
 
-/* What proves that some leader lived, see leader_proof.c. */
+/* The latest proof that a leader was active; see leader_proof.c. */
 struct ws_leader_proof {
-	uint64_t leader_revision; /* revision of the leader key that was last read; 0: none, or
-				     refused since */
-	double key_since;	  /* when the question was asked that first brought it */
+	uint64_t leader_revision; /* revision of the leader key when last read; 0: no key, or a
+				     read has failed since */
+	double key_since;	  /* when the request that first returned that revision was sent */
 	bool exists;
-	double alive_at; /* a leader lived then or later */
-	uint64_t term;
+	double alive_at; /* a leader was active at this time or later */
+	uint64_t term;	 /* revision of that leader's key */
 };
 
-/* A round of votes of the peers: does the store refuse them as well? */
+/* A round of outage votes: whether the store is unavailable to the peers as well. */
 struct ws_outage_votes {
 	uint64_t round;
 	int granted, outstanding;
@@ -46,58 +45,58 @@
 
 struct ws_leadership {
 	enum ws_role role;
-	/* who leads, as the leader key tells */
-	char leader_node[WS_NAME_MAX]; /* empty: none known */
-	uint64_t leader_revision;      /* of the leader key; 0: there is none */
-	bool leader_known;	       /* the key was read */
+	/* the current leader, as read from the leader key */
+	char leader_node[WS_NAME_MAX]; /* empty: no leader is known */
+	uint64_t leader_revision;      /* revision of the leader key; 0: the key does not exist */
+	bool leader_known;	       /* the leader key has been read */
 	bool watch_in_flight;
 	uint64_t watch_revision;
-	double next_attempt_at; /* to read the key, or to campaign */
-	double campaign_after;	/* resigned, or another should lead */
+	double next_attempt_at; /* earliest time to read the key or to campaign */
+	double campaign_after;	/* set after resigning, or if another node should lead */
 	struct ws_leader_proof proof;
-	/* of this node as the leader */
-	uint64_t session; /* of the store; 0: none */
+	/* state of this node as the leader */
+	uint64_t session; /* id of the store session; 0: none */
 	double session_ttl_s;
 	uint64_t fencing_token;
 	double elected_at;
-	double entitled_until; /* by the session, less drift, or by outage votes */
+	double entitled_until; /* from the session less clock drift, or from outage votes */
 	int renewals_in_flight;
 	double next_renewal_at;
-	double forwarded_only_since; /* heartbeats come by other nodes alone; 0: not so */
-	/* in an outage of the store */
+	double forwarded_only_since; /* all heartbeats since then were forwarded; 0: not so */
+	/* state in a store outage */
 	bool in_outage, paused;
 	double pause_until;
 	struct ws_outage_votes votes;
-	double store_served_at; /* the store last came back to us */
-	/* the leader's replica of the jobs must not be older than this, or a lease could outlast
-	 * cancel_s */
+	double store_served_at; /* when the store last became available again */
+	/* maximum age of the leader's job replica; above it, the lease of a cancelled task could
+	 * last longer than cancel_s */
 	double replica_age_limit_s;
 };
 
 /* ---- election.c ---- */
 
-/* At start. */
+/* Initializes the state of leadership when the core is created. */
 void ws_leadership_init(struct ws_core *core);
-/* Campaigns, renews the session, gives up. True: this node leads, and is to keep its replica of the
- * jobs current. */
+/* Campaigns, renews the session, or steps down, as due. Returns whether this node leads and must
+ * keep its job replica current. */
 bool ws_leadership_tick(struct ws_core *core);
-/* All records are read: this node leads from now on. */
+/* Makes this node the leader, after all records have been read. */
 void ws_leadership_assume(struct ws_core *core);
-/* A worker was heard, directly or by another node: where all come by others, one of these should
- * lead. */
+/* Records a message from a worker, received directly or forwarded by a peer. If all are forwarded,
+ * a peer should lead. */
 void ws_leadership_saw_worker(struct ws_core *core, bool forwarded);
 /* Whether this node may act as the leader now. */
 bool ws_is_entitled(const struct ws_core *core);
-/* Gives up leadership, or the campaign for it, and forgets all that is the leader's. NULL: at the
- * end of the core, without a word to the store. */
+/* Gives up leadership or the campaign and clears the leader's state. If `reason` is NULL, the core
+ * is being freed: nothing is logged and the store session is not closed. */
 void ws_step_down(struct ws_core *core, const char *reason);
 
-/* How old the replica of the jobs may be while the store serves it, in seconds. */
+/* The maximum age of the job replica while the store is available, in seconds. */
 double ws_replica_age_max(const struct ws_core *core);
 
 /* ---- outage.c ---- */
 
-/* In an outage: asks the peers for their votes when the next round is due. */
+/* In a store outage, requests the peers' votes when the next round is due. */
 void ws_outage_tick(struct ws_core *core);
 
 #endif
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -1,21 +1,23 @@
-/* The lead in an outage of the store: peers are asked whether they are refused as well. */
+/* Leadership during a store outage: the leader asks the peers whether they are affected as well. */
 #include "../core_state.h"
 
 /*
- * While the store is down for everybody no hold runs out, so a leader may go on answering
- * reports. Every peer must say so afresh; one that is silent, served or leading ends it, for the
- * service may be refusing us alone while another node takes over.
+ * While the store is unavailable to all nodes no session expires, so the leader may continue to
+ * answer heartbeats. Every peer must confirm the outage anew in each round. A peer that does not
+ * answer, that the store still serves, or that leads itself prevents this, because the store may be
+ * refusing only this node while another node takes over.
  *
- * Until it refused them too, peers may have told users that jobs are cancelled. So each one's word
- * brings the cancellations that are newer than what we have seen, and these end here before we go
- * on; one that can't tell of all of them gives no vote. Our own job status cache is asked in
- * the same way: it may hold what our watch for the leader's view has not brought yet.
+ * Before the outage reached them, peers may have confirmed cancellations to users. So each vote
+ * includes the cancellations that are newer than the leader's job replica, and the leader applies
+ * them before it continues. A peer with an incomplete list does not grant its vote. The leader's
+ * own job status cache is checked in the same way: it may be ahead of the watch that updates the
+ * replica.
  *
- * A leader whose peers did not all say so in time pauses: it answers nobody, but keeps what it
- * knows. If all say so again before a lease has passed since its session's end, it goes on. Had
- * another been elected in between, that one could not yet have moved anything for want of an
- * answer, and workers that heard from it drop what we say; had it ended since, it would say so or
- * be silent.
+ * A leader that not all peers confirmed in time pauses: it answers no requests but keeps its state.
+ * If all peers confirm within a lease of the end of its session, it resumes. This is safe: if
+ * another leader was elected in between, the lease has not yet allowed it to move the tasks of
+ * machines that do not answer, and workers that it has contacted reject this leader's lower fencing
+ * token. If it has stepped down since, its node refuses the vote or does not answer.
  */
 static void ws_outage_vote_answered(struct ws_core *core, struct ws_call *call,
 				    const struct ws_result *result);
@@ -34,7 +36,7 @@
 	core->leadership.votes.outstanding++;
 }
 
-/* All peers are refused as well, and what they told users is known here: leadership goes on. */
+/* Extends entitlement after all peers confirmed the outage and listed their cancellations. */
 static void ws_extend_entitlement(struct ws_core *core)
 {
 	struct ws_leadership *leadership = &core->leadership;
@@ -81,7 +83,7 @@
 
 void ws_outage_tick(struct ws_core *core)
 {
-	/* a round whose answers are slow is waited for, or none would ever be complete */
+	/* a new round discards the open one, so with slow peers no round would ever complete */
 	if (!core->leadership.in_outage || core->now < core->leadership.votes.next_round_at ||
 	    (core->leadership.votes.outstanding > 0 &&
 	     core->now <
