--- a/src/core/core.c
+++ b/src/core/core.c
@@ -1,4 +1,4 @@
-/* The core's frame: actions out, calls and their completions, the clock. */
+/* The core's entry points: the effect queue, completion of calls, and the periodic tick. */
 #include "core_state.h"
 #include <stdarg.h>
 
@@ -173,7 +173,8 @@
 	core->store_health.served_at = core->store_health.refused_at = -1e9;
 	ws_leadership_init(core);
 	if (core->policy.rental_ceiling < 0)
-		core->policy.rental_ceiling = -1; /* derived once the machine types are known */
+		core->policy.rental_ceiling =
+		    -1; /* derived when the machine types have been loaded */
 	for (size_t i = 0; i < settings->zone_count; i++)
 		ws_zone_index(core, settings->zones[i]);
 	core->autoscaler.unit_limit = -1;
@@ -207,7 +208,7 @@
 	       !ws_node_is_isolated(core);
 }
 
-/* A placement pass; the autoscaler plans by the demand that it could not meet. */
+/* Runs a scheduling pass; the autoscaler then plans for the demand that it could not place. */
 static void ws_core_run_pass(struct ws_core *core)
 {
 	ws_scheduler_run_pass(core);
@@ -215,12 +216,13 @@
 	ws_scheduler_finish_pass(core);
 }
 
-/* Everything that is due; called after each event and by the I/O layer's timer. */
+/* Runs all due work; called after each completed call and by the I/O layer's timer. */
 void ws_core_tick(struct ws_core *core, double now)
 {
 	if (now > core->now)
 		core->now = now;
-	/* who was silent meanwhile may have been talking to us all the time */
+	/* after a stall of this process, machines may seem overdue though their heartbeats were
+	 * sent */
 	if (core->now - core->last_tick_at > core->settings->report_s / 4)
 		core->resumed_at = core->now;
 	core->last_tick_at = core->now;
@@ -232,7 +234,7 @@
 		ws_fleet_tick(core);
 		ws_subsystems_tick(core);
 		if (core->now > core->scheduler.next_pass_at + core->settings->report_s / 4)
-			core->scheduler.pass_wanted = true; /* back-offs end without an event */
+			core->scheduler.pass_wanted = true; /* a backoff ends without an event */
 		if (core->scheduler.pass_wanted && core->now >= core->scheduler.next_pass_at &&
 		    ws_is_entitled(core) && !core->leadership.in_outage)
 			ws_core_run_pass(core);
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -1,10 +1,11 @@
 /*
- * The core's state: composed of the state of its parts, each of which stands in its part's header
- * and is written by that part. A part may call those below it in this list of folders:
+ * The state of the core, composed of the states of its parts. Each part declares its state in its
+ * own header and is the only one to modify it. A part may call the parts that follow it in this
+ * list of folders:
  *
  *   api, autoscaler, scheduler, fleet, extension, jobs, catalog, store, leadership, records
  *
- * tools/layers checks that, and names the calls that still go upwards.
+ * tools/layers checks this and reports the calls that violate it.
  */
 #ifndef WS_CORE_STATE_H
 #define WS_CORE_STATE_H
@@ -40,15 +41,15 @@
 	const struct ws_settings *settings;
 	struct ws_policy policy;
 	ws_log_fn log;
-	enum ws_log_level log_level; /* lines above it are not made */
-	double now;		     /* the time of the event being taken in */
-	double last_tick_at;	     /* by the same clock */
-	double resumed_at;	     /* when the process last went on after standing still */
+	enum ws_log_level log_level; /* more detailed lines are not formatted */
+	double now;		     /* time of the event being processed */
+	double last_tick_at;	     /* time of the last ws_core_tick() */
+	double resumed_at;	     /* time at which the process last resumed after a stall */
 	uint64_t nonce;
-	uint64_t generation; /* rises whenever leadership ends: late results are told apart */
+	uint64_t generation; /* increases at each campaign and step-down; marks stale results */
 	struct ws_effect *effects_head, *effects_tail;
 
-	/* of every node */
+	/* used on every node */
 	struct ws_catalog catalog;
 	struct ws_leadership leadership;
 	struct ws_store_health store_health;
@@ -56,7 +57,7 @@
 	struct ws_status_queries status_queries;
 	struct ws_follower follower;
 
-	/* of the leader */
+	/* used on the leader only */
 	struct ws_loader loader;
 	struct ws_job_watch job_watch;
 	struct ws_writer writer;
@@ -72,52 +73,56 @@
 
 /* ---- core.c ---- */
 
-/* A line for the log sink, if its level is on; cut at 511 bytes. */
+/* Logs a line if its level is enabled. Lines are truncated to 511 bytes. */
 void ws_log(struct ws_core *core, enum ws_log_level level, const char *format, ...)
     __attribute__((format(printf, 3, 4)));
-/* Adds an effect to those that leave the core, and returns it to be filled in. */
+/* Appends an effect to the queue and returns it; the caller fills it in. */
 struct ws_effect *ws_effect_new(struct ws_core *core, enum ws_effect_kind kind);
-/* The same for a call, whose result goes to a function. */
+/* Appends an effect with a new call and returns the call; on_result receives its result. */
 struct ws_call *ws_call_new(struct ws_core *core, enum ws_call_kind kind, ws_result_fn on_result);
-/* Frees a call with all that its kind holds, and its context. NULL is none. */
+/* Frees a call, the data that its kind owns, and its context. Accepts NULL. */
 void ws_call_free(struct ws_call *call);
-/* Forgets all that is the leader's; called when leadership ends. */
+/* Clears the state that only the leader uses; called when leadership ends. */
 void ws_core_forget_cluster(struct ws_core *core);
 
 /*
- * What a part has to say upwards goes through these, which stand above all parts.
+ * Notifications from a part to parts above it in the list. They belong to no part, so the order of
+ * the list holds.
  */
-/* Something changed that may let tasks be placed: the scheduler is to make a pass. */
+/* Requests a scheduling pass, because a change may allow tasks to be placed. */
 void ws_core_request_pass(struct ws_core *core);
-/* The fleet: a machine is gone, so records of scale-out requests may be out of date. */
+/* Called by the fleet when a machine is gone: records of scale-out requests may be stale. */
 void ws_core_instance_gone(struct ws_core *core);
-/* Leadership: this node was elected; its records are to be read. */
+/* Called by leadership when this node is elected: starts to load the stored records. */
 void ws_core_elected(struct ws_core *core);
-/* The job watch: the record of a job changed, for the leader's replica. */
+/* Called by the job watch to apply a changed job record to the leader's replica. */
 void ws_core_job_changed(struct ws_core *core, const struct ws_kv *change);
-/* The job watch: all that a watch of the jobs brought, for the job status cache. */
+/* Called by the job watch to apply a watch result to the job status cache. */
 void ws_core_job_watch_answered(struct ws_core *core, const struct ws_call *call,
 				const struct ws_result *result);
 
-/* Jobs: a record that was read after the election names these attempts. */
+/* Called by the jobs part for each record read after the election: restores its attempts. */
 void ws_core_attempts_read(struct ws_core *core, const char *job_id, json_t *record);
-/* Jobs: all records are read. */
+/* Called by the jobs part when all records have been read. */
 void ws_core_attempts_restored(struct ws_core *core);
-/* Jobs: a job has just become known; attempts of it may be quarantined. */
+/* Called by the jobs part when it adds a job: links the job's quarantined attempts to it. */
 void ws_core_job_known(struct ws_core *core, struct ws_job *job);
-/* Jobs: attempts of a job are to start or stop; its machines that are marked are to be told. */
+/* Called by the jobs part when attempts of a job must start or stop: sends commands to the job's
+ * machines that are marked. */
 void ws_core_job_commands_due(struct ws_core *core, struct ws_job *job);
-/* Subsystems: the quarantined attempts of a job are to end, with so many seconds to save. */
+/* Called by subsystems to stop the quarantined attempts of a job; each may write a checkpoint for
+ * grace_s seconds. */
 void ws_core_end_quarantined(struct ws_core *core, const char *job_id, double grace_s);
 
 /* ---- outage_replica.c ---- */
 
-/* Outage votes: cancellations that a node confirmed to users; their tasks are to end. */
+/* Applies cancellations that a node confirmed to users during an outage; tasks are stopped. */
 void ws_core_outage_cancellations(struct ws_core *core, const struct ws_cancellation *cancellations,
 				  size_t count, const char *node);
-/* Outage votes: all are told. Takes in what this node itself confirmed; then the replica is as
- * current as the time at which the voters were asked. False: this node can't tell. */
+/* Called when all peers have reported their cancellations. Applies those that this node confirmed
+ * and marks the job replica as current at the time of the vote requests. Returns false if this
+ * node's own list is incomplete. */
 bool ws_core_outage_confirm_replica(struct ws_core *core, double current_at);
-/* Outage votes: a paused leader goes on; machines are told what it could not say. */
+/* Called when a paused leader resumes: sends the machines the commands that are still due. */
 void ws_core_outage_resumed(struct ws_core *core);
 #endif
--- a/src/core/event_counts.c
+++ b/src/core/event_counts.c
@@ -1,4 +1,4 @@
-/* Counts of what a leader decides and refuses. */
+/* Counters of the leader's decisions and of rejected heartbeats. */
 #include "core_state.h"
 
 #define LINE_MAX_BYTES 480
@@ -13,7 +13,7 @@
 	core->event_counts.by_evidence[evidence]++;
 }
 
-/* Adds "PREFIX+NAME=COUNT" to a line; a count of zero is left out. */
+/* Appends " PREFIXNAME=COUNT" to a line unless the count is zero. */
 static void ws_event_counts_add(char *line, const char *prefix, const char *name, uint32_t count)
 {
 	size_t length = strlen(line);
--- a/src/core/event_counts.h
+++ b/src/core/event_counts.h
@@ -1,6 +1,6 @@
 /*
- * Counts of what a leader decides and refuses, for operators: by what evidence attempts were
- * released, what was held back and why heartbeats were refused. Logged in one line now and then.
+ * Counters for operators: the evidence on which attempts were released, releases that were held
+ * back, and the reasons for rejected heartbeats. The leader logs them in one line once per lease.
  */
 #ifndef WS_EVENT_COUNTS_H
 #define WS_EVENT_COUNTS_H
@@ -11,25 +11,28 @@
 
 enum ws_event {
 	WS_EVENT_ELECTED,
-	WS_EVENT_QUARANTINED,	       /* an attempt that no record names */
-	WS_EVENT_RELEASE_HELD_BACK,    /* not reported, but a start may still arrive */
-	WS_EVENT_AT_TEAM_LIMIT,	       /* tasks of a job wait since its team is at its limit */
-	WS_EVENT_STALE_INCARNATION,    /* a heartbeat of an incarnation that is over */
-	WS_EVENT_STALE_SEQUENCE,       /* a heartbeat no newer than one taken in */
-	WS_EVENT_STALE_MACHINE,	       /* a heartbeat of a machine that was returned */
-	WS_EVENT_UNENTITLED_HEARTBEAT, /* this node may not answer as the leader */
+	WS_EVENT_QUARANTINED,	    /* an attempt was reported that is in no record */
+	WS_EVENT_RELEASE_HELD_BACK, /* an attempt was not reported, but its start command may be in
+				       flight */
+	WS_EVENT_AT_TEAM_LIMIT,	    /* tasks of a job wait because its team is at its limit */
+	WS_EVENT_STALE_INCARNATION, /* a heartbeat of an earlier incarnation was rejected */
+	WS_EVENT_STALE_SEQUENCE, /* a heartbeat that is not newer than an accepted one was rejected
+				  */
+	WS_EVENT_STALE_MACHINE,	 /* a heartbeat of a machine that was returned was rejected */
+	WS_EVENT_UNENTITLED_HEARTBEAT, /* a heartbeat was rejected: this node may not act as the
+					  leader */
 	WS_EVENT_KINDS,
 };
 
-/* Written by event_counts.c alone. */
+/* Modified by event_counts.c only. */
 struct ws_event_counts {
-	uint32_t by_event[WS_EVENT_KINDS];		 /* since the last line */
-	uint32_t by_evidence[WS_RELEASE_EVIDENCE_KINDS]; /* releases */
-	double next_log_at;				 /* on the core's clock, in seconds */
+	uint32_t by_event[WS_EVENT_KINDS];		 /* events since the last log line */
+	uint32_t by_evidence[WS_RELEASE_EVIDENCE_KINDS]; /* releases since the last log line */
+	double next_log_at;				 /* seconds, on the core's clock */
 };
 
 void ws_event_count(struct ws_core *core, enum ws_event event);
 void ws_event_count_release(struct ws_core *core, enum ws_release_evidence evidence);
-/* Logs the counts that are not zero and begins anew, if that is due. */
+/* If a log line is due, logs the counters that are not zero and resets all of them. */
 void ws_event_counts_log(struct ws_core *core);
 #endif
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -1,8 +1,8 @@
 #include "core_state.h"
 
-/* Beyond the drift of the clocks, a margin: a lease divided by this. */
+/* The safety margin on top of the clock drift is the lease divided by this. */
 #define EXPIRY_MARGINS_PER_LEASE 32
-/* Sweeps come this often in a heartbeat interval, and in a lease. */
+/* Upper bounds of the sweep interval: fractions of a heartbeat interval and of a lease. */
 #define SWEEPS_PER_HEARTBEAT 20
 #define SWEEPS_PER_LEASE 160
 
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -1,19 +1,19 @@
 /*
- * Times that follow from the settings: how long a machine's lease lasts on any clock, and how often
- * the leader looks at all machines. Seconds, on the core's clock.
+ * Times derived from the settings: the length of a machine's lease with clock drift allowed for,
+ * and the interval at which the leader checks all machines. Seconds, on the core's clock.
  */
 #ifndef WS_LEASE_H
 #define WS_LEASE_H
 #include "core.h"
 
-/* The share by which the clocks of two machines drift apart at most: the protocol's figure,
- * doubled. */
+/* Maximum drift between the clocks of two machines, as a share of the elapsed time: twice the
+ * protocol's limit. */
 #define WS_DRIFT 0.001
 
-/* Seconds after which a lease has expired on any clock. */
+/* Time in seconds after which a lease has expired on every machine's clock. */
 double ws_lease_length(const struct ws_settings *settings);
-/* The time by which a lease renewed at `from` has expired on any clock. */
+/* The time at which a lease renewed at `from` has expired on every machine's clock. */
 double ws_lease_expiry(const struct ws_core *core, double from);
-/* Seconds between two sweeps over all machines. */
+/* Time in seconds between two sweeps over all machines. */
 double ws_sweep_interval(const struct ws_core *core);
 #endif
--- a/src/core/memory.h
+++ b/src/core/memory.h
@@ -1,13 +1,13 @@
 /*
- * Checked allocation. The core can't answer for a cluster that it knows in part only: without
- * memory the process ends, is started again, and reads its state back from the store.
+ * Checked allocation. The core can't manage a cluster with partial state, so the process aborts if
+ * memory is exhausted; after its restart it reads its state from the store.
  */
 #ifndef WS_MEMORY_H
 #define WS_MEMORY_H
 #include <stddef.h>
 
-/* Zeroed memory for so many elements; never NULL. Freed by free(). */
+/* Allocates zeroed memory for `count` elements. Never returns NULL. Freed with free(). */
 void *ws_alloc(size_t count, size_t size);
-/* The same memory with room for so many elements; what is new is not cleared. Never NULL. */
+/* Resizes memory to `count` elements; added elements are not initialized. Never returns NULL. */
 void *ws_resize(void *memory, size_t count, size_t size);
 #endif
--- a/src/core/messages.c
+++ b/src/core/messages.c
@@ -1,4 +1,4 @@
-/* What the messages across the core's border own, and how it is freed: calls, effects, results. */
+/* Frees the messages between the core and the I/O layer: calls, effects, results, heartbeats. */
 #include "core_state.h"
 
 static void ws_transaction_free(struct ws_transaction_call *transaction)
@@ -30,16 +30,16 @@
 	switch (effect->kind) {
 	case WS_EFFECT_ANSWER_HEARTBEAT: free(effect->heartbeat.commands); break;
 	case WS_EFFECT_ANSWER_VOTE: free(effect->vote.cancellations); break;
-	default: break; /* the other kinds own nothing; a call goes to who carries it out */
+	default: break; /* the other kinds own nothing; the I/O layer owns the call */
 	}
 	free(effect);
 }
 
-void ws_heartbeat_free(struct ws_heartbeat *report)
+void ws_heartbeat_free(struct ws_heartbeat *heartbeat)
 {
-	free(report->tasks);
-	report->tasks = NULL;
-	report->task_count = 0;
+	free(heartbeat->tasks);
+	heartbeat->tasks = NULL;
+	heartbeat->task_count = 0;
 }
 
 static void records_free(struct ws_records_result *records)
--- a/src/core/objectives.c
+++ b/src/core/objectives.c
@@ -1,7 +1,7 @@
-/* Service level objectives: see objectives.h. */
+/* Looks up service level objectives in the policy and the settings. */
 #include "core_state.h"
 
-/* Kinds of objectives, as the settings name them. */
+/* Names of the objective kinds in the settings file. */
 static const char kind_guarantee[] = "guarantee";
 static const char kind_wait[] = "wait";
 
--- a/src/core/outage_replica.c
+++ b/src/core/outage_replica.c
@@ -1,7 +1,7 @@
 /*
- * The leader's replica of the jobs in an outage of the store: it is kept current by what the voters
- * confirmed to users. Leadership calls these between its own steps; they reach into the jobs, the
- * fleet and the job status cache.
+ * The leader's replica of the jobs during a store outage. It is kept current with the cancellations
+ * that voting peers and this node have confirmed to users. Leadership calls these functions, which
+ * use the jobs, the fleet and the job status cache.
  */
 #include "core_state.h"
 
--- a/src/core/record_sources.c
+++ b/src/core/record_sources.c
@@ -1,10 +1,11 @@
-/* The table of record sources: which there are, and in which order they are read and written. */
+/* The table of record sources, and the orders in which they are read and written. */
 #include "core_state.h"
 #include "record_sources.h"
 
 /*
- * The order in which sources add what is due to a transaction, so what goes first when changes are
- * short: what is written once, scale-out requests, starts and ends of jobs, then the rest.
+ * The order in which sources add due records to a transaction. It sets the priority when the write
+ * rate is limited: records written once, scale-out requests, starts and ends of jobs, then the
+ * rest.
  */
 /* clang-format off */
 static const struct ws_record_source *const collect_order[] = {
@@ -18,7 +19,7 @@
 	&ws_subsystem_records,
 };
 
-/* A new leader reads these in this order, those of subsystems beside them. */
+/* The order in which a new leader reads records; those of subsystems are read in parallel. */
 static const struct ws_record_source *const load_order[] = {
 	&ws_owned_records,
 	&ws_scale_out_records,
--- a/src/core/record_sources.h
+++ b/src/core/record_sources.h
@@ -1,4 +1,4 @@
-/* The owners of stored records. The prefixes of their keys stand in records/records.h. */
+/* The sources of stored records. Their key prefixes are defined in records/records.h. */
 #ifndef WS_RECORD_SOURCES_H
 #define WS_RECORD_SOURCES_H
 #include "store/record_source.h"
@@ -9,7 +9,7 @@
 extern const struct ws_record_source ws_scale_out_records;
 extern const struct ws_record_source ws_owned_records;
 extern const struct ws_record_source ws_machine_type_records;
-/* Those of subsystems, by their own prefixes; the urgent ones are collected apart. */
+/* Records of subsystems, under prefixes of their own; urgent ones are collected separately. */
 extern const struct ws_record_source ws_subsystem_records;
 extern const struct ws_record_source ws_urgent_subsystem_records;
 
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -1,4 +1,4 @@
-/* What the platform's settings file and the operator's policy file say. */
+/* Values of the platform's settings file and of the operator's policy file. */
 #ifndef WS_SETTINGS_H
 #define WS_SETTINGS_H
 #include <stdbool.h>
@@ -47,26 +47,26 @@
 	double cloud_rps, list_lag_s;
 	double core_share, ram_mb;
 	int max_sockets;
-	int sockets;	    /* of these, what the store, the cloud and the peers leave */
-	double gang_wait_s; /* a gang's task waits so long for the others */
-	double gang_peer_s; /* and notices within this that another is gone */
+	int sockets; /* for users and workers: max_sockets less those for store, cloud and peers */
+	double gang_wait_s; /* time that a task of a gang waits for the other tasks */
+	double gang_peer_s; /* a task of a gang detects the loss of another within this time */
 };
 
-/* Operators' own settings. A value below 0 means "derive it from the platform's settings". */
+/* Settings of the operator. Values below 0 are derived from the platform's settings. */
 struct ws_policy {
-	double delta;		 /* Algorithm 1 stops at S'/W'q >= delta */
-	double rentals_max;	 /* the paper's S over bar */
-	double wait_max_s;	 /* the paper's Wq over bar */
-	double latency_bound_s;	 /* the paper's W'q: k rises on while Wq is above it */
-	int rental_ceiling;	 /* never more rented machines than this */
-	int waiting_loads;	 /* demand units allowed to wait: the last term of K */
-	double empty_wait_s;	 /* an empty rented machine is returned after this */
-	double sizing_period_s;	 /* Algorithm 1 is run this often */
-	double leader_ttl_ratio; /* of lease_s */
-	double silent_ratio;	 /* of lease_s: a rented machine silent for longer is returned */
-	double boot_patience;	 /* times the type's boot time before a boot counts as failed */
+	double delta;	    /* Algorithm 1 stops at S'/W'q >= delta */
+	double rentals_max; /* S-bar of the paper: divisor of the mean number of rented machines */
+	double wait_max_s;  /* Wq-bar of the paper: divisor of the mean wait */
+	double latency_bound_s;	 /* W'q of the paper: k is increased while Wq exceeds it */
+	int rental_ceiling;	 /* maximum number of rented machines */
+	int waiting_loads;	 /* maximum of waiting demand units: the last term of K */
+	double empty_wait_s;	 /* a rented machine without tasks is returned after this time */
+	double sizing_period_s;	 /* interval between runs of Algorithm 1 */
+	double leader_ttl_ratio; /* the leader's session TTL, as a share of lease_s */
+	double silent_ratio;	 /* share of lease_s without contact before a machine is returned */
+	double boot_patience; /* multiple of the type's boot time after which a boot has failed */
 };
 
-/* The policy of operators who set nothing. */
+/* Sets all values of a policy to their defaults. */
 void ws_policy_defaults(struct ws_policy *policy);
 #endif
--- a/src/core/tombstones.c
+++ b/src/core/tombstones.c
@@ -1,4 +1,4 @@
-/* Sets of names that are remembered as gone for a while. */
+/* Sets of tombstones: names of removed objects, kept for a limited time. */
 #include "core_state.h"
 
 void ws_tombstone_set(struct ws_tombstone **tombstones, const char *name, double until)
@@ -23,7 +23,7 @@
 	return tombstone && core->now < tombstone->until;
 }
 
-/* Empties the set. */
+/* Removes and frees all tombstones of a set. */
 static void ws_tombstones_free(struct ws_tombstone **tombstones)
 {
 	struct ws_tombstone *tombstone = *tombstones, *next;
@@ -35,7 +35,8 @@
 	}
 }
 
-/* Takes those whose time is over off the set, as a list that is linked by `next_expired`. */
+/* Removes the expired tombstones from a set and returns them as a list, linked by `next_expired`.
+ */
 static struct ws_tombstone *ws_tombstones_take_expired(struct ws_tombstone **tombstones, double now)
 {
 	struct ws_tombstone *tombstone, *next, *expired = NULL;
--- a/src/core/tombstones.h
+++ b/src/core/tombstones.h
@@ -1,6 +1,6 @@
 /*
- * Tombstones: names that are remembered as gone for a while, since late messages may still name
- * them. A set is a hash by name, NULL when empty, which its owner clears.
+ * Tombstones: names of removed objects, kept for a limited time because delayed messages may still
+ * refer to them. A set is a hash table keyed by name, NULL when empty; its owner clears it.
  */
 #ifndef WS_TOMBSTONES_H
 #define WS_TOMBSTONES_H
@@ -8,16 +8,16 @@
 
 struct ws_tombstone {
 	char name[WS_NAME_MAX];
-	double until;			   /* on the core's clock, in seconds */
-	struct ws_tombstone *next_expired; /* scratch of ws_tombstones_clear() */
+	double until;			   /* time of expiry in seconds, on the core's clock */
+	struct ws_tombstone *next_expired; /* used by ws_tombstones_clear() only */
 	UT_hash_handle hh;
 };
 
-/* Whether a name is in the set and its time is not over. */
+/* Whether the set has a tombstone of this name that has not expired. */
 bool ws_tombstone_is_set(const struct ws_core *core, struct ws_tombstone *const *tombstones,
 			 const char *name);
-/* Remembers a name until a time, which replaces an earlier one. */
+/* Adds a tombstone that expires at `until`, or changes the expiry of an existing one. */
 void ws_tombstone_set(struct ws_tombstone **tombstones, const char *name, double until);
-/* Removes those whose time is over, or all. */
+/* Removes the expired tombstones, or all of them. */
 void ws_tombstones_clear(const struct ws_core *core, struct ws_tombstone **tombstones, bool all);
 #endif
--- a/src/core/workload_stats.c
+++ b/src/core/workload_stats.c
@@ -10,7 +10,7 @@
 	core->stats.units_completed += units;
 }
 
-/* Counts the units held up to now. */
+/* Adds the unit-seconds since the last update to the total. */
 static void ws_stats_count_busy(struct ws_core *core)
 {
 	struct ws_workload_stats *stats = &core->stats;
--- a/src/core/workload_stats.h
+++ b/src/core/workload_stats.h
@@ -1,32 +1,32 @@
 /*
- * Workload statistics: what the queue model is measured by. The parts of the core report arrivals,
- * completions and boots as they see them; the autoscaler takes the figures once a period.
+ * Workload statistics: the input of the queueing model. The parts of the core report arrivals,
+ * completions and boots as they occur; the autoscaler reads the totals once per period.
  *
- * Work is counted in demand units. The counts are the leader's and forgotten at step-down, but for
- * the boot times.
+ * Work is counted in demand units. Only the leader counts; all totals but the boot times are reset
+ * when it steps down.
  */
 #ifndef WS_WORKLOAD_STATS_H
 #define WS_WORKLOAD_STATS_H
 #include "core.h"
 
-/* Written by workload_stats.c alone. Times in seconds by the core's clock. */
+/* Modified by workload_stats.c only. Times are seconds on the core's clock. */
 struct ws_workload_stats {
-	double units_arrived, units_completed; /* of arrays, since they were last taken */
-	double busy_unit_seconds;	       /* units held by attempts, over time */
-	double busy_units, busy_counted_at;    /* held now, and counted up to then */
+	double units_arrived, units_completed; /* array jobs, since the last ws_stats_take() */
+	double busy_unit_seconds;	       /* units held by attempts, integrated over time */
+	double busy_units, busy_counted_at;    /* units held now; time of the last update */
 	double boot_seconds, boots;
 };
 
-/* A job of so many demand units became known. */
+/* Reports that a job of this many demand units has arrived. */
 void ws_stats_arrived(struct ws_core *core, double units);
-/* A task of so many demand units completed. */
+/* Reports that a task of this many demand units has completed. */
 void ws_stats_completed(struct ws_core *core, double units);
-/* An attempt holds units from now on, or (below 0) no longer. */
+/* Reports that an attempt starts to hold units, or (below 0) releases them. */
 void ws_stats_held(struct ws_core *core, double units);
-/* A machine sent its first heartbeat so long after it was first seen. */
+/* Reports the time from the first sight of a machine to its first heartbeat. */
 void ws_stats_booted(struct ws_core *core, double boot_s);
-/* The figures up to now; arrivals, completions and unit-seconds begin anew. */
+/* Returns the totals up to now and resets arrivals, completions and unit-seconds. */
 struct ws_workload_stats ws_stats_take(struct ws_core *core);
-/* At step-down. */
+/* Resets all totals but the boot times, when the leader steps down. */
 void ws_stats_reset(struct ws_core *core);
 #endif
