--- a/src/core/leadership/leader_proof.c
+++ b/src/core/leadership/leader_proof.c
@@ -9,12 +9,12 @@
  * request. Times are those at which a request was sent, so a stall of this process can't make a
  * proof look newer than it is.
  */
-void ws_leader_proven(struct ws_core *core, double alive_at, uint64_t term)
+void ws_leader_proven(struct ws_core *core, double active_at, uint64_t term)
 {
-	if (core->leadership.proof.exists && alive_at <= core->leadership.proof.alive_at)
+	if (core->leadership.proof.exists && active_at <= core->leadership.proof.alive_at)
 		return;
 	core->leadership.proof.exists = true;
-	core->leadership.proof.alive_at = alive_at;
+	core->leadership.proof.alive_at = active_at;
 	core->leadership.proof.term = term;
 }
 
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -47,7 +47,7 @@
 	double cloud_rps, list_lag_s;
 	double core_share, ram_mb;
 	int max_sockets;
-	int sockets; /* for users and workers: max_sockets less those for store, cloud and peers */
+	int sockets;	    /* max_sockets less those for the store, the cloud and peers */
 	double gang_wait_s; /* time that a task of a gang waits for the other tasks */
 	double gang_peer_s; /* a task of a gang detects the loss of another within this time */
 };
@@ -63,8 +63,9 @@
 	double empty_wait_s;	 /* a rented machine without tasks is returned after this time */
 	double sizing_period_s;	 /* interval between runs of Algorithm 1 */
 	double leader_ttl_ratio; /* the leader's session TTL, as a share of lease_s */
-	double silent_ratio;	 /* share of lease_s without contact before a machine is returned */
-	double boot_patience; /* multiple of the type's boot time after which a boot has failed */
+	/* a rented machine without contact for longer than this share of lease_s is returned */
+	double silent_ratio;
+	double boot_patience; /* a boot fails after this multiple of the type's boot time */
 };
 
 /* Sets all values of a policy to their defaults. */
