--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -1,8 +1,8 @@
-/* The autoscaler's tick and reset, and what its modules need of the cloud's and operators' limits.
- */
+/* The autoscaler's tick and reset, the retry time of cloud calls and the derived rental ceiling. */
 #include "autoscaler_internal.h"
 
-/* The derived ceiling over what the guarantees add up to: for what teams borrow at peaks. */
+/* Ratio of the derived ceiling to the sum of the guarantees; the rest is for capacity that teams
+ * borrow at peaks. */
 #define CEILING_HEADROOM 1.25
 
 double ws_cloud_call_retry_at(const struct ws_core *core)
@@ -10,7 +10,7 @@
 	return core->now + WS_CLOUD_CALL_INTERVAL_S + core->settings->list_lag_s / 4;
 }
 
-/* Enough machines of middling size to honour every team's guarantee at once, and some more. */
+/* Returns how many machines of mean size cover all teams' guarantees at once, with headroom. */
 static int ws_derived_ceiling(const struct ws_core *core)
 {
 	const double mean_cpus = ws_mean_machine_cpus(core);
@@ -32,7 +32,8 @@
 		return;
 	core->autoscaler.next_check_at = core->now + ws_sweep_interval(core);
 	update_records = ws_scale_out_update_due(core);
-	if (core->fleet.owned_recorded) { /* else rented machines can't be told from owned ones */
+	/* Until the owned machines are recorded, rented ones can't be distinguished from them. */
+	if (core->fleet.owned_recorded) {
 		ws_scale_out_tick(core, update_records);
 		ws_scale_in_tick(core);
 	}
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -1,9 +1,10 @@
 /*
- * The autoscaler: scales out for demand that found no free capacity, up to the limit that the queue
- * model gave, and scales in rented machines that are empty, silent or failed.
+ * The autoscaler rents machines from the cloud for tasks that found no free capacity, up to the
+ * limit that the queue model computed. It returns rented machines that are empty, that have failed
+ * or that no longer send heartbeats.
  *
- * Its state is the leader's and forgotten at step-down, but for the limit and the boot times.
- * Times are in seconds by the core's clock.
+ * Only the leader has this state. It is cleared at step-down, except for the limit and the measured
+ * boot times. Times are in seconds on the core's clock.
  */
 #ifndef WS_AUTOSCALER_H
 #define WS_AUTOSCALER_H
@@ -13,99 +14,106 @@
 struct ws_machine;
 
 enum ws_scale_out_state {
-	WS_SCALE_OUT_NEW,      /* not on record yet */
-	WS_SCALE_OUT_RECORDED, /* on record, to be sent */
+	WS_SCALE_OUT_NEW,      /* its record has not been written yet */
+	WS_SCALE_OUT_RECORDED, /* its record is stored; the cloud is to be called */
 	WS_SCALE_OUT_SENT,     /* the cloud's answer is outstanding */
-	WS_SCALE_OUT_GRANTED,  /* the cloud named its instances */
+	WS_SCALE_OUT_GRANTED,  /* the cloud returned the names of the instances */
 	WS_SCALE_OUT_DISCARDED /* its record is to be deleted */
 };
 
-/* A scale-out request and what became of it. Its idempotency key is on record before the cloud is
- * asked. */
+/*
+ * A scale-out request and its state. Its idempotency key is stored before the request is sent to
+ * the cloud.
+ */
 struct ws_scale_out {
 	char idempotency_key[WS_NAME_MAX];
 	char type[WS_NAME_MAX], zone[WS_NAME_MAX];
 	bool preemptible;
-	uint32_t count; /* machines asked for */
+	uint32_t count; /* number of machines requested */
 	enum ws_scale_out_state state;
 	char (*instances)[WS_NAME_MAX]; /* owned by the request */
 	uint32_t instance_count;
 	double created_at, next_attempt_at;
-	uint64_t revision; /* of its record; 0: none */
+	uint64_t revision; /* store revision of its record; 0: no record exists */
 	bool dirty, write_in_flight;
 	struct ws_scale_out *dirty_prev, *dirty_next;
 	UT_hash_handle hh;
 };
 
-/* Capacity errors for a kind of machine: the cloud had none, or fewer than asked for. */
+/* Capacity errors for one kind of machine: the cloud had none of it, or fewer than requested. */
 struct ws_capacity_error {
-	double until;	     /* end of the back-off */
-	int count;	     /* errors in a row */
-	int scaled_in_since; /* machines of this kind returned since */
+	double until;	     /* end of the backoff */
+	int count;	     /* consecutive errors */
+	int scaled_in_since; /* machines of this kind returned since the last error */
 };
 
 struct ws_autoscaler {
 	struct ws_scale_out *requests;
 	struct ws_scale_out *dirty_requests;
-	uint64_t request_sequence; /* of the newest idempotency key of this leader */
-	bool scale_out_in_flight;  /* a request is being written or sent */
-	bool scaled_out_last; /* rather than in: the two take turns while both have calls to make */
-	bool instances_stale; /* a machine went: records of requests may be out of date */
+	uint64_t request_sequence; /* number in this leader's newest idempotency key */
+	bool scale_out_in_flight;  /* a request is being recorded or sent */
+	/* Whether the last call was a scale-out. Scale-out and scale-in calls alternate while both
+	 * are due. */
+	bool scaled_out_last;
+	/* Whether a machine is gone, so that the records of requests may still list it. */
+	bool instances_stale;
 	double next_record_update_at;
 	double next_check_at;
 	double next_cloud_call_at;
-	int scale_ins_due;	    /* machines to be returned at the last check */
-	double scale_ins_due_since; /* when none were due, or some were last returned */
-	/* the cloud's list of instances */
+	int scale_ins_due; /* marked machines whose return could be requested at the last check */
+	/* When no return was due, or when the last scale-in call was made; the later of the two. */
+	double scale_ins_due_since;
+	/* State of reading the cloud's list of instances. */
 	bool list_in_flight;
 	double next_list_at;
-	char list_continues_after[WS_KEY_MAX]; /* last name of the page before; empty: no page */
-	uint64_t list_mark;		       /* number of the list being read */
+	char list_continues_after[WS_KEY_MAX]; /* last name on the previous page, or empty */
+	uint64_t list_mark;		       /* number of the current pass over the list */
 	struct ws_capacity_error capacity_errors[WS_MAX_TYPES][WS_MAX_ZONES]
-						[2]; /* ordinary, preemptible */
-	int units_waiting;			     /* demand units that wait, at the last pass */
-	/* the queue model: its result, in demand units, and when it is measured for */
-	int unit_limit; /* the paper's k; below 0: not known yet */
-	double measured_at, next_measurement_at;
+						[2]; /* on-demand, preemptible */
+	int units_waiting; /* new machines that unmet demand needed at the last pass */
+	/* Limit on rented machines in demand units (k of the queue model); negative if unknown. */
+	int unit_limit;
+	double measured_at, next_measurement_at; /* start and end of the measurement period */
 };
 
 /* ---- autoscaler.c ---- */
 
-/* Sends the calls to the cloud that are due; called at each tick of the core. */
+/* Sends the cloud calls that are due. It is called at each tick of the core. */
 void ws_autoscaler_tick(struct ws_core *core);
-/* Forgets requests, demand and capacity errors, at step-down. */
+/* Clears requests, demand and capacity errors at step-down. */
 void ws_autoscaler_reset(struct ws_core *core);
 
 /* ---- scale_out_plan.c ---- */
 
-/* Packs the unmet demand of the scheduler's pass into machines, and creates a scale-out request for
- * them if one may be made now. */
+/* Packs the unmet demand of the scheduling pass into machines, and creates a scale-out request if
+ * one is allowed at this time. */
 void ws_autoscaler_plan(struct ws_core *core);
 
 /* ---- scale_out.c ---- */
 
-/* The request's record is to be written. */
+/* Schedules the write of a request's record. */
 void ws_scale_out_mark_dirty(struct ws_core *core, struct ws_scale_out *request);
-/* The request's record was written, or deleted: then the request is freed. */
+/* Handles the committed write of a request's record. After a deletion the request is freed. */
 void ws_scale_out_written(struct ws_core *core, struct ws_scale_out *request, bool deleted);
-/* Takes a request off all lists and frees it. */
+/* Removes a request from all lists and frees it. */
 void ws_scale_out_free(struct ws_core *core, struct ws_scale_out *request);
 
 /* ---- scale_in.c ---- */
 
-/* Whether a machine that never sent a heartbeat should have done so by now. */
+/* Returns whether a machine has not sent its first heartbeat within the boot timeout. */
 bool ws_boot_is_late(const struct ws_core *core, const struct ws_machine *machine);
 
 /* ---- capacity_errors.c ---- */
 
-/* Whether machines that fit a job can be requested in a zone, as far as capacity errors tell. */
+/* Returns whether some kind of machine that fits a job can be requested in a zone, that is, whether
+ * the zone is open for scale-out and no capacity error is active for that kind. */
 bool ws_zone_can_scale_out(struct ws_core *core, const struct ws_job *job, int zone_index);
 
 /* ---- scale_out_records.c ---- */
 
-/* A request's record. */
+/* Encodes a request as its stored record. */
 json_t *ws_record_scale_out(const struct ws_scale_out *request);
-/* False: the record can't be decoded; the request may own instances all the same. */
+/* Decodes a stored record. Returns false if that fails; the request may own instances even then. */
 bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *request);
 
 #endif
--- a/src/core/autoscaler/capacity_errors.c
+++ b/src/core/autoscaler/capacity_errors.c
@@ -1,13 +1,13 @@
 /*
- * Capacity errors of the cloud, by kind of machine, with a back-off that doubles with each error in
- * a row. Returned machines end it early.
+ * Capacity errors of the cloud for each kind of machine. The backoff doubles with each consecutive
+ * error, and returned machines of the kind end it early.
  */
 #include "autoscaler_internal.h"
 
-/* The back-off doubles so often. */
+/* Maximum number of times that the backoff doubles. */
 #define BACK_OFF_DOUBLINGS_MAX 4
 
-/* NULL: the type or zone is not known. */
+/* Returns NULL if the type or the zone is unknown. */
 static struct ws_capacity_error *ws_capacity_error_find(struct ws_core *core, const char *type_name,
 							const char *zone, bool preemptible)
 {
@@ -35,8 +35,8 @@
 }
 
 /*
- * What the cloud lacks may come back, so it is asked for again; at growing intervals, since every
- * request spent on it delays one for a kind that the cloud does have.
+ * The cloud may regain capacity, so the kind is requested again. The intervals grow because each
+ * failed request delays one for a kind that the cloud can provide.
  */
 void ws_capacity_error_back_off(struct ws_core *core, const struct ws_scale_out *request)
 {
@@ -59,8 +59,8 @@
 		memset(error, 0, sizeof(*error));
 }
 
-/* Whether a returned machine worked to the end: what the cloud preempted, or what failed, it need
- * not have to give again. */
+/* Returns whether a returned machine worked to the end. If the cloud preempted it or it failed, the
+ * cloud may be unable to grant it again. */
 static bool ws_machine_was_healthy(const struct ws_core *core, const struct ws_machine *machine)
 {
 	return !machine->preemption_noticed && !machine->failed &&
@@ -68,7 +68,8 @@
 	       core->now - machine->last_heard_at <= 3 * core->settings->report_s;
 }
 
-/* In a large fleet a single machine is not worth a request: some of this kind must be returned. */
+/* In a large fleet the backoff ends only after several machines of the kind were returned, because
+ * a request for a single machine is not worth its call. */
 void ws_capacity_error_scaled_in(struct ws_core *core, const struct ws_machine *machine)
 {
 	const int fleet_size = (int)HASH_COUNT(core->fleet.machines);
@@ -82,7 +83,7 @@
 		memset(error, 0, sizeof(*error));
 }
 
-/* Whether a type can be requested in a zone for a job. */
+/* Returns whether a machine type can be requested in a zone for a job. */
 static bool ws_type_can_scale_out(const struct ws_core *core, const struct ws_machine_type *type,
 				  const struct ws_job *job, int zone_index)
 {
--- a/src/core/autoscaler/demand_packing.c
+++ b/src/core/autoscaler/demand_packing.c
@@ -1,17 +1,18 @@
 /*
- * Packs unmet demand into machines by first fit. Machines that are alike and equally full share a
- * bin, so that the work grows with the number of different machines rather than with all.
+ * Packs unmet demand into machines by first fit. Machines of the same kind with the same free
+ * resources share a bin, so the cost depends on the number of different bins, not of machines.
  */
 #include "../memory.h"
 #include "autoscaler_internal.h"
 
 #define INITIAL_BIN_CAPACITY 64
-/* Rounding errors of sums of CPUs are below this. */
+/* Upper bound on the rounding error of a sum of CPUs. */
 #define CPU_TOLERANCE 1e-9
 
 void ws_packing_add_bin(struct ws_packing *packing, const struct ws_bin *bin)
 {
-	const struct ws_bin added = *bin; /* which may be one of the bins that move */
+	/* A copy, because the bin may be in the array that is reallocated. */
+	const struct ws_bin added = *bin;
 
 	if (packing->bin_count == packing->bin_capacity) {
 		packing->bin_capacity =
@@ -72,7 +73,8 @@
 	return ws_tasks_fit(spec, bin->free_cpus, bin->free_gpus, bin->free_mem_gb, demand->tasks);
 }
 
-/* Places tasks on some machines of a bin; unless these are all, they become a bin of their own. */
+/* Places tasks on some machines of a bin. If these are not all of its machines, they are split off
+ * into a new bin. Returns the number of tasks placed. */
 static uint32_t ws_packing_fill(struct ws_packing *packing, int index,
 				const struct ws_job_spec *spec, uint32_t machine_count,
 				uint32_t tasks_each)
@@ -106,7 +108,7 @@
 	filled = tasks / fit < machine_count ? tasks / fit : machine_count;
 	if (filled)
 		placed = ws_packing_fill(packing, index, spec, filled, fit);
-	/* what is left is less than one machine takes, unless all are filled */
+	/* unless all machines are filled, the remaining tasks fit on one */
 	if (filled < machine_count && placed < tasks)
 		placed += ws_packing_fill(packing, index, spec, 1, tasks - placed);
 	return placed;
--- a/src/core/autoscaler/instance_list.c
+++ b/src/core/autoscaler/instance_list.c
@@ -1,12 +1,12 @@
 /*
- * The cloud's list of instances, read page by page. It tells which machines were there before any
- * scale-out (owned machines), and which machines are gone.
+ * Reads the cloud's list of instances page by page. The list shows which machines existed before
+ * any scale-out (the owned machines) and which machines are gone.
  */
 #include "autoscaler_internal.h"
 
 /*
- * The first list ever read, to its last page, names the machines that are owned: none was rented
- * yet. A list without any is believed only when the cloud's lag can't be the cause.
+ * The first complete list names the owned machines, because nothing has been rented before it. An
+ * empty list is accepted only after the time in which the cloud's list may lag behind.
  */
 static void ws_determine_owned_machines(struct ws_core *core, const struct ws_result *page)
 {
@@ -27,7 +27,7 @@
 		machine->owned = strcmp(machine->name, fleet->last_owned_name) <= 0;
 }
 
-/* Takes in the instances of a page, and marks their machines as listed. */
+/* Updates the machines from the instances of a page, and marks them as listed. */
 static void ws_apply_page(struct ws_core *core, const struct ws_result *page)
 {
 	for (size_t i = 0; i < page->instances.count; i++) {
@@ -40,7 +40,8 @@
 	}
 }
 
-/* On record before this leader's election: lists newer than twice the lag should name it. */
+/* A machine recorded before this leader's election should be in every list that is requested more
+ * than twice the list lag after the election. */
 static bool ws_machine_should_be_listed(const struct ws_core *core,
 					const struct ws_machine *machine)
 {
@@ -48,19 +49,22 @@
 	       core->now - core->leadership.elected_at > 2 * core->settings->list_lag_s;
 }
 
-/* Whether a machine was, or should be, listed, is not in the list just read, and is silent. */
+/* Returns whether a machine that was or should be listed is missing from the list just read, and
+ * has sent no heartbeat recently. */
 static bool ws_machine_is_missing(const struct ws_core *core, const struct ws_machine *machine)
 {
-	const double silence_s = 2 * core->settings->report_s;
+	const double heartbeat_timeout_s = 2 * core->settings->report_s;
 
 	return !machine->owned &&
 	       (machine->in_instance_list || ws_machine_should_be_listed(core, machine)) &&
 	       machine->instance_list_mark != core->autoscaler.list_mark &&
-	       !machine->scale_in.requested && core->now - machine->last_heard_at > silence_s &&
-	       core->now - core->leadership.elected_at > silence_s && core->fleet.owned_recorded;
+	       !machine->scale_in.requested &&
+	       core->now - machine->last_heard_at > heartbeat_timeout_s &&
+	       core->now - core->leadership.elected_at > heartbeat_timeout_s &&
+	       core->fleet.owned_recorded;
 }
 
-/* Returns machines that are missing, to have the cloud confirm that they are gone. */
+/* Requests the return of missing machines, so that the cloud confirms that they are gone. */
 static void ws_scale_in_missing(struct ws_core *core)
 {
 	struct ws_machine *machine, *next;
@@ -98,7 +102,7 @@
 	ws_scale_in_missing(core);
 }
 
-/* Other calls to the cloud go first while demand is unmet, unless the list gets too old. */
+/* While demand is unmet, other cloud calls take precedence until the list is overdue by its lag. */
 static bool ws_instance_list_is_due(const struct ws_core *core)
 {
 	const struct ws_autoscaler *autoscaler = &core->autoscaler;
--- a/src/core/autoscaler/queue_measurements.c
+++ b/src/core/autoscaler/queue_measurements.c
@@ -1,4 +1,4 @@
-/* Machines in demand units, and the measurements that the queue model works with. */
+/* Sizes of machines in demand units, and the measurements that are the input of the queue model. */
 #include "autoscaler_internal.h"
 
 double ws_demand_units_of_machine(const struct ws_core *core, const struct ws_machine_type *type)
@@ -34,7 +34,7 @@
 	return totals;
 }
 
-/* Owned machines that are in contact, less what services use, in demand units. */
+/* Returns the size of the reachable owned machines less what services use, in demand units. */
 static int ws_owned_units(struct ws_core *core)
 {
 	const double mean_cpus = ws_mean_machine_cpus(core);
@@ -54,7 +54,8 @@
 	return owned > services ? (int)(owned - services) : 0;
 }
 
-/* Boots of one machine in a second: as measured, or by the catalog while none is. */
+/* Returns the boot rate of one machine per second: as measured, or from the catalog's boot times if
+ * no boot was measured. */
 static double ws_boot_rate(const struct ws_core *core, const struct ws_workload_stats *stats)
 {
 	const struct ws_catalog *catalog = &core->catalog;
@@ -67,7 +68,7 @@
 	return mean_boot_s > 0 ? 1 / mean_boot_s : 0;
 }
 
-/* Fills in the operators' settings, or what is derived for those that are not set. */
+/* Fills in the operators' settings, and derived values for those that are not set. */
 static void ws_measurement_set_policy(const struct ws_core *core,
 				      struct ws_queue_measurement *measurement)
 {
@@ -84,7 +85,7 @@
 	    policy->wait_max_s > 0 ? policy->wait_max_s : 2 * measurement->bound_s;
 }
 
-/* Starts a new period of measurement. */
+/* Starts a new measurement period. */
 static void ws_measurement_restart(struct ws_core *core, double now)
 {
 	struct ws_autoscaler *autoscaler = &core->autoscaler;
@@ -126,7 +127,7 @@
 {
 	(void)now;
 	if (limit < 0 || mean_wait_s <= 0)
-		return; /* without a wait, the limit stays */
+		return; /* keep the limit if the model is unsolved or gives no wait */
 	if (limit != core->autoscaler.unit_limit)
 		ws_log(core, WS_LOG_INFO,
 		       "scale-out limit changed limit=%d previous=%d mean_rented=%.2f "
--- a/src/core/autoscaler/queue_model.c
+++ b/src/core/autoscaler/queue_model.c
@@ -1,16 +1,17 @@
 /*
- * Stationary distribution of the M/M/N/K/Setup queue after the paper's section V: row i holds the
- * states with i rented machines active. Within a row every probability is an affine function of the
- * one before it (Lemmas 1 and 2); rows are joined by the cut equations (10) and (23). Only positive
- * numbers are added and multiplied; rows are rescaled so that nothing overflows.
+ * Computes the stationary distribution of the M/M/N/K/Setup queue as in section V of the paper (see
+ * queue_model.h). Row i holds the states with i rented machines active. Within a row each
+ * probability is an affine function of the previous one (Lemmas 1 and 2); adjacent rows are linked
+ * by the cut equations (10) and (23). Only positive numbers are added and multiplied, and rows are
+ * rescaled to avoid overflow.
  *
- * The paper's denominator = lambda + setup + n_i mu - n_i mu b(j+1) subtracts after all: under
- * overload its error grows with every step. Writing denominator = d + n_i mu turns (9), (13) and
- * (26) into d(j) = setup(j) + lambda d(j+1) / (d(j+1) + n_i mu), d(K) = setup(K), without a
- * difference.
+ * The paper's denominator = lambda + setup + n_i mu - n_i mu b(j+1) contains a subtraction, whose
+ * error grows with every step under overload. Writing denominator = d + n_i mu turns (9), (13) and
+ * (26) into d(j) = setup(j) + lambda d(j+1) / (d(j+1) + n_i mu), d(K) = setup(K), which has no
+ * subtraction.
  *
- * Two misprints of the paper are put right here: (10) must read min(j - n0, N - n0), as its
- * sibling (23) does, and in (4) the case j = n0 belongs to (5).
+ * Two misprints in the paper are corrected here: (10) must read min(j - n0, N - n0), as (23) does,
+ * and in (4) the case j = n0 belongs to (5).
  */
 #include "queue_model.h"
 #include <math.h>
@@ -22,7 +23,7 @@
 	return left < right ? left : right;
 }
 
-/* Probabilities that grow above this are scaled down. */
+/* Probabilities above this value are scaled down. */
 #define WS_RESCALE_ABOVE 1e120
 
 struct ws_queue {
@@ -30,21 +31,21 @@
 	double service_rate; /* mu, of one machine */
 	double boot_rate;    /* alpha: 1 / mean boot time */
 	int owned;	     /* n0 */
-	int machines;	     /* N: owned, and rented ones up to k */
-	int capacity;	     /* K: jobs in the system at most */
+	int machines;	     /* N: owned machines plus the maximum of rented ones (n0 + k) */
+	int capacity;	     /* K: maximum number of jobs in the system */
 };
 
-/* Row i of the states; the arrays are indexed by j, the jobs in the system, from 0 to K. */
+/* Row i of the states. The arrays are indexed by j, the jobs in the system, from 0 to K. */
 struct ws_queue_row {
-	int scaled_out;		/* i: rented machines that are active */
-	int active;		/* n_i = n0 + i: machines that are active */
+	int scaled_out;		/* i: number of active rented machines */
+	int active;		/* n_i = n0 + i: number of active machines */
 	double *previous;	/* probabilities of row i - 1 */
 	double *probabilities;	/* of this row, not normalized */
 	double *constant_terms; /* a(j) of p(j) = a(j) + b(j) p(j - 1) */
 	double *factors;	/* b(j) */
 };
 
-/* Sums over all states so far, weighted with their probabilities. */
+/* Sums over the states computed so far, weighted by their probabilities. */
 struct ws_queue_sums {
 	double probability;
 	double jobs;
@@ -60,7 +61,8 @@
 	sums->full_system /= divisor;
 }
 
-/* Only ratios matter: scales all down by p(jobs) if that grew too large. */
+/* Divides all values by p(jobs) if it exceeds WS_RESCALE_ABOVE. Only ratios matter, so the result
+ * stays the same. */
 static void ws_row_rescale(const struct ws_queue *queue, struct ws_queue_row *row, int jobs,
 			   struct ws_queue_sums *sums)
 {
@@ -75,14 +77,15 @@
 	ws_sums_scale_down(sums, divisor);
 }
 
-/* The rate at which row i - 1 with this number of jobs turns into row i: one machine has booted. */
+/* Returns the rate at which the state of row i - 1 with this number of jobs changes to row i, that
+ * is, at which one of the booting machines becomes active. */
 static double ws_rate_into_row(const struct ws_queue *queue, const struct ws_queue_row *row,
 			       int jobs)
 {
 	return ws_min(jobs - row->active + 1, queue->machines - row->active + 1) * queue->boot_rate;
 }
 
-/* Makes the row empty and number i. */
+/* Starts row `scaled_out` with all values zero. */
 static void ws_row_begin(const struct ws_queue *queue, struct ws_queue_row *row, int scaled_out)
 {
 	size_t bytes = ((size_t)queue->capacity + 2) * sizeof(double);
@@ -94,12 +97,12 @@
 	memset(row->factors, 0, bytes);
 }
 
-/* a(j) and b(j) after (9), (13) and (26), from K downwards. False: a denominator is not positive.
- */
+/* Computes a(j) and b(j) by (9), (13) and (26), from K downwards. Returns false if a denominator is
+ * not positive. */
 static bool ws_row_coefficients(const struct ws_queue *queue, struct ws_queue_row *row)
 {
 	const double active_service_rate = row->active * queue->service_rate; /* n_i mu */
-	double reduced = 0; /* d(j): the denominator less n_i mu, see the head of this file */
+	double reduced = 0; /* d(j): the denominator less n_i mu, see the file comment */
 
 	for (int j = queue->capacity; j > row->active; j--) {
 		double setup =
@@ -122,7 +125,7 @@
 	return true;
 }
 
-/* The probabilities of row 0, in multiples of that of the empty system. */
+/* Computes the probabilities of row 0 as multiples of that of the empty system. */
 static void ws_row_fill_first(const struct ws_queue *queue, struct ws_queue_row *row,
 			      struct ws_queue_sums *sums)
 {
@@ -138,7 +141,8 @@
 	}
 }
 
-/* The probabilities of a row above 0: its first by the cut equations (10) and (23). */
+/* Computes the probabilities of a row above 0; the first one comes from the cut equations (10) and
+ * (23). */
 static void ws_row_fill(const struct ws_queue *queue, struct ws_queue_row *row,
 			struct ws_queue_sums *sums)
 {
@@ -154,8 +158,8 @@
 	}
 }
 
-/* Adds the row to the sums. Scales it and them down to its largest value, if that is above 1.
- * False: that value is not finite. */
+/* Adds the row to the sums. If its largest value exceeds 1, divides the row and the sums by it.
+ * Returns false if that value is not finite. */
 static bool ws_row_add_to_sums(const struct ws_queue *queue, struct ws_queue_row *row,
 			       struct ws_queue_sums *sums)
 {
@@ -185,7 +189,8 @@
 	return true;
 }
 
-/* Sums over all rows. False: the recursion broke down. */
+/* Computes all rows and their sums. Returns false if a denominator is not positive or a value is
+ * not finite. */
 static bool ws_queue_sum_rows(const struct ws_queue *queue, struct ws_queue_row *row,
 			      struct ws_queue_sums *sums)
 {
@@ -208,7 +213,7 @@
 	return true;
 }
 
-/* The means after (35) to (38). False: the sums give none. */
+/* Computes the means by (35) to (38). Returns false if they are undefined or not finite. */
 static bool ws_queue_means(const struct ws_queue *queue, const struct ws_queue_sums *sums,
 			   struct ws_queue_solution *solution)
 {
@@ -261,18 +266,18 @@
 	return is_solved;
 }
 
-/* The paper's K: jobs in the system at most, in demand units. */
+/* Returns K, the maximum number of jobs in the system, in demand units. */
 static int ws_measured_capacity(const struct ws_queue_measurement *measurement)
 {
 	return measurement->owned + measurement->ceiling + measurement->waiting_units;
 }
 
-/* Whether Algorithm 1 stops at a k. */
+/* Whether Algorithm 1 stops at a given k. */
 enum ws_stop_decision { WS_STOP_UNSOLVABLE, WS_STOP_NOT_YET, WS_STOP_HERE };
 
-static enum ws_stop_decision ws_sizing_stops(const struct ws_queue_measurement *measurement,
-					     int scale_out_limit, int unit,
-					     struct ws_queue_solution *solution)
+static enum ws_stop_decision ws_stop_decision_at(const struct ws_queue_measurement *measurement,
+						 int scale_out_limit, int unit,
+						 struct ws_queue_solution *solution)
 {
 	int capacity = ws_measured_capacity(measurement);
 	double load_ratio, wait_ratio;
@@ -292,9 +297,10 @@
 }
 
 /*
- * Algorithm 1 raises k from 0 until it stops. As k rises S does and Wq falls, so the first k at
- * which it stops is found by binary search. Its cost grows with the cube of the machines: hundreds
- * are counted in units of several, which wait a little longer than as many single ones.
+ * Algorithm 1 increases k from 0 until the stop condition holds. With k, S rises and Wq falls, so
+ * binary search finds the first such k. The cost grows with the cube of the number of machines, so
+ * large numbers are grouped into units of several machines; the modelled wait of such units is
+ * slightly longer than that of as many single machines.
  */
 int ws_sizing_run(const struct ws_queue_measurement *measurement,
 		  struct ws_queue_solution *solution)
@@ -306,7 +312,7 @@
 	while (low < high) {
 		int middle = low + (high - low) / 2;
 		enum ws_stop_decision decision =
-		    ws_sizing_stops(measurement, middle, unit, solution);
+		    ws_stop_decision_at(measurement, middle, unit, solution);
 
 		if (decision == WS_STOP_UNSOLVABLE)
 			return -1;
@@ -315,7 +321,7 @@
 		else
 			low = middle + 1;
 	}
-	if (ws_sizing_stops(measurement, low, unit, solution) == WS_STOP_UNSOLVABLE)
+	if (ws_stop_decision_at(measurement, low, unit, solution) == WS_STOP_UNSOLVABLE)
 		return -1;
 	return low * unit < measurement->ceiling ? low * unit : measurement->ceiling;
 }
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -1,17 +1,17 @@
 /*
- * Scale-in: which rented machines are returned to the cloud and why, the calls that return them,
- * and the cloud's answers. A machine is marked first, never used again, and gone when the cloud
- * says so.
+ * Scale-in: selects the rented machines that are returned to the cloud, sends the calls that return
+ * them and handles the cloud's answers. A marked machine is never used again; it counts as gone
+ * once the cloud confirms the return.
  */
 #include "../memory.h"
 #include "autoscaler_internal.h"
 
-/* Machines of one call. */
+/* Maximum number of machines in one call. */
 #define SCALE_IN_CALL_MAX 100
-/* A machine that fails tasks of so many different jobs in a row is returned. */
+/* A machine is returned after it failed tasks of this many different jobs in a row. */
 #define CONSECUTIVE_FAILURES_MAX 3
-/* Heartbeat intervals of silence after which a preempted machine is taken to be gone. */
-#define PREEMPTED_SILENCE_INTERVALS 1.5
+/* Heartbeat intervals without a heartbeat after which a preempted machine is assumed to be gone. */
+#define PREEMPTED_TIMEOUT_INTERVALS 1.5
 
 enum ws_scale_in_reason {
 	WS_SCALE_IN_NONE,
@@ -19,29 +19,29 @@
 	WS_SCALE_IN_BOOT_TIMEOUT,
 	WS_SCALE_IN_PREEMPTED,
 	WS_SCALE_IN_UNREACHABLE,
-	WS_SCALE_IN_SILENT,
-	WS_SCALE_IN_NOT_ECHOING,
+	WS_SCALE_IN_NO_HEARTBEATS,
+	WS_SCALE_IN_TOKEN_NOT_ECHOED,
 	WS_SCALE_IN_EMPTY,
 	WS_SCALE_IN_TASK_FAILURES,
 };
 
-/* As the log names them. */
+/* Names of the reasons in log lines. */
 static const char *const scale_in_reason_names[] = {
     [WS_SCALE_IN_NONE] = "none",
     [WS_SCALE_IN_FAILED] = "failed",
     [WS_SCALE_IN_BOOT_TIMEOUT] = "boot timeout",
     [WS_SCALE_IN_PREEMPTED] = "preempted",
     [WS_SCALE_IN_UNREACHABLE] = "no heartbeats, commands unanswered",
-    [WS_SCALE_IN_SILENT] = "no heartbeats",
-    [WS_SCALE_IN_NOT_ECHOING] = "heartbeat answers do not arrive",
+    [WS_SCALE_IN_NO_HEARTBEATS] = "no heartbeats",
+    [WS_SCALE_IN_TOKEN_NOT_ECHOED] = "heartbeat answers do not arrive",
     [WS_SCALE_IN_EMPTY] = "empty",
     [WS_SCALE_IN_TASK_FAILURES] = "repeated task failures",
 };
 
-/* How well the leader and the machines that are up hear each other. */
-struct ws_fleet_contact {
+/* How many machines are up, and whether the leader is connected to most of them. */
+struct ws_fleet_reachability {
 	size_t up_count;
-	bool most_in_contact; /* else the network of the leader itself may be cut */
+	bool most_reachable; /* if not, the leader itself may be partitioned */
 };
 
 bool ws_boot_is_late(const struct ws_core *core, const struct ws_machine *machine)
@@ -53,8 +53,8 @@
 }
 
 /*
- * While demand is unmet there is something to request every second, and preemptible machines are
- * taken one by one all the time: machines to be returned are gathered, for at most a heartbeat
+ * While demand is unmet, a scale-out request may be due every second, and the cloud preempts
+ * machines one at a time. Machines to be returned are therefore batched, for at most one heartbeat
  * interval.
  */
 bool ws_scale_in_goes_first(const struct ws_core *core)
@@ -101,31 +101,32 @@
 }
 
 /*
- * Whether it was up once: this leader heard it, the leader that recorded its incarnation did, or
- * the cloud said so. A machine known from its scale-out request alone may still be booting.
+ * Returns whether a machine is known to have been up: this leader or the one that recorded its
+ * incarnation received a heartbeat, or the cloud listed it as running. A machine known only from
+ * its scale-out request may still be booting.
  */
 static bool ws_machine_was_up(const struct ws_machine *machine)
 {
 	return machine->reported || machine->incarnation || machine->listed_running_at > 0;
 }
 
-static struct ws_fleet_contact ws_fleet_contact_check(struct ws_core *core)
+static struct ws_fleet_reachability ws_check_fleet_reachability(struct ws_core *core)
 {
-	struct ws_fleet_contact contact = {0};
+	struct ws_fleet_reachability reachability = {0};
 	struct ws_machine *machine, *next;
-	size_t in_contact_count = 0;
+	size_t reachable_count = 0;
 
 	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		if (!machine->reported || machine->gone || machine->failed)
 			continue;
-		contact.up_count++;
-		/* within a heartbeat interval: a cut of the leader's own network must not pass for
-		 * silence of theirs for as long as it takes to return them all */
-		in_contact_count += !ws_heartbeat_overdue(core, machine->last_heard_at) &&
-				    ws_machine_echoes_token(machine);
+		reachability.up_count++;
+		/* A short limit: if the leader itself is partitioned, most machines must count as
+		 * unreachable before any of them is returned for that reason. */
+		reachable_count += !ws_heartbeat_overdue(core, machine->last_heard_at) &&
+				   ws_machine_echoes_token(machine);
 	}
-	contact.most_in_contact = in_contact_count * 2 >= contact.up_count;
-	return contact;
+	reachability.most_reachable = reachable_count * 2 >= reachability.up_count;
+	return reachability;
 }
 
 static bool ws_machine_is_long_empty(const struct ws_core *core, const struct ws_machine *machine)
@@ -136,54 +137,57 @@
 	return machine->reported && !machine->attempt_count && !machine->preemption_noticed &&
 	       core->now >= machine->reserved_until && empty_s > wait_s &&
 	       core->now - machine->up_at > wait_s &&
-	       /* unmet demand had time to be placed on it */
+	       /* leave unmet demand time to be placed on it */
 	       (!core->autoscaler.units_waiting || empty_s > 2 * wait_s);
 }
 
-/* Why a rented machine that is out of contact should be returned, if most others are in contact. */
-static enum ws_scale_in_reason ws_silence_reason(const struct ws_core *core,
-						 const struct ws_machine *machine, size_t up_count)
+/* Returns why a rented machine that the leader lost contact with should be returned. It is to be
+ * called only if most machines are reachable. */
+static enum ws_scale_in_reason ws_contact_loss_reason(const struct ws_core *core,
+						      const struct ws_machine *machine,
+						      size_t up_count)
 {
 	const double elected_at = core->leadership.elected_at;
-	const double silent_since =
+	const double no_heartbeat_since =
 	    fmax(machine->last_heard_at, fmax(elected_at, core->resumed_at));
-	const double silence_limit_s = core->settings->lease_s * core->policy.silent_ratio;
+	const double heartbeat_timeout_s = core->settings->lease_s * core->policy.silent_ratio;
 
 	if (machine->preemption_noticed && core->now > machine->preempted_at &&
 	    core->now - machine->last_heard_at >
-		PREEMPTED_SILENCE_INTERVALS * core->settings->report_s)
-		return WS_SCALE_IN_PREEMPTED; /* to have it confirmed */
-	if (machine->unreachable && machine->reported && ws_heartbeat_overdue(core, silent_since))
+		PREEMPTED_TIMEOUT_INTERVALS * core->settings->report_s)
+		return WS_SCALE_IN_PREEMPTED; /* so that the cloud confirms it */
+	if (machine->unreachable && machine->reported &&
+	    ws_heartbeat_overdue(core, no_heartbeat_since))
 		return WS_SCALE_IN_UNREACHABLE;
 	if (ws_machine_was_up(machine) && up_count &&
-	    silence_limit_s < core->now - fmax(silent_since, machine->listed_running_at))
-		return WS_SCALE_IN_SILENT;
+	    heartbeat_timeout_s < core->now - fmax(no_heartbeat_since, machine->listed_running_at))
+		return WS_SCALE_IN_NO_HEARTBEATS;
 	if (machine->reported && !ws_machine_echoes_token(machine) && up_count &&
 	    core->now - fmax(fmax(machine->fencing_token_since, machine->up_at), elected_at) >
-		silence_limit_s + core->settings->report_s)
-		return WS_SCALE_IN_NOT_ECHOING;
+		heartbeat_timeout_s + core->settings->report_s)
+		return WS_SCALE_IN_TOKEN_NOT_ECHOED;
 	return WS_SCALE_IN_NONE;
 }
 
-/* Why a rented machine should be returned now. */
-static enum ws_scale_in_reason ws_scale_in_reason_of(const struct ws_core *core,
-						     const struct ws_machine *machine,
-						     const struct ws_fleet_contact *contact)
+/* Returns why a rented machine should be returned now. */
+static enum ws_scale_in_reason
+ws_scale_in_reason_of(const struct ws_core *core, const struct ws_machine *machine,
+		      const struct ws_fleet_reachability *reachability)
 {
-	enum ws_scale_in_reason silence = WS_SCALE_IN_NONE;
+	enum ws_scale_in_reason contact_loss = WS_SCALE_IN_NONE;
 
-	if (contact->most_in_contact)
-		silence = ws_silence_reason(core, machine, contact->up_count);
-	if (silence != WS_SCALE_IN_NONE &&
+	if (reachability->most_reachable)
+		contact_loss = ws_contact_loss_reason(core, machine, reachability->up_count);
+	if (contact_loss != WS_SCALE_IN_NONE &&
 	    ws_subsystems_defer(core, WS_DEFER_SCALE_IN_SILENT, machine->zone_index))
-		silence = WS_SCALE_IN_NONE;
+		contact_loss = WS_SCALE_IN_NONE;
 	if (machine->failed)
 		return WS_SCALE_IN_FAILED;
 	if (ws_boot_is_late(core, machine) &&
 	    core->now - core->leadership.elected_at > core->settings->lease_s)
 		return WS_SCALE_IN_BOOT_TIMEOUT;
-	if (silence != WS_SCALE_IN_NONE)
-		return silence;
+	if (contact_loss != WS_SCALE_IN_NONE)
+		return contact_loss;
 	if (ws_machine_is_long_empty(core, machine) &&
 	    !ws_subsystems_defer(core, WS_DEFER_SCALE_IN_EMPTY, machine->zone_index))
 		return WS_SCALE_IN_EMPTY;
@@ -192,7 +196,7 @@
 	return WS_SCALE_IN_NONE;
 }
 
-/* A call without machines yet. */
+/* Creates a scale-in call that contains no machines yet. */
 static struct ws_call *ws_scale_in_call_new(struct ws_core *core)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_SCALE_IN, ws_scale_in_answered);
@@ -205,7 +209,7 @@
 	return call;
 }
 
-/* Asks the cloud to take machines back that are due, as many as one call takes. */
+/* Sends one call that returns the machines that are due, up to the maximum of a call. */
 static void ws_scale_in_send(struct ws_core *core)
 {
 	struct ws_machine *machine, *next;
@@ -228,7 +232,7 @@
 /* Marks the machines that should be returned. */
 static void ws_scale_in_mark(struct ws_core *core)
 {
-	const struct ws_fleet_contact contact = ws_fleet_contact_check(core);
+	const struct ws_fleet_reachability reachability = ws_check_fleet_reachability(core);
 	struct ws_machine *machine, *next;
 
 	HASH_ITER (hh, core->fleet.machines, machine, next) {
@@ -236,7 +240,7 @@
 
 		if (machine->owned || machine->gone || machine->scale_in.requested)
 			continue;
-		reason = ws_scale_in_reason_of(core, machine, &contact);
+		reason = ws_scale_in_reason_of(core, machine, &reachability);
 		if (reason != WS_SCALE_IN_NONE)
 			ws_machine_request_scale_in(core, machine, reason);
 	}
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -1,17 +1,18 @@
 /*
- * Scale-out requests and the cloud's answers to them. A request's idempotency key is on record
- * before the cloud is asked: a request whose answer got lost is sent again with the same key, and
- * no key is used for two requests.
+ * Scale-out requests and the cloud's answers to them. A request's idempotency key is stored before
+ * the request is sent. A request without an answer is sent again with the same key, and no key is
+ * used for two requests.
  */
 #include "../memory.h"
 #include "autoscaler_internal.h"
 
-/* A request's record: bytes of its other fields at most, and of the quotes and comma of a name. */
+/* Sizes in a request's record: the maximum of all fields but the names, and the quotes and comma of
+ * one name. */
 #define RECORD_FIXED_BYTES 256
 #define NAME_OVERHEAD_BYTES 3
-/* Names of machines grow: by so much more than that of the first. */
+/* Allowance for names of new machines, which may be longer than that of the first. */
 #define NAME_GROWTH_BYTES 4
-/* Length of a name while no machine is known. */
+/* Assumed length of a name while no machine is known. */
 #define NAME_BYTES_ASSUMED 16
 
 bool ws_scale_out_is_pending(const struct ws_scale_out *request)
@@ -38,14 +39,15 @@
 	free(request);
 }
 
-/* The request is done with: its record is deleted. */
+/* Marks a request as finished, so that its record is deleted. */
 static void ws_scale_out_discard(struct ws_core *core, struct ws_scale_out *request)
 {
 	request->state = WS_SCALE_OUT_DISCARDED;
 	ws_scale_out_mark_dirty(core, request);
 }
 
-/* Machines of one request: no more than its record can name. */
+/* Returns the maximum number of machines of one request, limited by the names that fit into its
+ * record. */
 static uint32_t ws_scale_out_count_limit(const struct ws_core *core)
 {
 	const struct ws_fleet *fleet = &core->fleet;
@@ -94,7 +96,7 @@
 	}
 }
 
-/* The cloud gave instances, though perhaps fewer than asked for. */
+/* Handles a grant, which may contain fewer instances than requested. */
 static void ws_scale_out_granted(struct ws_core *core, struct ws_scale_out *request,
 				 const struct ws_result *result)
 {
@@ -120,7 +122,7 @@
 	ws_scale_out_mark_dirty(core, request);
 }
 
-/* The cloud turned the request down for good. */
+/* Handles a final refusal by the cloud. */
 static void ws_scale_out_refused(struct ws_core *core, struct ws_scale_out *request)
 {
 	ws_capacity_error_back_off(core, request);
@@ -146,10 +148,11 @@
 		       request->preemptible ? "yes" : "no");
 		ws_scale_out_refused(core, request);
 	} else if (result->outcome == WS_OUTCOME_REJECTED) {
-		ws_log(core, WS_LOG_ERROR, "scale-out rejected as malformed key=%s",
+		ws_log(core, WS_LOG_ERROR,
+		       "scale-out request rejected by the cloud as malformed key=%s",
 		       request->idempotency_key);
 		ws_scale_out_refused(core, request);
-	} else { /* outage, rate limit or no answer: send it again with the same key */
+	} else { /* outage, rate limit or no answer: retry with the same key */
 		request->state = WS_SCALE_OUT_RECORDED;
 		request->next_attempt_at = ws_cloud_call_retry_at(core);
 	}
@@ -171,7 +174,7 @@
 	core->autoscaler.next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
 }
 
-/* Takes machines that are gone off a request's record; without any left, the record goes. */
+/* Removes machines that are gone from a request's record. An empty record is deleted. */
 static void ws_scale_out_drop_gone(struct ws_core *core, struct ws_scale_out *request)
 {
 	uint32_t left = 0;
@@ -205,7 +208,8 @@
 	return true;
 }
 
-/* Whether the request may be sent. It was paid for in calls when it was created. */
+/* Returns whether a request may be sent now. Its call interval was already reserved when it was
+ * created, so that interval is subtracted. */
 static bool ws_scale_out_send_due(const struct ws_core *core, const struct ws_scale_out *request)
 {
 	return request->state == WS_SCALE_OUT_RECORDED && core->now >= request->next_attempt_at &&
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -1,28 +1,29 @@
 /*
- * What to scale out by, at the end of a scheduler's pass: unmet demand is packed into machines that
- * are booting, and into new ones of the cheapest kinds. One request is made for the kind that most
- * machines are needed of, as far as the limit on rented machines allows.
+ * Plans the next scale-out at the end of a scheduling pass. Unmet demand is packed into machines
+ * that are booting and into new ones of the cheapest kinds. One request is made, for the kind of
+ * which most machines are needed, within the limit on rented machines.
  */
 #include "autoscaler_internal.h"
 
-/* New machines that are planned in one step at most: few enough to spread over the zones. */
+/* Maximum number of new machines planned in one step; small, so that they spread over the zones. */
 #define MACHINES_PER_STEP_MAX 8
-/* Surcharge for each planned machine of a type in a zone: evens out zones of equal cost. */
+/* Relative surcharge for each planned machine of a type in a zone; balances zones of equal cost. */
 #define ZONE_SPREAD_SURCHARGE 1e-4
 
 struct ws_scale_out_plan {
 	struct ws_packing packing;
-	/* machines that are lacking: ordinary, preemptible */
+	/* new machines needed; last index: on-demand, preemptible */
 	uint32_t machines_needed[WS_MAX_TYPES][WS_MAX_ZONES][2];
-	int unit_limit;	      /* rented machines at most, in demand units */
-	double units_allowed; /* of these, what is not rented yet */
+	int unit_limit;	      /* limit on rented machines, in demand units */
+	double units_allowed; /* the part of the limit that is not rented yet */
 	struct ws_rented_totals rented;
-	int largest_gang_units; /* what the largest waiting gang lacks */
+	int largest_gang_units; /* new machines that the largest waiting gang needs */
 };
 
 /*
- * Whether a machine will be usable soon: it boots, or it is up and has yet to echo the fencing
- * token. Without the latter a second one would be requested for each machine that came up.
+ * Returns whether a machine will be usable soon: it is booting, or it is up and has yet to echo the
+ * fencing token. Without the second case, each machine that has just come up would cause a request
+ * for another one.
  */
 static bool ws_machine_is_coming_up(const struct ws_core *core, const struct ws_machine *machine)
 {
@@ -33,7 +34,7 @@
 	       !ws_heartbeat_overdue(core, fmax(machine->up_at, machine->fencing_token_since));
 }
 
-/* Adds the machines that are booting, and those of pending requests. */
+/* Adds the machines that are booting and those of pending requests to the packing. */
 static void ws_plan_add_booting(struct ws_core *core, struct ws_scale_out_plan *plan)
 {
 	struct ws_machine *machine, *next_machine;
@@ -63,7 +64,8 @@
 	}
 }
 
-/* Sets the limit: the queue model's, or the ceiling while the mean wait exceeds the bound. */
+/* Sets the limit to that of the queue model, or to the ceiling if no limit is known or the mean
+ * wait exceeds the bound. */
 static void ws_plan_set_limit(struct ws_core *core, struct ws_scale_out_plan *plan)
 {
 	const struct ws_autoscaler *autoscaler = &core->autoscaler;
@@ -89,14 +91,14 @@
 	plan->units_allowed = plan->unit_limit - plan->rented.units;
 }
 
-/* The cheapest kind of machine so far, by its cost per task. */
+/* The cheapest kind of machine found so far, by cost per task. */
 struct ws_cheapest_kind {
 	bool is_found;
 	struct ws_machine_kind kind;
 	double cost;
 };
 
-/* What a kind costs for each task that one machine of it takes. */
+/* Returns the cost of a kind per task that fits on one machine, with the surcharge of its zone. */
 static double ws_cost_per_task(const struct ws_core *core, const struct ws_scale_out_plan *plan,
 			       const struct ws_machine_kind *kind, double tasks_per_machine)
 {
@@ -109,7 +111,7 @@
 	return cost * (1 + machine_count * ZONE_SPREAD_SURCHARGE);
 }
 
-/* Takes a kind for the cheapest if it is, and may be requested. */
+/* Makes a kind the cheapest one if it is cheaper and no capacity error is active for it. */
 static void ws_cheapest_kind_consider(const struct ws_core *core,
 				      const struct ws_scale_out_plan *plan,
 				      const struct ws_machine_kind *kind, double tasks_per_machine,
@@ -125,7 +127,7 @@
 	*cheapest = (struct ws_cheapest_kind){true, *kind, cost};
 }
 
-/* The kind of machine that costs least for tasks of the demand, if there is any to be had. */
+/* Finds the kind of machine with the lowest cost per task of the demand, if any is available. */
 static struct ws_cheapest_kind ws_plan_cheapest_kind(struct ws_core *core,
 						     const struct ws_scale_out_plan *plan,
 						     const struct ws_unmet_demand *demand,
@@ -133,7 +135,7 @@
 {
 	const struct ws_job_spec *spec = &demand->job->spec;
 	struct ws_cheapest_kind cheapest = {0};
-	/* preemptible machines alone are considered until the bound on the wait is reached */
+	/* Only preemptible machines are considered until the job has waited for the bound. */
 	const bool only_preemptible = spec->allows_preemptible &&
 				      core->now - demand->job->unmet_since < ws_latency_bound(core);
 
@@ -160,7 +162,8 @@
 	return cheapest;
 }
 
-/* As many machines as hold the tasks, but few enough for zones to stay even. */
+/* Returns the number of machines to plan in one step: what the tasks need, divided by the number of
+ * zones and limited to the maximum of a step, so that zones stay balanced. */
 static uint32_t ws_plan_step_size(const struct ws_machine_kind *kind, uint32_t tasks, uint32_t fit)
 {
 	uint32_t count = (tasks + fit - 1) / fit / (uint32_t)kind->type->zone_count;
@@ -170,7 +173,7 @@
 	return count ? count : 1;
 }
 
-/* Adds new machines for tasks that don't fit into those that are booting. */
+/* Plans new machines for tasks that don't fit on machines that are booting. */
 static void ws_plan_add_new_machines(struct ws_core *core, struct ws_scale_out_plan *plan,
 				     const struct ws_unmet_demand *demand, uint32_t tasks)
 {
@@ -201,7 +204,7 @@
 	}
 }
 
-/* Packs one job's demand. */
+/* Packs the unmet demand of one job. */
 static void ws_plan_pack_demand(struct ws_core *core, struct ws_scale_out_plan *plan,
 				const struct ws_unmet_demand *demand)
 {
@@ -220,8 +223,8 @@
 }
 
 /*
- * Packs the unmet demand. Of a long backlog the first jobs decide: no more are packed than the next
- * requests could ask for, except gangs.
+ * Packs the unmet demand. In a long backlog only the first jobs matter: packing stops once it needs
+ * more than the next requests can obtain, except for gangs.
  */
 static void ws_plan_pack(struct ws_core *core, struct ws_scale_out_plan *plan)
 {
@@ -237,7 +240,7 @@
 	}
 }
 
-/* Raises the limit to what the largest waiting gang lacks, up to the ceiling. */
+/* Raises the limit to what the largest waiting gang needs, up to the ceiling. */
 static void ws_plan_raise_limit_for_gang(const struct ws_core *core, struct ws_scale_out_plan *plan)
 {
 	const int ceiling = core->policy.rental_ceiling;
@@ -248,7 +251,7 @@
 		    (gang_units < ceiling ? gang_units : ceiling) - plan->unit_limit;
 }
 
-/* The kind that most machines are needed of, and how many; 0: none are. */
+/* Finds the kind of which most machines are needed. Returns their number, 0 if none is needed. */
 static uint32_t ws_plan_most_needed(const struct ws_core *core,
 				    const struct ws_scale_out_plan *plan,
 				    struct ws_machine_kind *kind)
@@ -269,7 +272,8 @@
 	return most;
 }
 
-/* One request a second; after an election machines get a heartbeat interval to show themselves. */
+/* Returns whether a request may be created now. At most one is made per cloud call interval, and
+ * none in the first heartbeat interval after an election, in which the machines report. */
 static bool ws_scale_out_may_start(const struct ws_core *core)
 {
 	const struct ws_autoscaler *autoscaler = &core->autoscaler;
@@ -279,7 +283,7 @@
 	       core->now - core->leadership.elected_at > core->settings->report_s;
 }
 
-/* Creates a request for machines of a kind, as many as the limit allows. */
+/* Creates a request for the needed machines of a kind, within the limit. */
 static void ws_plan_request(struct ws_core *core, const struct ws_scale_out_plan *plan,
 			    const struct ws_machine_kind *kind, uint32_t needed)
 {
--- a/src/core/autoscaler/scale_out_records.c
+++ b/src/core/autoscaler/scale_out_records.c
@@ -1,4 +1,4 @@
-/* Records of scale-out requests: rental/<idempotency key>. */
+/* Stored records of scale-out requests, under the keys rental/<idempotency key>. */
 #include "../core_state.h"
 #include "../record_sources.h"
 
@@ -38,10 +38,11 @@
 	return true;
 }
 
-/* Estimate of a record's bytes: its fields, and each instance that it names. */
+/* Estimated bytes of a record: its fields, and each instance name. */
 #define RECORD_BYTES 512
 #define INSTANCE_BYTES 64
 
+/* Returns NULL if no request with the idempotency key in a record's key exists. */
 static struct ws_scale_out *ws_scale_out_of(struct ws_core *core, const char *key)
 {
 	const char *name = key + strlen(WS_KEY_PREFIX_SCALE_OUT);
@@ -60,7 +61,9 @@
 	request->revision = record->revision;
 	request->created_at = request->next_attempt_at = core->now;
 	if (!ws_record_read_scale_out(record->value, request)) {
-		ws_log(core, WS_LOG_ERROR, "unreadable record left alone key=%s", record->key);
+		ws_log(core, WS_LOG_ERROR,
+		       "unreadable scale-out record skipped and kept in the store key=%s",
+		       record->key);
 		free(request->instances);
 		free(request);
 		return;
@@ -75,7 +78,7 @@
 	}
 }
 
-/* Adds one record that is due; its value stays out if it is too long. */
+/* Adds the write of a request's record to the batch, unless its value exceeds the store's limit. */
 static void ws_scale_out_add(struct ws_core *core, struct ws_write_batch *batch,
 			     struct ws_scale_out *request)
 {
@@ -86,7 +89,8 @@
 	DL_DELETE2(core->autoscaler.dirty_requests, request, dirty_prev, dirty_next);
 	request->dirty = false;
 	if (value && (double)ws_record_size(value) >= core->writer.value_bytes_max) {
-		json_decref(value); /* of a higher limit: when it is shorter */
+		json_decref(value); /* written under a higher limit; it is written again when it is
+				       shorter */
 		return;
 	}
 	request->write_in_flight = true;
