--- a/src/core/extension/hooks.h
+++ b/src/core/extension/hooks.h
@@ -1,14 +1,14 @@
 /*
- * The border between the core and its subsystems.
+ * The interface between the core and its subsystems.
  *
- * The core reports typed events to each attached subsystem and asks it for opinions; a subsystem
- * answers with typed requests, which the core carries out when its own rules allow. Neither side
- * sees the other's structures. There is no input or output here: events and the time go in, and
- * requests come out.
+ * The core reports typed events to each attached subsystem and queries its filters. A subsystem
+ * returns typed requests, which the core carries out if its own rules allow. Neither side accesses
+ * the other's structures, and no I/O takes place: events and the time are the input, requests the
+ * output.
  *
- * All hooks are called on the leader alone, between elected() and stepped_down(), and never
- * concurrently. With no subsystem attached the core makes the same decisions, records and frames as
- * it does without this border.
+ * All hooks are called on the leader only, between elected() and stepped_down(), and never
+ * concurrently. With no subsystem attached, this interface has no effect on the core's decisions,
+ * records and frames.
  */
 #ifndef WS_HOOKS_H
 #define WS_HOOKS_H
@@ -22,62 +22,61 @@
 struct ws_core;
 struct ws_request_queue;
 
-/* What is known of a machine. Strings live for the duration of the call. */
+/* Properties of a machine. The strings are valid for the duration of the call. */
 struct ws_machine_facts {
 	const char *name;
-	const char *address; /* IP address in text; empty if unknown */
+	const char *address; /* IP address as text; empty if unknown */
 	const char *zone;    /* empty if unknown */
-	bool expected;	     /* on record as having been up, not yet heard by this leader */
-	bool unknown;	     /* reports, but neither the records nor the cloud's list name it */
+	bool expected; /* recorded as up; no heartbeat or answer has reached this leader yet */
+	bool unknown;  /* sends heartbeats, but is in neither the records nor the cloud's list */
 };
 
-/* What an elected process knows of the leaders before it. */
+/* What a newly elected leader knows about earlier leaders. */
 struct ws_election_facts {
 	double now;
-	uint64_t term; /* revision of its leader key: each leader's is above those before it */
+	uint64_t term; /* revision of its leader key; it rises with each leader */
 	/*
-	 * For how long this process has had no proof that some leader lived, itself included;
-	 * INFINITY: it never had one. By a steady clock that goes on while the process stands
-	 * still.
+	 * Seconds since the last proof known to this process that any leader, itself included, was
+	 * alive; INFINITY if there was none. The clock is monotonic and also runs while the process
+	 * is suspended.
 	 */
 	double unproven_s;
-	uint64_t proven_term; /* of the leader that the proof is of; 0: none */
-	/* When every lease that an earlier leader may have renewed has expired on any clock. */
+	uint64_t proven_term; /* term of the leader that the proof refers to; 0: none */
+	/* The time by which every lease that an earlier leader may have renewed has expired, even
+	 * with the maximum clock drift. */
 	double leases_out;
 };
 
 /*
- * What became of an attempt that was on record at the election, or of a task that a heartbeat names
- * without one. Each has one reconciliation result: the first that is known.
+ * The state of an attempt that was on record at the election, or of a task in a heartbeat for which
+ * no attempt is on record. Each has one reconciliation result, the first that is determined.
  */
 enum ws_reconciliation_result {
-	WS_RECONCILED_AGREED,	    /* runs, as recorded */
-	WS_RECONCILED_NOT_REPORTED, /* its machine hears us and does not name it */
-	WS_RECONCILED_UNRECORDED, /* runs; its job is on record, no newer attempt of the task is */
-	WS_RECONCILED_SUPERSEDED, /* runs; a newer attempt of the task is on record */
-	WS_RECONCILED_TWO_MACHINES,  /* runs; the same attempt is on record for another machine */
-	WS_RECONCILED_OVER,	     /* runs; the job or the task is over on record */
-	WS_RECONCILED_ENDED_DONE,    /* recorded, and completed while nobody listened */
-	WS_RECONCILED_ENDED_FAILED,  /* recorded, and failed or refused */
-	WS_RECONCILED_ENDED_STOPPED, /* recorded, and stopped */
-	WS_RECONCILED_LEASE_LOST,    /* recorded for an incarnation that its machine says is over */
-	WS_RECONCILED_LEASE_EXPIRED, /* recorded; its machine stayed silent until its lease was out
-				      */
-	WS_RECONCILED_MACHINE_GONE,  /* recorded; the cloud says that its machine is gone or failed
-				      */
-	WS_RECONCILED_UNKNOWN_JOB,   /* runs, or completed; no record names its job */
+	WS_RECONCILED_AGREED,	       /* runs as recorded */
+	WS_RECONCILED_NOT_REPORTED,    /* its machine is in contact but does not report it */
+	WS_RECONCILED_UNRECORDED,      /* runs; its job is on record, and no newer attempt is */
+	WS_RECONCILED_SUPERSEDED,      /* runs; a newer attempt of the task is on record */
+	WS_RECONCILED_TWO_MACHINES,    /* runs; the same attempt is on record for another machine */
+	WS_RECONCILED_OVER,	       /* runs; its job or task is finished on record */
+	WS_RECONCILED_ENDED_DONE,      /* recorded; completed while there was no leader */
+	WS_RECONCILED_ENDED_FAILED,    /* recorded; failed or was refused */
+	WS_RECONCILED_ENDED_STOPPED,   /* recorded; was stopped */
+	WS_RECONCILED_LEASE_LOST,      /* recorded for an earlier incarnation of its machine */
+	WS_RECONCILED_LEASE_EXPIRED,   /* recorded; its machine's lease expired without contact */
+	WS_RECONCILED_MACHINE_GONE,    /* recorded; the cloud reported its machine gone or failed */
+	WS_RECONCILED_UNKNOWN_JOB,     /* runs or completed; its job is not on record */
 	WS_RECONCILED_UNKNOWN_MACHINE, /* not an attempt: see struct ws_machine_facts */
 	WS_RECONCILIATION_RESULTS,
 };
 
-/* Whether recorded work was lost, as against completed, stopped or still running. */
+/* Returns whether recorded work was lost, in contrast to completed, stopped or still running. */
 static inline bool ws_reconciliation_loses_work(enum ws_reconciliation_result result)
 {
 	return result == WS_RECONCILED_LEASE_LOST || result == WS_RECONCILED_LEASE_EXPIRED ||
 	       result == WS_RECONCILED_MACHINE_GONE || result == WS_RECONCILED_ENDED_FAILED;
 }
 
-/* A reconciliation result, and the attempt that it is of. */
+/* A reconciliation result and the attempt that it applies to. */
 struct ws_reconciliation {
 	enum ws_reconciliation_result result;
 	const char *machine;
@@ -86,154 +85,159 @@
 	uint64_t attempt, incarnation;
 };
 
-/* What the records say of a job that the leader's replica of the live jobs does not name. */
+/* The state in the store of a job that is not in the leader's replica of the live jobs. */
 enum ws_job_standing {
-	WS_STANDING_NEVER_HEARD, /* neither live nor over */
+	WS_STANDING_NEVER_HEARD, /* no record of it exists, neither live nor archived */
 	WS_STANDING_LIVE,
 	WS_STANDING_OVER,
-	WS_STANDING_UNREADABLE, /* the store did not tell */
+	WS_STANDING_UNREADABLE, /* the store could not be read */
 };
 
-/* Actions of the core that a subsystem may defer for a while. */
+/* Actions of the core that a subsystem may defer temporarily. */
 enum ws_deferrable_action {
-	WS_DEFER_PREEMPTION,	  /* stop of a task for the capacity of its machine, in the zone */
-	WS_DEFER_GANG_STOP,	  /* stop of a gang because a machine of the zone is silent */
-	WS_DEFER_SCALE_IN_SILENT, /* of a silent machine of the zone */
-	WS_DEFER_SCALE_IN_EMPTY,  /* of an empty machine of the zone */
-	WS_DEFER_FIRST_START,	  /* of a job of which nothing was ever started; in any zone */
+	WS_DEFER_PREEMPTION,	  /* stop of a task in the zone to free its machine's capacity */
+	WS_DEFER_GANG_STOP,	  /* stop of a gang after a machine of the zone lost contact */
+	WS_DEFER_SCALE_IN_SILENT, /* return of a machine of the zone that sends no heartbeats */
+	WS_DEFER_SCALE_IN_EMPTY,  /* return of an empty machine of the zone */
+	WS_DEFER_FIRST_START,	  /* start of a job that never had a task started, in any zone */
 	/*
-	 * Of a second replica of a service that lost recorded attempts, before other services of
-	 * its rank have a first one; until a move of the service is asked for. In any zone.
+	 * Placement, in any zone, of a second replica of a service that lost recorded attempts,
+	 * before other services of its rank have a first replica. It ends for a service when a move
+	 * of that service is requested.
 	 */
 	WS_DEFER_SECOND_REPLICA,
 	WS_DEFERRABLE_ACTIONS,
 };
 
-/* What is known of a job that is not over. */
+/* Properties of a job that is neither completed, failed nor cancelled. */
 struct ws_job_facts {
 	const char *id;
 	const char *job_class;
-	const char *pinned_zone; /* the only zone allowed; empty: any */
-	int priority;		 /* larger goes first */
-	bool guaranteed;	 /* fits its team's guarantee with the team's earlier jobs */
+	const char *pinned_zone; /* the only allowed zone; empty: any */
+	int priority;		 /* a higher value is scheduled first */
+	bool guaranteed; /* fits its team's guarantee together with the team's earlier jobs */
 	bool service;
-	uint32_t affected;  /* attempts that may be alive on the machines surveyed */
-	uint32_t elsewhere; /* attempts that may be alive on other machines */
-	uint32_t waiting;   /* tasks neither complete nor in an attempt that may be alive */
-	/* Deadline less the estimated run time, on a clock that all jobs share; INFINITY: none. */
+	uint32_t affected;  /* attempts that may be alive, on machines reported as affected */
+	uint32_t elsewhere; /* attempts that may be alive, on other machines */
+	uint32_t waiting;   /* tasks neither completed nor in an attempt that may be alive */
+	/* Deadline less the estimated run time, in wall-clock seconds; INFINITY: no deadline. */
 	double latest_start;
 };
 
-/* The time, and whether silence can be judged at all. */
+/* The time, and whether missing heartbeats are meaningful. */
 struct ws_tick_facts {
 	double now;
-	bool serving; /* entitled, and the store answers */
+	bool serving; /* the leader is entitled to act, and the store is reachable */
 };
 
-/* How all that was on a machine was lost. */
+/* Why everything that ran on a machine is lost. */
 enum ws_machine_loss {
-	WS_LOSS_LEASE,	  /* its lease has expired on any clock */
-	WS_LOSS_FAILED,	  /* the cloud says that it failed */
+	WS_LOSS_LEASE,	  /* its lease has expired, even with the maximum clock drift */
+	WS_LOSS_FAILED,	  /* the cloud reported it as failed */
 	WS_LOSS_RETURNED, /* the cloud confirmed that it is gone */
 };
 
-/* Figures of the settings that subsystems derive theirs from. */
+/* Settings of the cluster from which subsystems derive their own limits. */
 struct ws_cluster_limits {
 	double report_s, lease_s;
 	double state_write_rps;
-	size_t value_bytes; /* of one record */
-	double cancel_s;    /* a cancelled job must be gone within it */
+	size_t value_bytes; /* maximum size of one record */
+	double cancel_s;    /* a cancelled job must have stopped within this time */
 	const char *node_zone;
 	const char *const *zones;
 	size_t zone_count;
 };
 
-/* The hooks of one subsystem. Those that are NULL are skipped. */
+/* The hooks of one subsystem. A hook that is NULL is not called. */
 struct ws_subsystem_ops {
-	const char *prefix; /* of its records, with the slash: "zones/" */
+	const char *prefix; /* key prefix of its records, including the slash: "zones/" */
 	void (*destroy)(void *self);
 
-	/* Leadership. Records come between elected() and records_loaded(). */
-	void (*elected)(void *self, const struct ws_election_facts *facts);
+	/* Leadership. Records are loaded between elected() and records_loaded(). */
+	void (*elected)(void *self, const struct ws_election_facts *info);
 	void (*record_loaded)(void *self, const char *name, json_t *value);
 	void (*records_loaded)(void *self, double now);
-	/* After machine_removed() for each machine. */
+	/* Called after machine_removed() was called for each machine. */
 	void (*stepped_down)(void *self);
-	/* Answer to a read: record_loaded() for each record, then this. */
+	/* Completes a read, after record_loaded() was called for each record. */
 	void (*records_read)(void *self, const char *name_prefix);
 
-	/* Machines. The handle that machine_added() returns is passed back in the other hooks. */
-	void *(*machine_added)(void *self, double now, const struct ws_machine_facts *facts);
-	void (*machine_changed)(void *self, void *machine, const struct ws_machine_facts *facts);
+	/* Machines. The handle that machine_added() returns is passed to the other hooks. */
+	void *(*machine_added)(void *self, double now, const struct ws_machine_facts *info);
+	void (*machine_changed)(void *self, void *machine, const struct ws_machine_facts *info);
 	void (*machine_removed)(void *self, void *machine);
-	/* A heartbeat that shows that its machine hears this leader. */
+	/* A heartbeat arrived that echoes this leader's fencing token: the machine receives the
+	 * leader's messages. */
 	void (*heartbeat_seen)(void *self, double now, void *machine);
 	void (*command_answered)(void *self, void *machine, bool answered);
 	void (*machine_lost)(void *self, double now, void *machine, enum ws_machine_loss loss);
 
 	/*
-	 * Reconciliation of heartbeats with the records. Returns whether the attempt is to be
-	 * quarantined: neither stopped nor reaped. That counts for WS_RECONCILED_UNRECORDED and
-	 * WS_RECONCILED_UNKNOWN_JOB, and is ignored for the others.
+	 * Reports a reconciliation result. Returns whether the attempt is to be quarantined, that
+	 * is, neither stopped nor reaped. The return value is used for WS_RECONCILED_UNRECORDED and
+	 * WS_RECONCILED_UNKNOWN_JOB, and ignored for other results.
 	 */
 	bool (*attempt_found)(void *self, double now,
 			      const struct ws_reconciliation *reconciliation);
-	/* Answer to a look-up. */
+	/* Reports the result of a job look-up. */
 	void (*job_looked_up)(void *self, double now, const char *job,
-			      enum ws_job_standing standing);
-	/* Attempts that were quarantined are on their job's record from now on. */
+			      enum ws_job_standing lookup_result);
+	/* Attempts that were quarantined have been adopted into the record of their job. */
 	void (*attempts_adopted)(void *self, double now, const char *job, uint32_t count);
 
-	/* Placement filter: machines to be used only by work that has found no other room. */
+	/* Placement filter: returns whether a machine is to be used only as a last resort. */
 	bool (*machine_avoided)(void *self, double now, const void *machine);
-	/* The same for whole zones: work that may be elsewhere goes elsewhere. */
+	/* Placement filter: returns whether a zone is to be used only by work that has no other
+	 * zone. */
 	bool (*zone_avoided)(void *self, double now, const char *zone);
-	/* No machine is scaled out in this zone. */
+	/* Returns whether scale-out in a zone is blocked. */
 	bool (*zone_closed)(void *self, double now, const char *zone);
-	/* Whether actions of a kind are deferred for now; the zone is empty if it is unknown. */
+	/* Returns whether actions of a kind are deferred in a zone; it is empty if unknown. */
 	bool (*action_deferred)(void *self, double now, enum ws_deferrable_action kind,
 				const char *zone);
 
 	/*
-	 * Answer to a survey: whether an attempt on this machine is affected, for each attempt that
-	 * may be alive; then each live job.
+	 * Results of a survey. For each live job, attempt_surveyed() is called with the machine of
+	 * each attempt that may be alive and returns whether the attempt counts as affected; then
+	 * job_surveyed() is called. survey_done() ends the survey.
 	 */
 	bool (*attempt_surveyed)(void *self, void *machine);
-	void (*job_surveyed)(void *self, const struct ws_job_facts *facts);
+	void (*job_surveyed)(void *self, const struct ws_job_facts *info);
 	void (*survey_done)(void *self, double now);
 
-	void (*tick)(void *self, const struct ws_tick_facts *facts, struct ws_request_queue *out);
+	void (*tick)(void *self, const struct ws_tick_facts *info, struct ws_request_queue *out);
 };
 
 /*
- * Attaches a subsystem for the life of the core, which destroys it. False if there are too many;
- * then the caller keeps it.
+ * Attaches a subsystem for the lifetime of the core, which then owns and destroys it. Returns false
+ * if WS_SUBSYSTEMS_MAX subsystems are attached already; the caller then still owns it.
  */
 bool ws_core_attach(struct ws_core *core, const struct ws_subsystem_ops *ops, void *self);
 
-/* ---- requests, for use within tick() ---- */
+/* ---- requests, to be made within tick() ---- */
 
-/* Writes a record of the subsystem in the leader's transactions; takes over the value. */
+/* Writes a record of the subsystem in the leader's transactions and takes ownership of the value.
+ * An urgent record is written before the records of jobs. */
 void ws_request_write(struct ws_request_queue *queue, const char *name, json_t *value, bool urgent);
 /* Deletes a record of the subsystem. */
 void ws_request_delete(struct ws_request_queue *queue, const char *name);
-/* Reads the records whose names begin so. */
+/* Reads the records whose names begin with a prefix. */
 void ws_request_read(struct ws_request_queue *queue, const char *name_prefix);
-/* Asks for the attempts on each machine and for the live jobs: see attempt_surveyed(). */
+/* Requests a survey of the live jobs and their attempts: see attempt_surveyed(). */
 void ws_request_survey(struct ws_request_queue *queue);
-/* Reads what the records say of a job: first among the live ones, then among those that are over.
- */
+/* Looks up a job in the store, first among the live jobs, then among the archived ones. */
 void ws_request_look_up(struct ws_request_queue *queue, const char *job);
-/* Ends all quarantined attempts of a job; they have this many seconds to save, 0: at once. */
+/* Stops all quarantined attempts of a job. They get grace_s seconds to save their state; 0 stops
+ * them at once. */
 void ws_request_end_quarantined(struct ws_request_queue *queue, const char *job, double grace_s);
 
-/* How a job that loses attempts is to be served until the next request for it. */
+/* How a job that loses attempts is to be scheduled until the next such request for it. */
 struct ws_move {
 	const char *job;
-	uint32_t position; /* from 1, before other jobs of the same rank; 0: its ordinary turn */
-	uint32_t reserve_ahead; /* tasks to find room for before they may be placed */
-	bool replicas_apart;	/* of a service: a first replica goes now, others after the rank */
+	uint32_t position;	/* 1 is the first of its rank; 0: the default order */
+	uint32_t reserve_ahead; /* tasks to reserve capacity for before they may be placed */
+	bool replicas_apart; /* of a service: place the first replica now, others after the rank */
 };
-/* Asks for a job to be served so, in place of an earlier request of this subsystem. */
+/* Requests this scheduling of a job. It replaces the subsystem's earlier request for the job. */
 void ws_request_move(struct ws_request_queue *queue, const struct ws_move *move);
 #endif
--- a/src/core/extension/subsystem_filters.c
+++ b/src/core/extension/subsystem_filters.c
@@ -1,16 +1,16 @@
 /*
- * The subsystems' filters: which actions wait, and which machines and zones placement avoids. What
- * several subsystems say is joined: an action waits if one of them defers it.
+ * The subsystems' filters: which actions are deferred, and which machines and zones placement
+ * avoids. The filters are combined by logical OR: an action is deferred if any subsystem defers it.
  */
 #include "../core_state.h"
 
-/* The bit of a zone in a set of zones where -1, no known zone, has a bit as well. */
+/* Returns the bit of a zone index in a set of zones that includes -1, the unknown zone. */
 static uint64_t ws_deferred_zone_bit(int zone)
 {
 	return 1ULL << (zone + 1);
 }
 
-/* The zones in which a subsystem defers actions of a kind. */
+/* Returns the set of zones in which a subsystem defers actions of a kind. */
 static uint64_t ws_subsystem_deferred_zones(const struct ws_core *core,
 					    const struct ws_subsystem *subsystem,
 					    enum ws_deferrable_action kind)
@@ -28,16 +28,16 @@
 
 void ws_subsystems_ask_deferred(struct ws_core *core)
 {
-	struct ws_subsystems *all = &core->subsystems;
+	struct ws_subsystems *subsystems = &core->subsystems;
 
-	memset(all->deferred, 0, sizeof(all->deferred));
-	for (size_t i = 0; i < all->count; i++) {
-		const struct ws_subsystem *subsystem = &all->list[i];
+	memset(subsystems->deferred, 0, sizeof(subsystems->deferred));
+	for (size_t i = 0; i < subsystems->count; i++) {
+		const struct ws_subsystem *subsystem = &subsystems->list[i];
 
 		if (!subsystem->ops->action_deferred)
 			continue;
 		for (int kind = 0; kind < WS_DEFERRABLE_ACTIONS; kind++)
-			all->deferred[kind] |= ws_subsystem_deferred_zones(
+			subsystems->deferred[kind] |= ws_subsystem_deferred_zones(
 			    core, subsystem, (enum ws_deferrable_action)kind);
 	}
 }
@@ -49,20 +49,20 @@
 
 void ws_subsystems_begin_pass(struct ws_core *core)
 {
-	struct ws_subsystems *all = &core->subsystems;
+	struct ws_subsystems *subsystems = &core->subsystems;
 
-	all->zones_avoided = all->zones_closed = 0;
+	subsystems->zones_avoided = subsystems->zones_closed = 0;
 	for (int zone = 0; zone < core->catalog.zone_count; zone++) {
 		const char *name = core->catalog.zones[zone];
 
-		for (size_t i = 0; i < all->count; i++) {
-			const struct ws_subsystem_ops *ops = all->list[i].ops;
-			void *self = all->list[i].self;
+		for (size_t i = 0; i < subsystems->count; i++) {
+			const struct ws_subsystem_ops *ops = subsystems->list[i].ops;
+			void *self = subsystems->list[i].self;
 
 			if (ops->zone_avoided && ops->zone_avoided(self, core->now, name))
-				all->zones_avoided |= 1u << zone;
+				subsystems->zones_avoided |= 1u << zone;
 			if (ops->zone_closed && ops->zone_closed(self, core->now, name))
-				all->zones_closed |= 1u << zone;
+				subsystems->zones_closed |= 1u << zone;
 		}
 	}
 }
--- a/src/core/extension/subsystem_records.c
+++ b/src/core/extension/subsystem_records.c
@@ -1,9 +1,9 @@
 /*
  * The record source of the attached subsystems.
  *
- * Their records are written in the leader's own transactions: under the leader key's revision and
- * under the revision at which each record was last read or written. A record that changed otherwise
- * is read again and then written over, since only the leader owns it.
+ * Their records are written in the leader's transactions, on condition that the leader key and each
+ * record still have their last known revisions. A record that was changed by anyone else is read
+ * again and then overwritten, because only the leader owns it.
  */
 #include "../core_state.h"
 #include "../record_sources.h"
@@ -16,7 +16,7 @@
 	return NULL;
 }
 
-/* ---- the records as this leader knows them ---- */
+/* ---- the leader's copies of the records ---- */
 
 static struct ws_subsystem_record *ws_subsystem_record_find(struct ws_core *core, const char *key)
 {
@@ -83,7 +83,7 @@
 	core->subsystems.dirty_records = 0;
 }
 
-/* ---- as a source of the writer and the loader ---- */
+/* ---- callbacks for the writer and the loader ---- */
 
 static bool ws_subsystem_records_own(const struct ws_core *core, const char *key)
 {
@@ -102,8 +102,8 @@
 		    subsystem->self, record->key + strlen(subsystem->ops->prefix), record->value);
 }
 
-/* Adds a record that is due, under its known revision; drops one that need not or can't be written.
- */
+/* Adds the write of a record to the batch, conditional on its last known revision. A record that
+ * was deleted before it was ever written is freed, and one that is too large is not written. */
 static void ws_subsystem_record_add(struct ws_core *core, struct ws_write_batch *batch,
 				    struct ws_subsystem_record *record)
 {
@@ -116,8 +116,8 @@
 	ws_subsystem_record_mark_clean(core, record);
 	if ((double)size >= core->writer.value_bytes_max) {
 		ws_log(core, WS_LOG_ERROR,
-		       "oversized subsystem record not written key=%s bytes=%zu", record->key,
-		       size);
+		       "subsystem record exceeds the value limit, not written key=%s bytes=%zu",
+		       record->key, size);
 		return;
 	}
 	batch->bytes += size + WS_KEY_MAX;
@@ -200,7 +200,7 @@
     .read_again = ws_subsystem_record_read_again,
 };
 
-/* Owns no key: the outcome of a write goes to ws_subsystem_records. */
+/* This source owns no key: ws_subsystem_records handles the outcome of its writes. */
 const struct ws_record_source ws_urgent_subsystem_records = {
     .collect = ws_subsystem_records_collect_urgent,
 };
--- a/src/core/extension/subsystem_requests.c
+++ b/src/core/extension/subsystem_requests.c
@@ -1,5 +1,4 @@
-/* The subsystems' ticks: the requests that they make in them, and how the core carries these out.
- */
+/* The tick hooks of the subsystems, their requests, and how the core carries these out. */
 #include "../core_state.h"
 #include "../record_sources.h"
 
@@ -15,10 +14,10 @@
 
 struct ws_request {
 	enum ws_request_kind kind;
-	char name[WS_KEY_MAX]; /* of a record or a job, or a prefix of names */
+	char name[WS_KEY_MAX]; /* name of a record or a job, or a prefix of record names */
 	json_t *value;
 	bool urgent;
-	struct ws_move move; /* its job is `name` */
+	struct ws_move move; /* its job is in `name` */
 	double grace_s;
 	struct ws_request *next;
 };
@@ -81,12 +80,12 @@
 
 /* ---- carrying out requests ---- */
 
-/* Tells a subsystem of a job: its description, and where its attempts are. */
+/* Reports a job to a subsystem: its properties, and how many of its attempts are affected. */
 static void ws_survey_job(const struct ws_subsystem *subsystem, size_t index,
 			  const struct ws_job *job)
 {
 	const struct ws_job_spec *spec = &job->spec;
-	struct ws_job_facts facts = {
+	struct ws_job_facts info = {
 	    .id = spec->id,
 	    .job_class = spec->job_class,
 	    .pinned_zone = spec->zone,
@@ -99,21 +98,21 @@
 	const struct ws_attempt *attempt;
 
 	if (spec->deadline_s >= 0)
-		facts.latest_start = job->submitted_at_wall + spec->deadline_s - spec->estimate_s;
+		info.latest_start = job->submitted_at_wall + spec->deadline_s - spec->estimate_s;
 	DL_FOREACH2 (job->attempts, attempt, job_next) {
 		void *machine = attempt->machine->subsystem_handles[index];
 
 		if (attempt->state == WS_ATTEMPT_GONE || attempt->unrecorded)
 			continue;
 		if (machine && subsystem->ops->attempt_surveyed(subsystem->self, machine))
-			facts.affected++;
+			info.affected++;
 		else
-			facts.elsewhere++;
+			info.elsewhere++;
 	}
-	subsystem->ops->job_surveyed(subsystem->self, &facts);
+	subsystem->ops->job_surveyed(subsystem->self, &info);
 }
 
-/* Tells a subsystem of all live jobs. */
+/* Reports all live jobs to a subsystem. */
 static void ws_survey(struct ws_core *core, size_t index)
 {
 	const struct ws_subsystem *subsystem = &core->subsystems.list[index];
@@ -127,7 +126,7 @@
 
 static void ws_subsystem_read(struct ws_core *core, const char *prefix, const char *after);
 
-/* One page of the records that a subsystem asked for. */
+/* Handles one page of the records that a subsystem requested. */
 static void ws_subsystem_page_read(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result)
 {
@@ -154,7 +153,8 @@
 	snprintf(call->read.after, sizeof(call->read.after), "%s", after);
 }
 
-/* How a job is to be served, by the requests of all subsystems. */
+/* Combines the moves of a job that all subsystems requested: the smallest position, the largest
+ * reservation, and separate replicas if any subsystem requested that. */
 static void ws_job_moves_merge(struct ws_job *job)
 {
 	job->move_position = job->reserve_ahead = 0;
@@ -187,16 +187,17 @@
 	ws_core_request_pass(core);
 }
 
-/* A job that a subsystem asks about: the context of the reads that this takes. */
+/* The context of the store calls of a job look-up. */
 struct ws_job_look_up {
-	size_t subsystem; /* index */
+	size_t subsystem; /* index of the subsystem that requested it */
 	char job[WS_ID_MAX + 1];
 };
 
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result);
 
-/* Asks for the record of a job under one of the two prefixes, for the i-th subsystem. */
+/* Reads the record of a job under the prefix of live or archived jobs, for the subsystem with this
+ * index. */
 static void ws_subsystem_look_up(struct ws_core *core, size_t index, const char *prefix,
 				 const char *job)
 {
@@ -209,32 +210,33 @@
 	call->context = look_up;
 }
 
-/* The store's answer to a look-up; of no live record, the archived one is asked for. */
+/* Handles the store's answer to a look-up. If no live record exists, reads the archived one. */
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result)
 {
 	bool live = ws_key_has_prefix(call->read.key, WS_KEY_PREFIX_JOB);
-	enum ws_job_standing standing = WS_STANDING_UNREADABLE;
+	enum ws_job_standing lookup_result = WS_STANDING_UNREADABLE;
 	const struct ws_job_look_up *look_up = call->context;
 	const struct ws_subsystem *subsystem = &core->subsystems.list[look_up->subsystem];
 
 	if (call->generation != core->generation || core->leadership.role != WS_LEADER)
 		return;
 	if (result->outcome == WS_OUTCOME_NOT_FOUND && live) {
-		/* a job moves to old/ in one transaction, never back */
+		/* a finished job moves to old/ in one transaction and never back */
 		ws_subsystem_look_up(core, look_up->subsystem, WS_KEY_PREFIX_ARCHIVED_JOB,
 				     look_up->job);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_NOT_FOUND)
-		standing = WS_STANDING_NEVER_HEARD;
+		lookup_result = WS_STANDING_NEVER_HEARD;
 	else if (result->outcome == WS_OUTCOME_OK)
-		standing = live ? WS_STANDING_LIVE : WS_STANDING_OVER;
+		lookup_result = live ? WS_STANDING_LIVE : WS_STANDING_OVER;
 	if (subsystem->ops->job_looked_up)
-		subsystem->ops->job_looked_up(subsystem->self, core->now, look_up->job, standing);
+		subsystem->ops->job_looked_up(subsystem->self, core->now, look_up->job,
+					      lookup_result);
 }
 
-/* Whether the name in a request is that of a record, or a prefix of such names. */
+/* Returns whether the name in a request is a record's name or a prefix of such names. */
 static bool ws_request_names_record(const struct ws_request *request)
 {
 	return request->kind == WS_REQUEST_WRITE || request->kind == WS_REQUEST_DELETE ||
@@ -270,15 +272,15 @@
 
 /* ---- ticks ---- */
 
-/* Calls a subsystem's tick hook and carries out the requests that it makes, in their order. */
-static void ws_subsystem_tick(struct ws_core *core, size_t index, const struct ws_tick_facts *facts)
+/* Calls a subsystem's tick hook and carries out its requests in order. */
+static void ws_subsystem_tick(struct ws_core *core, size_t index, const struct ws_tick_facts *info)
 {
 	const struct ws_subsystem *subsystem = &core->subsystems.list[index];
 	struct ws_request_queue queue = {.tail = &queue.head};
 
 	if (!subsystem->ops->tick)
 		return;
-	subsystem->ops->tick(subsystem->self, facts, &queue);
+	subsystem->ops->tick(subsystem->self, info, &queue);
 	while (queue.head) {
 		struct ws_request *request = queue.head;
 
@@ -290,7 +292,7 @@
 
 void ws_subsystems_tick(struct ws_core *core)
 {
-	const struct ws_tick_facts facts = {
+	const struct ws_tick_facts info = {
 	    .now = core->now,
 	    .serving = ws_is_entitled(core) && !core->leadership.in_outage,
 	};
@@ -299,6 +301,6 @@
 		return;
 	core->subsystems.tick_next = core->now + ws_sweep_interval(core);
 	for (size_t i = 0; i < core->subsystems.count; i++)
-		ws_subsystem_tick(core, i, &facts);
+		ws_subsystem_tick(core, i, &info);
 	ws_subsystems_ask_deferred(core);
 }
--- a/src/core/extension/subsystems.c
+++ b/src/core/extension/subsystems.c
@@ -1,18 +1,18 @@
 /*
- * The attached subsystems, and the events that the core reports to them. Each event goes to the
+ * The attached subsystems and the events that the core reports to them. Each event is sent to the
  * subsystems in the order in which they were attached.
  */
 #include "../core_state.h"
 
-/* The macros use the index i_ of the subsystem, which their arguments may name. */
+/* The macros define the index i_ of the subsystem, which their arguments may use. */
 
-/* Calls one hook of every subsystem that has it. */
+/* Calls a hook of every subsystem that implements it. */
 #define WS_EACH_HOOK(core, hook, ...)                                                              \
 	for (size_t i_ = 0; i_ < (core)->subsystems.count; i_++)                                   \
 		if ((core)->subsystems.list[i_].ops->hook)                                         \
 	(core)->subsystems.list[i_].ops->hook((core)->subsystems.list[i_].self, ##__VA_ARGS__)
 
-/* Calls one hook about a machine, of every subsystem that keeps a handle of it. */
+/* Calls a hook for a machine, of every subsystem that has a handle of the machine. */
 #define WS_EACH_MACHINE_HOOK(core, machine, hook, ...)                                             \
 	for (size_t i_ = 0; i_ < (core)->subsystems.count; i_++)                                   \
 		if ((machine)->subsystem_handles[i_] && (core)->subsystems.list[i_].ops->hook)     \
@@ -20,13 +20,13 @@
 
 bool ws_core_attach(struct ws_core *core, const struct ws_subsystem_ops *ops, void *self)
 {
-	struct ws_subsystems *all = &core->subsystems;
+	struct ws_subsystems *subsystems = &core->subsystems;
 
-	if (all->count == WS_SUBSYSTEMS_MAX)
+	if (subsystems->count == WS_SUBSYSTEMS_MAX)
 		return false;
-	all->list[all->count].ops = ops;
-	all->list[all->count].self = self;
-	all->count++;
+	subsystems->list[subsystems->count].ops = ops;
+	subsystems->list[subsystems->count].self = self;
+	subsystems->count++;
 	return true;
 }
 
@@ -50,7 +50,7 @@
 
 void ws_subsystems_elected(struct ws_core *core)
 {
-	const struct ws_election_facts facts = {
+	const struct ws_election_facts info = {
 	    .now = core->now,
 	    .term = core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT,
 	    .unproven_s = core->leadership.proof.exists
@@ -60,7 +60,7 @@
 	    .leases_out = ws_lease_expiry(core, core->leadership.elected_at),
 	};
 
-	WS_EACH_HOOK(core, elected, &facts);
+	WS_EACH_HOOK(core, elected, &info);
 }
 
 void ws_subsystems_loaded(struct ws_core *core)
@@ -96,7 +96,7 @@
 
 void ws_subsystems_machine(struct ws_core *core, struct ws_machine *machine)
 {
-	const struct ws_machine_facts facts = {
+	const struct ws_machine_facts info = {
 	    .name = machine->name,
 	    .address = machine->address,
 	    .zone = machine->zone,
@@ -109,10 +109,10 @@
 
 		if (machine->subsystem_handles[i] && subsystem->ops->machine_changed)
 			subsystem->ops->machine_changed(subsystem->self,
-							machine->subsystem_handles[i], &facts);
+							machine->subsystem_handles[i], &info);
 		else if (!machine->subsystem_handles[i] && subsystem->ops->machine_added)
 			machine->subsystem_handles[i] =
-			    subsystem->ops->machine_added(subsystem->self, core->now, &facts);
+			    subsystem->ops->machine_added(subsystem->self, core->now, &info);
 	}
 }
 
--- a/src/core/extension/subsystems.h
+++ b/src/core/extension/subsystems.h
@@ -1,15 +1,15 @@
 /*
- * The core's side of the border to subsystems (hooks.h): which are attached, events to them, their
- * filters, their requests and their records.
+ * The core's side of the subsystem interface (hooks.h): the attached subsystems, the events sent to
+ * them, their filters, their requests and their records.
  *
- * Owns the attached subsystems for the life of the core, and their records while this node leads; a
- * subsystem owns what it returns as the handle of a machine, until machine_removed(). The records
+ * This module owns the attached subsystems for the lifetime of the core, and their records while
+ * this node leads. A subsystem owns its handle of a machine until machine_removed(). The records
  * are a record source of the writer and the loader (store/record_source.h).
  *
- * Promises: hooks are called on the leader alone, in the order in which the subsystems were
- * attached; without a subsystem, all of this has no effect. Times are seconds on the core's clock.
- * Requests that can't be carried out are logged and left out. The core is single-threaded: the I/O
- * layer's lock is held round each call into it.
+ * Guarantees: hooks are called on the leader only, in the order in which the subsystems were
+ * attached. Without a subsystem this module has no effect. Times are seconds on the core's clock.
+ * A request with a key that is too long is logged and ignored. The core is single-threaded: the I/O
+ * layer holds its lock during each call into the core.
  */
 #ifndef WS_SUBSYSTEMS_H
 #define WS_SUBSYSTEMS_H
@@ -20,13 +20,13 @@
 struct ws_job;
 struct ws_attempt;
 
-/* A record of a subsystem, as this leader last wrote or read it. */
+/* A record of a subsystem, with the revision at which this leader last wrote or read it. */
 struct ws_subsystem_record {
 	char key[WS_KEY_MAX];
-	json_t *value; /* to be written; NULL: to be deleted */
+	json_t *value; /* value to write; NULL: the record is to be deleted */
 	uint64_t revision;
 	bool dirty, write_in_flight;
-	bool urgent; /* goes before the records of jobs */
+	bool urgent; /* written before the records of jobs */
 	UT_hash_handle hh;
 };
 
@@ -41,71 +41,73 @@
 	struct ws_subsystem_record *records; /* by key */
 	size_t dirty_records;
 	double tick_next;
-	/* the filters' answers in the pass under way, a bit for each zone */
+	/* Results of the zone filters in the current placement pass, one bit per zone. */
 	uint32_t zones_avoided, zones_closed;
-	/* at the last tick: the zones in which actions of a kind wait; bit 0: no known zone */
+	/* The zones in which actions of a kind were deferred at the last tick. Bit 0 stands for an
+	 * unknown zone, bit z + 1 for zone z. */
 	uint64_t deferred[WS_DEFERRABLE_ACTIONS];
-	bool moves; /* some job has a move */
+	bool moves; /* whether any move was requested since the election */
 };
 
-/* ---- subsystems.c: attached subsystems, and events to them ---- */
+/* ---- subsystems.c: attached subsystems and the events sent to them ---- */
 
-/* Whether any is attached. */
+/* Returns whether any subsystem is attached. */
 bool ws_subsystems_active(const struct ws_core *core);
-/* Destroys all, with the core. */
+/* Destroys all subsystems; called when the core is freed. */
 void ws_subsystems_free(struct ws_core *core);
-/* Prefix of the i-th subsystem's records; NULL behind the last. */
+/* Returns the key prefix of the records of the subsystem with this index, or NULL past the last. */
 const char *ws_subsystems_prefix(const struct ws_core *core, size_t index);
 
-/* This node was elected; its records are not read yet. */
+/* Reports that this node was elected. The records have not been read yet. */
 void ws_subsystems_elected(struct ws_core *core);
-/* All records are read; tells the machines that are on record as having been up. */
+/* Reports the machines that are recorded as having been up, and that all records were read. */
 void ws_subsystems_loaded(struct ws_core *core);
-/* Leadership ends: takes back all machines and forgets all records. */
+/* Reports the end of leadership: removes all machines and clears all records. */
 void ws_subsystems_step_down(struct ws_core *core);
 
-/* A machine is new, or what is known of it has changed. */
+/* Reports that a machine is new, or that its properties have changed. */
 void ws_subsystems_machine(struct ws_core *core, struct ws_machine *machine);
-/* A machine is about to be forgotten; ends the use of its handles. */
+/* Reports that a machine is about to be freed. Its handles must not be used afterwards. */
 void ws_subsystems_machine_removed(struct ws_core *core, struct ws_machine *machine);
-/* A heartbeat showed that its machine hears this leader. */
+/* Reports a heartbeat that echoes this leader's fencing token. */
 void ws_subsystems_heartbeat(struct ws_core *core, struct ws_machine *machine);
-/* A direct command, or a probe, was answered or not. */
+/* Reports whether a command sent directly to a machine, or a probe, was answered. */
 void ws_subsystems_answered(struct ws_core *core, struct ws_machine *machine, bool answered);
-/* All that was on a machine is surely gone. */
+/* Reports that everything that ran on a machine is lost. */
 void ws_subsystems_lost(struct ws_core *core, struct ws_machine *machine,
 			enum ws_machine_loss loss);
 
-/* The reconciliation result of an attempt; whether a subsystem wants it quarantined. */
+/* Reports the reconciliation result of an attempt. Returns whether a subsystem requests that it be
+ * quarantined. */
 bool ws_subsystems_reconciled(struct ws_core *core, const struct ws_attempt *attempt,
 			      enum ws_reconciliation_result result);
-/* So many quarantined attempts of a job were adopted; 0: the job is known. */
+/* Reports how many quarantined attempts of a job were adopted; 0 if the job has become known. */
 void ws_subsystems_adopted(struct ws_core *core, const char *job, uint32_t count);
 
 /* ---- subsystem_filters.c ---- */
 
-/* Asks which actions wait, once a tick. */
+/* Queries which actions are deferred; called once per tick. */
 void ws_subsystems_ask_deferred(struct ws_core *core);
-/* Whether actions of a kind wait in a zone, by its number; -1: no known zone. */
+/* Returns whether actions of a kind are deferred in a zone; index -1 is an unknown zone. */
 bool ws_subsystems_defer(const struct ws_core *core, enum ws_deferrable_action kind, int zone);
-/* Asks which zones the placement pass that begins is to avoid, and which are closed. */
+/* Queries which zones the new placement pass is to avoid, and in which scale-out is blocked. */
 void ws_subsystems_begin_pass(struct ws_core *core);
-/* Whether a machine is to be used only by work that finds no other room. */
+/* Returns whether a subsystem wants a machine to be used only as a last resort. */
 bool ws_subsystems_avoided(struct ws_core *core, const struct ws_machine *machine);
 
 /* ---- subsystem_requests.c ---- */
 
-/* Calls the subsystems' ticks if they are due, and carries out what they ask for. */
+/* Calls the tick hooks of the subsystems if they are due, and carries out their requests. */
 void ws_subsystems_tick(struct ws_core *core);
 
 /* ---- subsystem_records.c ---- */
 
-/* The subsystem whose record a key names; NULL: none. */
+/* Returns the subsystem whose prefix a key has, or NULL if there is none. */
 const struct ws_subsystem *ws_subsystem_of(const struct ws_core *core, const char *key);
-/* A record that was read, at the election or by request: passes it to its subsystem, if any. */
+/* Passes a record that was read, at the election or on request, to its subsystem, if any. */
 void ws_subsystem_record_load(struct ws_core *core, const struct ws_kv *record);
-/* What is to be on record under a key from now on; takes over the value; NULL: nothing. */
+/* Schedules the write of a record and takes ownership of the value; NULL deletes the record. */
 void ws_subsystem_record_set(struct ws_core *core, const char *key, json_t *value, bool urgent);
-/* Forgets all records, at step-down. */
+/* Clears all records at step-down. */
 void ws_subsystem_records_clear(struct ws_core *core);
 #endif
