--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -42,8 +42,8 @@
 
 /* Capacity errors for one kind of machine: the cloud had none of it, or fewer than requested. */
 struct ws_capacity_error {
-	double until;	     /* end of the backoff */
-	int count;	     /* consecutive errors */
+	double until;	     /* no request for this kind before then */
+	int count;	     /* errors since the backoff was last reset */
 	int scaled_in_since; /* machines of this kind returned since the last error */
 };
 
@@ -60,7 +60,7 @@
 	double next_record_update_at;
 	double next_check_at;
 	double next_cloud_call_at;
-	int scale_ins_due; /* marked machines whose return could be requested at the last check */
+	int scale_ins_due; /* machines whose return was due at the last check */
 	/* When no return was due, or when the last scale-in call was made; the later of the two. */
 	double scale_ins_due_since;
 	/* State of reading the cloud's list of instances. */
@@ -70,7 +70,7 @@
 	uint64_t list_mark;		       /* number of the current pass over the list */
 	struct ws_capacity_error capacity_errors[WS_MAX_TYPES][WS_MAX_ZONES]
 						[2]; /* on-demand, preemptible */
-	int units_waiting; /* new machines that unmet demand needed at the last pass */
+	int units_waiting; /* machines to add for the unmet demand of the last pass */
 	/* Limit on rented machines in demand units (k of the queue model); negative if unknown. */
 	int unit_limit;
 	double measured_at, next_measurement_at; /* start and end of the measurement period */
--- a/src/core/extension/hooks.h
+++ b/src/core/extension/hooks.h
@@ -97,7 +97,7 @@
 enum ws_deferrable_action {
 	WS_DEFER_PREEMPTION,	  /* stop of a task in the zone to free its machine's capacity */
 	WS_DEFER_GANG_STOP,	  /* stop of a gang after a machine of the zone lost contact */
-	WS_DEFER_SCALE_IN_SILENT, /* return of a machine of the zone that sends no heartbeats */
+	WS_DEFER_SCALE_IN_SILENT, /* return of a machine without heartbeats, in the zone */
 	WS_DEFER_SCALE_IN_EMPTY,  /* return of an empty machine of the zone */
 	WS_DEFER_FIRST_START,	  /* start of a job that never had a task started, in any zone */
 	/*
