--- a/src/cold_start/cold_start.c
+++ b/src/cold_start/cold_start.c
@@ -95,17 +95,18 @@
 	reset_term(self);
 }
 
-static void elected(void *self, const struct ws_election_facts *facts)
+static void elected(void *self, const struct ws_election_info *facts)
 {
 	struct ws_cold_start *cold_start = self;
 
 	reset_term(cold_start);
 	cold_start->elected_at = facts->now;
-	cold_start->leases_out = facts->leases_out;
+	cold_start->leases_out = facts->leases_expire_at;
 	cold_start->term = cold_start->began_term = facts->term;
-	cold_start->proven_term = facts->proven_term;
-	cold_start->unproven_s = facts->unproven_s;
-	cold_start->leader_unproven = facts->unproven_s > PROOF_LEASES * cold_start->limits.lease_s;
+	cold_start->proven_term = facts->leader_proof_term;
+	cold_start->unproven_s = facts->leader_proof_age_s;
+	cold_start->leader_unproven =
+	    facts->leader_proof_age_s > PROOF_LEASES * cold_start->limits.lease_s;
 }
 
 static void set_phase(struct ws_cold_start *cold_start, enum ws_cold_start_phase phase)
@@ -210,7 +211,7 @@
 	switch (kind) {
 	case WS_DEFER_PREEMPTION:
 	case WS_DEFER_GANG_STOP:
-	case WS_DEFER_SCALE_IN_SILENT: return waits_for_zone(cold_start, zone);
+	case WS_DEFER_SCALE_IN_NO_HEARTBEATS: return waits_for_zone(cold_start, zone);
 	case WS_DEFER_SCALE_IN_EMPTY:
 		return cold_start->phase == WS_COLD_START_OBSERVING ||
 		       (ws_cold_start_active(cold_start) && cold_start->lost);
@@ -280,7 +281,7 @@
 	ws_request_write(out, "account", ws_cold_start_account_record(cold_start, now), false);
 }
 
-static void tick(void *self, const struct ws_tick_facts *facts, struct ws_request_queue *out)
+static void tick(void *self, const struct ws_tick_info *facts, struct ws_request_queue *out)
 {
 	struct ws_cold_start *cold_start = self;
 
@@ -311,7 +312,7 @@
     .machine_removed = ws_cold_start_machine_removed,
     .heartbeat_seen = ws_cold_start_heartbeat_seen,
     .machine_lost = ws_cold_start_machine_lost,
-    .attempt_found = attempt_found,
+    .attempt_reconciled = attempt_found,
     .job_looked_up = ws_cold_start_looked_up,
     .attempts_adopted = ws_cold_start_adopted,
     .zone_closed = zone_closed,
--- a/src/cold_start/observation.c
+++ b/src/cold_start/observation.c
@@ -41,7 +41,7 @@
 	}
 }
 
-void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_facts *facts)
+void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_info *facts)
 {
 	struct ws_cold_start *cold_start = self;
 	struct ws_cold_start_machine *machine = ws_subsystem_allocate(sizeof(*machine));
@@ -61,7 +61,7 @@
 	return machine;
 }
 
-void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_facts *facts)
+void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_info *facts)
 {
 	struct ws_cold_start_machine *machine = handle;
 
@@ -86,7 +86,7 @@
 
 	(void)self;
 	(void)now;
-	if (loss == WS_LOSS_LEASE)
+	if (loss == WS_LOSS_LEASE_EXPIRED)
 		return;
 	count_machine(machine, false);
 	machine->expected = false;
--- a/src/cold_start/observation.h
+++ b/src/cold_start/observation.h
@@ -22,8 +22,8 @@
 };
 
 /* Hooks of the same names: see core/extension/hooks.h. */
-void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_facts *facts);
-void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_facts *facts);
+void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_info *facts);
+void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_info *facts);
 void ws_cold_start_machine_removed(void *self, void *handle);
 void ws_cold_start_machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss);
 void ws_cold_start_heartbeat_seen(void *self, double now, void *handle);
--- a/src/cold_start/quarantine.c
+++ b/src/cold_start/quarantine.c
@@ -79,17 +79,18 @@
 	quarantined->written_at = cold_start->elected_at;
 }
 
-void ws_cold_start_looked_up(void *self, double now, const char *job, enum ws_job_standing standing)
+void ws_cold_start_looked_up(void *self, double now, const char *job,
+			     enum ws_job_lookup_result standing)
 {
 	struct ws_cold_start *cold_start = self;
 	struct ws_cold_start_quarantined *quarantined = find_quarantined(cold_start, job);
 
-	if (!quarantined || quarantined->released || standing == WS_STANDING_UNREADABLE)
+	if (!quarantined || quarantined->released || standing == WS_JOB_LOOKUP_UNAVAILABLE)
 		return;
 	quarantined->looked_up = true;
 	quarantined->standing = standing;
 	cold_start->counts_changed = true;
-	if (standing != WS_STANDING_NEVER_HEARD)
+	if (standing != WS_JOB_LOOKUP_NOT_FOUND)
 		return;
 	cold_start->counts.quarantined++;
 	quarantined->record_due = true;
@@ -148,7 +149,7 @@
 				const struct ws_cold_start_quarantined *quarantined, double now)
 {
 	if (quarantined->looked_up)
-		return quarantined->standing == WS_STANDING_OVER;
+		return quarantined->standing == WS_JOB_LOOKUP_ARCHIVED;
 	return quarantined->first_look_up_at >= 0 &&
 	       now - quarantined->first_look_up_at > UNREADABLE_LEASES * cold_start->limits.lease_s;
 }
--- a/src/cold_start/quarantine.h
+++ b/src/cold_start/quarantine.h
@@ -10,7 +10,7 @@
 struct ws_cold_start_quarantined {
 	char job[WS_COLD_START_NAME_MAX];
 	char machine[WS_COLD_START_NAME_MAX]; /* that reported it first */
-	enum ws_job_standing standing;
+	enum ws_job_lookup_result standing;
 	bool looked_up; /* the standing is known */
 	bool released;	/* adopted or stopped; remembered so that it is not quarantined again */
 	bool reported;	/* in this term */
@@ -27,7 +27,7 @@
 				      const struct ws_reconciliation *reconciliation);
 /* Hook job_looked_up: see core/extension/hooks.h. */
 void ws_cold_start_looked_up(void *self, double now, const char *job,
-			     enum ws_job_standing standing);
+			     enum ws_job_lookup_result standing);
 /* Hook attempts_adopted: see core/extension/hooks.h. */
 void ws_cold_start_adopted(void *self, double now, const char *job, uint32_t count);
 /* Restores a job that an earlier leader quarantined from its record. */
--- a/src/cold_start/recovery.c
+++ b/src/cold_start/recovery.c
@@ -44,7 +44,7 @@
 	return false; /* all attempts count as elsewhere: whether any replica may be alive */
 }
 
-void ws_cold_start_job_surveyed(void *self, const struct ws_job_facts *facts)
+void ws_cold_start_job_surveyed(void *self, const struct ws_job_info *facts)
 {
 	struct ws_cold_start *cold_start = self;
 	struct ws_cold_start_lost *lost;
--- a/src/cold_start/recovery.h
+++ b/src/cold_start/recovery.h
@@ -25,7 +25,7 @@
 void ws_cold_start_lost_add(struct ws_cold_start *cold_start, const char *job);
 /* Hooks of the same names: see core/extension/hooks.h. */
 bool ws_cold_start_attempt_surveyed(void *self, void *machine);
-void ws_cold_start_job_surveyed(void *self, const struct ws_job_facts *facts);
+void ws_cold_start_job_surveyed(void *self, const struct ws_job_info *facts);
 void ws_cold_start_survey_done(void *self, double now);
 /* Requests the moves that are due, and a survey each heartbeat interval while jobs are lost. */
 void ws_cold_start_recovery_tick(struct ws_cold_start *cold_start, double now,
--- a/src/config.c
+++ b/src/config.c
@@ -32,7 +32,7 @@
 	ws_config_endpoint(reader, "bind", &settings->bind);
 	ws_config_endpoint(reader, "peer_bind", &settings->peer_bind);
 	ws_config_endpoint(reader, "services.cloud", &settings->cloud);
-	ws_config_endpoint(reader, "services.state", &settings->state);
+	ws_config_endpoint(reader, "services.state", &settings->store);
 	settings->peer_count = ws_config_count(reader, "seeds", WS_MAX_PEERS, false);
 	for (size_t i = 0; i < settings->peer_count && reader->valid; i++) {
 		ws_config_text(reader, entry_path(path, "seeds", i, "node"),
@@ -93,7 +93,7 @@
 
 static void read_workers(struct ws_config_reader *reader, struct ws_settings *settings)
 {
-	ws_config_number(reader, "settings.workers.report_s", &settings->report_s, 0.01, true);
+	ws_config_number(reader, "settings.workers.report_s", &settings->heartbeat_s, 0.01, true);
 	ws_config_number(reader, "settings.workers.lease_s", &settings->lease_s, 0.1, true);
 	ws_config_above_zero(reader, "settings.workers.cancel_s", &settings->cancel_s, true);
 	settings->gang_wait_s = settings->lease_s;
@@ -108,19 +108,19 @@
 	char text[PATH_MAX_LENGTH];
 	double ops = 0;
 
-	ws_config_number(reader, "settings.state.rps", &settings->state_rps, 1, true);
-	ws_config_number(reader, "settings.state.write_rps", &settings->state_write_rps, 1, true);
+	ws_config_number(reader, "settings.state.rps", &settings->store_rps, 1, true);
+	ws_config_number(reader, "settings.state.write_rps", &settings->store_write_rps, 1, true);
 	ws_config_number(reader, "settings.state.value_kb", &settings->value_kb, 1, true);
 	ws_config_number(reader, "settings.state.txn_ops", &ops, 3, true);
 	if (ws_toml_string(reader->toml, "settings.state.next", text, sizeof(text)) !=
 		WS_TOML_MISSING &&
 	    !ws_toml_table(reader->toml, "settings.state.next"))
 		ws_config_invalid(reader, "settings.state.next", "must be a table");
-	ws_config_lower(reader, "settings.state.next.rps", 1, &settings->state_rps);
-	ws_config_lower(reader, "settings.state.next.write_rps", 1, &settings->state_write_rps);
+	ws_config_lower(reader, "settings.state.next.rps", 1, &settings->store_rps);
+	ws_config_lower(reader, "settings.state.next.write_rps", 1, &settings->store_write_rps);
 	ws_config_lower(reader, "settings.state.next.value_kb", 1, &settings->value_kb);
 	ws_config_lower(reader, "settings.state.next.txn_ops", 3, &ops);
-	settings->txn_ops = ops > TXN_OPS_MAX ? TXN_OPS_MAX : (int)ops;
+	settings->transaction_ops = ops > TXN_OPS_MAX ? TXN_OPS_MAX : (int)ops;
 }
 
 static void read_limits(struct ws_config_reader *reader, struct ws_settings *settings)
@@ -131,14 +131,14 @@
 	ws_config_number(reader, "settings.cloud.list_lag_s", &settings->list_lag_s, 0, true);
 	/* at rest a small deployment takes a thousandth of a core and 2 MB; the block for messages,
 	 * and one answer of the store as long as it may be, come on top */
-	ws_config_number(reader, "settings.machine_limits.core_share", &settings->core_share, 0.002,
+	ws_config_number(reader, "settings.machine_limits.core_share", &settings->cpu_share, 0.002,
 			 true);
 	ws_config_number(reader, "settings.machine_limits.ram_mb", &settings->ram_mb, 8, true);
 	ws_config_number(reader, "settings.machine_limits.max_sockets", &sockets, 16, true);
 	settings->max_sockets = sockets > MAX_SOCKETS_MAX ? MAX_SOCKETS_MAX : (int)sockets;
-	settings->sockets =
+	settings->client_sockets =
 	    settings->max_sockets - SOCKETS_OWN - SOCKETS_PEER * (int)settings->peer_count;
-	if (reader->valid && settings->sockets < SOCKETS_LEAST)
+	if (reader->valid && settings->client_sockets < SOCKETS_LEAST)
 		ws_config_invalid(reader, "settings.machine_limits.max_sockets",
 				  "leaves no room for users and workers");
 }
@@ -156,7 +156,7 @@
 	read_workers(&reader, settings);
 	read_state(&reader, settings);
 	read_limits(&reader, settings);
-	if (reader.valid && settings->lease_s <= settings->report_s)
+	if (reader.valid && settings->lease_s <= settings->heartbeat_s)
 		ws_config_invalid(&reader, "settings.workers.lease_s",
 				  "must be longer than report_s");
 	return ws_config_close(&reader);
@@ -188,12 +188,12 @@
 	ws_config_number(&reader, "wait_max_s", &policy->wait_max_s, 1e-6, false);
 	ws_config_number(&reader, "latency_bound_s", &policy->latency_bound_s, 1e-6, false);
 	read_machines(&reader, "rental_ceiling", &policy->rental_ceiling);
-	read_machines(&reader, "waiting_loads", &policy->waiting_loads);
-	ws_config_number(&reader, "empty_wait_s", &policy->empty_wait_s, 0, false);
+	read_machines(&reader, "waiting_loads", &policy->waiting_units_max);
+	ws_config_number(&reader, "empty_wait_s", &policy->idle_timeout_s, 0, false);
 	ws_config_number(&reader, "sizing_period_s", &policy->sizing_period_s, 1, false);
 	ws_config_number(&reader, "leader_ttl_ratio", &policy->leader_ttl_ratio, 0.01, false);
-	ws_config_number(&reader, "silent_ratio", &policy->silent_ratio, 0.1, false);
-	ws_config_number(&reader, "boot_patience", &policy->boot_patience, 1, false);
+	ws_config_number(&reader, "silent_ratio", &policy->unreachable_ratio, 0.1, false);
+	ws_config_number(&reader, "boot_patience", &policy->boot_timeout_ratio, 1, false);
 	if (reader.valid && policy->leader_ttl_ratio > 0.5)
 		ws_config_invalid(&reader, "leader_ttl_ratio", "must be at most 0.5");
 	return ws_config_close(&reader);
--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -39,7 +39,7 @@
 static void ws_cancel_split_written(struct ws_core *core, struct ws_call *call)
 {
 	const struct ws_user_request *request = call->context;
-	size_t continuations_max = (size_t)core->settings->txn_ops - 1, continuation_count,
+	size_t continuations_max = (size_t)core->settings->transaction_ops - 1, continuation_count,
 	       bytes_before = ws_record_size(call->transaction.operations[0].value);
 	json_t **continuations = ws_alloc(continuations_max + 1, sizeof(*continuations));
 
@@ -86,7 +86,7 @@
 	}
 	transaction = ws_call_new(core, WS_CALL_TRANSACTION, ws_cancel_written);
 	transaction->context = ws_user_request_take(call);
-	ws_transaction_reserve(transaction, 1, (size_t)core->settings->txn_ops);
+	ws_transaction_reserve(transaction, 1, (size_t)core->settings->transaction_ops);
 	ws_transaction_compare(transaction, call->read.key, result->records.entries[0].revision);
 	ws_transaction_set(transaction, call->read.key,
 			   json_deep_copy(result->records.entries[0].value));
--- a/src/core/api/heartbeat_requests.c
+++ b/src/core/api/heartbeat_requests.c
@@ -56,7 +56,7 @@
 	}
 	effect = ws_effect_new(core, WS_EFFECT_FORWARD);
 	effect->request_id = request_id;
-	effect->forward.worker_pinned = redirect->heartbeat_count > 2;
+	effect->forward.redirect_failed = redirect->heartbeat_count > 2;
 	snprintf(effect->forward.leader, sizeof(effect->forward.leader), "%s",
 		 core->leadership.leader_node);
 }
@@ -124,7 +124,7 @@
 		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
 	}
-	ws_leadership_saw_worker(core, forwarded);
+	ws_leadership_worker_contact(core, forwarded);
 	if (!ws_fleet_heartbeat(core, heartbeat, request_id)) {
 		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
 		return;
--- a/src/core/api/outage_votes.c
+++ b/src/core/api/outage_votes.c
@@ -120,7 +120,7 @@
 	ws_outage_vote_check(core, now, request_id, &question);
 }
 
-void ws_core_outage_vote_unlisted(struct ws_core *core, double now, uint64_t request_id)
+void ws_core_outage_vote_legacy(struct ws_core *core, double now, uint64_t request_id)
 {
 	ws_outage_vote_check(core, now, request_id, &(struct ws_outage_question){0});
 }
--- a/src/core/api/status_cache.c
+++ b/src/core/api/status_cache.c
@@ -182,7 +182,7 @@
 		return;
 	/* all nodes together spend a quarter of the requests allowed on this */
 	core->status_cache.next_request_at =
-	    core->now + 4.0 * (double)(core->settings->peer_count + 1) / core->settings->state_rps;
+	    core->now + 4.0 * (double)(core->settings->peer_count + 1) / core->settings->store_rps;
 	core->status_cache.request_in_flight = true;
 	ws_queries_await_check(core);
 	call = ws_call_new(core, WS_CALL_WATCH, ws_status_cache_watch_answered);
--- a/src/core/autoscaler/autoscaler.c
+++ b/src/core/autoscaler/autoscaler.c
@@ -53,9 +53,9 @@
 	}
 	autoscaler->dirty_requests = NULL;
 	autoscaler->list_in_flight = autoscaler->scale_out_in_flight = false;
-	autoscaler->list_continues_after[0] = 0;
+	autoscaler->list_cursor[0] = 0;
 	autoscaler->next_list_at = autoscaler->next_cloud_call_at = autoscaler->next_check_at = 0;
 	memset(autoscaler->capacity_errors, 0, sizeof(autoscaler->capacity_errors));
-	autoscaler->scale_ins_due = 0;
+	autoscaler->scale_in_due_count = 0;
 	autoscaler->measured_at = 0;
 }
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -42,9 +42,9 @@
 
 /* Capacity errors for one kind of machine: the cloud had none of it, or fewer than requested. */
 struct ws_capacity_error {
-	double until;	     /* no request for this kind before then */
-	int count;	     /* errors since the backoff was last reset */
-	int scaled_in_since; /* machines of this kind returned since the last error */
+	double backoff_until;	  /* no request for this kind before then */
+	int consecutive_errors;	  /* errors since the backoff was last reset */
+	int returned_since_error; /* machines of this kind returned since the last error */
 };
 
 struct ws_autoscaler {
@@ -54,23 +54,23 @@
 	bool scale_out_in_flight;  /* a request is being recorded or sent */
 	/* Whether the last call was a scale-out. Scale-out and scale-in calls alternate while both
 	 * are due. */
-	bool scaled_out_last;
+	bool last_call_was_scale_out;
 	/* Whether a machine is gone, so that the records of requests may still list it. */
-	bool instances_stale;
+	bool records_stale;
 	double next_record_update_at;
 	double next_check_at;
 	double next_cloud_call_at;
-	int scale_ins_due; /* machines whose return was due at the last check */
+	int scale_in_due_count; /* machines whose return was due at the last check */
 	/* When no return was due, or when the last scale-in call was made; the later of the two. */
-	double scale_ins_due_since;
+	double scale_in_wait_start;
 	/* State of reading the cloud's list of instances. */
 	bool list_in_flight;
 	double next_list_at;
-	char list_continues_after[WS_KEY_MAX]; /* last name on the previous page, or empty */
-	uint64_t list_mark;		       /* number of the current pass over the list */
+	char list_cursor[WS_KEY_MAX]; /* last name on the previous page, or empty */
+	uint64_t list_generation;     /* number of the current pass over the list */
 	struct ws_capacity_error capacity_errors[WS_MAX_TYPES][WS_MAX_ZONES]
 						[2]; /* on-demand, preemptible */
-	int units_waiting; /* machines to add for the unmet demand of the last pass */
+	int new_machines_needed; /* machines to add for the unmet demand of the last pass */
 	/* Limit on rented machines in demand units (k of the queue model); negative if unknown. */
 	int unit_limit;
 	double measured_at, next_measurement_at; /* start and end of the measurement period */
@@ -101,7 +101,7 @@
 /* ---- scale_in.c ---- */
 
 /* Returns whether a machine has not sent its first heartbeat within the boot timeout. */
-bool ws_boot_is_late(const struct ws_core *core, const struct ws_machine *machine);
+bool ws_boot_timed_out(const struct ws_core *core, const struct ws_machine *machine);
 
 /* ---- capacity_errors.c ---- */
 
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -74,7 +74,7 @@
 /* Marks the rented machines that are to be returned, and sends the scale-in call that is due. */
 void ws_scale_in_tick(struct ws_core *core);
 /* Returns whether a scale-in call is to be sent before the next scale-out request. */
-bool ws_scale_in_goes_first(const struct ws_core *core);
+bool ws_scale_in_has_priority(const struct ws_core *core);
 
 /* ---- instance_list.c ---- */
 
--- a/src/core/autoscaler/capacity_errors.c
+++ b/src/core/autoscaler/capacity_errors.c
@@ -31,7 +31,7 @@
 	size_t type_index = (size_t)(kind->type - core->catalog.types);
 
 	return core->autoscaler.capacity_errors[type_index][kind->zone_index][kind->preemptible]
-		   .until > core->now;
+		   .backoff_until > core->now;
 }
 
 /*
@@ -45,10 +45,11 @@
 
 	if (!error)
 		return;
-	error->count += 1;
-	error->scaled_in_since = 0;
-	doublings = error->count < BACK_OFF_DOUBLINGS_MAX ? error->count : BACK_OFF_DOUBLINGS_MAX;
-	error->until = core->now + core->settings->list_lag_s * (1 << doublings);
+	error->consecutive_errors += 1;
+	error->returned_since_error = 0;
+	doublings = error->consecutive_errors < BACK_OFF_DOUBLINGS_MAX ? error->consecutive_errors
+								       : BACK_OFF_DOUBLINGS_MAX;
+	error->backoff_until = core->now + core->settings->list_lag_s * (1 << doublings);
 }
 
 void ws_capacity_error_clear(struct ws_core *core, const struct ws_scale_out *request)
@@ -65,7 +66,7 @@
 {
 	return !machine->preemption_noticed && !machine->failed &&
 	       ws_machine_echoes_token(machine) &&
-	       core->now - machine->last_heard_at <= 3 * core->settings->report_s;
+	       core->now - machine->last_heard_at <= 3 * core->settings->heartbeat_s;
 }
 
 /* In a large fleet the backoff ends only after several machines of the kind were returned, because
@@ -78,8 +79,8 @@
 
 	if (!error || !ws_machine_was_healthy(core, machine))
 		return;
-	error->scaled_in_since += 1;
-	if (error->scaled_in_since > fleet_size / (2 * WS_SCALE_OUT_MAX))
+	error->returned_since_error += 1;
+	if (error->returned_since_error > fleet_size / (2 * WS_SCALE_OUT_MAX))
 		memset(error, 0, sizeof(*error));
 }
 
--- a/src/core/autoscaler/instance_list.c
+++ b/src/core/autoscaler/instance_list.c
@@ -36,7 +36,7 @@
 		ws_machine_apply_instance(core, &page->instances.list[i]);
 		machine = ws_machine_find(core, page->instances.list[i].name);
 		if (machine)
-			machine->instance_list_mark = core->autoscaler.list_mark;
+			machine->instance_list_mark = core->autoscaler.list_generation;
 	}
 }
 
@@ -53,11 +53,11 @@
  * has sent no heartbeat recently. */
 static bool ws_machine_is_missing(const struct ws_core *core, const struct ws_machine *machine)
 {
-	const double heartbeat_timeout_s = 2 * core->settings->report_s;
+	const double heartbeat_timeout_s = 2 * core->settings->heartbeat_s;
 
 	return !machine->owned &&
 	       (machine->in_instance_list || ws_machine_should_be_listed(core, machine)) &&
-	       machine->instance_list_mark != core->autoscaler.list_mark &&
+	       machine->instance_list_mark != core->autoscaler.list_generation &&
 	       !machine->scale_in.requested &&
 	       core->now - machine->last_heard_at > heartbeat_timeout_s &&
 	       core->now - core->leadership.elected_at > heartbeat_timeout_s &&
@@ -87,18 +87,18 @@
 	autoscaler->list_in_flight = false;
 	autoscaler->next_list_at = core->now + core->settings->list_lag_s;
 	if (result->outcome != WS_OUTCOME_OK) {
-		autoscaler->list_continues_after[0] = 0;
+		autoscaler->list_cursor[0] = 0;
 		return;
 	}
 	ws_determine_owned_machines(core, result);
 	ws_apply_page(core, result);
 	if (result->instances.has_more && result->instances.count) {
-		snprintf(autoscaler->list_continues_after, sizeof(autoscaler->list_continues_after),
-			 "%s", result->instances.list[result->instances.count - 1].name);
+		snprintf(autoscaler->list_cursor, sizeof(autoscaler->list_cursor), "%s",
+			 result->instances.list[result->instances.count - 1].name);
 		autoscaler->next_list_at = core->now;
 		return;
 	}
-	autoscaler->list_continues_after[0] = 0;
+	autoscaler->list_cursor[0] = 0;
 	ws_scale_in_missing(core);
 }
 
@@ -110,7 +110,7 @@
 	if (autoscaler->list_in_flight || core->now < autoscaler->next_list_at ||
 	    core->now < autoscaler->next_cloud_call_at)
 		return false;
-	return !autoscaler->units_waiting || !core->fleet.owned_recorded ||
+	return !autoscaler->new_machines_needed || !core->fleet.owned_recorded ||
 	       core->now >= autoscaler->next_list_at + core->settings->list_lag_s;
 }
 
@@ -123,9 +123,9 @@
 		return;
 	call = ws_call_new(core, WS_CALL_INSTANCES, ws_instance_list_answered);
 	snprintf(call->instances.after, sizeof(call->instances.after), "%s",
-		 autoscaler->list_continues_after);
-	if (!autoscaler->list_continues_after[0])
-		autoscaler->list_mark++;
+		 autoscaler->list_cursor);
+	if (!autoscaler->list_cursor[0])
+		autoscaler->list_generation++;
 	autoscaler->list_in_flight = true;
 	autoscaler->next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
 }
--- a/src/core/autoscaler/queue_measurements.c
+++ b/src/core/autoscaler/queue_measurements.c
@@ -16,7 +16,7 @@
 
 	HASH_ITER (hh, core->fleet.machines, machine, next_machine) {
 		if (machine->owned || machine->gone || machine->failed ||
-		    machine->scale_in.requested || ws_boot_is_late(core, machine))
+		    machine->scale_in.requested || ws_boot_timed_out(core, machine))
 			continue;
 		totals.units += ws_demand_units_of_machine(core, machine->type);
 		totals.machine_count += 1;
@@ -44,7 +44,7 @@
 
 	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		if (machine->owned && ws_machine_echoes_token(machine) &&
-		    core->now - machine->last_heard_at < 3 * core->settings->report_s)
+		    core->now - machine->last_heard_at < 3 * core->settings->heartbeat_s)
 			owned += ws_demand_units_of_machine(core, machine->type);
 		for (const struct ws_attempt *attempt = machine->attempts; attempt;
 		     attempt = attempt->machine_next)
@@ -77,7 +77,7 @@
 
 	measurement->ceiling = ceiling;
 	measurement->waiting_units =
-	    policy->waiting_loads >= 0 ? policy->waiting_loads : ceiling / 2 + 1;
+	    policy->waiting_units_max >= 0 ? policy->waiting_units_max : ceiling / 2 + 1;
 	measurement->delta = policy->delta;
 	measurement->rentals_max = policy->rentals_max > 0 ? policy->rentals_max : ceiling;
 	measurement->bound_s = ws_latency_bound(core);
--- a/src/core/autoscaler/queue_model.c
+++ b/src/core/autoscaler/queue_model.c
@@ -302,10 +302,10 @@
  * large numbers are grouped into units of several machines; the modelled wait of such units is
  * slightly longer than that of as many single machines.
  */
-int ws_sizing_run(const struct ws_queue_measurement *measurement,
-		  struct ws_queue_solution *solution)
+int ws_queue_find_limit(const struct ws_queue_measurement *measurement,
+			struct ws_queue_solution *solution)
 {
-	int unit = ws_measured_capacity(measurement) / WS_SIZING_STATES + 1;
+	int unit = ws_measured_capacity(measurement) / WS_QUEUE_UNITS_MAX + 1;
 	int low = 0;
 	int high = (measurement->ceiling + unit - 1) / unit;
 
--- a/src/core/autoscaler/queue_model.h
+++ b/src/core/autoscaler/queue_model.h
@@ -12,7 +12,7 @@
 
 /* Maximum number of demand units in the system (K) that are modelled singly. More are grouped into
  * larger units. */
-#define WS_SIZING_STATES 400
+#define WS_QUEUE_UNITS_MAX 400
 
 struct ws_queue_solution {
 	double mean_scaled_out;	     /* mean number of rented machines, active or booting (38) */
@@ -33,6 +33,6 @@
  * maximum, reaches delta and Wq does not exceed the bound, or the ceiling if there is no such k.
  * Stores the solution for that k. Returns -1 if the queue can't be solved.
  */
-int ws_sizing_run(const struct ws_queue_measurement *measurement,
-		  struct ws_queue_solution *solution);
+int ws_queue_find_limit(const struct ws_queue_measurement *measurement,
+			struct ws_queue_solution *solution);
 #endif
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -44,12 +44,12 @@
 	bool most_reachable; /* if not, the leader itself may be partitioned */
 };
 
-bool ws_boot_is_late(const struct ws_core *core, const struct ws_machine *machine)
+bool ws_boot_timed_out(const struct ws_core *core, const struct ws_machine *machine)
 {
 	double boot_s = machine->type ? machine->type->boot_s : core->settings->lease_s;
 
 	return !machine->reported &&
-	       core->now - machine->first_seen > boot_s * core->policy.boot_patience;
+	       core->now - machine->first_seen > boot_s * core->policy.boot_timeout_ratio;
 }
 
 /*
@@ -57,13 +57,13 @@
  * machines one at a time. Machines to be returned are therefore batched, for at most one heartbeat
  * interval.
  */
-bool ws_scale_in_goes_first(const struct ws_core *core)
+bool ws_scale_in_has_priority(const struct ws_core *core)
 {
 	const struct ws_autoscaler *autoscaler = &core->autoscaler;
 
-	return autoscaler->scale_ins_due >= WS_SCALE_OUT_MAX ||
-	       (autoscaler->scale_ins_due &&
-		core->now - autoscaler->scale_ins_due_since > core->settings->report_s);
+	return autoscaler->scale_in_due_count >= WS_SCALE_OUT_MAX ||
+	       (autoscaler->scale_in_due_count &&
+		core->now - autoscaler->scale_in_wait_start > core->settings->heartbeat_s);
 }
 
 static void ws_scale_in_answered(struct ws_core *core, struct ws_call *call,
@@ -131,14 +131,14 @@
 
 static bool ws_machine_is_long_empty(const struct ws_core *core, const struct ws_machine *machine)
 {
-	const double wait_s = core->policy.empty_wait_s;
+	const double wait_s = core->policy.idle_timeout_s;
 	const double empty_s = core->now - machine->empty_since;
 
 	return machine->reported && !machine->attempt_count && !machine->preemption_noticed &&
 	       core->now >= machine->reserved_until && empty_s > wait_s &&
 	       core->now - machine->up_at > wait_s &&
 	       /* leave unmet demand time to be placed on it */
-	       (!core->autoscaler.units_waiting || empty_s > 2 * wait_s);
+	       (!core->autoscaler.new_machines_needed || empty_s > 2 * wait_s);
 }
 
 /* Returns why a rented machine that the leader lost contact with should be returned. It is to be
@@ -150,11 +150,11 @@
 	const double elected_at = core->leadership.elected_at;
 	const double no_heartbeat_since =
 	    fmax(machine->last_heard_at, fmax(elected_at, core->resumed_at));
-	const double heartbeat_timeout_s = core->settings->lease_s * core->policy.silent_ratio;
+	const double heartbeat_timeout_s = core->settings->lease_s * core->policy.unreachable_ratio;
 
 	if (machine->preemption_noticed && core->now > machine->preempted_at &&
 	    core->now - machine->last_heard_at >
-		PREEMPTED_TIMEOUT_INTERVALS * core->settings->report_s)
+		PREEMPTED_TIMEOUT_INTERVALS * core->settings->heartbeat_s)
 		return WS_SCALE_IN_PREEMPTED; /* so that the cloud confirms it */
 	if (machine->unreachable && machine->reported &&
 	    ws_heartbeat_overdue(core, no_heartbeat_since))
@@ -164,7 +164,7 @@
 		return WS_SCALE_IN_NO_HEARTBEATS;
 	if (machine->reported && !ws_machine_echoes_token(machine) && up_count &&
 	    core->now - fmax(fmax(machine->fencing_token_since, machine->up_at), elected_at) >
-		heartbeat_timeout_s + core->settings->report_s)
+		heartbeat_timeout_s + core->settings->heartbeat_s)
 		return WS_SCALE_IN_TOKEN_NOT_ECHOED;
 	return WS_SCALE_IN_NONE;
 }
@@ -179,17 +179,18 @@
 	if (reachability->most_reachable)
 		contact_loss = ws_contact_loss_reason(core, machine, reachability->up_count);
 	if (contact_loss != WS_SCALE_IN_NONE &&
-	    ws_subsystems_defer(core, WS_DEFER_SCALE_IN_SILENT, machine->zone_index))
+	    ws_subsystems_action_deferred(core, WS_DEFER_SCALE_IN_NO_HEARTBEATS,
+					  machine->zone_index))
 		contact_loss = WS_SCALE_IN_NONE;
 	if (machine->failed)
 		return WS_SCALE_IN_FAILED;
-	if (ws_boot_is_late(core, machine) &&
+	if (ws_boot_timed_out(core, machine) &&
 	    core->now - core->leadership.elected_at > core->settings->lease_s)
 		return WS_SCALE_IN_BOOT_TIMEOUT;
 	if (contact_loss != WS_SCALE_IN_NONE)
 		return contact_loss;
 	if (ws_machine_is_long_empty(core, machine) &&
-	    !ws_subsystems_defer(core, WS_DEFER_SCALE_IN_EMPTY, machine->zone_index))
+	    !ws_subsystems_action_deferred(core, WS_DEFER_SCALE_IN_EMPTY, machine->zone_index))
 		return WS_SCALE_IN_EMPTY;
 	if (machine->consecutive_failures >= CONSECUTIVE_FAILURES_MAX && !machine->attempt_count)
 		return WS_SCALE_IN_TASK_FAILURES;
@@ -204,8 +205,8 @@
 	call->scale_in.machine_names =
 	    ws_alloc(SCALE_IN_CALL_MAX, sizeof(*call->scale_in.machine_names));
 	core->autoscaler.next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
-	core->autoscaler.scaled_out_last = false;
-	core->autoscaler.scale_ins_due_since = core->now;
+	core->autoscaler.last_call_was_scale_out = false;
+	core->autoscaler.scale_in_wait_start = core->now;
 	return call;
 }
 
@@ -223,7 +224,7 @@
 		snprintf(call->scale_in.machine_names[call->scale_in.count++], WS_NAME_MAX, "%s",
 			 machine->name);
 		machine->scale_in.in_flight = true;
-		core->autoscaler.scale_ins_due--;
+		core->autoscaler.scale_in_due_count--;
 		if (call->scale_in.count == SCALE_IN_CALL_MAX)
 			break;
 	}
@@ -261,9 +262,9 @@
 	struct ws_autoscaler *autoscaler = &core->autoscaler;
 
 	ws_scale_in_mark(core);
-	autoscaler->scale_ins_due = ws_scale_in_count_due(core);
-	if (!autoscaler->scale_ins_due)
-		autoscaler->scale_ins_due_since = core->now;
+	autoscaler->scale_in_due_count = ws_scale_in_count_due(core);
+	if (!autoscaler->scale_in_due_count)
+		autoscaler->scale_in_wait_start = core->now;
 	if (core->now >= autoscaler->next_cloud_call_at)
 		ws_scale_in_send(core);
 }
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -79,7 +79,7 @@
 	request->created_at = core->now;
 	HASH_ADD_STR(autoscaler->requests, idempotency_key, request);
 	ws_scale_out_mark_dirty(core, request);
-	autoscaler->scale_out_in_flight = autoscaler->scaled_out_last = true;
+	autoscaler->scale_out_in_flight = autoscaler->last_call_was_scale_out = true;
 	autoscaler->next_cloud_call_at = core->now + WS_CLOUD_CALL_INTERVAL_S;
 	return request;
 }
@@ -199,9 +199,9 @@
 	const double list_lag_s = core->settings->list_lag_s;
 	const bool has_spare_writes = ws_writer_has_spare_budget(core);
 
-	if (!autoscaler->instances_stale || core->now < autoscaler->next_record_update_at)
+	if (!autoscaler->records_stale || core->now < autoscaler->next_record_update_at)
 		return false;
-	autoscaler->instances_stale = false;
+	autoscaler->records_stale = false;
 	autoscaler->next_record_update_at =
 	    core->now +
 	    (has_spare_writes ? fmin(core->settings->lease_s / 32, list_lag_s) : list_lag_s);
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -28,7 +28,7 @@
 static bool ws_machine_is_coming_up(const struct ws_core *core, const struct ws_machine *machine)
 {
 	if (!machine->reported)
-		return !ws_boot_is_late(core, machine);
+		return !ws_boot_timed_out(core, machine);
 	return !machine->attempt_count && !machine->unreachable && !machine->preemption_noticed &&
 	       !ws_machine_echoes_token(machine) &&
 	       !ws_heartbeat_overdue(core, fmax(machine->up_at, machine->fencing_token_since));
@@ -198,7 +198,7 @@
 		plan->machines_needed[type_index][kind->zone_index][kind->preemptible] +=
 		    bin.machine_count;
 		packing->machine_counts[type_index][kind->zone_index] += bin.machine_count;
-		core->autoscaler.units_waiting += (int)bin.machine_count;
+		core->autoscaler.new_machines_needed += (int)bin.machine_count;
 		ws_packing_add_bin(packing, &bin);
 		tasks -= ws_packing_place(core, packing, packing->bin_count - 1, demand, tasks);
 	}
@@ -208,7 +208,7 @@
 static void ws_plan_pack_demand(struct ws_core *core, struct ws_scale_out_plan *plan,
 				const struct ws_unmet_demand *demand)
 {
-	const int units_before = core->autoscaler.units_waiting;
+	const int units_before = core->autoscaler.new_machines_needed;
 	uint32_t tasks = demand->tasks;
 	int added_units;
 
@@ -217,7 +217,7 @@
 	for (int i = 0; i < plan->packing.bin_count && tasks; i++)
 		tasks -= ws_packing_place(core, &plan->packing, i, demand, tasks);
 	ws_plan_add_new_machines(core, plan, demand, tasks);
-	added_units = core->autoscaler.units_waiting - units_before;
+	added_units = core->autoscaler.new_machines_needed - units_before;
 	if (demand->job->spec.gang && added_units > plan->largest_gang_units)
 		plan->largest_gang_units = added_units;
 }
@@ -235,7 +235,7 @@
 	for (size_t i = 0; i < core->scheduler.unmet_count; i++) {
 		const struct ws_unmet_demand *demand = &core->scheduler.unmet_demand[i];
 
-		if (autoscaler->units_waiting < enough_units || demand->job->spec.gang)
+		if (autoscaler->new_machines_needed < enough_units || demand->job->spec.gang)
 			ws_plan_pack_demand(core, plan, demand);
 	}
 }
@@ -279,8 +279,8 @@
 	const struct ws_autoscaler *autoscaler = &core->autoscaler;
 
 	return !autoscaler->scale_out_in_flight && core->now >= autoscaler->next_cloud_call_at &&
-	       !(autoscaler->scaled_out_last && ws_scale_in_goes_first(core)) &&
-	       core->now - core->leadership.elected_at > core->settings->report_s;
+	       !(autoscaler->last_call_was_scale_out && ws_scale_in_has_priority(core)) &&
+	       core->now - core->leadership.elected_at > core->settings->heartbeat_s;
 }
 
 /* Creates a request for the needed machines of a kind, within the limit. */
@@ -297,7 +297,7 @@
 	       "scale-out requested key=%s count=%u type=%s zone=%s preemptible=%s "
 	       "units_waiting=%d rented=%d booting=%d limit=%d",
 	       request->idempotency_key, request->count, request->type, request->zone,
-	       request->preemptible ? "yes" : "no", core->autoscaler.units_waiting,
+	       request->preemptible ? "yes" : "no", core->autoscaler.new_machines_needed,
 	       plan->rented.machine_count, plan->rented.booting_count, core->autoscaler.unit_limit);
 }
 
@@ -307,7 +307,7 @@
 	struct ws_machine_kind kind;
 	uint32_t needed;
 
-	core->autoscaler.units_waiting = 0;
+	core->autoscaler.new_machines_needed = 0;
 	ws_plan_add_booting(core, &plan);
 	ws_plan_set_limit(core, &plan);
 	ws_plan_pack(core, &plan);
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -16,7 +16,7 @@
 		    ws_record_read_types(result->records.entries[0].value, core->catalog.types);
 	core->catalog.types_version++;
 	if (!core->catalog.type_count)
-		core->catalog.next_request_at = core->now + core->settings->report_s / 2;
+		core->catalog.next_request_at = core->now + core->settings->heartbeat_s / 2;
 }
 
 /* Adds a machine type that the cloud listed, or updates it in place so that pointers stay valid. */
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -10,12 +10,12 @@
 	    .wait_max_s = -1,
 	    .latency_bound_s = -1,
 	    .rental_ceiling = -1,
-	    .waiting_loads = -1,
-	    .empty_wait_s = 10,
+	    .waiting_units_max = -1,
+	    .idle_timeout_s = 10,
 	    .sizing_period_s = 30,
 	    .leader_ttl_ratio = 1.0 / 12,
-	    .silent_ratio = 0.5,
-	    .boot_patience = 2.5,
+	    .unreachable_ratio = 0.5,
+	    .boot_timeout_ratio = 2.5,
 	};
 }
 
@@ -87,7 +87,7 @@
 	ws_core_tick(core, now);
 }
 
-void ws_core_forget_cluster(struct ws_core *core)
+void ws_core_clear_leader_state(struct ws_core *core)
 {
 	ws_subsystems_step_down(core);
 	ws_fleet_clear(core);
@@ -108,7 +108,7 @@
 
 void ws_core_instance_gone(struct ws_core *core)
 {
-	core->autoscaler.instances_stale = true;
+	core->autoscaler.records_stale = true;
 }
 
 void ws_core_elected(struct ws_core *core)
@@ -223,7 +223,7 @@
 		core->now = now;
 	/* after a stall of this process, machines may seem overdue though their heartbeats were
 	 * sent */
-	if (core->now - core->last_tick_at > core->settings->report_s / 4)
+	if (core->now - core->last_tick_at > core->settings->heartbeat_s / 4)
 		core->resumed_at = core->now;
 	core->last_tick_at = core->now;
 	ws_requests_tick(core);
@@ -233,7 +233,7 @@
 		ws_event_counts_log(core);
 		ws_fleet_tick(core);
 		ws_subsystems_tick(core);
-		if (core->now > core->scheduler.next_pass_at + core->settings->report_s / 4)
+		if (core->now > core->scheduler.next_pass_at + core->settings->heartbeat_s / 4)
 			core->scheduler.pass_requested = true; /* a backoff ends without an event */
 		if (core->scheduler.pass_requested && core->now >= core->scheduler.next_pass_at &&
 		    ws_is_entitled(core) && !core->leadership.in_outage)
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -51,10 +51,10 @@
 	bool one_zone;		/* all tasks in the same zone */
 	bool spread;		/* spread tasks over machines; those of a gang over zones */
 	bool allows_preemptible;
-	double estimate_s;   /* expected run time of a task */
-	double checkpoint_s; /* interval between checkpoints */
-	double save_s;	     /* time that one checkpoint takes */
-	double deadline_s;   /* below 0: the job has no deadline */
+	double estimate_s;	      /* expected run time of a task */
+	double checkpoint_interval_s; /* interval between checkpoints */
+	double checkpoint_duration_s; /* time that one checkpoint takes */
+	double deadline_s;	      /* below 0: the job has no deadline */
 };
 
 /* ---- machines ---- */
@@ -75,7 +75,7 @@
 enum ws_task_state {
 	WS_TASK_FETCHING,
 	WS_TASK_RUNNING,
-	WS_TASK_SAVING,
+	WS_TASK_CHECKPOINTING,
 	WS_TASK_EXITED,
 	WS_TASK_WAITING, /* gang only: waits for the other tasks of its attempt */
 };
@@ -85,9 +85,9 @@
 	WS_EXIT_DONE,	 /* completed */
 	WS_EXIT_STOPPED, /* stopped by a command, or because the lease expired */
 	WS_EXIT_ERROR,
-	WS_EXIT_FULL, /* this and the next two: the machine refused to start it */
-	WS_EXIT_BUSY,
-	WS_EXIT_UNKNOWN,
+	WS_EXIT_NO_CAPACITY, /* this and the next two: the machine refused to start it */
+	WS_EXIT_ATTEMPT_EXISTS,
+	WS_EXIT_UNKNOWN_JOB,
 	WS_EXIT_MEMBER_LOST,	 /* gang only: another task of the attempt was lost */
 	WS_EXIT_GANG_INCOMPLETE, /* gang only: not all tasks started in time */
 };
@@ -400,7 +400,7 @@
 /* WS_EFFECT_FORWARD: passes a request to the leader or another peer. */
 struct ws_forward {
 	char leader[WS_NAME_MAX]; /* the node to forward to; empty: any peer */
-	bool worker_pinned;	  /* heartbeat: the worker was redirected and still sends it here */
+	bool redirect_failed;	  /* heartbeat: the worker was redirected and still sends it here */
 };
 
 /* An action for the I/O layer. The kind selects the member of the union. */
@@ -457,7 +457,7 @@
 		      const struct ws_result *result);
 /* Called after each request to the core. Reads the clock if a scheduling pass has run, and delays
  * the next one in proportion to its duration. */
-void ws_core_pass_ended(struct ws_core *core, double (*clock)(void));
+void ws_core_delay_next_pass(struct ws_core *core, double (*clock)(void));
 /* Gives up leadership and stops campaigning, because the process is about to stop. */
 void ws_core_resign(struct ws_core *core, double now);
 
@@ -492,7 +492,7 @@
 void ws_core_outage_vote(struct ws_core *core, double now, uint64_t request_id, uint64_t leader,
 			 uint64_t since, const char *after);
 /* Handles an outage vote request of a peer whose version does not accept a cancellation list. */
-void ws_core_outage_vote_unlisted(struct ws_core *core, double now, uint64_t request_id);
+void ws_core_outage_vote_legacy(struct ws_core *core, double now, uint64_t request_id);
 
 /* ---- the queueing model, which runs on a separate thread ---- */
 
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -83,7 +83,7 @@
 /* Frees a call, the data that its kind owns, and its context. Accepts NULL. */
 void ws_call_free(struct ws_call *call);
 /* Clears the state that only the leader uses; called when leadership ends. */
-void ws_core_forget_cluster(struct ws_core *core);
+void ws_core_clear_leader_state(struct ws_core *core);
 
 /*
  * Notifications from a part to parts above it in the list. They belong to no part, so the order of
--- a/src/core/extension/hooks.h
+++ b/src/core/extension/hooks.h
@@ -23,7 +23,7 @@
 struct ws_request_queue;
 
 /* Properties of a machine. The strings are valid for the duration of the call. */
-struct ws_machine_facts {
+struct ws_machine_info {
 	const char *name;
 	const char *address; /* IP address as text; empty if unknown */
 	const char *zone;    /* empty if unknown */
@@ -32,7 +32,7 @@
 };
 
 /* What a newly elected leader knows about earlier leaders. */
-struct ws_election_facts {
+struct ws_election_info {
 	double now;
 	uint64_t term; /* revision of its leader key; it rises with each leader */
 	/*
@@ -40,11 +40,11 @@
 	 * alive; INFINITY if there was none. The clock is monotonic and also runs while the process
 	 * is suspended.
 	 */
-	double unproven_s;
-	uint64_t proven_term; /* term of the leader that the proof refers to; 0: none */
+	double leader_proof_age_s;
+	uint64_t leader_proof_term; /* term of the leader that the proof refers to; 0: none */
 	/* The time by which every lease that an earlier leader may have renewed has expired, even
 	 * with the maximum clock drift. */
-	double leases_out;
+	double leases_expire_at;
 };
 
 /*
@@ -65,7 +65,7 @@
 	WS_RECONCILED_LEASE_EXPIRED,   /* recorded; its machine's lease expired without contact */
 	WS_RECONCILED_MACHINE_GONE,    /* recorded; the cloud reported its machine gone or failed */
 	WS_RECONCILED_UNKNOWN_JOB,     /* runs or completed; its job is not on record */
-	WS_RECONCILED_UNKNOWN_MACHINE, /* not an attempt: see struct ws_machine_facts */
+	WS_RECONCILED_UNKNOWN_MACHINE, /* not an attempt: see struct ws_machine_info */
 	WS_RECONCILIATION_RESULTS,
 };
 
@@ -86,20 +86,20 @@
 };
 
 /* The state in the store of a job that is not in the leader's replica of the live jobs. */
-enum ws_job_standing {
-	WS_STANDING_NEVER_HEARD, /* no record of it exists, neither live nor archived */
-	WS_STANDING_LIVE,
-	WS_STANDING_OVER,
-	WS_STANDING_UNREADABLE, /* the store could not be read */
+enum ws_job_lookup_result {
+	WS_JOB_LOOKUP_NOT_FOUND, /* no record of it exists, neither live nor archived */
+	WS_JOB_LOOKUP_LIVE,
+	WS_JOB_LOOKUP_ARCHIVED,
+	WS_JOB_LOOKUP_UNAVAILABLE, /* the store could not be read */
 };
 
 /* Actions of the core that a subsystem may defer temporarily. */
 enum ws_deferrable_action {
-	WS_DEFER_PREEMPTION,	  /* stop of a task in the zone to free its machine's capacity */
-	WS_DEFER_GANG_STOP,	  /* stop of a gang after a machine of the zone lost contact */
-	WS_DEFER_SCALE_IN_SILENT, /* return of a machine without heartbeats, in the zone */
-	WS_DEFER_SCALE_IN_EMPTY,  /* return of an empty machine of the zone */
-	WS_DEFER_FIRST_START,	  /* start of a job that never had a task started, in any zone */
+	WS_DEFER_PREEMPTION, /* stop of a task in the zone to free its machine's capacity */
+	WS_DEFER_GANG_STOP,  /* stop of a gang after a machine of the zone lost contact */
+	WS_DEFER_SCALE_IN_NO_HEARTBEATS, /* return of a machine without heartbeats, in the zone */
+	WS_DEFER_SCALE_IN_EMPTY,	 /* return of an empty machine of the zone */
+	WS_DEFER_FIRST_START, /* start of a job that never had a task started, in any zone */
 	/*
 	 * Placement, in any zone, of a second replica of a service that lost recorded attempts,
 	 * before other services of its rank have a first replica. It ends for a service when a move
@@ -110,7 +110,7 @@
 };
 
 /* Properties of a job that is neither completed, failed nor cancelled. */
-struct ws_job_facts {
+struct ws_job_info {
 	const char *id;
 	const char *job_class;
 	const char *pinned_zone; /* the only allowed zone; empty: any */
@@ -125,16 +125,16 @@
 };
 
 /* The time, and whether missing heartbeats are meaningful. */
-struct ws_tick_facts {
+struct ws_tick_info {
 	double now;
 	bool serving; /* the leader is entitled to act, and the store is reachable */
 };
 
 /* Why everything that ran on a machine is lost. */
 enum ws_machine_loss {
-	WS_LOSS_LEASE,	  /* its lease has expired, even with the maximum clock drift */
-	WS_LOSS_FAILED,	  /* the cloud reported it as failed */
-	WS_LOSS_RETURNED, /* the cloud confirmed that it is gone */
+	WS_LOSS_LEASE_EXPIRED, /* its lease has expired, even with the maximum clock drift */
+	WS_LOSS_FAILED,	       /* the cloud reported it as failed */
+	WS_LOSS_RETURNED,      /* the cloud confirmed that it is gone */
 };
 
 /* Settings of the cluster from which subsystems derive their own limits. */
@@ -154,7 +154,7 @@
 	void (*destroy)(void *self);
 
 	/* Leadership. Records are loaded between elected() and records_loaded(). */
-	void (*elected)(void *self, const struct ws_election_facts *info);
+	void (*elected)(void *self, const struct ws_election_info *info);
 	void (*record_loaded)(void *self, const char *name, json_t *value);
 	void (*records_loaded)(void *self, double now);
 	/* Called after machine_removed() was called for each machine. */
@@ -163,8 +163,8 @@
 	void (*records_read)(void *self, const char *name_prefix);
 
 	/* Machines. The handle that machine_added() returns is passed to the other hooks. */
-	void *(*machine_added)(void *self, double now, const struct ws_machine_facts *info);
-	void (*machine_changed)(void *self, void *machine, const struct ws_machine_facts *info);
+	void *(*machine_added)(void *self, double now, const struct ws_machine_info *info);
+	void (*machine_changed)(void *self, void *machine, const struct ws_machine_info *info);
 	void (*machine_removed)(void *self, void *machine);
 	/* A heartbeat arrived that echoes this leader's fencing token: the machine receives the
 	 * leader's messages. */
@@ -177,11 +177,11 @@
 	 * is, neither stopped nor reaped. The return value is used for WS_RECONCILED_UNRECORDED and
 	 * WS_RECONCILED_UNKNOWN_JOB, and ignored for other results.
 	 */
-	bool (*attempt_found)(void *self, double now,
-			      const struct ws_reconciliation *reconciliation);
+	bool (*attempt_reconciled)(void *self, double now,
+				   const struct ws_reconciliation *reconciliation);
 	/* Reports the result of a job look-up. */
 	void (*job_looked_up)(void *self, double now, const char *job,
-			      enum ws_job_standing lookup_result);
+			      enum ws_job_lookup_result lookup_result);
 	/* Attempts that were quarantined have been adopted into the record of their job. */
 	void (*attempts_adopted)(void *self, double now, const char *job, uint32_t count);
 
@@ -202,10 +202,10 @@
 	 * job_surveyed() is called. survey_done() ends the survey.
 	 */
 	bool (*attempt_surveyed)(void *self, void *machine);
-	void (*job_surveyed)(void *self, const struct ws_job_facts *info);
+	void (*job_surveyed)(void *self, const struct ws_job_info *info);
 	void (*survey_done)(void *self, double now);
 
-	void (*tick)(void *self, const struct ws_tick_facts *info, struct ws_request_queue *out);
+	void (*tick)(void *self, const struct ws_tick_info *info, struct ws_request_queue *out);
 };
 
 /*
--- a/src/core/extension/subsystem_filters.c
+++ b/src/core/extension/subsystem_filters.c
@@ -26,25 +26,26 @@
 	return zones;
 }
 
-void ws_subsystems_ask_deferred(struct ws_core *core)
+void ws_subsystems_update_deferrals(struct ws_core *core)
 {
 	struct ws_subsystems *subsystems = &core->subsystems;
 
-	memset(subsystems->deferred, 0, sizeof(subsystems->deferred));
+	memset(subsystems->deferred_zones, 0, sizeof(subsystems->deferred_zones));
 	for (size_t i = 0; i < subsystems->count; i++) {
 		const struct ws_subsystem *subsystem = &subsystems->list[i];
 
 		if (!subsystem->ops->action_deferred)
 			continue;
 		for (int kind = 0; kind < WS_DEFERRABLE_ACTIONS; kind++)
-			subsystems->deferred[kind] |= ws_subsystem_deferred_zones(
+			subsystems->deferred_zones[kind] |= ws_subsystem_deferred_zones(
 			    core, subsystem, (enum ws_deferrable_action)kind);
 	}
 }
 
-bool ws_subsystems_defer(const struct ws_core *core, enum ws_deferrable_action kind, int zone)
+bool ws_subsystems_action_deferred(const struct ws_core *core, enum ws_deferrable_action kind,
+				   int zone)
 {
-	return (core->subsystems.deferred[kind] & ws_deferred_zone_bit(zone)) != 0;
+	return (core->subsystems.deferred_zones[kind] & ws_deferred_zone_bit(zone)) != 0;
 }
 
 void ws_subsystems_begin_pass(struct ws_core *core)
@@ -67,7 +68,7 @@
 	}
 }
 
-bool ws_subsystems_avoided(struct ws_core *core, const struct ws_machine *machine)
+bool ws_subsystems_avoid_machine(struct ws_core *core, const struct ws_machine *machine)
 {
 	for (size_t i = 0; i < core->subsystems.count; i++) {
 		const struct ws_subsystem *subsystem = &core->subsystems.list[i];
--- a/src/core/extension/subsystem_requests.c
+++ b/src/core/extension/subsystem_requests.c
@@ -85,7 +85,7 @@
 			  const struct ws_job *job)
 {
 	const struct ws_job_spec *spec = &job->spec;
-	struct ws_job_facts info = {
+	struct ws_job_info info = {
 	    .id = spec->id,
 	    .job_class = spec->job_class,
 	    .pinned_zone = spec->zone,
@@ -183,7 +183,7 @@
 	};
 	ws_job_moves_merge(job);
 	job->lost_recorded_attempts = false;
-	core->subsystems.moves = true;
+	core->subsystems.any_move_requested = true;
 	ws_core_request_pass(core);
 }
 
@@ -215,7 +215,7 @@
 				   const struct ws_result *result)
 {
 	bool live = ws_key_has_prefix(call->read.key, WS_KEY_PREFIX_JOB);
-	enum ws_job_standing lookup_result = WS_STANDING_UNREADABLE;
+	enum ws_job_lookup_result lookup_result = WS_JOB_LOOKUP_UNAVAILABLE;
 	const struct ws_job_look_up *look_up = call->context;
 	const struct ws_subsystem *subsystem = &core->subsystems.list[look_up->subsystem];
 
@@ -228,9 +228,9 @@
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_NOT_FOUND)
-		lookup_result = WS_STANDING_NEVER_HEARD;
+		lookup_result = WS_JOB_LOOKUP_NOT_FOUND;
 	else if (result->outcome == WS_OUTCOME_OK)
-		lookup_result = live ? WS_STANDING_LIVE : WS_STANDING_OVER;
+		lookup_result = live ? WS_JOB_LOOKUP_LIVE : WS_JOB_LOOKUP_ARCHIVED;
 	if (subsystem->ops->job_looked_up)
 		subsystem->ops->job_looked_up(subsystem->self, core->now, look_up->job,
 					      lookup_result);
@@ -273,7 +273,7 @@
 /* ---- ticks ---- */
 
 /* Calls a subsystem's tick hook and carries out its requests in order. */
-static void ws_subsystem_tick(struct ws_core *core, size_t index, const struct ws_tick_facts *info)
+static void ws_subsystem_tick(struct ws_core *core, size_t index, const struct ws_tick_info *info)
 {
 	const struct ws_subsystem *subsystem = &core->subsystems.list[index];
 	struct ws_request_queue queue = {.tail = &queue.head};
@@ -292,15 +292,15 @@
 
 void ws_subsystems_tick(struct ws_core *core)
 {
-	const struct ws_tick_facts info = {
+	const struct ws_tick_info info = {
 	    .now = core->now,
 	    .serving = ws_is_entitled(core) && !core->leadership.in_outage,
 	};
 
-	if (!ws_subsystems_active(core) || core->now < core->subsystems.tick_next)
+	if (!ws_subsystems_active(core) || core->now < core->subsystems.next_tick_at)
 		return;
-	core->subsystems.tick_next = core->now + ws_sweep_interval(core);
+	core->subsystems.next_tick_at = core->now + ws_sweep_interval(core);
 	for (size_t i = 0; i < core->subsystems.count; i++)
 		ws_subsystem_tick(core, i, &info);
-	ws_subsystems_ask_deferred(core);
+	ws_subsystems_update_deferrals(core);
 }
--- a/src/core/extension/subsystems.c
+++ b/src/core/extension/subsystems.c
@@ -50,14 +50,14 @@
 
 void ws_subsystems_elected(struct ws_core *core)
 {
-	const struct ws_election_facts info = {
+	const struct ws_election_info info = {
 	    .now = core->now,
 	    .term = core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT,
-	    .unproven_s = core->leadership.proof.exists
-			      ? core->now - core->leadership.proof.alive_at
-			      : INFINITY,
-	    .proven_term = core->leadership.proof.term,
-	    .leases_out = ws_lease_expiry(core, core->leadership.elected_at),
+	    .leader_proof_age_s = core->leadership.proof.exists
+				      ? core->now - core->leadership.proof.active_at
+				      : INFINITY,
+	    .leader_proof_term = core->leadership.proof.term,
+	    .leases_expire_at = ws_lease_expiry(core, core->leadership.elected_at),
 	};
 
 	WS_EACH_HOOK(core, elected, &info);
@@ -71,9 +71,9 @@
 		return;
 	HASH_ITER (hh, core->fleet.machines, machine, next)
 		if (machine->incarnation)
-			ws_subsystems_machine(core, machine);
+			ws_subsystems_machine_updated(core, machine);
 	WS_EACH_HOOK(core, records_loaded, core->now);
-	ws_subsystems_ask_deferred(core);
+	ws_subsystems_update_deferrals(core);
 }
 
 void ws_subsystems_step_down(struct ws_core *core)
@@ -86,17 +86,17 @@
 		ws_subsystems_machine_removed(core, machine);
 	WS_EACH_HOOK(core, stepped_down);
 	ws_subsystem_records_clear(core);
-	core->subsystems.tick_next = 0;
+	core->subsystems.next_tick_at = 0;
 	core->subsystems.zones_avoided = core->subsystems.zones_closed = 0;
-	memset(core->subsystems.deferred, 0, sizeof(core->subsystems.deferred));
-	core->subsystems.moves = false;
+	memset(core->subsystems.deferred_zones, 0, sizeof(core->subsystems.deferred_zones));
+	core->subsystems.any_move_requested = false;
 }
 
 /* ---- machines ---- */
 
-void ws_subsystems_machine(struct ws_core *core, struct ws_machine *machine)
+void ws_subsystems_machine_updated(struct ws_core *core, struct ws_machine *machine)
 {
-	const struct ws_machine_facts info = {
+	const struct ws_machine_info info = {
 	    .name = machine->name,
 	    .address = machine->address,
 	    .zone = machine->zone,
@@ -122,19 +122,20 @@
 	memset(machine->subsystem_handles, 0, sizeof(machine->subsystem_handles));
 }
 
-void ws_subsystems_heartbeat(struct ws_core *core, struct ws_machine *machine)
+void ws_subsystems_heartbeat_seen(struct ws_core *core, struct ws_machine *machine)
 {
 	WS_EACH_MACHINE_HOOK(core, machine, heartbeat_seen, core->now,
 			     machine->subsystem_handles[i_]);
 }
 
-void ws_subsystems_answered(struct ws_core *core, struct ws_machine *machine, bool answered)
+void ws_subsystems_command_answered(struct ws_core *core, struct ws_machine *machine, bool answered)
 {
 	WS_EACH_MACHINE_HOOK(core, machine, command_answered, machine->subsystem_handles[i_],
 			     answered);
 }
 
-void ws_subsystems_lost(struct ws_core *core, struct ws_machine *machine, enum ws_machine_loss loss)
+void ws_subsystems_machine_lost(struct ws_core *core, struct ws_machine *machine,
+				enum ws_machine_loss loss)
 {
 	WS_EACH_MACHINE_HOOK(core, machine, machine_lost, core->now, machine->subsystem_handles[i_],
 			     loss);
@@ -142,8 +143,8 @@
 
 /* ---- reconciliation ---- */
 
-bool ws_subsystems_reconciled(struct ws_core *core, const struct ws_attempt *attempt,
-			      enum ws_reconciliation_result result)
+bool ws_subsystems_attempt_reconciled(struct ws_core *core, const struct ws_attempt *attempt,
+				      enum ws_reconciliation_result result)
 {
 	const struct ws_reconciliation reconciliation = {
 	    .result = result,
@@ -158,14 +159,14 @@
 	for (size_t i = 0; i < core->subsystems.count; i++) {
 		const struct ws_subsystem *subsystem = &core->subsystems.list[i];
 
-		if (subsystem->ops->attempt_found)
-			wants_quarantine |= subsystem->ops->attempt_found(
+		if (subsystem->ops->attempt_reconciled)
+			wants_quarantine |= subsystem->ops->attempt_reconciled(
 			    subsystem->self, core->now, &reconciliation);
 	}
 	return wants_quarantine;
 }
 
-void ws_subsystems_adopted(struct ws_core *core, const char *job, uint32_t count)
+void ws_subsystems_attempts_adopted(struct ws_core *core, const char *job, uint32_t count)
 {
 	WS_EACH_HOOK(core, attempts_adopted, core->now, job, count);
 }
--- a/src/core/extension/subsystems.h
+++ b/src/core/extension/subsystems.h
@@ -40,13 +40,13 @@
 	size_t count;
 	struct ws_subsystem_record *records; /* by key */
 	size_t dirty_records;
-	double tick_next;
+	double next_tick_at;
 	/* Results of the zone filters in the current placement pass, one bit per zone. */
 	uint32_t zones_avoided, zones_closed;
 	/* The zones in which actions of a kind were deferred at the last tick. Bit 0 stands for an
 	 * unknown zone, bit z + 1 for zone z. */
-	uint64_t deferred[WS_DEFERRABLE_ACTIONS];
-	bool moves; /* whether any move was requested since the election */
+	uint64_t deferred_zones[WS_DEFERRABLE_ACTIONS];
+	bool any_move_requested; /* whether any move was requested since the election */
 };
 
 /* ---- subsystems.c: attached subsystems and the events sent to them ---- */
@@ -66,34 +66,36 @@
 void ws_subsystems_step_down(struct ws_core *core);
 
 /* Reports that a machine is new, or that its properties have changed. */
-void ws_subsystems_machine(struct ws_core *core, struct ws_machine *machine);
+void ws_subsystems_machine_updated(struct ws_core *core, struct ws_machine *machine);
 /* Reports that a machine is about to be freed. Its handles must not be used afterwards. */
 void ws_subsystems_machine_removed(struct ws_core *core, struct ws_machine *machine);
 /* Reports a heartbeat that echoes this leader's fencing token. */
-void ws_subsystems_heartbeat(struct ws_core *core, struct ws_machine *machine);
+void ws_subsystems_heartbeat_seen(struct ws_core *core, struct ws_machine *machine);
 /* Reports whether a command sent directly to a machine, or a probe, was answered. */
-void ws_subsystems_answered(struct ws_core *core, struct ws_machine *machine, bool answered);
+void ws_subsystems_command_answered(struct ws_core *core, struct ws_machine *machine,
+				    bool answered);
 /* Reports that everything that ran on a machine is lost. */
-void ws_subsystems_lost(struct ws_core *core, struct ws_machine *machine,
-			enum ws_machine_loss loss);
+void ws_subsystems_machine_lost(struct ws_core *core, struct ws_machine *machine,
+				enum ws_machine_loss loss);
 
 /* Reports the reconciliation result of an attempt. Returns whether a subsystem requests that it be
  * quarantined. */
-bool ws_subsystems_reconciled(struct ws_core *core, const struct ws_attempt *attempt,
-			      enum ws_reconciliation_result result);
+bool ws_subsystems_attempt_reconciled(struct ws_core *core, const struct ws_attempt *attempt,
+				      enum ws_reconciliation_result result);
 /* Reports how many quarantined attempts of a job were adopted; 0 if the job has become known. */
-void ws_subsystems_adopted(struct ws_core *core, const char *job, uint32_t count);
+void ws_subsystems_attempts_adopted(struct ws_core *core, const char *job, uint32_t count);
 
 /* ---- subsystem_filters.c ---- */
 
 /* Queries which actions are deferred; called once per tick. */
-void ws_subsystems_ask_deferred(struct ws_core *core);
+void ws_subsystems_update_deferrals(struct ws_core *core);
 /* Returns whether actions of a kind are deferred in a zone; index -1 is an unknown zone. */
-bool ws_subsystems_defer(const struct ws_core *core, enum ws_deferrable_action kind, int zone);
+bool ws_subsystems_action_deferred(const struct ws_core *core, enum ws_deferrable_action kind,
+				   int zone);
 /* Queries which zones the new placement pass is to avoid, and in which scale-out is blocked. */
 void ws_subsystems_begin_pass(struct ws_core *core);
 /* Returns whether a subsystem wants a machine to be used only as a last resort. */
-bool ws_subsystems_avoided(struct ws_core *core, const struct ws_machine *machine);
+bool ws_subsystems_avoid_machine(struct ws_core *core, const struct ws_machine *machine);
 
 /* ---- subsystem_requests.c ---- */
 
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -186,7 +186,7 @@
 {
 	if (!ws_probe_is_due(core, machine))
 		return false;
-	machine->commands.next_probe_at = core->now + core->settings->report_s;
+	machine->commands.next_probe_at = core->now + core->settings->heartbeat_s;
 	ws_commands_call_new(core, machine);
 	return true;
 }
@@ -208,7 +208,7 @@
 		      heartbeat->sequence > machine->sequence) ||
 		     !machine->reported;
 
-	ws_leadership_saw_worker(core, false); /* the machine can be reached from here */
+	ws_leadership_worker_contact(core, false); /* the machine can be reached from here */
 	machine->unreachable = false;
 	if (!newer)
 		return;
@@ -260,7 +260,7 @@
 	machine->commands.in_flight--;
 	if (result->outcome == WS_OUTCOME_NOT_SENT)
 		return; /* never sent: the next answer to a heartbeat carries the commands */
-	ws_subsystems_answered(core, machine, result->heartbeat != NULL);
+	ws_subsystems_command_answered(core, machine, result->heartbeat != NULL);
 	if (result->heartbeat && !strcmp(result->heartbeat->machine, machine->name)) {
 		ws_commands_acknowledged(core, machine, result->heartbeat);
 		ws_machine_send_unsent_commands(core, machine);
@@ -277,7 +277,8 @@
 	return machine->reported && machine->port && !machine->commands.in_flight &&
 	       !machine->commands.late_token && !machine->gone && !machine->scale_in.requested &&
 	       ws_is_entitled(core) &&
-	       core->now - machine->last_heard_at <= LISTENING_INTERVALS * core->settings->report_s;
+	       core->now - machine->last_heard_at <=
+		   LISTENING_INTERVALS * core->settings->heartbeat_s;
 }
 
 static bool ws_machine_has_unsent_stop(const struct ws_machine *machine)
--- a/src/core/fleet/fleet.c
+++ b/src/core/fleet/fleet.c
@@ -115,7 +115,7 @@
 		ws_machine_apply_instance_identity(core, machine, instance);
 	/* a machine that still sends heartbeats has not failed, whatever the list says */
 	if (instance->phase == WS_INSTANCE_FAILED && !machine->failed && !machine->gone &&
-	    core->now > machine->last_heard_at + core->settings->report_s)
+	    core->now > machine->last_heard_at + core->settings->heartbeat_s)
 		ws_machine_mark_failed(core, machine);
 }
 
--- a/src/core/fleet/fleet_sweep.c
+++ b/src/core/fleet/fleet_sweep.c
@@ -15,10 +15,10 @@
 	const struct ws_job_spec *spec = &attempt->job->spec;
 
 	if (spec->gang)
-		return spec->checkpoint_s > 0 &&
-		       core->now + spec->save_s < attempt->machine->preempted_at &&
+		return spec->checkpoint_interval_s > 0 &&
+		       core->now + spec->checkpoint_duration_s < attempt->machine->preempted_at &&
 		       ws_gang_is_reachable(core, attempt->job);
-	return spec->service || spec->checkpoint_s > 0;
+	return spec->service || spec->checkpoint_interval_s > 0;
 }
 
 /* Stops what is to leave a machine before it is preempted. */
--- a/src/core/fleet/gang_attempts.c
+++ b/src/core/fleet/gang_attempts.c
@@ -106,10 +106,10 @@
 
 	if (spec->gang) {
 		attempt->job->gang.preemptions++;
-		ws_gang_stop(core, attempt->job, spec->save_s + core->settings->gang_peer_s,
-			     reason);
+		ws_gang_stop(core, attempt->job,
+			     spec->checkpoint_duration_s + core->settings->gang_peer_s, reason);
 	} else {
-		ws_attempt_stop(core, attempt, spec->save_s, reason);
+		ws_attempt_stop(core, attempt, spec->checkpoint_duration_s, reason);
 	}
 }
 
@@ -128,7 +128,7 @@
 
 	return attempt->maybe_sent &&
 	       ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->resumed_at)) &&
-	       !ws_subsystems_defer(core, WS_DEFER_GANG_STOP, machine->zone_index);
+	       !ws_subsystems_action_deferred(core, WS_DEFER_GANG_STOP, machine->zone_index);
 }
 
 static struct ws_gang_progress ws_gang_progress(const struct ws_core *core,
@@ -160,7 +160,7 @@
 	if (!job->gang.member_lost_at)
 		job->gang.member_lost_at = core->now;
 	else if (core->now - job->gang.member_lost_at >
-		 core->settings->gang_peer_s + BROKEN_INTERVALS * core->settings->report_s)
+		 core->settings->gang_peer_s + BROKEN_INTERVALS * core->settings->heartbeat_s)
 		ws_gang_stop(core, job, 0, WS_STOP_GANG_LOST_TASK);
 }
 
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -6,7 +6,7 @@
 {
 	machine->reported = true;
 	machine->up_at = core->now;
-	if (!machine->owned && core->now - machine->first_seen > core->settings->report_s)
+	if (!machine->owned && core->now - machine->first_seen > core->settings->heartbeat_s)
 		ws_stats_booted(core, core->now - machine->first_seen);
 	ws_log(core, WS_LOG_INFO, "machine up machine=%s type=%s zone=%s preemptible=%s owned=%s",
 	       machine->name, machine->type_name, machine->zone,
@@ -38,7 +38,7 @@
 		ws_machine_mark_dirty(core, machine);
 	}
 	if (identity_changed)
-		ws_subsystems_machine(core, machine);
+		ws_subsystems_machine_updated(core, machine);
 }
 
 /* A machine reports a later incarnation: its lease expired, and all that it had before is gone. */
@@ -181,7 +181,7 @@
 	effect->answer = WS_ANSWER_OK;
 	effect->heartbeat.fencing_token = machine->fencing_token;
 	if (ws_machine_echoes_token(machine))
-		ws_subsystems_heartbeat(core, machine);
+		ws_subsystems_heartbeat_seen(core, machine);
 	machine->lease.expires_at = ws_lease_expiry(core, core->now);
 	if (heartbeat->incarnation != machine->incarnation)
 		return;
--- a/src/core/fleet/machine_leases.c
+++ b/src/core/fleet/machine_leases.c
@@ -37,7 +37,7 @@
 
 bool ws_heartbeat_overdue(const struct ws_core *core, double since)
 {
-	return core->now - since > OVERDUE_INTERVALS * core->settings->report_s;
+	return core->now - since > OVERDUE_INTERVALS * core->settings->heartbeat_s;
 }
 
 /*
@@ -50,7 +50,7 @@
 {
 	return core->now - fmax(machine->heartbeat.received_at,
 				fmax(machine->up_at, core->leadership.elected_at)) <
-	       SILENT_INTERVALS * core->settings->report_s;
+	       SILENT_INTERVALS * core->settings->heartbeat_s;
 }
 
 bool ws_machine_is_usable(const struct ws_core *core, const struct ws_machine *machine)
@@ -59,7 +59,8 @@
 	       !machine->invalid_name && !machine->quarantine.running && machine->reported &&
 	       machine->type && !machine->gone && !machine->scale_in.requested &&
 	       !machine->failed && machine->incarnation &&
-	       core->now - machine->last_heard_at < SILENT_INTERVALS * core->settings->report_s &&
+	       core->now - machine->last_heard_at <
+		   SILENT_INTERVALS * core->settings->heartbeat_s &&
 	       ws_machine_heartbeats_arrive(core, machine) &&
 	       core->now < machine->lease.expires_at &&
 	       core->now >= machine->failures.suspended_until &&
@@ -83,7 +84,7 @@
 {
 	ws_log(core, WS_LOG_INFO, "lease expired machine=%s", machine->name);
 	machine->lease.least_incarnation = machine->incarnation + 1;
-	ws_subsystems_lost(core, machine, WS_LOSS_LEASE);
+	ws_subsystems_machine_lost(core, machine, WS_LOSS_LEASE_EXPIRED);
 	ws_machine_release_attempts(core, machine, WS_RECONCILED_LEASE_EXPIRED,
 				    WS_RELEASE_LEASE_EXPIRED);
 }
@@ -91,7 +92,7 @@
 void ws_machine_mark_failed(struct ws_core *core, struct ws_machine *machine)
 {
 	machine->failed = true;
-	ws_subsystems_lost(core, machine, WS_LOSS_FAILED);
+	ws_subsystems_machine_lost(core, machine, WS_LOSS_FAILED);
 	ws_log(core, WS_LOG_INFO, "instance failed machine=%s", machine->name);
 	ws_machine_release_attempts(core, machine, WS_RECONCILED_MACHINE_GONE,
 				    WS_RELEASE_MACHINE_GONE);
@@ -103,7 +104,7 @@
 		return;
 	ws_log(core, WS_LOG_INFO, "machine gone machine=%s reason=\"%s\"", machine->name, reason);
 	machine->gone = true;
-	ws_subsystems_lost(core, machine, WS_LOSS_RETURNED);
+	ws_subsystems_machine_lost(core, machine, WS_LOSS_RETURNED);
 	ws_tombstone_set(&core->fleet.returned_machines, machine->name,
 			 core->now + core->settings->lease_s +
 			     RETURNED_LIST_LAGS * core->settings->list_lag_s);
--- a/src/core/fleet/machine_shard_records.c
+++ b/src/core/fleet/machine_shard_records.c
@@ -68,7 +68,7 @@
 	shard->write_in_flight = true;
 	ws_write_counts_add(core, WS_WRITE_FLEET);
 	core->fleet.next_shard_write_at =
-	    core->now + WRITES_PER_SHARD / core->settings->state_write_rps;
+	    core->now + WRITES_PER_SHARD / core->settings->store_write_rps;
 	batch->bytes += (size_t)core->writer.value_bytes_max;
 	snprintf(key, sizeof(key), "%s%d", WS_KEY_PREFIX_MACHINE_SHARD, number);
 	ws_write_batch_set_if(batch, key, shard->revision, ws_record_machine_shard(core, number));
--- a/src/core/fleet/quarantine.c
+++ b/src/core/fleet/quarantine.c
@@ -55,14 +55,14 @@
 	if (ws_tombstone_is_set(core, &core->jobs.archived, status->job))
 		return false; /* archived by this leader */
 	snprintf(attempt.job_id, sizeof(attempt.job_id), "%s", status->job);
-	return ws_subsystems_reconciled(core, &attempt, WS_RECONCILED_UNKNOWN_JOB);
+	return ws_subsystems_attempt_reconciled(core, &attempt, WS_RECONCILED_UNKNOWN_JOB);
 }
 
 /* Whether an attempt on no record is quarantined. A gang's is not, once its job is known. */
 static bool ws_unrecorded_is_quarantined(struct ws_core *core, const struct ws_attempt *attempt)
 {
 	enum ws_reconciliation_result result = ws_reconcile_unrecorded(attempt);
-	bool wanted = ws_subsystems_reconciled(core, attempt, result);
+	bool wanted = ws_subsystems_attempt_reconciled(core, attempt, result);
 
 	if (result == WS_RECONCILED_UNRECORDED)
 		return wanted && !attempt->job->spec.gang;
@@ -112,7 +112,7 @@
 	ws_log(core, WS_LOG_INFO, "unrecorded attempt adopted machine=%s job=%s task=%u",
 	       attempt->machine->name, attempt->job_id, attempt->task);
 	ws_job_mark_dirty(core, attempt->job, true);
-	ws_subsystems_adopted(core, attempt->job_id, 1);
+	ws_subsystems_attempts_adopted(core, attempt->job_id, 1);
 }
 
 void ws_quarantine_reported(struct ws_core *core, struct ws_attempt *attempt)
@@ -157,7 +157,8 @@
 			ws_quarantine_reported(core, attempt);
 		}
 	}
-	ws_subsystems_adopted(core, job->spec.id, 0); /* reported also if none was adopted */
+	ws_subsystems_attempts_adopted(core, job->spec.id,
+				       0); /* reported also if none was adopted */
 }
 
 void ws_quarantine_link_job(struct ws_core *core, struct ws_job *job)
--- a/src/core/fleet/reconciliation.c
+++ b/src/core/fleet/reconciliation.c
@@ -12,7 +12,7 @@
 	attempt->awaiting_reconciliation = false;
 	if (attempt->job && ws_reconciliation_loses_work(result))
 		attempt->job->lost_recorded_attempts = true;
-	ws_subsystems_reconciled(core, attempt, result);
+	ws_subsystems_attempt_reconciled(core, attempt, result);
 }
 
 static enum ws_reconciliation_result ws_reconciliation_of_exit(enum ws_exit_reason exit_reason)
@@ -20,9 +20,9 @@
 	switch (exit_reason) {
 	case WS_EXIT_DONE: return WS_RECONCILED_ENDED_DONE;
 	case WS_EXIT_ERROR:
-	case WS_EXIT_FULL:
-	case WS_EXIT_BUSY:
-	case WS_EXIT_UNKNOWN: return WS_RECONCILED_ENDED_FAILED;
+	case WS_EXIT_NO_CAPACITY:
+	case WS_EXIT_ATTEMPT_EXISTS:
+	case WS_EXIT_UNKNOWN_JOB: return WS_RECONCILED_ENDED_FAILED;
 	case WS_EXIT_NONE:
 	case WS_EXIT_STOPPED:
 	case WS_EXIT_MEMBER_LOST:
--- a/src/core/fleet/task_reports.c
+++ b/src/core/fleet/task_reports.c
@@ -48,7 +48,7 @@
 	doublings = (job->failures - FAILURES_BEFORE_BACK_OFF) / 2;
 	if (doublings > BACK_OFF_DOUBLINGS_MAX)
 		doublings = BACK_OFF_DOUBLINGS_MAX;
-	job->retry_not_before = core->now + core->settings->report_s * (1 << doublings);
+	job->retry_not_before = core->now + core->settings->heartbeat_s * (1 << doublings);
 }
 
 /*
@@ -63,7 +63,7 @@
 	if (!attempt->job)
 		return;
 	ws_job_count_failure(core, attempt->job);
-	machine->failures.refused_until = core->now + core->settings->report_s;
+	machine->failures.refused_until = core->now + core->settings->heartbeat_s;
 }
 
 /* A task completed. */
@@ -87,9 +87,9 @@
 {
 	ws_log(core, WS_LOG_INFO, "task refused machine=%s job=%s task=%u reason=%d", machine->name,
 	       attempt->job_id, attempt->task, attempt->exit_reason);
-	machine->failures.refused_until = core->now + core->settings->report_s;
-	if (attempt->job && attempt->exit_reason == WS_EXIT_UNKNOWN)
-		attempt->job->retry_not_before = core->now + core->settings->report_s;
+	machine->failures.refused_until = core->now + core->settings->heartbeat_s;
+	if (attempt->job && attempt->exit_reason == WS_EXIT_UNKNOWN_JOB)
+		attempt->job->retry_not_before = core->now + core->settings->heartbeat_s;
 }
 
 static void ws_attempt_exited(struct ws_core *core, struct ws_attempt *attempt)
@@ -107,9 +107,9 @@
 		       attempt->job_id, attempt->task);
 		ws_task_failed(core, machine, attempt);
 		break;
-	case WS_EXIT_FULL:
-	case WS_EXIT_BUSY:
-	case WS_EXIT_UNKNOWN: ws_task_refused(core, machine, attempt); break;
+	case WS_EXIT_NO_CAPACITY:
+	case WS_EXIT_ATTEMPT_EXISTS:
+	case WS_EXIT_UNKNOWN_JOB: ws_task_refused(core, machine, attempt); break;
 	case WS_EXIT_NONE:
 	case WS_EXIT_STOPPED:
 	case WS_EXIT_MEMBER_LOST:
@@ -179,7 +179,7 @@
 			ws_image_cache_touch(core, machine, attempt->job->image_index);
 	}
 	if (attempt->job && attempt->job->spec.gang && !attempt->unrecorded &&
-	    (status->state == WS_TASK_RUNNING || status->state == WS_TASK_SAVING))
+	    (status->state == WS_TASK_RUNNING || status->state == WS_TASK_CHECKPOINTING))
 		attempt->job->gang.last_run_attempt = attempt->number;
 	if (status->state == WS_TASK_RUNNING && attempt->task_state != WS_TASK_RUNNING)
 		ws_attempt_began_to_run(core, machine, attempt);
--- a/src/core/jobs/attempts.c
+++ b/src/core/jobs/attempts.c
@@ -18,7 +18,7 @@
 static void ws_attempt_account_units(struct ws_core *core, const struct ws_job_spec *spec, int sign)
 {
 	if (!spec->service)
-		ws_stats_held(core, sign * ws_task_demand_units(core, spec));
+		ws_stats_units_held(core, sign * ws_task_demand_units(core, spec));
 }
 
 /* Adds (1) or removes (-1) an attempt's resources in its machine's usage. */
--- a/src/core/jobs/continuation_records.c
+++ b/src/core/jobs/continuation_records.c
@@ -29,10 +29,10 @@
 	struct ws_tombstone *tombstone = core->jobs.orphaned_continuations;
 
 	for (; tombstone && ws_write_batch_operations_left(batch); tombstone = tombstone->hh.next) {
-		if (tombstone->until <= core->now)
+		if (tombstone->expires_at <= core->now)
 			continue;
 		ws_write_batch_set(batch, tombstone->name, NULL);
-		tombstone->until = core->now;
+		tombstone->expires_at = core->now;
 	}
 }
 
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -53,9 +53,9 @@
 	core->generation++;
 	if (leadership->role == WS_LEADER &&
 	    core->now - leadership->elected_at > WS_PROOF_TTLS * leadership->session_ttl_s)
-		ws_leader_proven(core, fmin(core->now, leadership->entitled_until),
-				 leadership->fencing_token >> WS_FENCING_TOKEN_SHIFT);
-	ws_core_forget_cluster(core);
+		ws_leader_record_active(core, fmin(core->now, leadership->entitled_until),
+					leadership->fencing_token >> WS_FENCING_TOKEN_SHIFT);
+	ws_core_clear_leader_state(core);
 	leadership->renewals_in_flight = 0;
 	leadership->in_outage = leadership->paused = false;
 	leadership->votes.outstanding = 0;
@@ -120,7 +120,7 @@
 		return;
 	}
 	core->leadership.entitled_until =
-	    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT);
+	    call->created_at + core->leadership.session_ttl_s * (1 - WS_CLOCK_DRIFT_MAX);
 	core->leadership.next_renewal_at = call->created_at + core->leadership.session_ttl_s / 4;
 	transaction = ws_call_new(core, WS_CALL_TRANSACTION, ws_election_answered);
 	transaction->urgent = true;
@@ -256,7 +256,8 @@
 static bool ws_workers_reach_only_peers(const struct ws_core *core)
 {
 	return core->leadership.role == WS_LEADER && core->leadership.forwarded_only_since > 0 &&
-	       core->now - core->leadership.forwarded_only_since > 2.5 * core->settings->report_s &&
+	       core->now - core->leadership.forwarded_only_since >
+		   2.5 * core->settings->heartbeat_s &&
 	       !core->leadership.in_outage;
 }
 
@@ -265,7 +266,7 @@
 	core->leadership.role = WS_LEADER;
 }
 
-void ws_leadership_saw_worker(struct ws_core *core, bool forwarded)
+void ws_leadership_worker_contact(struct ws_core *core, bool forwarded)
 {
 	struct ws_leadership *leadership = &core->leadership;
 
--- a/src/core/leadership/entitlement.c
+++ b/src/core/leadership/entitlement.c
@@ -55,7 +55,8 @@
 		return;
 	core->leadership.renewals_in_flight--;
 	if (result->outcome == WS_OUTCOME_OK) {
-		double until = call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT);
+		double until =
+		    call->created_at + core->leadership.session_ttl_s * (1 - WS_CLOCK_DRIFT_MAX);
 
 		if (until > core->leadership.entitled_until)
 			core->leadership.entitled_until = until;
@@ -81,7 +82,7 @@
 		/* outdated if a later renewal has succeeded */
 		if (result->outcome == WS_OUTCOME_UNAVAILABLE && !core->leadership.in_outage &&
 		    core->leadership.role == WS_LEADER &&
-		    call->created_at + core->leadership.session_ttl_s * (1 - WS_DRIFT) >=
+		    call->created_at + core->leadership.session_ttl_s * (1 - WS_CLOCK_DRIFT_MAX) >=
 			core->leadership.entitled_until) {
 			core->leadership.in_outage = true;
 			core->leadership.votes.next_round_at = core->now;
@@ -115,7 +116,7 @@
 	if (core->leadership.role == WS_LEADER && !core->leadership.paused) {
 		core->leadership.paused = true;
 		core->leadership.pause_until = core->leadership.entitled_until +
-					       core->settings->lease_s * (1 - WS_DRIFT) -
+					       core->settings->lease_s * (1 - WS_CLOCK_DRIFT_MAX) -
 					       core->leadership.session_ttl_s;
 		ws_log(core, WS_LOG_INFO,
 		       "paused: store unavailable, outage not confirmed by all peers");
--- a/src/core/leadership/leader_proof.c
+++ b/src/core/leadership/leader_proof.c
@@ -9,12 +9,12 @@
  * request. Times are those at which a request was sent, so a stall of this process can't make a
  * proof look newer than it is.
  */
-void ws_leader_proven(struct ws_core *core, double active_at, uint64_t term)
+void ws_leader_record_active(struct ws_core *core, double active_at, uint64_t term)
 {
-	if (core->leadership.proof.exists && active_at <= core->leadership.proof.alive_at)
+	if (core->leadership.proof.exists && active_at <= core->leadership.proof.active_at)
 		return;
 	core->leadership.proof.exists = true;
-	core->leadership.proof.alive_at = active_at;
+	core->leadership.proof.active_at = active_at;
 	core->leadership.proof.term = term;
 }
 
@@ -27,6 +27,6 @@
 		proof->leader_revision = core->leadership.leader_revision;
 		proof->key_since = sent_at;
 	} else if (proof->leader_revision && sent_at - proof->key_since > proof_s) {
-		ws_leader_proven(core, sent_at - proof_s, proof->leader_revision);
+		ws_leader_record_active(core, sent_at - proof_s, proof->leader_revision);
 	}
 }
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -32,15 +32,15 @@
 				     read has failed since */
 	double key_since;	  /* when the request that first returned that revision was sent */
 	bool exists;
-	double alive_at; /* a leader was active at this time or later */
-	uint64_t term;	 /* revision of that leader's key */
+	double active_at; /* a leader was active at this time or later */
+	uint64_t term;	  /* revision of that leader's key */
 };
 
 /* A round of outage votes: whether the store is unavailable to the peers as well. */
 struct ws_outage_votes {
 	uint64_t round;
 	int granted, outstanding;
-	double asked_at, last_answer_at, next_round_at;
+	double requested_at, last_answer_at, next_round_at;
 };
 
 struct ws_leadership {
@@ -84,7 +84,7 @@
 void ws_leadership_assume(struct ws_core *core);
 /* Records a message from a worker, received directly or forwarded by a peer. If all are forwarded,
  * a peer should lead. */
-void ws_leadership_saw_worker(struct ws_core *core, bool forwarded);
+void ws_leadership_worker_contact(struct ws_core *core, bool forwarded);
 /* Whether this node may act as the leader now. */
 bool ws_is_entitled(const struct ws_core *core);
 /* Gives up leadership or the campaign and clears the leader's state. If `reason` is NULL, the core
--- a/src/core/leadership/leadership_internal.h
+++ b/src/core/leadership/leadership_internal.h
@@ -6,7 +6,7 @@
 /* ---- leader_proof.c ---- */
 
 /* Records that the leader of a term was active at a time. */
-void ws_leader_proven(struct ws_core *core, double active_at, uint64_t term);
+void ws_leader_record_active(struct ws_core *core, double active_at, uint64_t term);
 /* Records that the leader key was read by a request sent at `sent_at`. */
 void ws_leader_key_read(struct ws_core *core, double sent_at);
 
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -40,11 +40,11 @@
 static void ws_extend_entitlement(struct ws_core *core)
 {
 	struct ws_leadership *leadership = &core->leadership;
-	double session_s = leadership->session_ttl_s * (1 - WS_DRIFT);
+	double session_s = leadership->session_ttl_s * (1 - WS_CLOCK_DRIFT_MAX);
 	double until =
-	    leadership->votes.asked_at + fmin(session_s, leadership->replica_age_limit_s);
+	    leadership->votes.requested_at + fmin(session_s, leadership->replica_age_limit_s);
 
-	if (!ws_core_outage_confirm_replica(core, leadership->votes.asked_at))
+	if (!ws_core_outage_confirm_replica(core, leadership->votes.requested_at))
 		return;
 	if (until <= leadership->entitled_until || until <= core->now)
 		return;
@@ -92,7 +92,7 @@
 	core->leadership.votes.next_round_at = core->now + core->leadership.session_ttl_s / 8;
 	core->leadership.votes.round++;
 	core->leadership.votes.granted = core->leadership.votes.outstanding = 0;
-	core->leadership.votes.asked_at = core->leadership.votes.last_answer_at = core->now;
+	core->leadership.votes.requested_at = core->leadership.votes.last_answer_at = core->now;
 	for (size_t i = 0; i < core->settings->peer_count; i++)
 		ws_outage_vote_request(core, core->settings->peers[i].node,
 				       core->job_watch.revision, "");
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -8,7 +8,8 @@
 
 double ws_lease_length(const struct ws_settings *settings)
 {
-	return settings->lease_s * (1 + WS_DRIFT) + settings->lease_s / EXPIRY_MARGINS_PER_LEASE;
+	return settings->lease_s * (1 + WS_CLOCK_DRIFT_MAX) +
+	       settings->lease_s / EXPIRY_MARGINS_PER_LEASE;
 }
 
 double ws_lease_expiry(const struct ws_core *core, double from)
@@ -18,6 +19,6 @@
 
 double ws_sweep_interval(const struct ws_core *core)
 {
-	return fmin(core->settings->report_s / SWEEPS_PER_HEARTBEAT,
+	return fmin(core->settings->heartbeat_s / SWEEPS_PER_HEARTBEAT,
 		    core->settings->lease_s / SWEEPS_PER_LEASE);
 }
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -8,7 +8,7 @@
 
 /* Maximum drift between the clocks of two machines, as a share of the elapsed time: twice the
  * protocol's limit. */
-#define WS_DRIFT 0.001
+#define WS_CLOCK_DRIFT_MAX 0.001
 
 /* Time in seconds after which a lease has expired on every machine's clock. */
 double ws_lease_length(const struct ws_settings *settings);
--- a/src/core/scheduler/consolidation.c
+++ b/src/core/scheduler/consolidation.c
@@ -14,8 +14,8 @@
 				     const struct ws_job *job)
 {
 	return ws_image_is_cached(machine, job->image_index) ||
-	       job->spec.image_gb <=
-		   machine->type->fetch_gb_s * WS_MOVE_FETCH_HEARTBEATS * core->settings->report_s;
+	       job->spec.image_gb <= machine->type->fetch_gb_s * WS_MOVE_FETCH_HEARTBEATS *
+					 core->settings->heartbeat_s;
 }
 
 /* Returns true if an attempt is a running service replica that has run long enough for its start to
@@ -92,7 +92,7 @@
 	if (core->now < core->scheduler.next_consolidation_at ||
 	    core->now - core->leadership.elected_at < core->settings->lease_s)
 		return;
-	core->scheduler.next_consolidation_at = core->now + core->settings->report_s;
+	core->scheduler.next_consolidation_at = core->now + core->settings->heartbeat_s;
 	for (size_t i = machine_count; i-- > 0;) {
 		struct ws_attempt *replica;
 
--- a/src/core/scheduler/gang_placement.c
+++ b/src/core/scheduler/gang_placement.c
@@ -305,7 +305,7 @@
 		fit = ws_tasks_fit_planned(job, machine, missing);
 		missing -= fit;
 		if (!machine->attempt_count && fit)
-			machine->reserved_until = core->now + core->settings->report_s;
+			machine->reserved_until = core->now + core->settings->heartbeat_s;
 		for (uint32_t k = 0; takes_capacity && k < fit; k++)
 			ws_planned_capacity_reserve(job, machine);
 	}
--- a/src/core/scheduler/preemption.c
+++ b/src/core/scheduler/preemption.c
@@ -59,8 +59,9 @@
 	const struct ws_job_spec *spec = &job->spec;
 	double lost_s = core->now - attempt->planned_at + 1;
 
-	if (spec->gang && spec->checkpoint_s > 0)
-		lost_s = spec->checkpoint_s + spec->save_s + core->settings->gang_peer_s;
+	if (spec->gang && spec->checkpoint_interval_s > 0)
+		lost_s = spec->checkpoint_interval_s + spec->checkpoint_duration_s +
+			 core->settings->gang_peer_s;
 	if (spec->gang)
 		lost_s *= job->attempt_count * (1 + job->gang.preemptions);
 	return lost_s * spec->cpus * (job->guaranteed ? WS_GUARANTEED_COST_FACTOR : 1);
@@ -134,7 +135,7 @@
 	struct ws_capacity capacity = ws_planned_capacity(machine);
 	double cost = 0;
 
-	if (ws_subsystems_defer(core, WS_DEFER_PREEMPTION, machine->zone_index))
+	if (ws_subsystems_action_deferred(core, WS_DEFER_PREEMPTION, machine->zone_index))
 		return WS_PREEMPTION_IMPOSSIBLE;
 	core->fleet.mark++; /* attempts with the new mark are chosen */
 	while (!ws_capacity_fits_task(&capacity, job)) {
--- a/src/core/scheduler/reservations.c
+++ b/src/core/scheduler/reservations.c
@@ -57,7 +57,7 @@
 			continue;
 		fit = ws_tasks_fit_planned(job, machine, missing);
 		if (fit && !machine->attempt_count) /* protects the empty machine from scale-in */
-			machine->reserved_until = core->now + core->settings->report_s;
+			machine->reserved_until = core->now + core->settings->heartbeat_s;
 		missing -= fit;
 		for (uint32_t k = 0; k < fit; k++)
 			ws_planned_capacity_reserve(job, machine);
@@ -142,7 +142,7 @@
 {
 	size_t count;
 
-	if (!pass->core->subsystems.moves)
+	if (!pass->core->subsystems.any_move_requested)
 		return;
 	count = ws_list_jobs_with_reservations(pass);
 	if (!count)
--- a/src/core/scheduler/scheduler.c
+++ b/src/core/scheduler/scheduler.c
@@ -80,8 +80,8 @@
 /* Returns true if a subsystem defers first starts and nothing of the job was started yet. */
 static bool ws_first_start_is_deferred(const struct ws_core *core, const struct ws_job *job)
 {
-	return ws_subsystems_defer(core, WS_DEFER_FIRST_START, -1) && job->phase == WS_JOB_QUEUED &&
-	       !job->attempt_count && !job->done_count;
+	return ws_subsystems_action_deferred(core, WS_DEFER_FIRST_START, -1) &&
+	       job->phase == WS_JOB_QUEUED && !job->attempt_count && !job->done_count;
 }
 
 /* Updates the scheduling state of a job for a pass. Returns true if it has tasks to place. */
@@ -139,7 +139,7 @@
 		if (!ws_machine_is_usable(core, machine))
 			continue;
 		pass->machines[pass->machine_count++] = machine;
-		machine->avoided = ws_subsystems_avoided(core, machine);
+		machine->avoided = ws_subsystems_avoid_machine(core, machine);
 		machine->planned_cpus =
 		    machine->type->cpus - machine->used_cpus + machine->stopping_cpus;
 		machine->planned_gpus =
@@ -172,8 +172,9 @@
  * the second round of its rank. */
 static bool ws_places_replicas_in_two_rounds(const struct ws_core *core, const struct ws_job *job)
 {
-	return job->replicas_apart || (job->spec.service && job->lost_recorded_attempts &&
-				       ws_subsystems_defer(core, WS_DEFER_SECOND_REPLICA, -1));
+	return job->replicas_apart ||
+	       (job->spec.service && job->lost_recorded_attempts &&
+		ws_subsystems_action_deferred(core, WS_DEFER_SECOND_REPLICA, -1));
 }
 
 /* Places a job in the first round of its rank. Of a service whose replicas are placed in two
@@ -267,7 +268,7 @@
 /* Delays the next pass by twice the duration of the last one, so that passes take at most a third
  * of the time. The delay is at most half of the session TTL, since the duration also includes any
  * time for which the process was suspended. */
-void ws_core_pass_ended(struct ws_core *core, double (*clock)(void))
+void ws_core_delay_next_pass(struct ws_core *core, double (*clock)(void))
 {
 	struct ws_scheduler *scheduler = &core->scheduler;
 	double now, pause_s;
--- a/src/core/scheduler/team_limits.c
+++ b/src/core/scheduler/team_limits.c
@@ -50,7 +50,7 @@
 	struct ws_scheduler *scheduler = &core->scheduler;
 
 	if (reserved_cpus == scheduler->unknown_team_cpus_logged ||
-	    core->now < scheduler->unknown_teams_logged_at + core->settings->report_s)
+	    core->now < scheduler->unknown_teams_logged_at + core->settings->heartbeat_s)
 		return;
 	scheduler->unknown_team_cpus_logged = reserved_cpus;
 	scheduler->unknown_teams_logged_at = core->now;
--- a/src/core/settings.h
+++ b/src/core/settings.h
@@ -32,7 +32,7 @@
 struct ws_settings {
 	char node[WS_NAME_MAX];
 	char zone[WS_NAME_MAX];
-	struct ws_endpoint bind, peer_bind, cloud, state;
+	struct ws_endpoint bind, peer_bind, cloud, store;
 	struct ws_endpoint peers[WS_MAX_PEERS];
 	size_t peer_count;
 	char zones[WS_MAX_ZONES][WS_NAME_MAX];
@@ -41,13 +41,13 @@
 	size_t team_count;
 	struct ws_objective objectives[WS_MAX_OBJECTIVES];
 	size_t objective_count;
-	double report_s, lease_s, cancel_s;
-	double state_rps, state_write_rps, value_kb;
-	int txn_ops;
+	double heartbeat_s, lease_s, cancel_s;
+	double store_rps, store_write_rps, value_kb;
+	int transaction_ops;
 	double cloud_rps, list_lag_s;
-	double core_share, ram_mb;
+	double cpu_share, ram_mb;
 	int max_sockets;
-	int sockets;	    /* max_sockets less those for the store, the cloud and peers */
+	int client_sockets; /* max_sockets less those for the store, the cloud and peers */
 	double gang_wait_s; /* time that a task of a gang waits for the other tasks */
 	double gang_peer_s; /* a task of a gang detects the loss of another within this time */
 };
@@ -59,13 +59,13 @@
 	double wait_max_s;  /* Wq-bar of the paper: divisor of the mean wait */
 	double latency_bound_s;	 /* W'q of the paper: k is increased while Wq exceeds it */
 	int rental_ceiling;	 /* maximum number of rented machines */
-	int waiting_loads;	 /* maximum of waiting demand units: the last term of K */
-	double empty_wait_s;	 /* a rented machine without tasks is returned after this time */
+	int waiting_units_max;	 /* maximum of waiting demand units: the last term of K */
+	double idle_timeout_s;	 /* a rented machine without tasks is returned after this time */
 	double sizing_period_s;	 /* interval between runs of Algorithm 1 */
 	double leader_ttl_ratio; /* the leader's session TTL, as a share of lease_s */
 	/* a rented machine without contact for longer than this share of lease_s is returned */
-	double silent_ratio;
-	double boot_patience; /* a boot fails after this multiple of the type's boot time */
+	double unreachable_ratio;
+	double boot_timeout_ratio; /* a boot fails after this multiple of the type's boot time */
 };
 
 /* Sets all values of a policy to their defaults. */
--- a/src/core/store/job_watch.c
+++ b/src/core/store/job_watch.c
@@ -83,7 +83,7 @@
 		watch->next_at = core->now + core->leadership.session_ttl_s / RETRIES_PER_TTL;
 		return;
 	}
-	watch->next_at = core->now + WATCH_INTERVAL_REQUESTS / core->settings->state_rps;
+	watch->next_at = core->now + WATCH_INTERVAL_REQUESTS / core->settings->store_rps;
 	ws_job_watch_apply(core, call, result);
 }
 
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -26,7 +26,7 @@
 	struct ws_writer *writer = &core->writer;
 
 	core->writer.value_bytes_max = core->settings->value_kb * 1024;
-	writer->operations_max = core->settings->txn_ops;
+	writer->operations_max = core->settings->transaction_ops;
 	writer->in_flight = false;
 	writer->woken = false;
 	writer->next_poll_at = 0;
@@ -175,7 +175,7 @@
 	struct ws_writer *writer = &core->writer;
 
 	writer->rate =
-	    fmax(writer->rate * RATE_DECREASE, core->settings->state_write_rps * RATE_SHARE_MIN);
+	    fmax(writer->rate * RATE_DECREASE, core->settings->store_write_rps * RATE_SHARE_MIN);
 	writer->tokens = 0;
 	writer->retry_at = core->now + 1 / writer->rate;
 }
@@ -223,7 +223,7 @@
  */
 static void ws_writer_refill(struct ws_core *core)
 {
-	double rate_max = RATE_SHARE_MAX * core->settings->state_write_rps;
+	double rate_max = RATE_SHARE_MAX * core->settings->store_write_rps;
 	struct ws_writer *writer = &core->writer;
 	double elapsed = core->now - writer->refilled_at;
 
--- a/src/core/tombstones.c
+++ b/src/core/tombstones.c
@@ -11,7 +11,7 @@
 		snprintf(tombstone->name, sizeof(tombstone->name), "%s", name);
 		HASH_ADD_STR(*tombstones, name, tombstone);
 	}
-	tombstone->until = until;
+	tombstone->expires_at = until;
 }
 
 bool ws_tombstone_is_set(const struct ws_core *core, struct ws_tombstone *const *tombstones,
@@ -20,7 +20,7 @@
 	struct ws_tombstone *tombstone;
 
 	HASH_FIND_STR(*tombstones, name, tombstone);
-	return tombstone && core->now < tombstone->until;
+	return tombstone && core->now < tombstone->expires_at;
 }
 
 /* Removes and frees all tombstones of a set. */
@@ -42,7 +42,7 @@
 	struct ws_tombstone *tombstone, *next, *expired = NULL;
 
 	HASH_ITER (hh, *tombstones, tombstone, next) {
-		if (now < tombstone->until)
+		if (now < tombstone->expires_at)
 			continue;
 		HASH_DEL(*tombstones, tombstone);
 		tombstone->next_expired = expired;
--- a/src/core/tombstones.h
+++ b/src/core/tombstones.h
@@ -8,7 +8,7 @@
 
 struct ws_tombstone {
 	char name[WS_NAME_MAX];
-	double until;			   /* time of expiry in seconds, on the core's clock */
+	double expires_at;		   /* time of expiry in seconds, on the core's clock */
 	struct ws_tombstone *next_expired; /* used by ws_tombstones_clear() only */
 	UT_hash_handle hh;
 };
--- a/src/core/workload_stats.c
+++ b/src/core/workload_stats.c
@@ -19,7 +19,7 @@
 	stats->busy_counted_at = core->now;
 }
 
-void ws_stats_held(struct ws_core *core, double units)
+void ws_stats_units_held(struct ws_core *core, double units)
 {
 	ws_stats_count_busy(core);
 	core->stats.busy_units = fmax(0, core->stats.busy_units + units);
--- a/src/core/workload_stats.h
+++ b/src/core/workload_stats.h
@@ -22,7 +22,7 @@
 /* Reports that a task of this many demand units has completed. */
 void ws_stats_completed(struct ws_core *core, double units);
 /* Reports that an attempt starts to hold units, or (below 0) releases them. */
-void ws_stats_held(struct ws_core *core, double units);
+void ws_stats_units_held(struct ws_core *core, double units);
 /* Reports the time from the first sight of a machine to its first heartbeat. */
 void ws_stats_booted(struct ws_core *core, double boot_s);
 /* Returns the totals up to now and resets arrivals, completions and unit-seconds. */
--- a/src/failure_domains/domains.c
+++ b/src/failure_domains/domains.c
@@ -250,7 +250,7 @@
 }
 
 void ws_domains_join(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-		     const struct ws_machine_facts *facts)
+		     const struct ws_machine_info *facts)
 {
 	struct ws_failure_domain *declared = NULL, *zone = NULL;
 
--- a/src/failure_domains/domains.h
+++ b/src/failure_domains/domains.h
@@ -17,7 +17,7 @@
 void ws_domains_clear(struct ws_failure_domains *domains);
 /* Adds a machine to its zone, and to the declared domain that its address is in. */
 void ws_domains_join(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-		     const struct ws_machine_facts *facts);
+		     const struct ws_machine_info *facts);
 /* Removes a machine from all its domains. */
 void ws_domains_leave(struct ws_domains_machine *machine);
 /* Adds a machine to the counts of one of its domains (sign 1), or removes it (sign -1). */
--- a/src/failure_domains/failure_domains.c
+++ b/src/failure_domains/failure_domains.c
@@ -138,7 +138,7 @@
 	ws_domains_free(self);
 }
 
-static void elected(void *self, const struct ws_election_facts *facts)
+static void elected(void *self, const struct ws_election_info *facts)
 {
 	struct ws_failure_domains *domains = self;
 	const double now = facts->now;
@@ -204,7 +204,7 @@
 
 /* ---- machines ---- */
 
-static void *machine_added(void *self, double now, const struct ws_machine_facts *facts)
+static void *machine_added(void *self, double now, const struct ws_machine_info *facts)
 {
 	struct ws_failure_domains *domains = self;
 	struct ws_domains_machine *machine = ws_subsystem_allocate(sizeof(*machine));
@@ -218,7 +218,7 @@
 	return machine;
 }
 
-static void machine_changed(void *self, void *handle, const struct ws_machine_facts *facts)
+static void machine_changed(void *self, void *handle, const struct ws_machine_info *facts)
 {
 	ws_domains_leave(handle);
 	ws_domains_join(self, handle, facts);
@@ -252,7 +252,7 @@
 
 	(void)now;
 	machine->affected = 0;
-	if (loss == WS_LOSS_LEASE)
+	if (loss == WS_LOSS_LEASE_EXPIRED)
 		return;
 	if (machine->presence == WS_DOMAINS_SILENT)
 		count_removed(machine);
@@ -343,7 +343,7 @@
 	}
 }
 
-static void tick(void *self, const struct ws_tick_facts *facts, struct ws_request_queue *out)
+static void tick(void *self, const struct ws_tick_info *facts, struct ws_request_queue *out)
 {
 	struct ws_failure_domains *domains = self;
 
--- a/src/failure_domains/health.c
+++ b/src/failure_domains/health.c
@@ -338,7 +338,7 @@
 	}
 }
 
-void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_facts *facts)
+void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_info *facts)
 {
 	ws_domains_advance_clock(domains, facts->now);
 	if (facts->serving &&
--- a/src/failure_domains/health.h
+++ b/src/failure_domains/health.h
@@ -14,7 +14,7 @@
 /* Records whether commands to a silent machine go unanswered; ignored for other machines. */
 void ws_domains_set_unanswered(struct ws_domains_machine *machine, bool unanswered);
 /* Expires overdue machines, then evaluates the state of each domain. */
-void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_facts *facts);
+void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_info *facts);
 /* The flap penalty of a domain, decayed until now. */
 double ws_domains_penalty(const struct ws_failure_domains *domains,
 			  const struct ws_failure_domain *domain, double now);
--- a/src/failure_domains/plan.c
+++ b/src/failure_domains/plan.c
@@ -149,7 +149,7 @@
 	return domain && domain->state == WS_DOMAINS_DARK;
 }
 
-void ws_domains_job_surveyed(void *self, const struct ws_job_facts *facts)
+void ws_domains_job_surveyed(void *self, const struct ws_job_info *facts)
 {
 	struct ws_failure_domains *domains = self;
 	struct ws_domains_plan *plan = &domains->plan;
--- a/src/io/decode_user.c
+++ b/src/io/decode_user.c
@@ -81,8 +81,8 @@
 	    !ws_member_bool(object, "spread", &spec->spread) ||
 	    !ws_member_bool(object, "reclaimable", &spec->allows_preemptible) ||
 	    !ws_member_amount(object, "expectedS", &spec->estimate_s) ||
-	    !ws_member_amount(object, "snapshotEveryS", &spec->checkpoint_s) ||
-	    !ws_member_amount(object, "snapshotS", &spec->save_s))
+	    !ws_member_amount(object, "snapshotEveryS", &spec->checkpoint_interval_s) ||
+	    !ws_member_amount(object, "snapshotS", &spec->checkpoint_duration_s))
 		return false;
 	spec->deadline_s = -1;
 	return !ws_member_set(object, "dueS") ||
--- a/src/io/effect_executor.c
+++ b/src/io/effect_executor.c
@@ -43,7 +43,7 @@
 	struct ws_effect *effect;
 
 	pthread_mutex_lock(&service->lock);
-	ws_core_pass_ended(service->core, ws_now);
+	ws_core_delay_next_pass(service->core, ws_now);
 	effect = ws_core_next_effect(service->core);
 	*leading = ws_core_is_leader(service->core);
 	/* with the clock as it is now, directly before it leaves */
--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -82,7 +82,7 @@
  */
 static bool heartbeat_may_be_forwarded(const struct ws_service *service, bool pinned)
 {
-	int most = service->settings->sockets / SOCKETS_PER_HEARTBEAT + 1;
+	int most = service->settings->client_sockets / SOCKETS_PER_HEARTBEAT + 1;
 
 	return pinned || (ws_now() >= service->forwarding.peers_bad_until &&
 			  service->forwarding.heartbeats < most);
@@ -108,7 +108,7 @@
 	if (heartbeat) {
 		snprintf(request->leader, sizeof(request->leader), "%s", effect->forward.leader);
 		request->began = ws_now();
-		request->pinned = effect->forward.worker_pinned;
+		request->pinned = effect->forward.redirect_failed;
 		service->forwarding.heartbeats++;
 	}
 	return request;
@@ -150,7 +150,7 @@
 		return;
 	}
 	heartbeat = pending->kind == WS_REQUEST_HEARTBEAT;
-	if (heartbeat && !heartbeat_may_be_forwarded(service, effect->forward.worker_pinned)) {
+	if (heartbeat && !heartbeat_may_be_forwarded(service, effect->forward.redirect_failed)) {
 		name_leader(service, effect->request_id, effect->forward.leader);
 		return;
 	}
@@ -189,7 +189,7 @@
 		ws_core_outage_vote(service->core, ws_now(), request_id, vote->leader_revision,
 				    vote->since_revision, vote->after_job);
 	else
-		ws_core_outage_vote_unlisted(service->core, ws_now(), request_id);
+		ws_core_outage_vote_legacy(service->core, ws_now(), request_id);
 	pthread_mutex_unlock(&service->lock);
 	ws_effects_execute(service);
 }
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -48,15 +48,15 @@
 	if (!settings->peer_count)
 		share = 1;
 	service->outgoing.leading = leading;
-	ws_client_rate(service->outgoing.state, settings->state_rps * share * STATE_SHARE_USED,
-		       settings->state_rps * share / 2);
+	ws_client_rate(service->outgoing.state, settings->store_rps * share * STATE_SHARE_USED,
+		       settings->store_rps * share / 2);
 }
 
 /* Takes so many changes of the write budget; false: it is used up, none was taken. */
 static bool take_writes(struct ws_service *service, size_t count)
 {
 	struct ws_write_budget *budget = &service->outgoing.write_budget;
-	double most = service->settings->state_write_rps / 2;
+	double most = service->settings->store_write_rps / 2;
 	double now = ws_now();
 	double passed = now - budget->updated_at;
 
@@ -72,7 +72,7 @@
 static void lower_write_rate(struct ws_service *service)
 {
 	struct ws_write_budget *budget = &service->outgoing.write_budget;
-	double least = service->settings->state_write_rps * USER_WRITES_LEAST_SHARE /
+	double least = service->settings->store_write_rps * USER_WRITES_LEAST_SHARE /
 		       (double)(service->settings->peer_count + 1);
 
 	budget->rate = fmax(least, budget->rate * WRITE_RATE_DECREASE);
@@ -214,8 +214,8 @@
 	case WS_CALL_SCALE_IN: return CLOUD_TIMEOUT_S;
 	case WS_CALL_COMMANDS:
 		/* one without commands only asks whether the machine is there */
-		return call->commands.count ? settings->report_s
-					    : fmin(settings->report_s, settings->lease_s / 16);
+		return call->commands.count ? settings->heartbeat_s
+					    : fmin(settings->heartbeat_s, settings->lease_s / 16);
 	default: return timeout;
 	}
 }
@@ -270,7 +270,7 @@
 	const struct ws_settings *settings = service->settings;
 	struct ws_outgoing_calls *outgoing = &service->outgoing;
 	const struct ws_http_client_options state = {.max_conns = STATE_CONNECTIONS,
-						     .max_queue = (int)(settings->state_rps / 2),
+						     .max_queue = (int)(settings->store_rps / 2),
 						     .max_reply = STATE_REPLY_MAX};
 	const struct ws_http_client_options watch = {
 	    .max_conns = WATCH_CONNECTIONS, .max_queue = WATCH_QUEUE, .max_reply = WATCH_REPLY_MAX};
@@ -281,13 +281,13 @@
 						     .burst = fmax(1, settings->cloud_rps)};
 
 	outgoing->state =
-	    ws_client_new(service->loop, settings->state.host, settings->state.port, &state);
+	    ws_client_new(service->loop, settings->store.host, settings->store.port, &state);
 	outgoing->watch =
-	    ws_client_new(service->loop, settings->state.host, settings->state.port, &watch);
+	    ws_client_new(service->loop, settings->store.host, settings->store.port, &watch);
 	outgoing->cloud =
 	    ws_client_new(service->loop, settings->cloud.host, settings->cloud.port, &cloud);
 	outgoing->workers = ws_worker_connections_new(service->loop, settings);
-	outgoing->write_budget.rate = settings->state_write_rps / 2;
+	outgoing->write_budget.rate = settings->store_write_rps / 2;
 	outgoing->write_budget.available = outgoing->write_budget.rate;
 	outgoing->write_budget.updated_at = ws_now();
 	if (!outgoing->state || !outgoing->watch || !outgoing->cloud || !outgoing->workers)
--- a/src/io/queue_model_thread.c
+++ b/src/io/queue_model_thread.c
@@ -20,7 +20,7 @@
 {
 	const struct ws_queue_model_target *target = &thread->target;
 	struct ws_queue_solution queue = {0};
-	int count = ws_sizing_run(measure, &queue);
+	int count = ws_queue_find_limit(measure, &queue);
 
 	pthread_mutex_lock(target->core_lock);
 	ws_core_set_scale_out_limit(target->core, ws_now(), count, queue.mean_scaled_out,
--- a/src/io/request_router.c
+++ b/src/io/request_router.c
@@ -143,7 +143,7 @@
 	const char *rest = path + USER_PATH_LENGTH;
 
 	/* a small buffer: half a second of what the store can take */
-	if (service->requests.user_requests > (int)(service->settings->state_rps / 2))
+	if (service->requests.user_requests > (int)(service->settings->store_rps / 2))
 		ws_router_answer_status(service, request_id, 503);
 	else if (rest[0])
 		handle_job_request(service, request_id, method, rest + 1, forwarded);
--- a/src/io/server.c
+++ b/src/io/server.c
@@ -63,13 +63,13 @@
  */
 static struct ws_http_server_options http_server_options(const struct ws_settings *settings)
 {
-	int sockets = settings->sockets;
+	int sockets = settings->client_sockets;
 
 	return (struct ws_http_server_options){
 	    .max = sockets * 3 / 4,
 	    .backlog = sockets / 16 + 1,
 	    .keep = {sockets, sockets * 3 / 16, sockets / 2},
-	    .idle = {settings->lease_s / 4, 4 * settings->lease_s, 2.5 * settings->report_s},
+	    .idle = {settings->lease_s / 4, 4 * settings->lease_s, 2.5 * settings->heartbeat_s},
 	    .slow = settings->lease_s / 4,
 	};
 }
@@ -115,7 +115,7 @@
 static void start_ticking(struct ws_service *service)
 {
 	ev_timer_init(&service->tick, on_tick, FIRST_TICK_S,
-		      service->settings->report_s / TICKS_PER_HEARTBEAT);
+		      service->settings->heartbeat_s / TICKS_PER_HEARTBEAT);
 	service->tick.data = service;
 	ev_timer_start(service->loop, &service->tick);
 }
--- a/src/io/worker_connections.c
+++ b/src/io/worker_connections.c
@@ -85,7 +85,7 @@
 struct ws_http_client *ws_worker_connections_get(struct ws_worker_connections *pool,
 						 const char *address, int port)
 {
-	unsigned most = (unsigned)(pool->settings->sockets / SOCKETS_PER_CONNECTION + 1);
+	unsigned most = (unsigned)(pool->settings->client_sockets / SOCKETS_PER_CONNECTION + 1);
 	struct worker_connection *worker;
 	char name[WORKER_NAME_MAX];
 
--- a/src/main.c
+++ b/src/main.c
@@ -187,7 +187,7 @@
 		settings->bind.host, settings->bind.port, settings->peer_count);
 	ws_logf(WS_LOG_INFO,
 		"store limits value_kb=%g transaction_operations=%d writes_per_second=%g",
-		settings->value_kb, settings->txn_ops, settings->state_write_rps);
+		settings->value_kb, settings->transaction_ops, settings->store_write_rps);
 	ws_logf(WS_LOG_INFO, "subsystems zones=%s coldstart=%s",
 		subsystems->failure_domains_enabled ? "on" : "off",
 		subsystems->cold_start_enabled ? "on" : "off");
--- a/src/store_client.c
+++ b/src/store_client.c
@@ -27,7 +27,7 @@
 	if (!store->loop)
 		abort();
 	store->client =
-	    ws_client_new(store->loop, settings->state.host, settings->state.port, &options);
+	    ws_client_new(store->loop, settings->store.host, settings->store.port, &options);
 	return store;
 }
 
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -185,9 +185,9 @@
 {
 	const char *names[WS_MAX_ZONES];
 	struct ws_cluster_limits limits = {
-	    .report_s = platform->report_s,
+	    .report_s = platform->heartbeat_s,
 	    .lease_s = platform->lease_s,
-	    .state_write_rps = platform->state_write_rps,
+	    .state_write_rps = platform->store_write_rps,
 	    .value_bytes = (size_t)(platform->value_kb * 1024),
 	    .cancel_s = platform->cancel_s,
 	    .node_zone = platform->zone,
--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -16,12 +16,12 @@
 static const struct ws_settings platform = {.zone = "a",
 					    .zones = {"a", "b"},
 					    .zone_count = 2,
-					    .report_s = 2,
+					    .heartbeat_s = 2,
 					    .lease_s = LEASE_S,
 					    .cancel_s = 46,
 					    .value_kb = 4,
-					    .txn_ops = 12,
-					    .state_write_rps = 50};
+					    .transaction_ops = 12,
+					    .store_write_rps = 50};
 
 /* ---- settings ---- */
 
@@ -82,11 +82,11 @@
 					    uint64_t recorded_term, uint64_t proven_term)
 {
 	struct ws_cold_start *cold_start = package();
-	const struct ws_election_facts facts = {.now = 100,
-						.term = 50,
-						.unproven_s = unproven_s,
-						.proven_term = proven_term,
-						.leases_out = 117};
+	const struct ws_election_info facts = {.now = 100,
+					       .term = 50,
+					       .leader_proof_age_s = unproven_s,
+					       .leader_proof_term = proven_term,
+					       .leases_expire_at = 117};
 	enum ws_cold_start_phase phase;
 
 	ws_cold_start_ops.elected(cold_start, &facts);
@@ -125,8 +125,8 @@
 static void check_records(void)
 {
 	struct ws_cold_start *cold_start = package();
-	const struct ws_election_facts facts = {
-	    .now = 100, .term = 50, .unproven_s = INFINITY, .leases_out = 117};
+	const struct ws_election_info facts = {
+	    .now = 100, .term = 50, .leader_proof_age_s = INFINITY, .leases_expire_at = 117};
 	const struct ws_reconciliation reconciliation = {
 	    .result = WS_RECONCILED_UNKNOWN_JOB, .machine = "m", .job = "job-000001"};
 	json_t *value;
@@ -137,7 +137,7 @@
 	json_decref(value);
 	ws_cold_start_ops.records_loaded(cold_start, 100);
 	check("an unknown job is kept",
-	      ws_cold_start_ops.attempt_found(cold_start, 101, &reconciliation));
+	      ws_cold_start_ops.attempt_reconciled(cold_start, 101, &reconciliation));
 	value = ws_cold_start_quarantine_record(cold_start->quarantined, 111);
 	check("and for how long it was kept before counts",
 	      fabs(json_number_value(json_object_get(value, "kept_s")) - 41) < 1e-6);
@@ -161,7 +161,7 @@
 	struct ws_move move;
 };
 
-static void mover_tick(void *self, const struct ws_tick_facts *facts, struct ws_request_queue *out)
+static void mover_tick(void *self, const struct ws_tick_info *facts, struct ws_request_queue *out)
 {
 	(void)facts;
 	ws_request_move(out, &((struct mover *)self)->move);
--- a/tests/core_test.c
+++ b/tests/core_test.c
@@ -76,12 +76,12 @@
 		return 1;
 	snprintf(settings->node, sizeof(settings->node), "node-1");
 	settings->lease_s = 60;
-	settings->report_s = 10;
+	settings->heartbeat_s = 10;
 	settings->cancel_s = 120;
-	settings->state_rps = settings->state_write_rps = 100;
+	settings->store_rps = settings->store_write_rps = 100;
 	settings->cloud_rps = 1;
 	settings->value_kb = 100;
-	settings->txn_ops = 64;
+	settings->transaction_ops = 64;
 	effects_taken(settings);
 	effects_left(settings);
 	free(settings);
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -9,7 +9,7 @@
 #include "subsystem_text.h"
 
 static const struct ws_settings platform = {
-    .zone = "a", .zones = {"a", "b"}, .zone_count = 2, .report_s = 2, .lease_s = 16};
+    .zone = "a", .zones = {"a", "b"}, .zone_count = 2, .heartbeat_s = 2, .lease_s = 16};
 
 struct refusal {
 	const char *text, *names; /* what the message must name */
@@ -107,7 +107,7 @@
 	domains = ws_domains_new(&settings.failure_domains, &limits, log_text, &wrong);
 	check("and taken", domains != NULL);
 	for (size_t i = 0; domains && i < sizeof(lookups) / sizeof(lookups[0]); i++) {
-		const struct ws_machine_facts facts = {
+		const struct ws_machine_info facts = {
 		    .name = "m", .address = lookups[i].address, .zone = "z"};
 		struct ws_domains_machine machine = {0};
 		const struct ws_failure_domain *got;
@@ -139,7 +139,7 @@
 
 	ws_domains_defaults(&settings);
 	domains = ws_domains_new(&settings, &limits, log_text, &wrong);
-	ws_domains_ops.elected(domains, &(struct ws_election_facts){.now = 10});
+	ws_domains_ops.elected(domains, &(struct ws_election_info){.now = 10});
 	ws_domains_ops.record_loaded(domains, "domain/far", record);
 	ws_domains_ops.records_loaded(domains, 10);
 	domain = ws_failure_domain_find(domains, "far");
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -136,7 +136,7 @@
 	job = ws_record_read_job("job-000002", value);
 	check("a gang's record reads", job && job->spec.gang && job->spec.one_zone &&
 					   !job->spec.spread && job->phase == WS_JOB_QUEUED &&
-					   job->spec.checkpoint_s == 20 &&
+					   job->spec.checkpoint_interval_s == 20 &&
 					   !strcmp(job->spec.zone, "huye"));
 	json_decref(value);
 	value = job ? ws_record_spec(&job->spec, WS_JOB_QUEUED, 1.5) : NULL;
@@ -192,12 +192,12 @@
 }
 
 static struct ws_settings settings = {.node = "n",
-				      .report_s = 2,
+				      .heartbeat_s = 2,
 				      .lease_s = 16,
-				      .state_rps = 250,
-				      .state_write_rps = 35,
+				      .store_rps = 250,
+				      .store_write_rps = 35,
 				      .value_kb = 2,
-				      .txn_ops = 4,
+				      .transaction_ops = 4,
 				      .zones = {"huye"},
 				      .zone_count = 1};
 
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -26,7 +26,7 @@
     .query_status = ws_core_query_status,
     .cancel = ws_core_cancel,
     .heartbeat = ws_core_heartbeat,
-    .outage_vote = ws_core_outage_vote_unlisted,
+    .outage_vote = ws_core_outage_vote_legacy,
     .free_effect = ws_effect_free,
     .free_call = ws_call_free,
 };
--- a/tests/sim_actions.c
+++ b/tests/sim_actions.c
@@ -48,8 +48,8 @@
 	spec->image_gb = sim_option(text, "gb", 0.5);
 	spec->deadline_s = sim_option(text, "deadline", -1);
 	spec->estimate_s = sim_option(text, "estimate", 0);
-	spec->checkpoint_s = sim_option(text, "checkpoint", 0);
-	spec->save_s = sim_option(text, "save", 0);
+	spec->checkpoint_interval_s = sim_option(text, "checkpoint", 0);
+	spec->checkpoint_duration_s = sim_option(text, "save", 0);
 }
 
 static void add_job(struct sim *sim, const char *id, const char *text, double submit_at)
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -11,7 +11,7 @@
 
 bool sim_on_machine(const struct sim_task *task)
 {
-	return task->state == WS_TASK_RUNNING || task->state == WS_TASK_SAVING ||
+	return task->state == WS_TASK_RUNNING || task->state == WS_TASK_CHECKPOINTING ||
 	       task->state == WS_TASK_WAITING;
 }
 
--- a/tests/sim_digest.c
+++ b/tests/sim_digest.c
@@ -146,7 +146,7 @@
 		break;
 	case WS_EFFECT_FORWARD:
 		say(sim, "forward %llu %s %d", (unsigned long long)effect->request_id,
-		    effect->forward.leader, effect->forward.worker_pinned);
+		    effect->forward.leader, effect->forward.redirect_failed);
 		break;
 	case WS_EFFECT_ANSWER_VOTE: say_vote(sim, effect); break;
 	}
--- a/tests/sim_gangs.c
+++ b/tests/sim_gangs.c
@@ -27,8 +27,9 @@
 	gang_members->members[gang_members->count++] = (struct member){worker, task};
 	gang_members->is_hung |= sim->now < worker->hang_until;
 	gang_members->waiting += task->state == WS_TASK_WAITING;
-	gang_members->running += task->state == WS_TASK_RUNNING || task->state == WS_TASK_SAVING;
-	if (task->state != WS_TASK_SAVING)
+	gang_members->running +=
+	    task->state == WS_TASK_RUNNING || task->state == WS_TASK_CHECKPOINTING;
+	if (task->state != WS_TASK_CHECKPOINTING)
 		return;
 	gang_members->saving++;
 	gang_members->first_stopped_at = fmin(gang_members->first_stopped_at, task->stopped_at);
@@ -111,7 +112,7 @@
 	if (!found->saving && !gang->lost_at && gang->progress >= job->run_s)
 		return WS_EXIT_DONE;
 	if (found->saving == job->spec.tasks && !found->is_hung &&
-	    sim->now >= found->last_stopped_at + job->spec.save_s)
+	    sim->now >= found->last_stopped_at + job->spec.checkpoint_duration_s)
 		return WS_EXIT_STOPPED;
 	if (gang->lost_at && sim->now > gang->lost_at + sim->gang_peer_s * LOSS_NOTICED_SHARE)
 		return WS_EXIT_MEMBER_LOST;
@@ -125,7 +126,7 @@
 static void save_progress(struct sim *sim, struct sim_job *job, const struct sim_gang *gang,
 			  enum ws_exit_reason reason)
 {
-	double interval = job->spec.checkpoint_s;
+	double interval = job->spec.checkpoint_interval_s;
 
 	if (reason == WS_EXIT_STOPPED) { /* safe with the first that exits */
 		job->progress_saved = gang->progress;
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -52,7 +52,7 @@
 
 	node->version = &sim_this_version;
 	node->settings.value_kb = fmin(sim->value_kb, sim->next_value_kb);
-	node->settings.txn_ops =
+	node->settings.transaction_ops =
 	    sim->txn_ops < sim->next_txn_ops ? sim->txn_ops : sim->next_txn_ops;
 }
 
@@ -75,13 +75,13 @@
 		settings->teams[settings->team_count++] = sim->teams[i];
 	for (int i = 0; i < sim->objective_count; i++)
 		settings->objectives[settings->objective_count++] = sim->objectives[i];
-	settings->report_s = sim->heartbeat_s;
+	settings->heartbeat_s = sim->heartbeat_s;
 	settings->lease_s = sim->lease_s;
 	settings->cancel_s = sim->cancel_s;
-	settings->state_rps = STORE_REQUESTS_PER_S;
-	settings->state_write_rps = STORE_WRITES_PER_S;
+	settings->store_rps = STORE_REQUESTS_PER_S;
+	settings->store_write_rps = STORE_WRITES_PER_S;
 	settings->value_kb = sim->value_kb;
-	settings->txn_ops = sim->txn_ops;
+	settings->transaction_ops = sim->txn_ops;
 	settings->gang_wait_s = sim->gang_wait_s;
 	settings->gang_peer_s = sim->gang_peer_s;
 	settings->cloud_rps = CLOUD_REQUESTS_PER_S;
--- a/tests/sim_production.c
+++ b/tests/sim_production.c
@@ -20,8 +20,8 @@
 };
 
 static const int task_states[] = {
-    [WS_TASK_FETCHING] = PRODUCTION_TASK_FETCHING, [WS_TASK_RUNNING] = PRODUCTION_TASK_RUNNING,
-    [WS_TASK_SAVING] = PRODUCTION_TASK_SAVING,	   [WS_TASK_EXITED] = PRODUCTION_TASK_EXITED,
+    [WS_TASK_FETCHING] = PRODUCTION_TASK_FETCHING,    [WS_TASK_RUNNING] = PRODUCTION_TASK_RUNNING,
+    [WS_TASK_CHECKPOINTING] = PRODUCTION_TASK_SAVING, [WS_TASK_EXITED] = PRODUCTION_TASK_EXITED,
     [WS_TASK_WAITING] = PRODUCTION_TASK_WAITING,
 };
 
@@ -30,9 +30,9 @@
     [WS_EXIT_DONE] = PRODUCTION_EXIT_DONE,
     [WS_EXIT_STOPPED] = PRODUCTION_EXIT_STOPPED,
     [WS_EXIT_ERROR] = PRODUCTION_EXIT_ERROR,
-    [WS_EXIT_FULL] = PRODUCTION_EXIT_FULL,
-    [WS_EXIT_BUSY] = PRODUCTION_EXIT_BUSY,
-    [WS_EXIT_UNKNOWN] = PRODUCTION_EXIT_UNKNOWN,
+    [WS_EXIT_NO_CAPACITY] = PRODUCTION_EXIT_FULL,
+    [WS_EXIT_ATTEMPT_EXISTS] = PRODUCTION_EXIT_BUSY,
+    [WS_EXIT_UNKNOWN_JOB] = PRODUCTION_EXIT_UNKNOWN,
     [WS_EXIT_MEMBER_LOST] = PRODUCTION_EXIT_GANG_MEMBER_LOST,
     [WS_EXIT_GANG_INCOMPLETE] = PRODUCTION_EXIT_GANG_INCOMPLETE,
 };
@@ -96,19 +96,19 @@
 static void convert_settings_limits(struct production_settings *target,
 				    const struct ws_settings *from)
 {
-	target->heartbeat_s = from->report_s;
+	target->heartbeat_s = from->heartbeat_s;
 	target->lease_s = from->lease_s;
 	target->cancel_s = from->cancel_s;
-	target->store_requests_per_s = from->state_rps;
-	target->store_writes_per_s = from->state_write_rps;
+	target->store_requests_per_s = from->store_rps;
+	target->store_writes_per_s = from->store_write_rps;
 	target->value_kb = from->value_kb;
-	target->transaction_operations = from->txn_ops;
+	target->transaction_operations = from->transaction_ops;
 	target->cloud_requests_per_s = from->cloud_rps;
 	target->list_lag_s = from->list_lag_s;
-	target->core_share = from->core_share;
+	target->core_share = from->cpu_share;
 	target->ram_mb = from->ram_mb;
 	target->max_sockets = from->max_sockets;
-	target->sockets = from->sockets;
+	target->sockets = from->client_sockets;
 }
 
 static void convert_settings(struct production_settings *target, const struct ws_settings *from)
@@ -118,7 +118,7 @@
 	convert_endpoint(&target->bind, &from->bind);
 	convert_endpoint(&target->peer_bind, &from->peer_bind);
 	convert_endpoint(&target->cloud, &from->cloud);
-	convert_endpoint(&target->store, &from->state);
+	convert_endpoint(&target->store, &from->store);
 	convert_settings_lists(target, from);
 	convert_settings_limits(target, from);
 }
@@ -130,12 +130,12 @@
 	target->wait_max_s = from->wait_max_s;
 	target->latency_bound_s = from->latency_bound_s;
 	target->instance_ceiling = from->rental_ceiling;
-	target->waiting_demand_units = from->waiting_loads;
-	target->empty_wait_s = from->empty_wait_s;
+	target->waiting_demand_units = from->waiting_units_max;
+	target->empty_wait_s = from->idle_timeout_s;
 	target->sizing_period_s = from->sizing_period_s;
 	target->leader_ttl_ratio = from->leader_ttl_ratio;
-	target->silent_ratio = from->silent_ratio;
-	target->boot_patience = from->boot_patience;
+	target->silent_ratio = from->unreachable_ratio;
+	target->boot_patience = from->boot_timeout_ratio;
 }
 
 static void convert_job_spec(struct production_job_spec *target, const struct ws_job_spec *from)
@@ -160,8 +160,8 @@
 	target->spread = from->spread;
 	target->preemptible = from->allows_preemptible;
 	target->estimate_s = from->estimate_s;
-	target->checkpoint_s = from->checkpoint_s;
-	target->save_s = from->save_s;
+	target->checkpoint_s = from->checkpoint_interval_s;
+	target->save_s = from->checkpoint_duration_s;
 	target->deadline_s = from->deadline_s;
 }
 
--- a/tests/sim_production_effects.c
+++ b/tests/sim_production_effects.c
@@ -219,7 +219,7 @@
 		break;
 	case WS_EFFECT_FORWARD:
 		PRODUCTION_COPY_TEXT(effect->forward.leader, from->name);
-		effect->forward.worker_pinned = from->pinned;
+		effect->forward.redirect_failed = from->pinned;
 		break;
 	case WS_EFFECT_ANSWER_VOTE: /* that version gives no list of cancellations */
 		effect->answer = convert_answer(from->status);
--- a/tests/sim_worker_tasks.c
+++ b/tests/sim_worker_tasks.c
@@ -61,11 +61,11 @@
 					 const struct sim_job *job, bool has_other_attempt)
 {
 	if (!job || !job->submitted)
-		return WS_EXIT_UNKNOWN;
+		return WS_EXIT_UNKNOWN_JOB;
 	if (has_other_attempt)
-		return WS_EXIT_BUSY;
+		return WS_EXIT_ATTEMPT_EXISTS;
 	if (!has_room(sim, worker, &job->spec))
-		return WS_EXIT_FULL;
+		return WS_EXIT_NO_CAPACITY;
 	return WS_EXIT_NONE;
 }
 
@@ -100,8 +100,9 @@
 			      const struct ws_command *command)
 {
 	return job && job->spec.gang &&
-	       (task->state == WS_TASK_RUNNING || task->state == WS_TASK_SAVING) &&
-	       command->grace_s >= job->spec.save_s && job->spec.checkpoint_s > 0;
+	       (task->state == WS_TASK_RUNNING || task->state == WS_TASK_CHECKPOINTING) &&
+	       command->grace_s >= job->spec.checkpoint_duration_s &&
+	       job->spec.checkpoint_interval_s > 0;
 }
 
 static void stop_task(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
@@ -110,7 +111,7 @@
 	if (saves_before_stop(sim_job_of(sim, task->job), task, command)) {
 		if (task->state == WS_TASK_RUNNING)
 			task->stopped_at = sim->now;
-		task->state = WS_TASK_SAVING;
+		task->state = WS_TASK_CHECKPOINTING;
 	} else if (task->state != WS_TASK_EXITED) {
 		task->state = WS_TASK_EXITED;
 		task->exit_reason = WS_EXIT_STOPPED;
--- a/tests/sizing_test.c
+++ b/tests/sizing_test.c
@@ -262,20 +262,20 @@
 						   .rentals_max = 20,
 						   .wait_max_s = 10,
 						   .bound_s = 5};
-	int instances = ws_sizing_run(&measurement, &solution), tight;
+	int instances = ws_queue_find_limit(&measurement, &solution), tight;
 
 	if (instances < 1 || instances > 20 || (instances < 20 && solution.mean_wait_s > 5)) {
 		printf("FAIL %d instances at a wait of %g\n", instances, solution.mean_wait_s);
 		bad++;
 	}
 	measurement.bound_s = 0.5;
-	tight = ws_sizing_run(&measurement, &solution);
+	tight = ws_queue_find_limit(&measurement, &solution);
 	if (tight < instances) {
 		printf("FAIL a tighter bound gives %d < %d\n", tight, instances);
 		bad++;
 	}
 	measurement.arrival_rate = 100;
-	if (ws_sizing_run(&measurement, &solution) != 20) {
+	if (ws_queue_find_limit(&measurement, &solution) != 20) {
 		printf("FAIL the ceiling does not hold\n");
 		bad++;
 	}
