--- a/src/core/fleet/fleet.h
+++ b/src/core/fleet/fleet.h
@@ -1,17 +1,18 @@
 /*
  * The fleet: the machines, their leases and heartbeats, the commands to them, and their records.
  *
- * Owns the machines and, as their lists, the attempts on them. All of it is the leader's: it is
- * built up from records, heartbeats and the cloud's instance list after the election, and forgotten
- * at step-down.
+ * The fleet owns the machines; each machine owns the list of the attempts on it. This state exists
+ * only on the leader: it is built from records, heartbeats and the cloud's instance list after the
+ * election, and freed at step-down.
  *
- * Promises: an attempt is released only when it is surely gone (jobs/attempts.c); a machine is
- * given tasks only while it proves that it hears this leader and its lease runs; a command for an
- * earlier fencing token or incarnation is refused by the worker, so that it can't act late.
+ * Guarantees: an attempt is released only when it can no longer run (the cases are in
+ * jobs/attempts.c). A machine is assigned tasks only while it proves that it receives this leader's
+ * answers and its lease is valid. A worker refuses a command with an earlier fencing token or
+ * incarnation, so a delayed command has no effect.
  *
- * Times are seconds on the core's clock, resources CPUs, GPUs and gigabytes of memory. Functions
- * abort the process when memory runs out and report no other errors. The core is single-threaded:
- * the I/O layer's lock is held round each call into it.
+ * Times are seconds on the core's clock; resources are CPUs, GPUs and gigabytes of memory.
+ * Functions abort the process if memory is exhausted and report no other errors. The core is
+ * single-threaded: the I/O layer holds its lock during each call into it.
  */
 #ifndef WS_FLEET_H
 #define WS_FLEET_H
@@ -20,312 +21,327 @@
 #include "../jobs/jobs.h"
 #include "../tombstones.h"
 
-/* Images of a machine that are remembered. */
+/* Maximum number of images in the image cache list of a machine. */
 #define WS_CACHE_MAX 24
-/* Shards beyond this number are ignored when records are read. */
+/* Shard records with this number or a higher one are ignored when records are read. */
 #define WS_MAX_MACHINE_SHARDS 100000
-/* Commands in the answer to a heartbeat at the most: keeps it under the line limit. */
+/* Maximum number of commands in the answer to a heartbeat, which keeps it below the limit on the
+ * length of a line. */
 #define WS_ANSWER_COMMANDS_MAX 400
 
-/* The lease of a machine: its worker ends all tasks when it expires. */
+/* The lease of a machine. Its worker ends all tasks when the lease expires. */
 struct ws_machine_lease {
-	double expires_at;	    /* on any clock, as far as answers to heartbeats tell */
-	uint64_t least_incarnation; /* heartbeats of earlier incarnations are stale: expired */
+	double expires_at; /* with clock drift allowed for; set when a heartbeat is answered */
+	uint64_t least_incarnation; /* heartbeats of earlier ones are stale: their lease expired */
 };
 
-/* The newest heartbeat of a machine; answers to commands are not counted here. */
+/* The newest heartbeat of a machine. Answers to direct commands do not update it. */
 struct ws_machine_heartbeat {
 	uint64_t incarnation, sequence;
 	double received_at;
 };
 
-/* Commands to a machine, direct or in the answers to its heartbeats. */
+/* Commands to a machine, sent directly or in the answers to its heartbeats. */
 struct ws_machine_commands {
-	uint64_t late_token; /* one of this fencing token may still arrive; 0: none */
-	int in_flight;	     /* calls without a result yet */
-	/* of the answer to its newest heartbeat, if that starts tasks and may still arrive; 0: no
-	 */
+	/* direct commands up to this fencing token may still arrive; 0: none */
+	uint64_t late_token;
+	int in_flight; /* direct calls without a result yet */
+	/* fencing token of the answer to its newest heartbeat, if the answer holds run commands and
+	 * may still arrive; 0: there is no such answer */
 	uint64_t answer_token;
-	bool pending; /* to be sent once the writes or stops under way are all taken in */
+	bool pending; /* to be sent when all attempts of the current write or stop are updated */
 	double next_probe_at;
 };
 
-/* Failures of tasks on a machine; struct ws_machine counts those in a row. */
+/* Task failures on a machine. The number of consecutive ones is in struct ws_machine. */
 struct ws_machine_failures {
-	char last_job[WS_ID_MAX]; /* of the last failure; empty: a task has completed since */
-	double suspended_until;	  /* after failures of different jobs */
-	double refused_until;	  /* after a single failure or refusal */
+	char last_job[WS_ID_MAX]; /* the job that failed last; empty: a task has completed since */
+	double suspended_until;	  /* no tasks until then, after failures of different jobs */
+	double refused_until;	  /* no tasks until then, after a single failure or refusal */
 };
 
-/* Quarantined attempts on a machine. While one runs, the machine takes no other task. */
+/* Quarantined attempts on a machine. While one runs, the machine is assigned no other task. */
 struct ws_machine_quarantine {
 	uint32_t count;
-	uint32_t running;
-	uint32_t of_unknown_team; /* also those that were quarantined, see struct ws_attempt */
+	uint32_t running; /* of these, those that have not exited */
+	/* includes attempts that are no longer quarantined, see struct ws_attempt */
+	uint32_t of_unknown_team;
 };
 
-/* The return of a rented machine to the cloud. */
+/* The scale-in of a rented machine: its return to the cloud. */
 struct ws_machine_scale_in {
-	bool requested; /* the machine is never used again */
-	bool in_flight;
+	bool requested; /* the machine is not used any more */
+	bool in_flight; /* a call to the cloud has no result yet */
 	double next_attempt_at;
 };
 
-/* A machine that this leader knows. It is freed when it is gone and no attempt is left on it. */
+/* A machine in the leader's memory. It is freed when it is gone and has no attempts left. */
 struct ws_machine {
-	/* what it is, and where it is reached */
+	/* identity and network address */
 	char name[WS_NAME_MAX];
 	char address[64]; /* empty: unknown */
 	int port;	  /* 0: unknown */
 	char type_name[WS_NAME_MAX];
-	const struct ws_machine_type *type; /* NULL: the catalog does not have it */
-	int type_index;			    /* its place in the catalog */
+	const struct ws_machine_type *type; /* NULL: not in the catalog */
+	int type_index;			    /* its index in the catalog */
 	char zone[WS_NAME_MAX];
-	int zone_index; /* its number; -1: unknown */
+	int zone_index; /* -1: unknown */
 	bool preemptible;
-	bool owned;	   /* was there before any scale-out; never scaled in */
-	bool invalid_name; /* holds a separator of the job records: never used */
+	bool owned;	   /* existed before any scale-out; never scaled in */
+	bool invalid_name; /* contains a field separator of the job records: never used */
 
-	/* how it is known, and whether it is there */
-	bool recorded; /* from the records at this leader's election */
+	/* the sources that name it, and whether it exists */
+	bool recorded; /* named by a record read at this leader's election */
 	bool in_instance_list;
-	uint64_t instance_list_mark; /* of the last list that named it */
-	double listed_running_at;    /* when the list first told that it runs; 0: not yet */
+	uint64_t instance_list_mark; /* mark of the last instance list that named it */
+	double listed_running_at;    /* when the list first showed it as running; 0: not yet */
 	bool reported;		     /* has sent a heartbeat or answered a command */
-	bool unrecorded;  /* at its first heartbeat neither records nor instance list named it */
-	bool unreachable; /* silent, and a probe got no answer either */
-	bool failed;	  /* says the cloud */
+	bool unrecorded;  /* at its first report, no record and no instance list named it */
+	bool unreachable; /* its heartbeats are overdue, and a probe got no answer */
+	bool failed;	  /* according to the cloud */
 	bool gone;	  /* confirmed by the cloud; freed by a later sweep */
+	/* when it was added, or when the cloud created it, if earlier; when it first reported */
 	double first_seen, up_at;
 
 	/* scale-in and preemption */
 	struct ws_machine_scale_in scale_in;
 	bool preemption_noticed;
-	double preempted_at; /* the cloud takes it then; 0: no notice */
-	double empty_since;
+	double preempted_at; /* when the cloud will take it; 0: no notice */
+	double empty_since;  /* it has had no live attempts since */
 
-	/* what it said last, in a heartbeat or in the answer to a command */
+	/* its newest report: a heartbeat or the answer to a direct command */
 	uint64_t incarnation, sequence;
 	uint64_t echoed_token;
 	double last_heard_at;
 	struct ws_machine_heartbeat heartbeat;
 	struct ws_machine_lease lease;
 
-	/* fencing: the token it is given; that it echoes the token proves that it hears us */
+	/* fencing: the token sent to it. An echo of it proves that the machine receives our answers
+	 * or commands. */
 	uint64_t fencing_token;
 	double fencing_token_since;
 
 	struct ws_machine_commands commands;
-	int consecutive_failures; /* of different jobs */
+	int consecutive_failures; /* see struct ws_machine_failures */
 	struct ws_machine_failures failures;
 
-	/* the attempts on it and what they use */
+	/* the attempts on it and the resources they use */
 	struct ws_attempt *attempts;
-	uint32_t attempt_count; /* that may be alive */
+	uint32_t attempt_count; /* attempts that may be alive */
 	double used_cpus, used_gpus, used_mem;
-	double stopping_cpus, stopping_gpus, stopping_mem; /* of that, what was told to stop */
+	double stopping_cpus, stopping_gpus, stopping_mem; /* of these, by stopping attempts */
 	struct ws_machine_quarantine quarantine;
-	double reserved_until; /* a waiting gang has a reservation on it */
+	double reserved_until; /* reserved for a waiting gang until then */
 
-	int image_cache[WS_CACHE_MAX]; /* image numbers, the last used first */
+	int image_cache[WS_CACHE_MAX]; /* image indices, most recently used first */
 	int image_cache_count;
-	int shard; /* the shard whose record names it; -1: none yet */
+	int shard; /* index of the shard whose record names it; -1: none yet */
 
-	/* scratch of one placement pass */
-	double planned_cpus, planned_gpus, planned_mem;
-	int pass_rank;
-	bool avoided; /* by a subsystem's filter */
+	/* scratch data of one placement pass */
+	double planned_cpus, planned_gpus, planned_mem; /* free in the plan of this pass */
+	int pass_rank;					/* lower ranks are tried first */
+	bool avoided; /* a filter of a subsystem excludes it while other machines have room */
 
-	void *subsystem_handles[WS_SUBSYSTEMS_MAX]; /* by subsystem; NULL: it keeps none */
+	void *subsystem_handles[WS_SUBSYSTEMS_MAX]; /* indexed by subsystem; NULL: no handle */
 	UT_hash_handle hh;
 };
 
-/* A shard: the record fleet/<number>, which names some of the machines. */
+/* A shard: the record fleet/<number>, which holds part of the machines. */
 struct ws_machine_shard {
 	uint64_t revision;
 	int machine_count;
 	bool dirty, write_in_flight;
-	bool images_outdated; /* the images in it are no longer the newest */
+	bool images_outdated; /* the image lists in the record are outdated */
 	double dirty_since, written_at;
 };
 
 struct ws_fleet {
 	struct ws_machine *machines; /* by name */
 
-	/* all machines in the order in which first fit tries them; rebuilt when stale */
+	/* all machines in the order of the first-fit search; rebuilt when stale */
 	struct ws_machine **first_fit_order;
 	size_t first_fit_count;
 	bool first_fit_stale;
-	size_t shared_name_length; /* of the prefix that all machine names share */
+	size_t shared_name_length; /* length of the common prefix of all machine names */
 
 	struct ws_machine_shard *shards;
 	int shard_count;
 	double next_shard_write_at;
 
 	double next_sweep_at;
-	uint64_t sweep_steps; /* machines looked at in sweeps, for tests */
+	uint64_t sweep_steps; /* machines visited by sweeps and probes, counted for tests */
 
-	/* Owned machines. Names rise with creation: all up to the last owned one's are owned. */
+	/* Owned machines. Names sort in the order of creation: a machine is owned if its name does
+	 * not sort after the last owned name. */
 	bool owned_determined, owned_recorded, owned_write_in_flight;
 	char last_owned_name[WS_NAME_MAX];
-	struct ws_tombstone *returned_machines; /* confirmed as gone; a lagging list names them */
+	struct ws_tombstone *returned_machines; /* confirmed as gone, but the lagging instance list
+						 * may still name them */
 
-	struct ws_command *commands; /* scratch of the message under way */
+	struct ws_command *commands; /* scratch list of commands for one machine */
 	size_t command_count, command_capacity;
-	uint64_t mark; /* of the attempts that the heartbeat or pass under way has met */
+	/* attempts with this mark are named by the current heartbeat, or are selected by the
+	 * current preemption search */
+	uint64_t mark;
 };
 
 /* ---- fleet.c: the machines ---- */
 
-/* NULL: no such machine is known. */
+/* Returns NULL if no such machine exists. */
 struct ws_machine *ws_machine_find(struct ws_core *core, const char *name);
-/* A new machine counts as one that an earlier leader may have granted a lease and sent commands. */
+/* A new machine is treated as if an earlier leader had renewed its lease and sent it commands. */
 struct ws_machine *ws_machine_find_or_add(struct ws_core *core, const char *name);
-/* Sets type, zone and kind; its attempts are counted for their jobs in the new zone. */
+/* Sets type, zone and preemptibility, and moves its attempts to the new zone in the counts of their
+ * jobs. */
 void ws_machine_set_kind(struct ws_core *core, struct ws_machine *machine, const char *type,
 			 const char *zone, bool preemptible);
-/* Takes in one entry of the cloud's instance list. */
+/* Applies one entry of the cloud's instance list. */
 void ws_machine_apply_instance(struct ws_core *core, const struct ws_instance *instance);
-/* Forgets and frees a machine, which has no attempts. */
+/* Removes and frees a machine that has no attempts. */
 void ws_machine_remove(struct ws_core *core, struct ws_machine *machine);
-/* Forgets all machines and their attempts, at step-down. */
+/* Frees all machines and their attempts, at step-down. */
 void ws_fleet_clear(struct ws_core *core);
 
-/* ---- machine_leases.c: trust in machines, and their loss ---- */
+/* ---- machine_leases.c: whether a machine is usable, and its loss ---- */
 
-/* Whether a machine has proved that it hears this leader. */
+/* Whether a machine has echoed its fencing token, which proves that it receives this leader's
+ * messages. */
 bool ws_machine_echoes_token(const struct ws_machine *machine);
-/* Gives a machine a fencing token above one that it, or a late command, may know. */
+/* Raises the fencing token of a machine above a token that it or a delayed command may have. */
 void ws_machine_raise_fencing_token(struct ws_core *core, struct ws_machine *machine,
 				    uint64_t known);
-/* Whether a time is longer ago than a machine that is well takes between two heartbeats. */
+/* Whether more time has passed since a heartbeat than a healthy machine takes to send the next. */
 bool ws_heartbeat_overdue(const struct ws_core *core, double since);
-/* Whether a machine may be given tasks. */
+/* Whether a machine may be assigned tasks. */
 bool ws_machine_is_usable(const struct ws_core *core, const struct ws_machine *machine);
-/* A machine's lease has expired on any clock: releases its attempts. */
+/* Releases the attempts of a machine whose lease has expired, with clock drift allowed for. */
 void ws_machine_expire_lease(struct ws_core *core, struct ws_machine *machine);
-/* The cloud says that a machine failed: releases its attempts. */
+/* Releases the attempts of a machine that the cloud reports as failed. */
 void ws_machine_mark_failed(struct ws_core *core, struct ws_machine *machine);
-/* The cloud confirmed that a machine is gone: releases its attempts. */
+/* Releases the attempts of a machine after the cloud confirmed that it is gone. */
 void ws_machine_mark_gone(struct ws_core *core, struct ws_machine *machine, const char *reason);
-/* Whether the cloud lately confirmed that a machine is gone: its heartbeats are late copies. */
+/* Whether the cloud recently confirmed that a machine is gone. Heartbeats from it are delayed
+ * copies. */
 bool ws_machine_is_returned(const struct ws_core *core, const char *name);
 
 /* ---- fleet_sweep.c ---- */
 
-/* Looks at all machines if a sweep is due: leases, preemption notices, probes. */
+/* If a sweep is due, checks leases and preemption notices of all machines and sends probes. */
 void ws_fleet_tick(struct ws_core *core);
 
-/* ---- machine_shards.c: the shards, and their records' content ---- */
+/* ---- machine_shards.c: the shards and the content of their records ---- */
 
-/* Machines that a shard holds. */
+/* Maximum number of machines in a shard. */
 int ws_shard_capacity(const struct ws_core *core);
-/* The shard of a number, added if it is new; valid until the next call. */
+/* Returns the shard with an index, and adds it if needed. Valid until the next call. */
 struct ws_machine_shard *ws_shard_at(struct ws_core *core, int index);
-/* A shard's record is to be written. */
+/* Schedules the record of a shard to be written. */
 void ws_shard_mark_dirty(struct ws_core *core, int index);
-/* The record that names a machine is to be written; the machine gets a shard if it has none. */
+/* Schedules the record that holds a machine to be written, and assigns a shard if it has none. */
 void ws_machine_mark_dirty(struct ws_core *core, struct ws_machine *machine);
-/* The record of a shard, within the size of a value. The caller owns the value. */
+/* Encodes the record of a shard within the size limit of a value. The caller owns the result. */
 json_t *ws_record_machine_shard(struct ws_core *core, int index);
-/* Takes over the machines of a shard's record that no other shard has named. */
+/* Adds the machines of a shard's record that no other shard's record has named. */
 void ws_record_read_machine_shard(struct ws_core *core, json_t *value, int index);
 
 /* ---- image_cache.c ---- */
 
-/* A machine has, and uses, an image: it becomes the first of its image cache. */
+/* Moves an image that a machine has fetched or uses to the front of its image cache. */
 void ws_image_cache_touch(struct ws_core *core, struct ws_machine *machine, int image);
 
 /* ---- heartbeats.c ---- */
 
 /*
- * A heartbeat that reached this leader, which is entitled: answers it and renews the machine's
- * lease. False: it is stale, and nothing of it counts.
+ * Answers a heartbeat and renews the machine's lease. The caller has checked that this leader may
+ * answer. Returns false if the heartbeat is stale; it is then ignored.
  */
 bool ws_fleet_heartbeat(struct ws_core *core, const struct ws_heartbeat *heartbeat,
 			uint64_t request_id);
-/* Applies the newest state of a worker: of a heartbeat, or of the answer to a direct command. */
+/* Applies the newest report of a worker: a heartbeat, or the answer to a direct command. */
 void ws_machine_apply_heartbeat(struct ws_core *core, struct ws_machine *machine,
 				const struct ws_heartbeat *heartbeat);
 
 /* ---- task_reports.c ---- */
 
-/* Applies the status of one task of a machine's newest heartbeat. */
+/* Applies the status of one task from a machine's newest report. */
 void ws_machine_apply_task_status(struct ws_core *core, struct ws_machine *machine,
 				  const struct ws_task_status *status);
 
 /* ---- restored_attempts.c ---- */
 
-/* Adds the attempts that a record of a job, or a continuation record of it, names. */
+/* Adds the attempts named by the record of a job or by one of its continuation records. */
 void ws_attempts_restore(struct ws_core *core, const char *job_id, json_t *record);
-/* All records are read: attempts that a newer one, or a cancellation, supersedes are to stop. */
+/* Called when all records are read: marks attempts of cancelled jobs, and attempts superseded by a
+ * newer attempt of their task, to be stopped. */
 void ws_attempts_restored(struct ws_core *core);
 
 /* ---- reconciliation.c ---- */
 
-/* The result for an attempt that was on record at the election; only the first one counts. */
+/* Sets the result for an attempt that was on record at the election. Only the first one counts. */
 void ws_attempt_reconcile(struct ws_core *core, struct ws_attempt *attempt,
 			  enum ws_reconciliation_result result);
-/* The same, by the status that its worker reports. */
+/* Derives the result from the status that the worker reports, and sets it. */
 void ws_attempt_reconcile_status(struct ws_core *core, struct ws_attempt *attempt,
 				 const struct ws_task_status *status);
-/* How an attempt that no record names relates to what the records say of its job and task. */
+/* Compares an attempt that no record names with the recorded state of its job and task. */
 enum ws_reconciliation_result ws_reconcile_unrecorded(const struct ws_attempt *attempt);
 
 /* ---- quarantine.c: attempts that no record names ---- */
 
 /*
- * A worker reports an attempt that no record names: adds it, quarantined or to be stopped. NULL: it
- * has exited and nothing of it is left to do.
+ * Adds an attempt that a worker reports and no record names, either quarantined or to be stopped.
+ * Returns NULL if the attempt has exited and needs no further action.
  */
 struct ws_attempt *ws_attempt_add_unrecorded(struct ws_core *core, struct ws_machine *machine,
 					     const struct ws_task_status *status);
-/* A quarantined attempt whose job is known was reported: adopts or stops it. */
+/* Adopts or stops a quarantined attempt whose job is known, when its worker reports it. */
 void ws_quarantine_reported(struct ws_core *core, struct ws_attempt *attempt);
-/* A quarantined attempt completed: the result waits for its job to become known. */
+/* Keeps the result of a completed quarantined attempt until its job becomes known. */
 void ws_quarantine_completed(struct ws_core *core, struct ws_attempt *attempt);
-/* A job has just become known: decides on its quarantined attempts. */
+/* Resolves the quarantined attempts of a job that has just become known: adopts or stops them, or
+ * applies their results. */
 void ws_quarantine_link_job(struct ws_core *core, struct ws_job *job);
-/* Ends all quarantined attempts of a job, with so many seconds to save; 0: at once. */
+/* Ends all quarantined attempts of a job. grace_s: seconds to save their state; 0: none. */
 void ws_quarantine_end_job(struct ws_core *core, const char *job_id, double grace_s);
-/* What attempts of unknown teams may use at the most. */
+/* Returns the maximum of CPUs and GPUs that attempts of unknown teams may use. */
 void ws_quarantine_reserved(struct ws_core *core, double *cpus, double *gpus);
 
 /* ---- commands.c ---- */
 
 /*
- * The commands that a machine is due, and marks their attempts as told; with a heartbeat, also what
- * of it the worker may forget. A list of its own, which the caller owns; NULL: none.
+ * Returns the commands due for a machine, max at most, and marks their attempts as sent. With a
+ * heartbeat, includes reap commands for the exited tasks in it that the worker may delete. The
+ * caller owns the list. Returns NULL if there are no commands.
  */
 struct ws_command *ws_commands_for_machine(struct ws_core *core, struct ws_machine *machine,
 					   const struct ws_heartbeat *heartbeat, size_t max,
 					   bool direct, size_t *count);
-/* Whether a command to run a task that was sent to a machine may still arrive there. */
+/* Whether a run command that was sent to a machine may still arrive there. */
 bool ws_machine_start_may_arrive(const struct ws_machine *machine);
-/* Sends a command call without commands to a machine that is to be heard. False: not due. */
+/* Probes a machine: sends a command call without commands. Returns false if no probe is due. */
 bool ws_machine_send_probe(struct ws_core *core, struct ws_machine *machine);
-/* Sends what is due straight to a machine that is known to listen; heartbeat answers repeat it. */
+/* Sends due commands directly to a machine with recent contact. Heartbeat answers repeat them. */
 void ws_machine_send_commands(struct ws_core *core, struct ws_machine *machine);
-/* Sends one call to each machine with an attempt of a job whose commands are pending. */
+/* Sends one call to each machine that has attempts of a job and pending commands. */
 void ws_job_send_commands(struct ws_core *core, struct ws_job *job);
-/* Probes the machines that are due, a limited number at a time. */
+/* Probes machines for which a probe is due, a limited number per call. */
 void ws_fleet_send_probes(struct ws_core *core);
 
 /* ---- gang_attempts.c ---- */
 
 /*
- * Whether the current attempt of a gang has surely not begun to run and may be completed; if so,
- * its number and since when its first task waits.
+ * Whether the current attempt of a gang cannot have begun to run yet and may still be completed. If
+ * so, sets its number and the time since which its first task has waited.
  */
 bool ws_gang_is_assembling(const struct ws_job *job, uint64_t *number, double *since);
-/* Whether all tasks of a gang can be told something at once, as far as is known. */
+/* Whether commands can be sent at once to all machines that may run tasks of a gang. */
 bool ws_gang_is_reachable(const struct ws_core *core, const struct ws_job *job);
-/* Stops all tasks of a gang at once; they have so many seconds to save. */
+/* Stops all tasks of a gang at once. grace_s: seconds that they have to save their state. */
 void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace_s,
 		  enum ws_stop_reason reason);
-/* Stops a gang whose current attempt can't become complete, or has lost a task. */
+/* Stops a gang whose current attempt cannot become complete or has lost a task. */
 void ws_gang_check_progress(struct ws_core *core, struct ws_job *job);
-/* Stops a task with the time to save that its job asks for; of a gang, all its tasks. */
+/* Stops a task, or all tasks of a gang, with the time to save that the job asks for. */
 void ws_task_stop(struct ws_core *core, struct ws_attempt *attempt, enum ws_stop_reason reason);
 
 #endif
