--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -1,8 +1,8 @@
-/* Heartbeats of machines: which of them count, what they tell of the machine, and their answers. */
+/* Heartbeats of machines: checks for stale ones, applies the others, and answers them. */
 #include "../core_state.h"
 
-/* The first heartbeat, or answer to a command, of a machine. */
-static void ws_machine_first_heard(struct ws_core *core, struct ws_machine *machine)
+/* Handles the first heartbeat, or answer to a command, of a machine. */
+static void ws_machine_first_contact(struct ws_core *core, struct ws_machine *machine)
 {
 	machine->reported = true;
 	machine->up_at = core->now;
@@ -14,13 +14,13 @@
 	ws_core_request_pass(core);
 }
 
-/* What a machine is, and where it is reached. */
+/* Updates the type, zone and address of a machine. */
 static void ws_machine_update_identity(struct ws_core *core, struct ws_machine *machine,
 				       const struct ws_heartbeat *heartbeat)
 {
 	bool address_changed =
 	    machine->port != heartbeat->port || strcmp(machine->address, heartbeat->address) != 0;
-	/* also at the first heartbeat: the instance list may have told the address before */
+	/* true for the first report too: the instance list may have given the address before */
 	bool identity_changed =
 	    !machine->reported || address_changed || strcmp(machine->zone, heartbeat->zone) != 0;
 
@@ -30,7 +30,7 @@
 	ws_machine_set_kind(core, machine, heartbeat->type, heartbeat->zone,
 			    heartbeat->preemptible);
 	if (!machine->reported)
-		ws_machine_first_heard(core, machine);
+		ws_machine_first_contact(core, machine);
 	machine->failed = false;
 	if (address_changed) {
 		snprintf(machine->address, sizeof(machine->address), "%s", heartbeat->address);
@@ -41,7 +41,7 @@
 		ws_subsystems_machine(core, machine);
 }
 
-/* A machine reports a later incarnation: its lease expired, and all that it had before is gone. */
+/* Handles a later incarnation of a machine: its lease expired, and its earlier tasks have ended. */
 static void ws_machine_begin_incarnation(struct ws_core *core, struct ws_machine *machine,
 					 const struct ws_heartbeat *heartbeat)
 {
@@ -49,22 +49,22 @@
 		ws_log(core, WS_LOG_INFO,
 		       "machine restarted machine=%s incarnation=%llu tasks_lost=%u", machine->name,
 		       (unsigned long long)heartbeat->incarnation, machine->attempt_count);
-	if (machine->incarnation) /* it may not have received the answers to its heartbeats */
+	if (machine->incarnation) /* answers to its heartbeats may have been lost */
 		ws_machine_raise_fencing_token(core, machine,
 					       heartbeat->fencing_token > machine->fencing_token
 						   ? heartbeat->fencing_token
 						   : machine->fencing_token);
 	machine->incarnation = heartbeat->incarnation;
-	/* a worker's lease runs from the beginning of its incarnation, also if no answer of ours
-	 * has renewed it: the incarnation may be known from the answer to a command alone */
+	/* a worker's lease starts with its incarnation, even if no answer to a heartbeat has
+	 * renewed it: the answer to a direct command may be the first report of the incarnation */
 	machine->lease.expires_at =
 	    fmax(machine->lease.expires_at, ws_lease_expiry(core, core->now));
-	machine->commands.late_token = 0; /* a command for an earlier incarnation is refused */
+	machine->commands.late_token = 0; /* workers refuse commands for earlier incarnations */
 	ws_machine_mark_dirty(core, machine);
 }
 
-static void ws_machine_preemption_notice(struct ws_core *core, struct ws_machine *machine,
-					 double notice_s)
+static void ws_machine_handle_preemption_notice(struct ws_core *core, struct ws_machine *machine,
+						double notice_s)
 {
 	machine->preemption_noticed = true;
 	machine->preempted_at = core->now + notice_s;
@@ -73,8 +73,8 @@
 	ws_core_request_pass(core);
 }
 
-/* Releases the attempts that a machine's newest heartbeat does not name. */
-static void ws_machine_release_missing(struct ws_core *core, struct ws_machine *machine)
+/* Releases attempts that the newest report of a machine does not name. */
+static void ws_machine_release_unreported(struct ws_core *core, struct ws_machine *machine)
 {
 	for (struct ws_attempt *attempt = machine->attempts, *next_attempt; attempt;
 	     attempt = next_attempt) {
@@ -84,9 +84,9 @@
 			continue;
 		if (ws_machine_echoes_token(machine))
 			ws_attempt_reconcile(core, attempt, WS_RECONCILED_NOT_REPORTED);
-		/* it was reported and no longer is; or it was told to run, is not reported, and no
-		 * command is in flight that could still start it: the answer to a direct command
-		 * may overtake that to a heartbeat */
+		/* releases an attempt that was reported and no longer is, and a stopping one that
+		 * was sent but never reported, unless its run command may still arrive: the answer
+		 * to a direct command may overtake the answer to a heartbeat */
 		if (!attempt->reported && (!attempt->maybe_sent || !attempt->stopping))
 			continue;
 		if (!attempt->reported && ws_machine_start_may_arrive(machine))
@@ -102,8 +102,8 @@
 	ws_machine_update_identity(core, machine, heartbeat);
 	if (heartbeat->incarnation > machine->incarnation)
 		ws_machine_begin_incarnation(core, machine, heartbeat);
-	/* also if this leader did not see the incarnation begin: the record of a job may name an
-	 * attempt of an earlier incarnation than that of another job, or of the machine, does */
+	/* needed even if the incarnation is not new to this leader: the record of one job may name
+	 * an earlier incarnation than the record of another job or of the machine */
 	for (struct ws_attempt *attempt = machine->attempts, *next_attempt; attempt;
 	     attempt = next_attempt) {
 		next_attempt = attempt->machine_next;
@@ -114,23 +114,23 @@
 	}
 	machine->sequence = heartbeat->sequence;
 	machine->echoed_token = heartbeat->fencing_token;
-	/* the worker refuses, or drops, what has a lower token */
+	/* the worker refuses commands and drops answers with a lower token */
 	if (heartbeat->fencing_token > machine->commands.late_token)
 		machine->commands.late_token = 0;
 	if (heartbeat->fencing_token > machine->commands.answer_token)
 		machine->commands.answer_token = 0;
 	if (heartbeat->preemption_notice_s >= 0 && !machine->preemption_noticed)
-		ws_machine_preemption_notice(core, machine, heartbeat->preemption_notice_s);
+		ws_machine_handle_preemption_notice(core, machine, heartbeat->preemption_notice_s);
 	core->fleet.mark++;
 	for (size_t i = 0; i < heartbeat->task_count; i++)
 		ws_machine_apply_task_status(core, machine, &heartbeat->tasks[i]);
-	ws_machine_release_missing(core, machine);
+	ws_machine_release_unreported(core, machine);
 }
 
 /*
- * Whether a heartbeat is a copy of an earlier one or was delayed past a later one. To answer it
- * would renew a lease that no worker learns of. Only heartbeats are compared: the answer to a
- * command may have overtaken a heartbeat that is new.
+ * Whether a heartbeat is a copy of an earlier one or arrived after a later one. An answer would
+ * renew the lease here, but no worker would receive it. Only heartbeats are compared: the answer to
+ * a command may have overtaken a heartbeat that is not stale.
  */
 static bool ws_heartbeat_is_stale(const struct ws_machine *machine,
 				  const struct ws_heartbeat *heartbeat)
@@ -141,9 +141,10 @@
 		heartbeat->sequence <= machine->heartbeat.sequence);
 }
 
-/* Applies a heartbeat that is not stale. False: the answer to a command has already told more. */
-static bool ws_machine_take_heartbeat(struct ws_core *core, struct ws_machine *machine,
-				      const struct ws_heartbeat *heartbeat)
+/* Applies a heartbeat that is not stale. Returns false if the answer to a command was newer, in
+ * which case only the time and sequence of the heartbeat are stored. */
+static bool ws_machine_accept_heartbeat(struct ws_core *core, struct ws_machine *machine,
+					const struct ws_heartbeat *heartbeat)
 {
 	bool newest = heartbeat->incarnation > machine->incarnation ||
 		      heartbeat->sequence > machine->sequence || !machine->reported;
@@ -151,7 +152,7 @@
 	machine->heartbeat.received_at = core->now;
 	machine->heartbeat.incarnation = heartbeat->incarnation;
 	machine->heartbeat.sequence = heartbeat->sequence;
-	machine->commands.answer_token = 0; /* taken, or no longer waited for */
+	machine->commands.answer_token = 0; /* received, or the worker no longer waits for it */
 	if (heartbeat->fencing_token > machine->fencing_token)
 		machine->fencing_token = heartbeat->fencing_token;
 	machine->unreachable = false;
@@ -162,7 +163,7 @@
 	return newest;
 }
 
-static bool ws_commands_start_any(const struct ws_command *commands, size_t count)
+static bool ws_commands_include_run(const struct ws_command *commands, size_t count)
 {
 	for (size_t i = 0; i < count; i++)
 		if (commands[i].kind == WS_COMMAND_RUN)
@@ -170,10 +171,10 @@
 	return false;
 }
 
-/* Answers a heartbeat: renews the machine's lease and passes commands. */
-static void ws_heartbeat_grant(struct ws_core *core, struct ws_machine *machine,
-			       const struct ws_heartbeat *heartbeat, bool newest,
-			       uint64_t request_id)
+/* Answers a heartbeat: renews the machine's lease and adds the commands that are due. */
+static void ws_machine_answer_heartbeat(struct ws_core *core, struct ws_machine *machine,
+					const struct ws_heartbeat *heartbeat, bool newest,
+					uint64_t request_id)
 {
 	struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_ANSWER_HEARTBEAT);
 
@@ -192,19 +193,19 @@
 	       "heartbeat answered machine=%s sequence=%llu token=%llu commands=%zu", machine->name,
 	       (unsigned long long)heartbeat->sequence, (unsigned long long)machine->fencing_token,
 	       effect->heartbeat.command_count);
-	if (ws_commands_start_any(effect->heartbeat.commands, effect->heartbeat.command_count))
+	if (ws_commands_include_run(effect->heartbeat.commands, effect->heartbeat.command_count))
 		machine->commands.answer_token = machine->fencing_token;
 }
 
-/* Counts and logs a stale heartbeat by its cause. */
-static void ws_heartbeat_refused(struct ws_core *core, const struct ws_machine *machine,
-				 const struct ws_heartbeat *heartbeat)
+/* Counts a stale heartbeat by its cause and logs it. */
+static void ws_heartbeat_count_stale(struct ws_core *core, const struct ws_machine *machine,
+				     const struct ws_heartbeat *heartbeat)
 {
 	bool old_sequence = heartbeat->incarnation == machine->heartbeat.incarnation;
 
 	ws_event_count(core, old_sequence ? WS_EVENT_STALE_SEQUENCE : WS_EVENT_STALE_INCARNATION);
 	ws_log(core, WS_LOG_DEBUG,
-	       "heartbeat refused machine=%s incarnation=%llu sequence=%llu token=%llu "
+	       "stale heartbeat refused machine=%s incarnation=%llu sequence=%llu token=%llu "
 	       "newest_incarnation=%llu newest_sequence=%llu",
 	       machine->name, (unsigned long long)heartbeat->incarnation,
 	       (unsigned long long)heartbeat->sequence,
@@ -221,13 +222,13 @@
 
 	machine = ws_machine_find_or_add(core, heartbeat->machine);
 	if (ws_heartbeat_is_stale(machine, heartbeat)) {
-		ws_heartbeat_refused(core, machine, heartbeat);
+		ws_heartbeat_count_stale(core, machine, heartbeat);
 		return false;
 	}
-	newest = ws_machine_take_heartbeat(core, machine, heartbeat);
-	ws_heartbeat_grant(core, machine, heartbeat, newest, request_id);
+	newest = ws_machine_accept_heartbeat(core, machine, heartbeat);
+	ws_machine_answer_heartbeat(core, machine, heartbeat, newest, request_id);
 	if (!ws_machine_echoes_token(machine) && ws_is_entitled(core) &&
 	    !core->leadership.in_outage)
-		ws_machine_send_probe(core, machine); /* now, not with the next sweep */
+		ws_machine_send_probe(core, machine); /* now, rather than in the next sweep */
 	return true;
 }
--- a/src/core/fleet/machine_leases.c
+++ b/src/core/fleet/machine_leases.c
@@ -1,24 +1,25 @@
 /*
- * Whether a machine can be trusted with tasks, and when all that was on it is gone.
+ * Whether a machine is usable for tasks, and when all attempts on it are released.
  *
- * A machine is usable while it echoes its fencing token, its heartbeats arrive and its lease runs.
- * Its attempts are released when the cloud confirms that it is gone or failed, or when its lease
- * has expired on any clock.
+ * A machine is usable while it echoes its fencing token, its heartbeats arrive and its lease is
+ * valid. Its attempts are released when the cloud confirms that it is gone or failed, or when its
+ * lease has expired with clock drift allowed for.
  */
 #include "../core_state.h"
 
-/* A heartbeat is overdue after this many intervals: one, a quarter that workers may vary it by, and
- * the time of its way. */
+/* A heartbeat is overdue after this many intervals: one interval, a quarter by which workers may
+ * vary it, and the network delay. */
 #define OVERDUE_INTERVALS 1.3
-/* A machine silent for this many heartbeat intervals takes nothing new. */
-#define SILENT_INTERVALS 3
-/* Returned machines are remembered for a lease and this many lags of the cloud's list. */
-#define RETURNED_LIST_LAGS 4
+/* A machine without contact for this many heartbeat intervals is assigned no new tasks. */
+#define CONTACT_TIMEOUT_INTERVALS 3
+/* The names of returned machines are kept for one lease plus this many times the lag of the cloud's
+ * instance list. */
+#define RETURNED_NAME_LIST_LAGS 4
 
 /*
- * A heartbeat that arrives is no proof that its sender receives our answers: the path may be cut
- * one way only, and the heartbeat may be a delayed copy. A fencing token that the machine echoes is
- * proof. The token is raised whenever a lease expired or a command got no answer.
+ * A heartbeat that arrives does not prove that its sender receives our answers: the network may be
+ * partitioned in one direction only, and the heartbeat may be a delayed copy. An echoed fencing
+ * token is proof. The token is raised whenever a lease expired or a command got no answer.
  */
 bool ws_machine_echoes_token(const struct ws_machine *machine)
 {
@@ -42,15 +43,15 @@
 
 /*
  * Whether a machine's heartbeats reach this leader. Only answers to heartbeats renew a lease: a
- * machine that can't reach the leader loses its tasks, however well commands reach it. It is given
- * some intervals to find the leader after the election, or after its own start.
+ * machine that cannot reach the leader loses its tasks even if commands reach it. After the
+ * election, or after its own start, it has some intervals to find the leader.
  */
 static bool ws_machine_heartbeats_arrive(const struct ws_core *core,
 					 const struct ws_machine *machine)
 {
 	return core->now - fmax(machine->heartbeat.received_at,
 				fmax(machine->up_at, core->leadership.elected_at)) <
-	       SILENT_INTERVALS * core->settings->report_s;
+	       CONTACT_TIMEOUT_INTERVALS * core->settings->report_s;
 }
 
 bool ws_machine_is_usable(const struct ws_core *core, const struct ws_machine *machine)
@@ -59,14 +60,15 @@
 	       !machine->invalid_name && !machine->quarantine.running && machine->reported &&
 	       machine->type && !machine->gone && !machine->scale_in.requested &&
 	       !machine->failed && machine->incarnation &&
-	       core->now - machine->last_heard_at < SILENT_INTERVALS * core->settings->report_s &&
+	       core->now - machine->last_heard_at <
+		   CONTACT_TIMEOUT_INTERVALS * core->settings->report_s &&
 	       ws_machine_heartbeats_arrive(core, machine) &&
 	       core->now < machine->lease.expires_at &&
 	       core->now >= machine->failures.suspended_until &&
 	       core->now >= machine->failures.refused_until && !machine->preemption_noticed;
 }
 
-/* Releases all attempts on a machine that is gone, or whose lease has expired. */
+/* Releases all attempts on a machine that is gone or failed, or whose lease has expired. */
 static void ws_machine_release_attempts(struct ws_core *core, struct ws_machine *machine,
 					enum ws_reconciliation_result result,
 					enum ws_release_evidence evidence)
@@ -106,7 +108,7 @@
 	ws_subsystems_lost(core, machine, WS_LOSS_RETURNED);
 	ws_tombstone_set(&core->fleet.returned_machines, machine->name,
 			 core->now + core->settings->lease_s +
-			     RETURNED_LIST_LAGS * core->settings->list_lag_s);
+			     RETURNED_NAME_LIST_LAGS * core->settings->list_lag_s);
 	ws_machine_release_attempts(core, machine, WS_RECONCILED_MACHINE_GONE,
 				    WS_RELEASE_MACHINE_GONE);
 	ws_core_instance_gone(core);
--- a/src/core/fleet/task_reports.c
+++ b/src/core/fleet/task_reports.c
@@ -1,14 +1,14 @@
-/* The status of one task, as a machine's newest heartbeat reports it, applied to its attempt. */
+/* Applies the status of one task, from a machine's newest report, to its attempt. */
 #include "../core_state.h"
 
-/* Failures in a row, of different jobs, after which a machine is suspended for a lease; each
- * further one doubles the time, up to so often. */
+/* A machine is suspended after this many consecutive failures of different jobs. The suspension is
+ * a lease times two to the power of the failures less one, with at most this many doublings. */
 #define FAILURES_TO_SUSPEND 2
 #define SUSPENSION_DOUBLINGS_MAX 5
-/* Failures of a job that are retried at once; then the delay begins with a heartbeat interval and
- * doubles with every second one, up to so often. */
-#define FAILURES_BEFORE_BACK_OFF 4
-#define BACK_OFF_DOUBLINGS_MAX 4
+/* The first failures of a job are retried at once. After that the backoff starts at one heartbeat
+ * interval and doubles with every second failure, at most this many times. */
+#define FAILURES_BEFORE_BACKOFF 4
+#define BACKOFF_DOUBLINGS_MAX 4
 
 static void ws_machine_count_failure(struct ws_core *core, struct ws_machine *machine,
 				     const struct ws_attempt *attempt)
@@ -17,8 +17,8 @@
 	int doublings;
 	double suspension_s;
 
-	/* a job that completed tasks elsewhere is sound: then its failures speak against the
-	 * machine */
+	/* a job that has completed tasks elsewhere is not faulty itself, so its repeated failures
+	 * count against the machine */
 	if (strcmp(machine->failures.last_job, attempt->job_id) || (job && job->done_count > 0)) {
 		machine->consecutive_failures++;
 		snprintf(machine->failures.last_job, sizeof(machine->failures.last_job), "%s",
@@ -33,31 +33,31 @@
 	suspension_s = core->settings->lease_s * (1 << doublings);
 	machine->failures.suspended_until = core->now + suspension_s;
 	ws_log(core, WS_LOG_INFO,
-	       "machine excluded after task failures machine=%s count=%d backoff_s=%.0f",
+	       "machine suspended after task failures machine=%s count=%d backoff_s=%.0f",
 	       machine->name, machine->consecutive_failures, suspension_s);
 }
 
-/* The first failures may be the machine's fault: the tasks are retried at once, elsewhere. */
+/* The first failures may be caused by the machine, so the tasks are retried at once, elsewhere. */
 static void ws_job_count_failure(const struct ws_core *core, struct ws_job *job)
 {
 	uint32_t doublings;
 
 	job->failures++;
-	if (job->failures <= FAILURES_BEFORE_BACK_OFF)
+	if (job->failures <= FAILURES_BEFORE_BACKOFF)
 		return;
-	doublings = (job->failures - FAILURES_BEFORE_BACK_OFF) / 2;
-	if (doublings > BACK_OFF_DOUBLINGS_MAX)
-		doublings = BACK_OFF_DOUBLINGS_MAX;
+	doublings = (job->failures - FAILURES_BEFORE_BACKOFF) / 2;
+	if (doublings > BACKOFF_DOUBLINGS_MAX)
+		doublings = BACKOFF_DOUBLINGS_MAX;
 	job->retry_not_before = core->now + core->settings->report_s * (1 << doublings);
 }
 
 /*
- * A task failed. A machine is suspended only when different jobs fail on it in a row, and a job
- * that fails on several machines is held back by itself: a faulty job must not suspend the fleet,
- * nor a faulty machine hold back the job.
+ * Handles a failed task. A machine is suspended only after consecutive failures of different jobs,
+ * and a job that fails on several machines has a backoff of its own: a faulty job must not suspend
+ * the fleet, and a faulty machine must not delay the job.
  */
-static void ws_task_failed(struct ws_core *core, struct ws_machine *machine,
-			   struct ws_attempt *attempt)
+static void ws_task_handle_failure(struct ws_core *core, struct ws_machine *machine,
+				   struct ws_attempt *attempt)
 {
 	ws_machine_count_failure(core, machine, attempt);
 	if (!attempt->job)
@@ -66,9 +66,9 @@
 	machine->failures.refused_until = core->now + core->settings->report_s;
 }
 
-/* A task completed. */
-static void ws_task_completed(struct ws_core *core, struct ws_machine *machine,
-			      struct ws_attempt *attempt)
+/* Handles a completed task. */
+static void ws_task_handle_completion(struct ws_core *core, struct ws_machine *machine,
+				      struct ws_attempt *attempt)
 {
 	struct ws_job *job = attempt->job;
 
@@ -81,9 +81,9 @@
 	ws_job_task_done(core, job, attempt->task);
 }
 
-/* A machine refused to run a task. */
-static void ws_task_refused(struct ws_core *core, struct ws_machine *machine,
-			    struct ws_attempt *attempt)
+/* Handles a task that a machine refused to run. */
+static void ws_task_handle_refusal(struct ws_core *core, struct ws_machine *machine,
+				   struct ws_attempt *attempt)
 {
 	ws_log(core, WS_LOG_INFO, "task refused machine=%s job=%s task=%u reason=%d", machine->name,
 	       attempt->job_id, attempt->task, attempt->exit_reason);
@@ -92,7 +92,7 @@
 		attempt->job->retry_not_before = core->now + core->settings->report_s;
 }
 
-static void ws_attempt_exited(struct ws_core *core, struct ws_attempt *attempt)
+static void ws_attempt_handle_exit(struct ws_core *core, struct ws_attempt *attempt)
 {
 	struct ws_machine *machine = attempt->machine;
 	struct ws_job *job = attempt->job;
@@ -101,20 +101,20 @@
 	       machine->name, attempt->job_id, attempt->task, (unsigned long long)attempt->number,
 	       attempt->exit_reason);
 	switch (attempt->exit_reason) {
-	case WS_EXIT_DONE: ws_task_completed(core, machine, attempt); break;
+	case WS_EXIT_DONE: ws_task_handle_completion(core, machine, attempt); break;
 	case WS_EXIT_ERROR:
 		ws_log(core, WS_LOG_INFO, "task failed machine=%s job=%s task=%u", machine->name,
 		       attempt->job_id, attempt->task);
-		ws_task_failed(core, machine, attempt);
+		ws_task_handle_failure(core, machine, attempt);
 		break;
 	case WS_EXIT_FULL:
 	case WS_EXIT_BUSY:
-	case WS_EXIT_UNKNOWN: ws_task_refused(core, machine, attempt); break;
+	case WS_EXIT_UNKNOWN: ws_task_handle_refusal(core, machine, attempt); break;
 	case WS_EXIT_NONE:
 	case WS_EXIT_STOPPED:
 	case WS_EXIT_MEMBER_LOST:
 	case WS_EXIT_GANG_INCOMPLETE:
-		/* a gang's attempt broke up; neither machine nor job is to blame here */
+		/* the attempt of a gang has ended; this is no failure of the machine or the job */
 		if (job && job->spec.gang && !attempt->unrecorded)
 			job->gang.ended_attempt = attempt->number;
 		break;
@@ -122,7 +122,7 @@
 	ws_attempt_release(core, attempt, WS_RELEASE_EXIT_REPORTED);
 }
 
-/* The live attempt on a machine that a status is of; NULL: none. */
+/* Returns the live attempt on a machine to which a status belongs, or NULL. */
 static struct ws_attempt *ws_attempt_find(const struct ws_machine *machine,
 					  const struct ws_task_status *status)
 {
@@ -135,8 +135,8 @@
 	return NULL;
 }
 
-/* The first status by which an attempt runs. */
-static void ws_attempt_began_to_run(struct ws_core *core, struct ws_machine *machine,
+/* Handles the first status that shows an attempt as running. */
+static void ws_attempt_mark_running(struct ws_core *core, struct ws_machine *machine,
 				    struct ws_attempt *attempt)
 {
 	struct ws_job *job = attempt->job;
@@ -175,16 +175,16 @@
 		ws_quarantine_reported(core, attempt);
 	if (status->state == WS_TASK_WAITING && attempt->task_state != WS_TASK_WAITING) {
 		attempt->waiting_since = core->now;
-		if (attempt->job) /* its image is fetched */
+		if (attempt->job) /* the image has been fetched */
 			ws_image_cache_touch(core, machine, attempt->job->image_index);
 	}
 	if (attempt->job && attempt->job->spec.gang && !attempt->unrecorded &&
 	    (status->state == WS_TASK_RUNNING || status->state == WS_TASK_SAVING))
 		attempt->job->gang.ended_attempt = attempt->number;
 	if (status->state == WS_TASK_RUNNING && attempt->task_state != WS_TASK_RUNNING)
-		ws_attempt_began_to_run(core, machine, attempt);
+		ws_attempt_mark_running(core, machine, attempt);
 	attempt->task_state = status->state;
 	attempt->exit_reason = status->exit_reason;
 	if (status->state == WS_TASK_EXITED)
-		ws_attempt_exited(core, attempt);
+		ws_attempt_handle_exit(core, attempt);
 }
