--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -2,22 +2,23 @@
  * Commands to workers: in the answers to their heartbeats, and in direct calls to their addresses.
  *
  * A direct call without an answer may still arrive later. Until the worker echoes a higher fencing
- * token, which makes it refuse the call, no attempt on it is forgotten or placed anew. So may the
- * answer to a heartbeat, until the worker's next one: it sends none while it waits for an answer.
+ * token, which makes it refuse the call, no attempt on it is reaped or placed again. The answer to
+ * a heartbeat may also arrive late, but not after the worker's next heartbeat: a worker sends none
+ * while it waits for an answer.
  */
 #include "../core_state.h"
 
-/* Size of the list of commands at first. */
+/* Initial capacity of the list of commands. */
 #define COMMANDS_CAPACITY_MIN 64
-/* A machine not heard for this many heartbeat intervals is sent no direct commands. */
-#define LISTENING_INTERVALS 1.5
-/* Probes in a sweep: this many, and one for so many machines. */
+/* A machine without contact for this many heartbeat intervals is sent no direct commands. */
+#define DIRECT_CALL_CONTACT_INTERVALS 1.5
+/* Maximum number of probes in a sweep: the minimum, plus one for each group of machines. */
 #define PROBES_MIN 32
 #define MACHINES_PER_PROBE 8
 
-/* ---- which commands a machine is due ---- */
+/* ---- which commands are due for a machine ---- */
 
-/* Whether a machine has the attempt, in any state, that a status is of. */
+/* Whether the attempt to which a status belongs is in the list of a machine, in any state. */
 static bool ws_machine_has_attempt(const struct ws_machine *machine,
 				   const struct ws_task_status *status)
 {
@@ -29,7 +30,7 @@
 	return false;
 }
 
-/* Whether a status tells of a completed task whose result is not recorded yet. */
+/* Whether a status reports a completed task whose result is not recorded yet. */
 static bool ws_result_is_unrecorded(struct ws_core *core, const struct ws_task_status *status)
 {
 	const struct ws_job *job = ws_job_find(core, status->job);
@@ -45,20 +46,20 @@
 	       machine->commands.answer_token;
 }
 
-/* Whether a worker may forget an attempt that has exited. */
+/* Whether a worker may delete its state of an attempt that has exited. */
 static bool ws_may_reap(struct ws_core *core, const struct ws_machine *machine,
 			const struct ws_task_status *status)
 {
 	/* a run command that may still arrive would start the attempt again */
 	if (ws_machine_start_may_arrive(machine))
 		return false;
-	/* its job's record still names it */
+	/* the record of its job may still name it */
 	if (ws_machine_has_attempt(machine, status))
 		return false;
 	return !ws_result_is_unrecorded(core, status);
 }
 
-/* Adds a command to the scratch list. */
+/* Appends a command to the scratch list. */
 static struct ws_command *ws_command_add(struct ws_core *core, enum ws_command_kind kind,
 					 const char *job, uint32_t task, uint64_t attempt)
 {
@@ -80,7 +81,7 @@
 	return command;
 }
 
-/* Whether an attempt is to be stopped and its worker may have it. */
+/* Whether an attempt is to be stopped and its worker may have received a run command for it. */
 static bool ws_attempt_needs_stop(const struct ws_attempt *attempt)
 {
 	return attempt->stopping && attempt->state != WS_ATTEMPT_GONE &&
@@ -88,7 +89,7 @@
 	       (attempt->maybe_sent || attempt->reported);
 }
 
-/* Adds the command that an attempt is due, if any. A direct call does not repeat run commands. */
+/* Appends the command due for an attempt, if any. A direct call does not repeat run commands. */
 static void ws_attempt_collect_command(struct ws_core *core, struct ws_attempt *attempt,
 				       bool direct)
 {
@@ -108,7 +109,7 @@
 		attempt->maybe_sent = true;
 }
 
-/* Collects, in the scratch list, what is to start, stop or be forgotten on a machine. */
+/* Collects the run, stop and reap commands for a machine in the scratch list. */
 static void ws_commands_collect(struct ws_core *core, struct ws_machine *machine,
 				const struct ws_heartbeat *heartbeat, size_t max, bool direct)
 {
@@ -149,13 +150,13 @@
 
 /* ---- direct calls ---- */
 
-static void ws_commands_answered(struct ws_core *core, struct ws_call *call,
-				 const struct ws_result *result);
+static void ws_commands_handle_result(struct ws_core *core, struct ws_call *call,
+				      const struct ws_result *result);
 
-/* A direct call to a machine, without commands as yet. */
+/* Creates a direct call to a machine, without commands. */
 static struct ws_call *ws_commands_call_new(struct ws_core *core, struct ws_machine *machine)
 {
-	struct ws_call *call = ws_call_new(core, WS_CALL_COMMANDS, ws_commands_answered);
+	struct ws_call *call = ws_call_new(core, WS_CALL_COMMANDS, ws_commands_handle_result);
 
 	snprintf(call->commands.address, sizeof(call->commands.address), "%s", machine->address);
 	call->commands.port = machine->port;
@@ -166,7 +167,7 @@
 	return call;
 }
 
-/* Whether a machine is to be probed now; asked of every machine at each sweep. */
+/* Whether a machine is to be probed now. Called for every machine in each sweep. */
 static inline bool ws_probe_is_due(const struct ws_core *core, const struct ws_machine *machine)
 {
 	if (ws_machine_echoes_token(machine) && !ws_heartbeat_overdue(core, machine->last_heard_at))
@@ -177,10 +178,10 @@
 }
 
 /*
- * Probed are machines that have not proved yet that they hear this leader, and those whose
- * heartbeat is overdue. The answer is the machine's state with the token in it, and a worker that
- * answers refuses what the last leader may still have in flight. To wait for a heartbeat instead
- * costs an interval, and the worker's search for the leader.
+ * Probes go to machines that have not echoed this leader's fencing token yet, and to those whose
+ * heartbeat is overdue. The answer holds the machine's state and the echoed token, and a worker
+ * that answers refuses commands that the previous leader may still have in flight. Waiting for a
+ * heartbeat instead would cost an interval, and the time in which the worker finds the leader.
  */
 bool ws_machine_send_probe(struct ws_core *core, struct ws_machine *machine)
 {
@@ -191,7 +192,8 @@
 	return true;
 }
 
-/* To be stopped, and no command has said so: one was in flight when that was decided. */
+/* Whether an attempt is to be stopped and no stop command was sent, since another call was in
+ * flight when the stop was decided. */
 static bool ws_attempt_stop_unsent(const struct ws_attempt *attempt)
 {
 	return attempt->stopping && !attempt->stop_command_sent &&
@@ -199,8 +201,8 @@
 	       attempt->incarnation == attempt->machine->incarnation;
 }
 
-/* A worker answered with its state, which counts unless a heartbeat has told more since. */
-static void ws_commands_acknowledged(struct ws_core *core, struct ws_machine *machine,
+/* Applies the state in a worker's answer, unless a newer heartbeat has arrived before it. */
+static void ws_commands_apply_answer(struct ws_core *core, struct ws_machine *machine,
 				     const struct ws_heartbeat *heartbeat)
 {
 	bool newer = heartbeat->incarnation > machine->incarnation ||
@@ -208,7 +210,7 @@
 		      heartbeat->sequence > machine->sequence) ||
 		     !machine->reported;
 
-	ws_leadership_saw_worker(core, false); /* the machine can be reached from here */
+	ws_leadership_saw_worker(core, false); /* the machine is reachable from this node */
 	machine->unreachable = false;
 	if (!newer)
 		return;
@@ -216,25 +218,26 @@
 	ws_machine_apply_heartbeat(core, machine, heartbeat);
 }
 
-/* A call with commands got no answer: they may still arrive. */
-static void ws_commands_unanswered(struct ws_core *core, struct ws_machine *machine,
-				   const struct ws_call *call, int status)
+/* Handles a call with commands that got no answer: the commands may still arrive. */
+static void ws_commands_handle_no_answer(struct ws_core *core, struct ws_machine *machine,
+					 const struct ws_call *call, int status)
 {
 	if (call->commands.fencing_token > machine->commands.late_token)
 		machine->commands.late_token = call->commands.fencing_token;
 	ws_machine_raise_fencing_token(core, machine, call->commands.fencing_token);
-	ws_log(core, WS_LOG_INFO, "command not answered machine=%s status=%d", machine->name,
+	ws_log(core, WS_LOG_INFO, "command call not answered machine=%s status=%d", machine->name,
 	       status);
 }
 
-/* A call without commands got no answer. It can do no harm later, so the token stays as it is. */
-static void ws_probe_unanswered(const struct ws_core *core, struct ws_machine *machine)
+/* Handles a probe that got no answer. It holds no commands, so a late arrival is harmless and the
+ * fencing token is not raised. */
+static void ws_probe_handle_no_answer(const struct ws_core *core, struct ws_machine *machine)
 {
 	if (ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->resumed_at)))
 		machine->unreachable = true;
 }
 
-/* Sends what has become due while a call was in flight. */
+/* Sends commands that became due while a call was in flight. */
 static void ws_machine_send_unsent_commands(struct ws_core *core, struct ws_machine *machine)
 {
 	const struct ws_attempt *attempt;
@@ -247,8 +250,9 @@
 		}
 }
 
-static void ws_commands_answered(struct ws_core *core, struct ws_call *call,
-				 const struct ws_result *result)
+/* Handles the result of a direct call. */
+static void ws_commands_handle_result(struct ws_core *core, struct ws_call *call,
+				      const struct ws_result *result)
 {
 	struct ws_machine *machine;
 
@@ -259,25 +263,27 @@
 		return;
 	machine->commands.in_flight--;
 	if (result->outcome == WS_OUTCOME_NOT_SENT)
-		return; /* never sent: the next answer to a heartbeat carries the commands */
+		return; /* the next answer to a heartbeat will hold the commands */
 	ws_subsystems_answered(core, machine, result->heartbeat != NULL);
 	if (result->heartbeat && !strcmp(result->heartbeat->machine, machine->name)) {
-		ws_commands_acknowledged(core, machine, result->heartbeat);
+		ws_commands_apply_answer(core, machine, result->heartbeat);
 		ws_machine_send_unsent_commands(core, machine);
 	} else if (call->commands.count) {
-		ws_commands_unanswered(core, machine, call, result->http_status);
+		ws_commands_handle_no_answer(core, machine, call, result->http_status);
 	} else {
-		ws_probe_unanswered(core, machine);
+		ws_probe_handle_no_answer(core, machine);
 	}
 }
 
 /* Whether a direct call to a machine may be made now. */
-static bool ws_machine_takes_commands(const struct ws_core *core, const struct ws_machine *machine)
+static bool ws_machine_accepts_direct_call(const struct ws_core *core,
+					   const struct ws_machine *machine)
 {
 	return machine->reported && machine->port && !machine->commands.in_flight &&
 	       !machine->commands.late_token && !machine->gone && !machine->scale_in.requested &&
 	       ws_is_entitled(core) &&
-	       core->now - machine->last_heard_at <= LISTENING_INTERVALS * core->settings->report_s;
+	       core->now - machine->last_heard_at <=
+		   DIRECT_CALL_CONTACT_INTERVALS * core->settings->report_s;
 }
 
 static bool ws_machine_has_unsent_stop(const struct ws_machine *machine)
@@ -294,9 +300,9 @@
 {
 	struct ws_call *call;
 
-	if (!ws_machine_takes_commands(core, machine))
+	if (!ws_machine_accepts_direct_call(core, machine))
 		return;
-	/* in an outage of the store nothing is started, but what is cancelled ends */
+	/* during an outage of the store nothing is started, but cancelled tasks are stopped */
 	if (core->leadership.in_outage && !ws_machine_has_unsent_stop(machine))
 		return;
 	call = ws_commands_call_new(core, machine);
--- a/src/core/fleet/fleet.c
+++ b/src/core/fleet/fleet.c
@@ -1,12 +1,12 @@
 /*
- * The machines that the leader knows: from records, heartbeats, scale-out requests and the cloud's
- * instance list.
+ * The table of machines, which is filled from records, heartbeats, scale-out requests and the
+ * cloud's instance list.
  */
 #include "../core_state.h"
 
-/* When a machine that was never heard was heard last. */
-#define NEVER_HEARD (-1e9)
-/* Characters that separate the fields of a job's record. */
+/* Time of the last contact with a machine that has never reported. */
+#define NEVER_CONTACTED (-1e9)
+/* Characters that separate the fields in the record of a job. */
 #define RECORD_SEPARATORS "/#=;,"
 
 struct ws_machine *ws_machine_find(struct ws_core *core, const char *name)
@@ -27,8 +27,8 @@
 	snprintf(machine->name, sizeof(machine->name), "%s", name);
 	machine->first_seen = core->now;
 	machine->empty_since = core->now;
-	machine->last_heard_at = NEVER_HEARD;
-	/* an earlier leader may have answered it, and sent it commands, until we were elected */
+	machine->last_heard_at = NEVER_CONTACTED;
+	/* until this leader's election, an earlier one may have answered it and sent commands */
 	machine->lease.expires_at = ws_lease_expiry(core, core->leadership.elected_at);
 	machine->commands.late_token =
 	    core->leadership.fencing_token ? core->leadership.fencing_token - 1 : 0;
@@ -43,7 +43,7 @@
 	return machine;
 }
 
-/* Moves the attempts on a machine to another zone, as their jobs count them. */
+/* Moves the attempts on a machine to another zone in the counts of their jobs. */
 static void ws_machine_recount_zone(struct ws_machine *machine, int new_zone_index)
 {
 	struct ws_attempt *attempt;
@@ -80,8 +80,8 @@
 }
 
 /*
- * What the list tells of a machine that has not reported yet: its kind and address, and, of one
- * known by its scale-out request alone, since when it boots.
+ * Applies the type, zone and address of a machine that has not reported yet and, if so far only its
+ * scale-out request named it, the time at which its boot began.
  */
 static void ws_machine_apply_instance_identity(struct ws_core *core, struct ws_machine *machine,
 					       const struct ws_instance *instance)
@@ -98,7 +98,7 @@
 {
 	struct ws_machine *machine = ws_machine_find(core, instance->name);
 
-	/* the list lags: it may still name a machine whose scale-in is confirmed */
+	/* the list lags and may still name a machine that is confirmed as gone */
 	if (ws_machine_is_returned(core, instance->name))
 		return;
 	if (!machine) {
@@ -113,7 +113,7 @@
 		machine->listed_running_at = core->now;
 	if (!machine->reported)
 		ws_machine_apply_instance_identity(core, machine, instance);
-	/* a machine that still sends heartbeats has not failed, whatever the list says */
+	/* a machine that still reports has not failed, even if the list shows it as failed */
 	if (instance->phase == WS_INSTANCE_FAILED && !machine->failed && !machine->gone &&
 	    core->now > machine->last_heard_at + core->settings->report_s)
 		ws_machine_mark_failed(core, machine);
--- a/src/core/fleet/fleet_sweep.c
+++ b/src/core/fleet/fleet_sweep.c
@@ -1,13 +1,14 @@
 /*
- * The periodic sweep over all machines: expired leases, machines about to be preempted, machines
- * that are gone, and probes.
+ * The periodic sweep over all machines: expires leases, drains machines with a preemption notice,
+ * frees machines that are gone, and sends probes.
  */
 #include "../core_state.h"
 
 /*
- * Whether an attempt is to leave a machine that will be preempted. Service replicas and tasks that
- * can save do; other tasks run on while they can. A gang saves only if all of it can be told at
- * once and has the time; else it goes on and falls back to its checkpoint.
+ * Whether an attempt is drained from a machine that will be preempted. Service replicas and tasks
+ * with checkpoints are drained; other tasks run until the preemption. A gang with checkpoints is
+ * drained only if stops can be sent to all its machines at once and enough time to save is left;
+ * otherwise it runs on and later restarts from its last checkpoint.
  */
 static bool ws_attempt_drains_on_notice(const struct ws_core *core,
 					const struct ws_attempt *attempt)
@@ -21,7 +22,7 @@
 	return spec->service || spec->checkpoint_s > 0;
 }
 
-/* Stops what is to leave a machine before it is preempted. */
+/* Stops the attempts that are drained from a machine before its preemption. */
 static void ws_machine_drain(struct ws_core *core, struct ws_machine *machine)
 {
 	struct ws_attempt *attempt, *next;
--- a/src/core/fleet/gang_attempts.c
+++ b/src/core/fleet/gang_attempts.c
@@ -1,34 +1,37 @@
 /*
  * Gangs: jobs whose tasks run all at once or not at all. The tasks of one start share an attempt
- * number, by which the workers let them find each other. The attempt of a gang
+ * number, by which the workers let them find each other. The attempt of a gang has three phases:
  *
- *  assembles: its tasks fetch their image, then wait. A task that is refused or lost is placed
- * again under the same number once it is surely gone (scheduler). If that can't be done in time,
- *           all tasks are stopped, so that no capacity idles;
- *  runs:    from the first heartbeat with a running task on. If a task is lost now, the attempt is
- *           over: the others notice that within gang_peer_s and end by themselves;
- *  ends:    all tasks are told to stop at once. The next attempt begins when the last task is
- * surely gone. When one task completes, all have (ws_job_task_done).
+ * - Assembling: its tasks fetch their image, then wait. The scheduler places a refused or lost task
+ *   again under the same number once its previous attempt is released. If that is not possible in
+ *   time, all tasks are stopped, so that no capacity stays idle.
+ * - Running: from the first heartbeat with a running task on. If a task is lost now, the attempt is
+ *   over: the other tasks detect the loss within gang_peer_s and exit by themselves.
+ * - Ending: all tasks are stopped at once. The next attempt begins when the last task is released.
+ *   When one task completes, all tasks count as completed (ws_job_task_done).
  *
- * Only the attempts themselves are on record: a new leader learns from heartbeats what its gangs
- * do, and replaces no task before it has heard of all the others.
+ * Only the attempts themselves are on record. A new leader restores the phase of a gang from
+ * heartbeats, and replaces no task before all the others are reported.
  */
 #include "../core_state.h"
 
-/* A time later than any. */
+/* Later than any time on the core's clock. */
 #define NEVER 1e18
-/* The share of gang_wait_s that a task may wait while a machine of the gang is silent. */
-#define SILENT_WAIT_SHARE 0.75
-/* Heartbeat intervals after which tasks of a broken gang that still run are told to stop. */
-#define BROKEN_INTERVALS 1.5
-
-/* Whether an attempt may be alive and is on its job's record. */
-static bool ws_gang_has_member(const struct ws_attempt *attempt)
+/* A gang is stopped if a machine that is out of contact may keep its lease until a task has waited
+ * for more than this share of gang_wait_s. */
+#define NO_CONTACT_WAIT_SHARE 0.75
+/* After gang_peer_s and this many heartbeat intervals, tasks of a broken gang that still run are
+ * stopped. */
+#define BROKEN_GANG_STOP_INTERVALS 1.5
+
+/* Whether an attempt may be alive and is not one that no record names. */
+static bool ws_attempt_is_gang_member(const struct ws_attempt *attempt)
 {
 	return attempt->state != WS_ATTEMPT_GONE && !attempt->unrecorded;
 }
 
-/* Whether a task has surely not begun to run: not sent yet, or reported as fetching or waiting. */
+/* Whether a task cannot be running: its run command was not sent, or its worker reported it as
+ * fetching or waiting. */
 static bool ws_gang_task_is_assembling(const struct ws_attempt *attempt)
 {
 	if (!attempt->maybe_sent)
@@ -57,7 +60,7 @@
 	return *number != 0;
 }
 
-/* Whether a machine can be told something at once. */
+/* Whether a command can be sent to a machine at once. */
 static bool ws_machine_is_reachable(const struct ws_core *core, const struct ws_machine *machine)
 {
 	return machine->reported && machine->port && !machine->commands.in_flight &&
@@ -80,7 +83,7 @@
 	return true;
 }
 
-/* Sent directly: the answers to heartbeats may come too late. */
+/* The stop commands are sent directly, since the answers to heartbeats may come too late. */
 void ws_gang_stop(struct ws_core *core, struct ws_job *job, double grace_s,
 		  enum ws_stop_reason reason)
 {
@@ -88,7 +91,7 @@
 	uint32_t stopped = 0;
 
 	DL_FOREACH_SAFE2 (job->attempts, attempt, next_attempt, job_next)
-		if (ws_gang_has_member(attempt) && !attempt->stopping) {
+		if (ws_attempt_is_gang_member(attempt) && !attempt->stopping) {
 			attempt->machine->commands.pending = true;
 			ws_attempt_stop(core, attempt, grace_s, WS_STOP_LOGGED);
 			stopped++;
@@ -117,12 +120,14 @@
 struct ws_gang_progress {
 	uint64_t number;
 	uint32_t members, stopping;
-	double waiting_since; /* of the task that has waited the longest */
-	double silent_until; /* a silent machine may keep its lease until then; 0: none is silent */
+	double waiting_since; /* of the task that has waited longest */
+	/* the latest lease expiry of its machines that are out of contact; 0: there are none */
+	double no_contact_lease_expiry;
 };
 
-/* Whether a task may have been started on a machine of which nothing is heard. */
-static bool ws_gang_member_is_silent(const struct ws_core *core, const struct ws_attempt *attempt)
+/* Whether a task may have been started on a machine whose heartbeat is overdue. */
+static bool ws_gang_member_is_out_of_contact(const struct ws_core *core,
+					     const struct ws_attempt *attempt)
 {
 	const struct ws_machine *machine = attempt->machine;
 
@@ -138,7 +143,7 @@
 	const struct ws_attempt *attempt;
 
 	DL_FOREACH2 (job->attempts, attempt, job_next) {
-		if (!ws_gang_has_member(attempt))
+		if (!ws_attempt_is_gang_member(attempt))
 			continue;
 		progress.members++;
 		progress.stopping += attempt->stopping;
@@ -147,20 +152,22 @@
 		if (attempt->task_state == WS_TASK_WAITING && attempt->waiting_since > 0)
 			progress.waiting_since =
 			    fmin(progress.waiting_since, attempt->waiting_since);
-		else if (ws_gang_member_is_silent(core, attempt))
-			progress.silent_until =
-			    fmax(progress.silent_until, attempt->machine->lease.expires_at);
+		else if (ws_gang_member_is_out_of_contact(core, attempt))
+			progress.no_contact_lease_expiry = fmax(progress.no_contact_lease_expiry,
+								attempt->machine->lease.expires_at);
 	}
 	return progress;
 }
 
-/* A gang that ran has lost a task. The others end by themselves; those that did not are told. */
+/* Handles a gang that has lost a task while it ran. The other tasks exit by themselves; those that
+ * still run after a while are stopped. */
 static void ws_gang_stop_broken(struct ws_core *core, struct ws_job *job)
 {
 	if (!job->gang.broken_at)
 		job->gang.broken_at = core->now;
 	else if (core->now - job->gang.broken_at >
-		 core->settings->gang_peer_s + BROKEN_INTERVALS * core->settings->report_s)
+		 core->settings->gang_peer_s +
+		     BROKEN_GANG_STOP_INTERVALS * core->settings->report_s)
 		ws_gang_stop(core, job, 0, WS_STOP_GANG_LOST_TASK);
 }
 
@@ -176,7 +183,7 @@
 	else if (has_run && job->waiting)
 		ws_gang_stop_broken(core, job);
 	else if (!has_run &&
-		 progress.silent_until >
-		     progress.waiting_since + core->settings->gang_wait_s * SILENT_WAIT_SHARE)
+		 progress.no_contact_lease_expiry >
+		     progress.waiting_since + core->settings->gang_wait_s * NO_CONTACT_WAIT_SHARE)
 		ws_gang_stop(core, job, 0, WS_STOP_GANG_UNREACHABLE);
 }
--- a/src/core/fleet/image_cache.c
+++ b/src/core/fleet/image_cache.c
@@ -1,7 +1,7 @@
-/* Which images a machine has used last: those that it probably need not fetch. */
+/* The images that a machine has used most recently, which it probably need not fetch again. */
 #include "../core_state.h"
 
-/* Moves the entries before a position up by one and puts an image first. */
+/* Moves the entries before a position back by one and puts an image first. */
 static void ws_image_cache_put_first(struct ws_machine *machine, int image, int position)
 {
 	memmove(machine->image_cache + 1, machine->image_cache,
--- a/src/core/fleet/machine_shard_records.c
+++ b/src/core/fleet/machine_shard_records.c
@@ -1,17 +1,19 @@
 /*
- * The record source of the machines' shards, fleet/<number>. The next leader probes the machines
- * that they name; nothing else depends on them, so they are written late, one at a time.
+ * The record source of the machine shards, fleet/<number>. The next leader probes the machines
+ * named there. Nothing else depends on these records, so they are written with a delay, one at a
+ * time.
  */
 #include "../core_state.h"
 #include "../record_sources.h"
 
-/* A dirty shard waits for this share of a lease; for longer without spare write budget. */
-#define SHARDS_PER_LEASE 32
-#define SHARDS_PER_LEASE_SHORT 4
-/* Newer images alone are written this often in a lease. */
-#define IMAGES_PER_LEASE 2
-/* Between two shards passes the time of this many writes. */
-#define WRITES_PER_SHARD 8
+/* A dirty shard is written after a lease divided by the first number, or by the second one if there
+ * is no spare write budget. */
+#define WRITE_DELAYS_PER_LEASE 32
+#define WRITE_DELAYS_PER_LEASE_LOW_BUDGET 4
+/* If only the images have changed, a shard is written at most this often in a lease. */
+#define IMAGE_WRITES_PER_LEASE 2
+/* The pause between the writes of two shards is the time of this many writes at state_write_rps. */
+#define PAUSE_WRITES 8
 
 static int ws_machine_shard_number(const char *key)
 {
@@ -27,13 +29,14 @@
 	ws_shard_at(core, number)->revision = record->revision;
 	if (json_is_array(json_object_get(record->value, "m"))) {
 		ws_record_read_machine_shard(core, record->value, number);
-	} else { /* counted as full, so that it is not written over */
-		ws_log(core, WS_LOG_ERROR, "unreadable record left alone key=%s", record->key);
+	} else { /* counted as full, so that it is not overwritten */
+		ws_log(core, WS_LOG_ERROR, "unreadable machine shard record left unchanged key=%s",
+		       record->key);
 		ws_shard_at(core, number)->machine_count = ws_shard_capacity(core);
 	}
 }
 
-/* Gives a shard to the machines that only other records name. */
+/* Assigns a shard to the machines that only other records name. */
 static void ws_machine_shard_loaded(struct ws_core *core)
 {
 	struct ws_machine *machine, *next;
@@ -49,14 +52,15 @@
 {
 	bool spare = ws_writer_has_spare_budget(core);
 	double lease_s = core->settings->lease_s;
-	double delay_s = lease_s / (spare ? SHARDS_PER_LEASE : SHARDS_PER_LEASE_SHORT);
+	double delay_s =
+	    lease_s / (spare ? WRITE_DELAYS_PER_LEASE : WRITE_DELAYS_PER_LEASE_LOW_BUDGET);
 
 	if (shard->write_in_flight)
 		return false;
 	if (shard->dirty && core->now - shard->dirty_since > delay_s)
 		return true;
 	return shard->images_outdated &&
-	       core->now - shard->written_at > lease_s / IMAGES_PER_LEASE && spare;
+	       core->now - shard->written_at > lease_s / IMAGE_WRITES_PER_LEASE && spare;
 }
 
 static void ws_machine_shard_add(struct ws_core *core, struct ws_write_batch *batch, int number)
@@ -68,13 +72,13 @@
 	shard->write_in_flight = true;
 	ws_write_counts_add(core, WS_WRITE_FLEET);
 	core->fleet.next_shard_write_at =
-	    core->now + WRITES_PER_SHARD / core->settings->state_write_rps;
+	    core->now + PAUSE_WRITES / core->settings->state_write_rps;
 	batch->bytes += (size_t)core->writer.value_bytes_max;
 	snprintf(key, sizeof(key), "%s%d", WS_KEY_PREFIX_MACHINE_SHARD, number);
 	ws_write_batch_set_if(batch, key, shard->revision, ws_record_machine_shard(core, number));
 }
 
-/* One shard at a time, in a transaction that is not full: what users wait for goes first. */
+/* Adds one shard at a time, if the transaction has room: records that users wait for go first. */
 static void ws_machine_shard_collect(struct ws_core *core, struct ws_write_batch *batch)
 {
 	if (!ws_write_batch_room(batch) || batch->bytes >= WS_TRANSACTION_BYTES ||
--- a/src/core/fleet/machine_shards.c
+++ b/src/core/fleet/machine_shards.c
@@ -1,22 +1,22 @@
 /*
- * The shards of the machines: which record a machine is in, what the record names of it, and what a
- * new leader takes over from one.
+ * The shards of the machines: assigns machines to shards, encodes the records of the shards, and
+ * restores machines from these records on a new leader.
  */
 #include "../core_state.h"
 
-/* An entry of a record takes less than this many bytes; its images fill what is left. */
-#define MACHINE_BYTES 112
-/* Not more than a version that knew no gangs wrote into 16 KiB: it would cut a longer record short.
- */
-#define MACHINES_MAX 85
+/* An upper bound for the bytes of a machine's entry in a record. Images use the bytes left over. */
+#define MACHINE_ENTRY_BYTES_MAX 112
+/* Maximum number of machines in a shard: as many as a version without gangs wrote into 16 KiB. That
+ * version truncates longer records. */
+#define SHARD_MACHINES_MAX 85
 
 int ws_shard_capacity(const struct ws_core *core)
 {
-	int capacity = (int)(core->settings->value_kb * 1024 / MACHINE_BYTES);
+	int capacity = (int)(core->settings->value_kb * 1024 / MACHINE_ENTRY_BYTES_MAX);
 
 	if (capacity < 1)
 		return 1;
-	return capacity > MACHINES_MAX ? MACHINES_MAX : capacity;
+	return capacity > SHARD_MACHINES_MAX ? SHARD_MACHINES_MAX : capacity;
 }
 
 struct ws_machine_shard *ws_shard_at(struct ws_core *core, int index)
@@ -55,7 +55,7 @@
 	ws_shard_mark_dirty(core, machine->shard);
 }
 
-/* A machine as its shard's record has it; the strings are the machine's. */
+/* Returns the entry of a machine in its shard's record. The machine owns the strings. */
 static struct ws_machine_record ws_machine_record_of(const struct ws_machine *machine)
 {
 	struct ws_machine_record record = {
@@ -94,18 +94,18 @@
 	return value;
 }
 
-/* The machine belongs to this shard from now on, or to another one if this one is full. */
+/* Assigns a restored machine to the shard that names it, unless that shard is full. */
 static void ws_machine_assign_shard(struct ws_core *core, struct ws_machine *machine, int index)
 {
 	if (ws_shard_at(core, index)->machine_count < ws_shard_capacity(core)) {
 		machine->shard = index;
 		ws_shard_at(core, index)->machine_count++;
-	} else { /* written under a higher limit: the rest goes to others */
+	} else { /* written under a higher limit: the other machines move to other shards */
 		ws_shard_mark_dirty(core, index);
 	}
 }
 
-/* Takes over what a record tells of a machine, unless another shard's has named it. */
+/* Restores a machine from a shard's record, unless another shard's record has named it. */
 static void ws_machine_restore(struct ws_core *core, const struct ws_machine_shard_record *shard,
 			       const struct ws_machine_record *record, int index)
 {
--- a/src/core/fleet/owned_machine_records.c
+++ b/src/core/fleet/owned_machine_records.c
@@ -1,10 +1,11 @@
 /*
- * The record of the owned machines: those that were there before any scale-out. It is written once.
+ * The record of the owned machines, which existed before any scale-out. It is written once.
  */
 #include "../core_state.h"
 #include "../record_sources.h"
 
-/* The last owned machine's name; the first version listed them all, and the last one counts. */
+/* Reads the name of the last owned machine. The first version listed all names; of these, the name
+ * that sorts last is used. */
 static void ws_owned_load(struct ws_core *core, const struct ws_kv *record)
 {
 	const char *last = json_string_value(json_object_get(record->value, "upto"));
--- a/src/core/fleet/quarantine.c
+++ b/src/core/fleet/quarantine.c
@@ -1,10 +1,11 @@
 /*
  * Attempts that a worker reports and no record names.
  *
- * Such an attempt is stopped at once unless a subsystem wants it quarantined. A quarantined attempt
- * is neither stopped nor reaped; its machine takes no other task, and while its job is unknown, the
- * rest of its machine counts against the limit of every team. Once its job is known the attempt is
- * adopted (the job's record names it) or stopped.
+ * Such an attempt is stopped at once unless a subsystem requests its quarantine. A quarantined
+ * attempt is neither stopped nor reaped, and its machine is assigned no other task. While its job
+ * is unknown, the capacity of its machine that attempts of known jobs do not use counts against the
+ * limit of every team. Once its job is known, the attempt is adopted (added to the job's record) or
+ * stopped.
  */
 #include "../core_state.h"
 
@@ -16,28 +17,27 @@
 	ws_unknown_team_settled(core, attempt);
 	attempt->task_state = WS_TASK_EXITED;
 	attempt->exit_reason = WS_EXIT_DONE;
-	ws_core_request_pass(core); /* its machine may take tasks again */
+	ws_core_request_pass(core); /* the machine may be usable again */
 }
 
-/* Ends the quarantine of an attempt and the attempt. */
+/* Ends the quarantine of an attempt and stops the attempt. */
 static void ws_quarantine_stop(struct ws_core *core, struct ws_attempt *attempt, double grace_s,
 			       enum ws_stop_reason reason)
 {
 	ws_quarantine_drop(core, attempt);
 	if (attempt->task_state == WS_TASK_EXITED) {
-		ws_attempt_release(
-		    core, attempt,
-		    WS_RELEASE_EXIT_REPORTED); /* its machine may forget the result */
+		/* the worker may delete the result */
+		ws_attempt_release(core, attempt, WS_RELEASE_EXIT_REPORTED);
 		return;
 	}
 	ws_attempt_stop(core, attempt, grace_s, reason);
 	ws_machine_send_commands(core, attempt->machine);
 }
 
-/* Whether the result of an attempt that no record names, and which has exited, is to wait for its
- * job to become known. */
-static bool ws_completion_is_quarantined(struct ws_core *core, struct ws_machine *machine,
-					 const struct ws_task_status *status)
+/* Whether the result of an exited attempt that no record names is kept until its job becomes known.
+ * If the job is known already, the result is applied here. */
+static bool ws_completion_needs_quarantine(struct ws_core *core, struct ws_machine *machine,
+					   const struct ws_task_status *status)
 {
 	struct ws_attempt attempt = {.machine = machine,
 				     .task = status->task,
@@ -53,20 +53,21 @@
 		return false;
 	}
 	if (ws_tombstone_is_set(core, &core->jobs.archived, status->job))
-		return false; /* archived by this leader */
+		return false; /* this leader has archived the job */
 	snprintf(attempt.job_id, sizeof(attempt.job_id), "%s", status->job);
 	return ws_subsystems_reconciled(core, &attempt, WS_RECONCILED_UNKNOWN_JOB);
 }
 
-/* Whether an attempt on no record is quarantined. A gang's is not, once its job is known. */
-static bool ws_unrecorded_is_quarantined(struct ws_core *core, const struct ws_attempt *attempt)
+/* Whether an attempt that no record names is quarantined. An attempt of a gang is not if its job is
+ * known. */
+static bool ws_unrecorded_needs_quarantine(struct ws_core *core, const struct ws_attempt *attempt)
 {
 	enum ws_reconciliation_result result = ws_reconcile_unrecorded(attempt);
-	bool wanted = ws_subsystems_reconciled(core, attempt, result);
+	bool requested = ws_subsystems_reconciled(core, attempt, result);
 
 	if (result == WS_RECONCILED_UNRECORDED)
-		return wanted && !attempt->job->spec.gang;
-	return wanted && result == WS_RECONCILED_UNKNOWN_JOB;
+		return requested && !attempt->job->spec.gang;
+	return requested && result == WS_RECONCILED_UNKNOWN_JOB;
 }
 
 struct ws_attempt *ws_attempt_add_unrecorded(struct ws_core *core, struct ws_machine *machine,
@@ -75,7 +76,7 @@
 	bool exited = status->state == WS_TASK_EXITED;
 	struct ws_attempt *attempt;
 
-	if (exited && !ws_completion_is_quarantined(core, machine, status))
+	if (exited && !ws_completion_needs_quarantine(core, machine, status))
 		return NULL;
 	attempt = ws_attempt_add(core, machine, status->job, status->task, status->attempt);
 	attempt->unrecorded = attempt->reported = attempt->maybe_sent = true;
@@ -83,7 +84,7 @@
 	if (exited) {
 		attempt->task_state = status->state;
 		attempt->exit_reason = status->exit_reason;
-	} else if (!ws_unrecorded_is_quarantined(core, attempt)) {
+	} else if (!ws_unrecorded_needs_quarantine(core, attempt)) {
 		ws_attempt_stop(core, attempt, 0, WS_STOP_UNRECORDED);
 		return attempt;
 	}
@@ -99,7 +100,7 @@
 	return attempt;
 }
 
-/* Adopts an attempt: its job's record is to name it; older attempts of the task are stopped. */
+/* Adopts an attempt: adds it to its job's record and stops the older attempts of the task. */
 static void ws_quarantine_adopt(struct ws_core *core, struct ws_attempt *attempt)
 {
 	struct ws_attempt *other, *next;
@@ -123,8 +124,9 @@
 		ws_quarantine_stop(core, attempt, 0, WS_STOP_OVER_OR_REPLACED);
 }
 
-/* Whether all tasks of a gang are quarantined, under one attempt number: it can go on. */
-static bool ws_quarantined_gang_is_whole(const struct ws_job *job)
+/* Whether all tasks of a gang are quarantined and running under one attempt number, so that the
+ * gang can continue. */
+static bool ws_quarantined_gang_is_complete(const struct ws_job *job)
 {
 	const struct ws_attempt *attempt;
 	uint32_t members = 0;
@@ -138,18 +140,19 @@
 	return members == job->spec.tasks;
 }
 
-/* Decides on all quarantined attempts of a job that has become known: completed ones count, others
- * are adopted or stopped. A gang is adopted whole or not at all. */
-static void ws_quarantine_settle_job(struct ws_core *core, struct ws_job *job)
+/* Resolves all quarantined attempts of a job that has become known: the results of completed ones
+ * are applied, the others are adopted or stopped. A gang is adopted as a whole or not at all. */
+static void ws_quarantine_resolve_attempts(struct ws_core *core, struct ws_job *job)
 {
 	struct ws_attempt *attempt, *next;
-	bool gang_is_whole = job->spec.gang && job->attempts && ws_quarantined_gang_is_whole(job);
+	bool gang_is_complete =
+	    job->spec.gang && job->attempts && ws_quarantined_gang_is_complete(job);
 
 	DL_FOREACH_SAFE2 (job->attempts, attempt, next, job_next) {
 		if (attempt->task_state == WS_TASK_EXITED) {
 			ws_job_task_done(core, job, attempt->task);
 			ws_attempt_release(core, attempt, WS_RELEASE_EXIT_REPORTED);
-		} else if (gang_is_whole) {
+		} else if (gang_is_complete) {
 			ws_quarantine_adopt(core, attempt);
 		} else if (job->spec.gang) {
 			ws_quarantine_stop(core, attempt, 0, WS_STOP_GANG_NOT_WHOLE);
@@ -157,7 +160,7 @@
 			ws_quarantine_reported(core, attempt);
 		}
 	}
-	ws_subsystems_adopted(core, job->spec.id, 0); /* reported also if none was adopted */
+	ws_subsystems_adopted(core, job->spec.id, 0); /* also called if none was adopted */
 }
 
 void ws_quarantine_link_job(struct ws_core *core, struct ws_job *job)
@@ -175,7 +178,7 @@
 			    !strcmp(attempt->job_id, job->spec.id))
 				ws_attempt_set_job(core, attempt, job);
 	}
-	ws_quarantine_settle_job(core, job);
+	ws_quarantine_resolve_attempts(core, job);
 }
 
 void ws_quarantine_end_job(struct ws_core *core, const char *job_id, double grace_s)
@@ -194,12 +197,13 @@
 }
 
 /*
- * What attempts of unknown teams on a machine may use at the most: the machine less what is surely
- * beside them. That is what the same heartbeat named, not all that counts here: attempts on record
- * that a heartbeat does not name may not have begun, and with an old copy of one they may be too
- * many for the machine, which once made this negative and raised the limit of every team.
+ * Adds the maximum that attempts of unknown teams on a machine may use: its capacity less what its
+ * reported attempts of known jobs use. Other attempts on record are not subtracted: they may not
+ * have started, and after a delayed copy of a heartbeat they may exceed the machine's capacity.
+ * That once made the result negative and raised the limit of every team.
  */
-static void ws_machine_add_reserve(const struct ws_machine *machine, double *cpus, double *gpus)
+static void ws_machine_add_reserved_capacity(const struct ws_machine *machine, double *cpus,
+					     double *gpus)
 {
 	double free_cpus = machine->type->cpus, free_gpus = machine->type->gpus;
 	const struct ws_attempt *attempt;
@@ -222,5 +226,5 @@
 		return;
 	HASH_ITER (hh, core->fleet.machines, machine, next)
 		if (machine->type && machine->quarantine.of_unknown_team)
-			ws_machine_add_reserve(machine, cpus, gpus);
+			ws_machine_add_reserved_capacity(machine, cpus, gpus);
 }
--- a/src/core/fleet/reconciliation.c
+++ b/src/core/fleet/reconciliation.c
@@ -1,6 +1,6 @@
 /*
- * Reconciliation of heartbeats with the records: what became of each attempt that was on record at
- * the election, and how an attempt that no record names relates to those that are on record.
+ * Reconciliation of worker reports with the records: the outcome of each attempt that was on record
+ * at the election, and how an attempt that no record names relates to the recorded ones.
  */
 #include "../core_state.h"
 
@@ -31,8 +31,9 @@
 	return WS_RECONCILED_ENDED_STOPPED;
 }
 
-/* The job, or the task, needs no attempt any more; also of a task that it does not have. */
-static bool ws_task_over(const struct ws_job *job, uint32_t task)
+/* Whether a job or one of its tasks needs no further attempt. True for a task number that the job
+ * does not have. */
+static bool ws_task_is_over(const struct ws_job *job, uint32_t task)
 {
 	return ws_job_is_over(job) || task >= job->spec.tasks || job->tasks[task].done;
 }
@@ -46,7 +47,7 @@
 		return;
 	if (status->state == WS_TASK_EXITED)
 		result = ws_reconciliation_of_exit(status->exit_reason);
-	else if (!attempt->job || ws_task_over(attempt->job, attempt->task))
+	else if (!attempt->job || ws_task_is_over(attempt->job, attempt->task))
 		result = WS_RECONCILED_OVER;
 	else if (attempt->job->tasks[attempt->task].newest_attempt != attempt)
 		result = WS_RECONCILED_SUPERSEDED;
@@ -59,7 +60,7 @@
 
 	if (!attempt->job)
 		return WS_RECONCILED_UNKNOWN_JOB;
-	if (ws_task_over(attempt->job, attempt->task))
+	if (ws_task_is_over(attempt->job, attempt->task))
 		return WS_RECONCILED_OVER;
 	DL_FOREACH2 (attempt->job->attempts, other, job_next) {
 		if (other == attempt || other->task != attempt->task ||
--- a/src/core/fleet/restored_attempts.c
+++ b/src/core/fleet/restored_attempts.c
@@ -1,7 +1,7 @@
-/* Attempts that the records name when a new leader reads them. */
+/* Restores the attempts named by the records that a new leader reads. */
 #include "../core_state.h"
 
-/* Whether another record has named an attempt before. */
+/* Whether an attempt has already been restored from another record. */
 static bool ws_attempt_is_restored(const struct ws_machine *machine, const char *job_id,
 				   const struct ws_recorded_attempt *recorded)
 {
@@ -26,11 +26,11 @@
 	if (recorded->incarnation > machine->incarnation)
 		machine->incarnation = recorded->incarnation;
 	if (ws_attempt_is_restored(machine, job_id, recorded))
-		return; /* two records name it: its job was cancelled between the reads */
+		return; /* two records name it if its job was cancelled between the reads */
 	attempt = ws_attempt_add(core, machine, job_id, recorded->task, recorded->number);
 	attempt->incarnation = recorded->incarnation;
 	attempt->state = WS_ATTEMPT_RECORDED;
-	attempt->maybe_sent = true; /* the last leader may have sent the command */
+	attempt->maybe_sent = true; /* the previous leader may have sent the run command */
 	attempt->awaiting_reconciliation = true;
 	job = attempt->job;
 	if (!job || (attempt->task < job->spec.tasks && job->tasks[attempt->task].done))
@@ -47,7 +47,7 @@
 	free(attempts);
 }
 
-/* Whether an attempt is of a cancelled job, or a newer attempt of its task is on record. */
+/* Whether the job of an attempt is cancelled, or a newer attempt of its task is on record. */
 static bool ws_attempt_is_superseded(const struct ws_attempt *attempt)
 {
 	const struct ws_job *job = attempt->job;
