--- a/src/core/fleet/fleet.h
+++ b/src/core/fleet/fleet.h
@@ -49,7 +49,7 @@
 	/* fencing token of the answer to its newest heartbeat, if the answer holds run commands and
 	 * may still arrive; 0: there is no such answer */
 	uint64_t answer_token;
-	bool pending; /* to be sent when all attempts of the current write or stop are updated */
+	bool pending; /* ws_job_send_commands() is to send them, in one call for all attempts */
 	double next_probe_at;
 };
 
@@ -96,7 +96,8 @@
 	uint64_t instance_list_mark; /* mark of the last instance list that named it */
 	double listed_running_at;    /* when the list first showed it as running; 0: not yet */
 	bool reported;		     /* has sent a heartbeat or answered a command */
-	bool unrecorded;  /* at its first report, no record and no instance list named it */
+	/* at its first report, no record, scale-out request or instance list had named it */
+	bool unrecorded;
 	bool unreachable; /* its heartbeats are overdue, and a probe got no answer */
 	bool failed;	  /* according to the cloud */
 	bool gone;	  /* confirmed by the cloud; freed by a later sweep */
@@ -129,7 +130,7 @@
 	struct ws_attempt *attempts;
 	uint32_t attempt_count; /* attempts that may be alive */
 	double used_cpus, used_gpus, used_mem;
-	double stopping_cpus, stopping_gpus, stopping_mem; /* of these, by stopping attempts */
+	double stopping_cpus, stopping_gpus, stopping_mem; /* the part of stopping attempts */
 	struct ws_machine_quarantine quarantine;
 	double reserved_until; /* reserved for a waiting gang until then */
 
@@ -309,7 +310,7 @@
 /* ---- commands.c ---- */
 
 /*
- * Returns the commands due for a machine, max at most, and marks their attempts as sent. With a
+ * Returns the commands due for a machine, at most `max`, and marks their attempts as sent. With a
  * heartbeat, includes reap commands for the exited tasks in it that the worker may delete. The
  * caller owns the list. Returns NULL if there are no commands.
  */
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -59,7 +59,8 @@
 	 * renewed it: the answer to a direct command may be the first report of the incarnation */
 	machine->lease.expires_at =
 	    fmax(machine->lease.expires_at, ws_lease_expiry(core, core->now));
-	machine->commands.late_token = 0; /* workers refuse commands for earlier incarnations */
+	/* workers refuse commands for earlier incarnations */
+	machine->commands.late_token = 0;
 	ws_machine_mark_dirty(core, machine);
 }
 
