--- a/src/core/autoscaler/capacity_errors.c
+++ b/src/core/autoscaler/capacity_errors.c
@@ -66,7 +66,7 @@
 {
 	return !machine->preemption_noticed && !machine->failed &&
 	       ws_machine_echoes_token(machine) &&
-	       core->now - machine->last_heard_at <= 3 * core->settings->heartbeat_s;
+	       core->now - machine->last_contact_at <= 3 * core->settings->heartbeat_s;
 }
 
 /* In a large fleet the backoff ends only after several machines of the kind were returned, because
--- a/src/core/autoscaler/instance_list.c
+++ b/src/core/autoscaler/instance_list.c
@@ -59,7 +59,7 @@
 	       (machine->in_instance_list || ws_machine_should_be_listed(core, machine)) &&
 	       machine->instance_list_mark != core->autoscaler.list_generation &&
 	       !machine->scale_in.requested &&
-	       core->now - machine->last_heard_at > heartbeat_timeout_s &&
+	       core->now - machine->last_contact_at > heartbeat_timeout_s &&
 	       core->now - core->leadership.elected_at > heartbeat_timeout_s &&
 	       core->fleet.owned_recorded;
 }
--- a/src/core/autoscaler/queue_measurements.c
+++ b/src/core/autoscaler/queue_measurements.c
@@ -44,7 +44,7 @@
 
 	HASH_ITER (hh, core->fleet.machines, machine, next) {
 		if (machine->owned && ws_machine_echoes_token(machine) &&
-		    core->now - machine->last_heard_at < 3 * core->settings->heartbeat_s)
+		    core->now - machine->last_contact_at < 3 * core->settings->heartbeat_s)
 			owned += ws_demand_units_of_machine(core, machine->type);
 		for (const struct ws_attempt *attempt = machine->attempts; attempt;
 		     attempt = attempt->machine_next)
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -122,7 +122,7 @@
 		reachability.up_count++;
 		/* A short limit: if the leader itself is partitioned, most machines must count as
 		 * unreachable before any of them is returned for that reason. */
-		reachable_count += !ws_heartbeat_overdue(core, machine->last_heard_at) &&
+		reachable_count += !ws_heartbeat_overdue(core, machine->last_contact_at) &&
 				   ws_machine_echoes_token(machine);
 	}
 	reachability.most_reachable = reachable_count * 2 >= reachability.up_count;
@@ -136,7 +136,7 @@
 
 	return machine->reported && !machine->attempt_count && !machine->preemption_noticed &&
 	       core->now >= machine->reserved_until && empty_s > wait_s &&
-	       core->now - machine->up_at > wait_s &&
+	       core->now - machine->first_report_at > wait_s &&
 	       /* leave unmet demand time to be placed on it */
 	       (!core->autoscaler.new_machines_needed || empty_s > 2 * wait_s);
 }
@@ -149,11 +149,11 @@
 {
 	const double elected_at = core->leadership.elected_at;
 	const double no_heartbeat_since =
-	    fmax(machine->last_heard_at, fmax(elected_at, core->resumed_at));
+	    fmax(machine->last_contact_at, fmax(elected_at, core->resumed_at));
 	const double heartbeat_timeout_s = core->settings->lease_s * core->policy.unreachable_ratio;
 
-	if (machine->preemption_noticed && core->now > machine->preempted_at &&
-	    core->now - machine->last_heard_at >
+	if (machine->preemption_noticed && core->now > machine->preemption_at &&
+	    core->now - machine->last_contact_at >
 		PREEMPTED_TIMEOUT_INTERVALS * core->settings->heartbeat_s)
 		return WS_SCALE_IN_PREEMPTED; /* so that the cloud confirms it */
 	if (machine->unreachable && machine->reported &&
@@ -163,7 +163,8 @@
 	    heartbeat_timeout_s < core->now - fmax(no_heartbeat_since, machine->listed_running_at))
 		return WS_SCALE_IN_NO_HEARTBEATS;
 	if (machine->reported && !ws_machine_echoes_token(machine) && up_count &&
-	    core->now - fmax(fmax(machine->fencing_token_since, machine->up_at), elected_at) >
+	    core->now -
+		    fmax(fmax(machine->fencing_token_since, machine->first_report_at), elected_at) >
 		heartbeat_timeout_s + core->settings->heartbeat_s)
 		return WS_SCALE_IN_TOKEN_NOT_ECHOED;
 	return WS_SCALE_IN_NONE;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -138,12 +138,12 @@
 
 void ws_core_attempts_restored(struct ws_core *core)
 {
-	ws_attempts_restored(core);
+	ws_attempts_stop_superseded(core);
 }
 
 void ws_core_job_known(struct ws_core *core, struct ws_job *job)
 {
-	ws_quarantine_link_job(core, job);
+	ws_quarantine_resolve_job(core, job);
 }
 
 void ws_core_job_commands_due(struct ws_core *core, struct ws_job *job)
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -40,9 +40,9 @@
 	       !job->tasks[status->task].recorded;
 }
 
-bool ws_machine_start_may_arrive(const struct ws_machine *machine)
+bool ws_machine_has_outstanding_run(const struct ws_machine *machine)
 {
-	return machine->commands.late_token || machine->commands.in_flight ||
+	return machine->commands.outstanding_token || machine->commands.in_flight ||
 	       machine->commands.answer_token;
 }
 
@@ -51,7 +51,7 @@
 			const struct ws_task_status *status)
 {
 	/* a run command that may still arrive would start the attempt again */
-	if (ws_machine_start_may_arrive(machine))
+	if (ws_machine_has_outstanding_run(machine))
 		return false;
 	/* the record of its job may still name it */
 	if (ws_machine_has_attempt(machine, status))
@@ -170,7 +170,8 @@
 /* Whether a machine is to be probed now. Called for every machine in each sweep. */
 static inline bool ws_probe_is_due(const struct ws_core *core, const struct ws_machine *machine)
 {
-	if (ws_machine_echoes_token(machine) && !ws_heartbeat_overdue(core, machine->last_heard_at))
+	if (ws_machine_echoes_token(machine) &&
+	    !ws_heartbeat_overdue(core, machine->last_contact_at))
 		return false;
 	return machine->port && machine->address[0] && !machine->gone &&
 	       !machine->scale_in.requested && !machine->commands.in_flight &&
@@ -214,7 +215,7 @@
 	machine->unreachable = false;
 	if (!newer)
 		return;
-	machine->last_heard_at = core->now;
+	machine->last_contact_at = core->now;
 	ws_machine_apply_heartbeat(core, machine, heartbeat);
 }
 
@@ -222,8 +223,8 @@
 static void ws_commands_handle_no_answer(struct ws_core *core, struct ws_machine *machine,
 					 const struct ws_call *call, int status)
 {
-	if (call->commands.fencing_token > machine->commands.late_token)
-		machine->commands.late_token = call->commands.fencing_token;
+	if (call->commands.fencing_token > machine->commands.outstanding_token)
+		machine->commands.outstanding_token = call->commands.fencing_token;
 	ws_machine_raise_fencing_token(core, machine, call->commands.fencing_token);
 	ws_log(core, WS_LOG_INFO, "command call not answered machine=%s status=%d", machine->name,
 	       status);
@@ -233,7 +234,7 @@
  * fencing token is not raised. */
 static void ws_probe_handle_no_answer(const struct ws_core *core, struct ws_machine *machine)
 {
-	if (ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->resumed_at)))
+	if (ws_heartbeat_overdue(core, fmax(machine->last_contact_at, core->resumed_at)))
 		machine->unreachable = true;
 }
 
@@ -280,9 +281,9 @@
 					   const struct ws_machine *machine)
 {
 	return machine->reported && machine->port && !machine->commands.in_flight &&
-	       !machine->commands.late_token && !machine->gone && !machine->scale_in.requested &&
-	       ws_is_entitled(core) &&
-	       core->now - machine->last_heard_at <=
+	       !machine->commands.outstanding_token && !machine->gone &&
+	       !machine->scale_in.requested && ws_is_entitled(core) &&
+	       core->now - machine->last_contact_at <=
 		   DIRECT_CALL_CONTACT_INTERVALS * core->settings->heartbeat_s;
 }
 
--- a/src/core/fleet/fleet.c
+++ b/src/core/fleet/fleet.c
@@ -27,10 +27,10 @@
 	snprintf(machine->name, sizeof(machine->name), "%s", name);
 	machine->first_seen = core->now;
 	machine->empty_since = core->now;
-	machine->last_heard_at = NEVER_CONTACTED;
+	machine->last_contact_at = NEVER_CONTACTED;
 	/* until this leader's election, an earlier one may have answered it and sent commands */
 	machine->lease.expires_at = ws_lease_expiry(core, core->leadership.elected_at);
-	machine->commands.late_token =
+	machine->commands.outstanding_token =
 	    core->leadership.fencing_token ? core->leadership.fencing_token - 1 : 0;
 	machine->fencing_token = core->leadership.fencing_token;
 	machine->fencing_token_since = core->now;
@@ -115,7 +115,7 @@
 		ws_machine_apply_instance_identity(core, machine, instance);
 	/* a machine that still reports has not failed, even if the list shows it as failed */
 	if (instance->phase == WS_INSTANCE_FAILED && !machine->failed && !machine->gone &&
-	    core->now > machine->last_heard_at + core->settings->heartbeat_s)
+	    core->now > machine->last_contact_at + core->settings->heartbeat_s)
 		ws_machine_mark_failed(core, machine);
 }
 
--- a/src/core/fleet/fleet.h
+++ b/src/core/fleet/fleet.h
@@ -22,7 +22,7 @@
 #include "../tombstones.h"
 
 /* Maximum number of images in the image cache list of a machine. */
-#define WS_CACHE_MAX 24
+#define WS_IMAGE_CACHE_MAX 24
 /* Shard records with this number or a higher one are ignored when records are read. */
 #define WS_MAX_MACHINE_SHARDS 100000
 /* Maximum number of commands in the answer to a heartbeat, which keeps it below the limit on the
@@ -32,7 +32,7 @@
 /* The lease of a machine. Its worker ends all tasks when the lease expires. */
 struct ws_machine_lease {
 	double expires_at; /* with clock drift allowed for; set when a heartbeat is answered */
-	uint64_t least_incarnation; /* heartbeats of earlier ones are stale: their lease expired */
+	uint64_t min_incarnation; /* heartbeats of earlier ones are stale: their lease expired */
 };
 
 /* The newest heartbeat of a machine. Answers to direct commands do not update it. */
@@ -44,7 +44,7 @@
 /* Commands to a machine, sent directly or in the answers to its heartbeats. */
 struct ws_machine_commands {
 	/* direct commands up to this fencing token may still arrive; 0: none */
-	uint64_t late_token;
+	uint64_t outstanding_token;
 	int in_flight; /* direct calls without a result yet */
 	/* fencing token of the answer to its newest heartbeat, if the answer holds run commands and
 	 * may still arrive; 0: there is no such answer */
@@ -57,7 +57,7 @@
 struct ws_machine_failures {
 	char last_job[WS_ID_MAX]; /* the job that failed last; empty: a task has completed since */
 	double suspended_until;	  /* no tasks until then, after failures of different jobs */
-	double refused_until;	  /* no tasks until then, after a single failure or refusal */
+	double backoff_until;	  /* no tasks until then, after a single failure or refusal */
 };
 
 /* Quarantined attempts on a machine. While one runs, the machine is assigned no other task. */
@@ -102,18 +102,18 @@
 	bool failed;	  /* according to the cloud */
 	bool gone;	  /* confirmed by the cloud; freed by a later sweep */
 	/* when it was added, or when the cloud created it, if earlier; when it first reported */
-	double first_seen, up_at;
+	double first_seen, first_report_at;
 
 	/* scale-in and preemption */
 	struct ws_machine_scale_in scale_in;
 	bool preemption_noticed;
-	double preempted_at; /* when the cloud will take it; 0: no notice */
-	double empty_since;  /* it has had no live attempts since */
+	double preemption_at; /* when the cloud will take it; 0: no notice */
+	double empty_since;   /* it has had no live attempts since */
 
 	/* its newest report: a heartbeat or the answer to a direct command */
 	uint64_t incarnation, sequence;
 	uint64_t echoed_token;
-	double last_heard_at;
+	double last_contact_at;
 	struct ws_machine_heartbeat heartbeat;
 	struct ws_machine_lease lease;
 
@@ -134,7 +134,7 @@
 	struct ws_machine_quarantine quarantine;
 	double reserved_until; /* reserved for a waiting gang until then */
 
-	int image_cache[WS_CACHE_MAX]; /* image indices, most recently used first */
+	int image_cache[WS_IMAGE_CACHE_MAX]; /* image indices, most recently used first */
 	int image_cache_count;
 	int shard; /* index of the shard whose record names it; -1: none yet */
 
@@ -274,7 +274,7 @@
 void ws_attempts_restore(struct ws_core *core, const char *job_id, json_t *record);
 /* Called when all records are read: marks attempts of cancelled jobs, and attempts superseded by a
  * newer attempt of their task, to be stopped. */
-void ws_attempts_restored(struct ws_core *core);
+void ws_attempts_stop_superseded(struct ws_core *core);
 
 /* ---- reconciliation.c ---- */
 
@@ -301,7 +301,7 @@
 void ws_quarantine_completed(struct ws_core *core, struct ws_attempt *attempt);
 /* Resolves the quarantined attempts of a job that has just become known: adopts or stops them, or
  * applies their results. */
-void ws_quarantine_link_job(struct ws_core *core, struct ws_job *job);
+void ws_quarantine_resolve_job(struct ws_core *core, struct ws_job *job);
 /* Ends all quarantined attempts of a job. grace_s: seconds to save their state; 0: none. */
 void ws_quarantine_end_job(struct ws_core *core, const char *job_id, double grace_s);
 /* Returns the maximum of CPUs and GPUs that attempts of unknown teams may use. */
@@ -318,7 +318,7 @@
 					   const struct ws_heartbeat *heartbeat, size_t max,
 					   bool direct, size_t *count);
 /* Whether a run command that was sent to a machine may still arrive there. */
-bool ws_machine_start_may_arrive(const struct ws_machine *machine);
+bool ws_machine_has_outstanding_run(const struct ws_machine *machine);
 /* Probes a machine: sends a command call without commands. Returns false if no probe is due. */
 bool ws_machine_send_probe(struct ws_core *core, struct ws_machine *machine);
 /* Sends due commands directly to a machine with recent contact. Heartbeat answers repeat them. */
--- a/src/core/fleet/fleet_sweep.c
+++ b/src/core/fleet/fleet_sweep.c
@@ -17,7 +17,7 @@
 
 	if (spec->gang)
 		return spec->checkpoint_interval_s > 0 &&
-		       core->now + spec->checkpoint_duration_s < attempt->machine->preempted_at &&
+		       core->now + spec->checkpoint_duration_s < attempt->machine->preemption_at &&
 		       ws_gang_is_reachable(core, attempt->job);
 	return spec->service || spec->checkpoint_interval_s > 0;
 }
@@ -51,7 +51,7 @@
 	if (machine->attempt_count && core->now > machine->lease.expires_at && machine->incarnation)
 		ws_machine_expire_lease(core, machine);
 	if (machine->preemption_noticed &&
-	    core->now < machine->preempted_at + core->settings->lease_s)
+	    core->now < machine->preemption_at + core->settings->lease_s)
 		ws_machine_drain(core, machine);
 }
 
--- a/src/core/fleet/gang_attempts.c
+++ b/src/core/fleet/gang_attempts.c
@@ -64,9 +64,10 @@
 static bool ws_machine_is_reachable(const struct ws_core *core, const struct ws_machine *machine)
 {
 	return machine->reported && machine->port && !machine->commands.in_flight &&
-	       !machine->commands.late_token && !machine->gone && !machine->scale_in.requested &&
-	       !machine->unreachable && ws_machine_echoes_token(machine) &&
-	       !ws_heartbeat_overdue(core, machine->last_heard_at);
+	       !machine->commands.outstanding_token && !machine->gone &&
+	       !machine->scale_in.requested && !machine->unreachable &&
+	       ws_machine_echoes_token(machine) &&
+	       !ws_heartbeat_overdue(core, machine->last_contact_at);
 }
 
 bool ws_gang_is_reachable(const struct ws_core *core, const struct ws_job *job)
@@ -132,7 +133,7 @@
 	const struct ws_machine *machine = attempt->machine;
 
 	return attempt->maybe_sent &&
-	       ws_heartbeat_overdue(core, fmax(machine->last_heard_at, core->resumed_at)) &&
+	       ws_heartbeat_overdue(core, fmax(machine->last_contact_at, core->resumed_at)) &&
 	       !ws_subsystems_action_deferred(core, WS_DEFER_GANG_STOP, machine->zone_index);
 }
 
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -5,7 +5,7 @@
 static void ws_machine_first_contact(struct ws_core *core, struct ws_machine *machine)
 {
 	machine->reported = true;
-	machine->up_at = core->now;
+	machine->first_report_at = core->now;
 	if (!machine->owned && core->now - machine->first_seen > core->settings->heartbeat_s)
 		ws_stats_booted(core, core->now - machine->first_seen);
 	ws_log(core, WS_LOG_INFO, "machine up machine=%s type=%s zone=%s preemptible=%s owned=%s",
@@ -60,7 +60,7 @@
 	machine->lease.expires_at =
 	    fmax(machine->lease.expires_at, ws_lease_expiry(core, core->now));
 	/* workers refuse commands for earlier incarnations */
-	machine->commands.late_token = 0;
+	machine->commands.outstanding_token = 0;
 	ws_machine_mark_dirty(core, machine);
 }
 
@@ -68,7 +68,7 @@
 						double notice_s)
 {
 	machine->preemption_noticed = true;
-	machine->preempted_at = core->now + notice_s;
+	machine->preemption_at = core->now + notice_s;
 	ws_log(core, WS_LOG_INFO, "preemption notice machine=%s notice_s=%.0f", machine->name,
 	       notice_s);
 	ws_core_request_pass(core);
@@ -90,7 +90,7 @@
 		 * to a direct command may overtake the answer to a heartbeat */
 		if (!attempt->reported && (!attempt->maybe_sent || !attempt->stopping))
 			continue;
-		if (!attempt->reported && ws_machine_start_may_arrive(machine))
+		if (!attempt->reported && ws_machine_has_outstanding_run(machine))
 			ws_event_count(core, WS_EVENT_RELEASE_HELD_BACK);
 		else
 			ws_attempt_release(core, attempt, WS_RELEASE_NOT_REPORTED);
@@ -116,8 +116,8 @@
 	machine->sequence = heartbeat->sequence;
 	machine->echoed_token = heartbeat->fencing_token;
 	/* the worker refuses commands and drops answers with a lower token */
-	if (heartbeat->fencing_token > machine->commands.late_token)
-		machine->commands.late_token = 0;
+	if (heartbeat->fencing_token > machine->commands.outstanding_token)
+		machine->commands.outstanding_token = 0;
 	if (heartbeat->fencing_token > machine->commands.answer_token)
 		machine->commands.answer_token = 0;
 	if (heartbeat->preemption_notice_s >= 0 && !machine->preemption_noticed)
@@ -136,7 +136,7 @@
 static bool ws_heartbeat_is_stale(const struct ws_machine *machine,
 				  const struct ws_heartbeat *heartbeat)
 {
-	return heartbeat->incarnation < machine->lease.least_incarnation ||
+	return heartbeat->incarnation < machine->lease.min_incarnation ||
 	       heartbeat->incarnation < machine->incarnation ||
 	       (heartbeat->incarnation == machine->heartbeat.incarnation &&
 		heartbeat->sequence <= machine->heartbeat.sequence);
@@ -158,7 +158,7 @@
 		machine->fencing_token = heartbeat->fencing_token;
 	machine->unreachable = false;
 	if (newest) {
-		machine->last_heard_at = core->now;
+		machine->last_contact_at = core->now;
 		ws_machine_apply_heartbeat(core, machine, heartbeat);
 	}
 	return newest;
--- a/src/core/fleet/image_cache.c
+++ b/src/core/fleet/image_cache.c
@@ -19,9 +19,10 @@
 		ws_image_cache_put_first(machine, image, position);
 		return;
 	}
-	if (position == machine->image_cache_count && machine->image_cache_count < WS_CACHE_MAX)
+	if (position == machine->image_cache_count &&
+	    machine->image_cache_count < WS_IMAGE_CACHE_MAX)
 		machine->image_cache_count++;
-	if (position == WS_CACHE_MAX)
+	if (position == WS_IMAGE_CACHE_MAX)
 		position--;
 	ws_image_cache_put_first(machine, image, position);
 	if (machine->shard >= 0)
--- a/src/core/fleet/machine_leases.c
+++ b/src/core/fleet/machine_leases.c
@@ -50,7 +50,7 @@
 					 const struct ws_machine *machine)
 {
 	return core->now - fmax(machine->heartbeat.received_at,
-				fmax(machine->up_at, core->leadership.elected_at)) <
+				fmax(machine->first_report_at, core->leadership.elected_at)) <
 	       CONTACT_TIMEOUT_INTERVALS * core->settings->heartbeat_s;
 }
 
@@ -60,12 +60,12 @@
 	       !machine->invalid_name && !machine->quarantine.running && machine->reported &&
 	       machine->type && !machine->gone && !machine->scale_in.requested &&
 	       !machine->failed && machine->incarnation &&
-	       core->now - machine->last_heard_at <
+	       core->now - machine->last_contact_at <
 		   CONTACT_TIMEOUT_INTERVALS * core->settings->heartbeat_s &&
 	       ws_machine_heartbeats_arrive(core, machine) &&
 	       core->now < machine->lease.expires_at &&
 	       core->now >= machine->failures.suspended_until &&
-	       core->now >= machine->failures.refused_until && !machine->preemption_noticed;
+	       core->now >= machine->failures.backoff_until && !machine->preemption_noticed;
 }
 
 /* Releases all attempts on a machine that is gone or failed, or whose lease has expired. */
@@ -84,7 +84,7 @@
 void ws_machine_expire_lease(struct ws_core *core, struct ws_machine *machine)
 {
 	ws_log(core, WS_LOG_INFO, "lease expired machine=%s", machine->name);
-	machine->lease.least_incarnation = machine->incarnation + 1;
+	machine->lease.min_incarnation = machine->incarnation + 1;
 	ws_subsystems_machine_lost(core, machine, WS_LOSS_LEASE_EXPIRED);
 	ws_machine_release_attempts(core, machine, WS_RECONCILED_LEASE_EXPIRED,
 				    WS_RELEASE_LEASE_EXPIRED);
--- a/src/core/fleet/quarantine.c
+++ b/src/core/fleet/quarantine.c
@@ -163,7 +163,7 @@
 	ws_subsystems_attempts_adopted(core, job->spec.id, 0); /* also called if none was adopted */
 }
 
-void ws_quarantine_link_job(struct ws_core *core, struct ws_job *job)
+void ws_quarantine_resolve_job(struct ws_core *core, struct ws_job *job)
 {
 	struct ws_machine *machine, *next;
 	struct ws_attempt *attempt;
--- a/src/core/fleet/restored_attempts.c
+++ b/src/core/fleet/restored_attempts.c
@@ -59,7 +59,7 @@
 		job->tasks[attempt->task].newest_attempt != attempt);
 }
 
-void ws_attempts_restored(struct ws_core *core)
+void ws_attempts_stop_superseded(struct ws_core *core)
 {
 	struct ws_machine *machine, *next;
 	struct ws_attempt *attempt;
--- a/src/core/fleet/task_reports.c
+++ b/src/core/fleet/task_reports.c
@@ -63,7 +63,7 @@
 	if (!attempt->job)
 		return;
 	ws_job_count_failure(core, attempt->job);
-	machine->failures.refused_until = core->now + core->settings->heartbeat_s;
+	machine->failures.backoff_until = core->now + core->settings->heartbeat_s;
 }
 
 /* Handles a completed task. */
@@ -87,7 +87,7 @@
 {
 	ws_log(core, WS_LOG_INFO, "task refused machine=%s job=%s task=%u reason=%d", machine->name,
 	       attempt->job_id, attempt->task, attempt->exit_reason);
-	machine->failures.refused_until = core->now + core->settings->heartbeat_s;
+	machine->failures.backoff_until = core->now + core->settings->heartbeat_s;
 	if (attempt->job && attempt->exit_reason == WS_EXIT_UNKNOWN_JOB)
 		attempt->job->retry_not_before = core->now + core->settings->heartbeat_s;
 }
--- a/src/core/scheduler/gang_placement.c
+++ b/src/core/scheduler/gang_placement.c
@@ -47,7 +47,7 @@
 {
 	return ws_machine_is_eligible(job, machine) &&
 	       ws_zone_in_mask(machine->zone_index, zones) &&
-	       !ws_heartbeat_overdue(core, machine->last_heard_at);
+	       !ws_heartbeat_overdue(core, machine->last_contact_at);
 }
 
 static int ws_gang_candidate_compare(const void *left, const void *right)
--- a/src/core/scheduler/reservations.c
+++ b/src/core/scheduler/reservations.c
@@ -71,7 +71,7 @@
 
 	DL_FOREACH2 (job->attempts, attempt, job_next)
 		if (attempt->state != WS_ATTEMPT_RELEASED && !attempt->stopping &&
-		    !ws_heartbeat_overdue(core, attempt->machine->last_heard_at))
+		    !ws_heartbeat_overdue(core, attempt->machine->last_contact_at))
 			return true;
 	return false;
 }
@@ -98,7 +98,7 @@
 
 	DL_FOREACH2 (job->attempts, attempt, job_next)
 		count += attempt->state != WS_ATTEMPT_RELEASED && !attempt->stopping &&
-			 ws_heartbeat_overdue(core, attempt->machine->last_heard_at);
+			 ws_heartbeat_overdue(core, attempt->machine->last_contact_at);
 	return count;
 }
 
