--- a/src/subsystem_support/subsystem_log.c
+++ b/src/subsystem_support/subsystem_log.c
@@ -1,4 +1,4 @@
-/* Formatted log lines of a subsystem. */
+/* Formatting of log lines for subsystems. */
 #include "subsystem_log.h"
 #include <stdarg.h>
 #include <stdio.h>
--- a/src/subsystem_support/subsystem_log.h
+++ b/src/subsystem_support/subsystem_log.h
@@ -1,16 +1,16 @@
 /*
- * Formatted log lines of a subsystem.
+ * Formatting of log lines for subsystems.
  *
- * A subsystem owns no log: it is given a function that takes complete lines. No state is kept here;
- * calls may come from any thread that the log function itself allows.
+ * A subsystem doesn't open a log of its own; it is given a function that writes complete lines.
+ * This module keeps no state, so calls are as thread-safe as the log function.
  */
 #ifndef WS_SUBSYSTEM_LOG_H
 #define WS_SUBSYSTEM_LOG_H
 
-/* Takes one line without its line end; the text lives for the duration of the call. */
+/* Writes one line, given without a line end. The text is valid for the duration of the call. */
 typedef void (*ws_subsystem_log_fn)(const char *text);
 
-/* Formats a line, cut off at 511 bytes, and passes it to `log`; does nothing if `log` is NULL. */
+/* Formats a line, truncated to 511 bytes, and passes it to `log`, which may be NULL. */
 void ws_subsystem_logf(ws_subsystem_log_fn log, const char *format, ...)
     __attribute__((format(printf, 2, 3)));
 #endif
--- a/src/subsystem_support/subsystem_memory.c
+++ b/src/subsystem_support/subsystem_memory.c
@@ -1,4 +1,4 @@
-/* Memory of subsystems: allocation that can't fail. */
+/* Memory allocation for subsystems. */
 #include "subsystem_memory.h"
 
 void *ws_subsystem_allocate(size_t size)
--- a/src/subsystem_support/subsystem_memory.h
+++ b/src/subsystem_support/subsystem_memory.h
@@ -1,7 +1,8 @@
 /*
- * Memory of subsystems: allocation that can't fail, and freeing of whole hash tables.
+ * Memory management for subsystems: allocation that aborts the process on failure, and freeing of
+ * whole hash tables.
  *
- * Memory is owned by the caller and released with free().
+ * The caller owns allocated memory and frees it with free().
  */
 #ifndef WS_SUBSYSTEM_MEMORY_H
 #define WS_SUBSYSTEM_MEMORY_H
@@ -9,10 +10,12 @@
 #include <stdlib.h>
 #include <uthash.h>
 
-/* Zeroed memory; ends the process if there is none left. */
+/* Allocates zeroed memory. Aborts the process if memory is exhausted. */
 void *ws_subsystem_allocate(size_t size);
 
-/* Frees all entries of a uthash table with handle `hh`, and sets `head`, its variable, to NULL. */
+/*
+ * Frees all entries of a uthash table whose handle is `hh`, and sets the variable `head` to NULL.
+ */
 #define WS_SUBSYSTEM_FREE_TABLE(head)                                                              \
 	do {                                                                                       \
 		__typeof__(head) table_entry = (head), table_next;                                 \
--- a/src/subsystem_support/subsystem_moves.c
+++ b/src/subsystem_support/subsystem_moves.c
@@ -1,4 +1,4 @@
-/* How many jobs a subsystem moves ahead in the queue at a time. */
+/* Limit on the number of jobs that a subsystem moves ahead in the queue at a time. */
 #include "subsystem_moves.h"
 
 #define STORE_WRITE_SHARE 0.25
--- a/src/subsystem_support/subsystem_records.c
+++ b/src/subsystem_support/subsystem_records.c
@@ -1,4 +1,4 @@
-/* What the records of all subsystems have in common: a format number, and enums by name. */
+/* Helpers for the records of subsystems: the check of the format number, and enums by name. */
 #include "subsystem_records.h"
 #include <string.h>
 
@@ -11,11 +11,11 @@
 	if (record_format <= format->supported)
 		return true;
 	if (!*later_format)
-		ws_subsystem_logf(log,
-				  "%s: record of a later version, judging nothing "
-				  "record=%s format=%lld supported=%d",
-				  format->log_name, record_name, (long long)record_format,
-				  format->supported);
+		ws_subsystem_logf(
+		    log,
+		    "%s: record has a later format than supported, subsystem suspended "
+		    "record=%s format=%lld supported=%d",
+		    format->log_name, record_name, (long long)record_format, format->supported);
 	*later_format = true;
 	return false;
 }
