--- a/src/failure_domains/domains.c
+++ b/src/failure_domains/domains.c
@@ -1,8 +1,10 @@
 /*
- * Which domains a machine belongs to: its zone, and the declared domain whose network holds its
- * address with the longest prefix. Networks are hashed by prefix, so that one look-up for each
- * prefix length in use finds the longest, however many there are; it is made when a machine's
- * address or zone changes, not at its heartbeats.
+ * Membership of machines in failure domains. A machine belongs to its zone and to the declared
+ * domain whose network contains its address with the longest prefix.
+ *
+ * Networks are stored in a hash table by prefix. The longest match takes one lookup per prefix
+ * length in use, whatever the number of networks. It runs when a machine's address or zone changes,
+ * not on each heartbeat.
  */
 #include "domains.h"
 #include "../subsystem_support/subsystem_memory.h"
@@ -14,8 +16,8 @@
 
 #define IPV4_BITS 32
 #define IPV6_BITS 128
-#define PADDING_BEFORE 32
-#define IPV4_OFFSET 12 /* of an IPv4 address within libcidr's 16 bytes */
+#define CIDR_TEXT_PADDING 32 /* bytes */
+#define IPV4_BYTES_OFFSET 12 /* of an IPv4 address within libcidr's 16 bytes */
 
 struct ws_failure_domain *ws_failure_domain_find(struct ws_failure_domains *domains,
 						 const char *name)
@@ -26,10 +28,10 @@
 	return domain;
 }
 
-/* Shortens a prefix, clearing the bits behind its new length. */
+/* Sets the length of a prefix and clears all bits beyond it. */
 static void truncate_prefix(struct ws_domains_prefix *prefix, int length)
 {
-	int start = prefix->version == 4 ? IPV4_OFFSET : 0;
+	int start = prefix->version == 4 ? IPV4_BYTES_OFFSET : 0;
 
 	prefix->length = (uint8_t)length;
 	for (int i = start; i < 16; i++) {
@@ -43,23 +45,24 @@
 }
 
 /*
- * Parses with libcidr. It looks for the endings of reverse names (.in-addr.arpa) without asking for
- * the length, so it is given a text with padding before it: a short one was read out of bounds.
+ * Parses an address or network with libcidr. libcidr compares the end of its input with reverse DNS
+ * suffixes (.in-addr.arpa) without checking the length, and read out of bounds before a short text.
+ * The text is therefore passed with padding in front of it.
  */
-static CIDR *cidr_parse(const char *text)
+static CIDR *parse_cidr(const char *text)
 {
-	char padded[PADDING_BEFORE + WS_DOMAINS_NAME_MAX] = {0};
+	char padded[CIDR_TEXT_PADDING + WS_DOMAINS_NAME_MAX] = {0};
 
 	if (strlen(text) >= WS_DOMAINS_NAME_MAX)
 		return NULL;
-	memcpy(padded + PADDING_BEFORE, text, strlen(text) + 1);
-	return cidr_from_str(padded + PADDING_BEFORE);
+	memcpy(padded + CIDR_TEXT_PADDING, text, strlen(text) + 1);
+	return cidr_from_str(padded + CIDR_TEXT_PADDING);
 }
 
-/* An address or network in text; an IPv4 address within IPv6 is taken as IPv4. */
-static bool prefix_parse(const char *text, struct ws_domains_prefix *prefix)
+/* Parses an address or network. An IPv4-mapped IPv6 address is converted to IPv4. */
+static bool parse_prefix(const char *text, struct ws_domains_prefix *prefix)
 {
-	CIDR *cidr = cidr_parse(text);
+	CIDR *cidr = parse_cidr(text);
 	uint8_t *bytes;
 	bool mapped;
 	int length;
@@ -77,7 +80,7 @@
 		return false;
 	}
 	if (prefix->version == 4)
-		memcpy(prefix->bytes + IPV4_OFFSET, bytes + IPV4_OFFSET, 4);
+		memcpy(prefix->bytes + IPV4_BYTES_OFFSET, bytes + IPV4_BYTES_OFFSET, 4);
 	else
 		memcpy(prefix->bytes, bytes, 16);
 	free(bytes);
@@ -98,18 +101,21 @@
 	return network;
 }
 
-/* The declared domain of an address; false if the address can't be read. */
-static bool look_up_network(const struct ws_domains_networks *networks, const char *address,
-			    struct ws_failure_domain **domain)
+/*
+ * Finds the declared domain that contains an address; `domain` is set to NULL if there is none.
+ * Returns false if the address is invalid.
+ */
+static bool find_domain_by_address(const struct ws_domains_networks *networks, const char *address,
+				   struct ws_failure_domain **domain)
 {
 	struct ws_domains_prefix prefix;
 	int bits;
 
 	*domain = NULL;
-	if (!prefix_parse(address, &prefix))
+	if (!parse_prefix(address, &prefix))
 		return false;
 	bits = prefix.version == 4 ? IPV4_BITS : IPV6_BITS;
-	if (prefix.length != bits) /* a network where one machine's address should be */
+	if (prefix.length != bits) /* a network, not the address of a machine */
 		return false;
 	for (int length = bits; length >= 0; length--) {
 		const struct ws_domains_network *network;
@@ -132,7 +138,7 @@
 	struct ws_domains_network *network;
 	struct ws_domains_prefix prefix, masked;
 
-	if (!prefix_parse(text, &prefix))
+	if (!parse_prefix(text, &prefix))
 		return WS_DOMAINS_BAD_NETWORK;
 	masked = prefix;
 	truncate_prefix(&masked, prefix.length);
@@ -153,7 +159,7 @@
 {
 	struct ws_failure_domain *domain;
 
-	/* names are part of keys, which hold no spaces */
+	/* the name becomes part of a record's key, which can't contain spaces */
 	if (!name[0] || strpbrk(name, " \t/") != NULL)
 		return WS_DOMAINS_BAD_NAME;
 	if (ws_failure_domain_find(domains, name))
@@ -166,8 +172,9 @@
 	return WS_DOMAINS_OK;
 }
 
-static bool add_declared(struct ws_failure_domains *domains,
-			 const struct ws_domains_declared *declared, struct ws_domains_error *error)
+static bool add_declared_domain(struct ws_failure_domains *domains,
+				const struct ws_domains_declared *declared,
+				struct ws_domains_error *error)
 {
 	struct ws_failure_domain *domain;
 
@@ -196,10 +203,10 @@
 	struct ws_failure_domain *domain;
 
 	memset(error, 0, sizeof(*error));
-	for (size_t i = 0; i < domains->limits.zone_count; i++) /* a zone listed twice is one */
+	for (size_t i = 0; i < domains->limits.zone_count; i++) /* duplicate zones are merged */
 		add_domain(domains, domains->limits.zones[i], true, &domain);
 	for (size_t i = 0; i < domains->settings.declared_count; i++)
-		if (!add_declared(domains, &domains->settings.declared[i], error))
+		if (!add_declared_domain(domains, &domains->settings.declared[i], error))
 			return false;
 	return true;
 }
@@ -256,7 +263,7 @@
 
 	if (facts->zone[0]) {
 		zone = ws_failure_domain_find(domains, facts->zone);
-		if (!zone) /* the settings don't list it */
+		if (!zone) /* not listed in the settings */
 			zone = ws_domains_add_zone(domains, facts->zone);
 		if (zone && !zone->is_zone) {
 			ws_subsystem_logf(
@@ -267,9 +274,10 @@
 		}
 	}
 	if (domains->networks.table && facts->address[0] &&
-	    !look_up_network(&domains->networks, facts->address, &declared))
+	    !find_domain_by_address(&domains->networks, facts->address, &declared))
 		ws_subsystem_logf(domains->log,
-				  "zones: unreadable address, zone only machine=%s address=%s",
+				  "zones: invalid address, no declared domain assigned "
+				  "machine=%s address=%s",
 				  facts->name, facts->address);
 	add_member(machine, 0, zone);
 	add_member(machine, 1, declared);
--- a/src/failure_domains/failure_domains.c
+++ b/src/failure_domains/failure_domains.c
@@ -1,6 +1,6 @@
 /*
- * Hooks of the failure domains subsystem: passes the core's events on to health and plan, and their
- * requests to the core.
+ * Implements the core's hooks for the failure domains subsystem: forwards events to the health and
+ * plan modules, and their requests to the core.
  */
 #include "failure_domains.h"
 #include "../subsystem_support/subsystem_memory.h"
@@ -13,30 +13,31 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Defaults as ratios to the platform's settings. */
-#define STABLE_LEASES 1.0
+/* Defaults of the settings. Those ending in _LEASES are multiples of the lease duration. */
+#define HOLD_DOWN_LEASES 1.0
 #define RAMP_LEASES 2.0
-#define HALF_LIFE_LEASES 30.0
+#define PENALTY_HALF_LIFE_LEASES 30.0
 #define PENALTY_MAX 5.0
-#define DARK_SHARE 0.8
-/* A penalty up to this means no recent flap. */
-#define FIRST_LOSS_PENALTY 1.0
-/* Interval at which operators' holds are read, in leases. */
-#define HOLDS_LEASES 0.25
-/* Interval at which the records of dark and recovering domains are written, in leases. */
-#define RECORD_LEASES 1.0
-/* The golden section: spreads machines evenly over the ramp, in whatever number they come. */
+#define UNREACHABLE_SHARE 0.8
+/* The penalty after one loss. A penalty above it means that the domain was lost repeatedly. */
+#define SINGLE_LOSS_PENALTY 1.0
+/* Interval at which the operators' hold records are read, in leases. */
+#define HOLDS_READ_LEASES 0.25
+/* Interval at which the records of unreachable and recovering domains are rewritten, in leases. */
+#define RECORD_WRITE_LEASES 1.0
+/* The golden ratio's fractional part spreads any number of machines evenly over the ramp-up. */
 #define RAMP_STEP 0.6180339887498949
 
 const char *ws_domains_error_text(enum ws_domains_error_code code)
 {
 	switch (code) {
 	case WS_DOMAINS_OK: return "fine";
-	case WS_DOMAINS_BAD_NETWORK: return "is no IP network";
-	case WS_DOMAINS_HOST_BITS: return "has bits behind its prefix: an address, no network";
-	case WS_DOMAINS_NETWORK_TWICE: return "is declared twice";
-	case WS_DOMAINS_NAME_TWICE: return "is the name of another domain or zone";
-	case WS_DOMAINS_BAD_NAME: return "is no name: empty, or with a space or slash";
+	case WS_DOMAINS_BAD_NETWORK: return "is not a valid IP network";
+	case WS_DOMAINS_HOST_BITS: return "has host bits set: it is an address, not a network";
+	case WS_DOMAINS_NETWORK_TWICE: return "is declared more than once";
+	case WS_DOMAINS_NAME_TWICE: return "has the name of another domain or zone";
+	case WS_DOMAINS_BAD_NAME:
+		return "is not a valid name: it is empty or contains a space, tab or slash";
 	}
 	return "";
 }
@@ -44,7 +45,7 @@
 void ws_domains_defaults(struct ws_domains_settings *settings)
 {
 	*settings = (struct ws_domains_settings){
-	    .dark_share = DARK_SHARE,
+	    .dark_share = UNREACHABLE_SHARE,
 	    .stable_s = -1,
 	    .ramp_s = -1,
 	    .half_life_s = -1,
@@ -63,7 +64,7 @@
 	settings->declared_count = settings->class_count = 0;
 }
 
-/* A copy of an array; NULL if it is empty. */
+/* Copies an array. Returns NULL if it is empty. */
 static void *copy_array(const void *source, size_t count, size_t size)
 {
 	void *copy;
@@ -90,11 +91,11 @@
 		    copy_array(source->declared[i].networks, source->declared[i].network_count,
 			       sizeof(*source->declared[i].networks));
 	if (target->stable_s < 0)
-		target->stable_s = STABLE_LEASES * lease_s;
+		target->stable_s = HOLD_DOWN_LEASES * lease_s;
 	if (target->ramp_s < 0)
 		target->ramp_s = RAMP_LEASES * lease_s;
 	if (target->half_life_s <= 0)
-		target->half_life_s = HALF_LIFE_LEASES * lease_s;
+		target->half_life_s = PENALTY_HALF_LIFE_LEASES * lease_s;
 }
 
 struct ws_failure_domains *ws_domains_new(const struct ws_domains_settings *settings,
@@ -111,7 +112,7 @@
 		ws_domains_free(domains);
 		return NULL;
 	}
-	domains->limits.zones = NULL; /* the caller's */
+	domains->limits.zones = NULL; /* owned by the caller */
 	domains->limits.node_zone = domains->node_zone;
 	return domains;
 }
@@ -154,13 +155,13 @@
 		domain->removed = 0;
 	}
 	domains->later_format = false;
-	domains->serving = false; /* evaluate after the first serving tick */
+	domains->serving = false; /* the first serving tick sets when evaluation starts */
 	domains->serving_clock = domains->evaluate_from = 0;
 	domains->clock_advanced_at = now;
 	domains->holds_due_at = 0;
 }
 
-/* Applies a complete listing of holds: a domain that it does not name is not held. */
+/* Applies a complete listing of hold records. A domain without a hold record is not held. */
 static void apply_holds(struct ws_failure_domains *domains)
 {
 	for (struct ws_failure_domain *domain = domains->by_name; domain;
@@ -185,7 +186,8 @@
 	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
 		if (domain->state != WS_DOMAINS_HEALTHY)
 			ws_subsystem_logf(
-			    domains->log, "zones: state loaded domain=%s state=%s penalty=%.2f",
+			    domains->log,
+			    "zones: domain state restored domain=%s state=%s penalty=%.2f",
 			    domain->name, ws_domains_state_name(domain->state), domain->penalty);
 }
 
@@ -210,7 +212,8 @@
 	struct ws_domains_machine *machine = ws_subsystem_allocate(sizeof(*machine));
 
 	(void)now;
-	machine->presence = WS_DOMAINS_SINGLE; /* counts from its first heartbeat on */
+	/* not counted before its first heartbeat */
+	machine->presence = WS_DOMAINS_SINGLE;
 	machine->ramp = fmod((double)domains->machine_count++ * RAMP_STEP, 1);
 	ws_domains_join(domains, machine, facts);
 	if (facts->expected)
@@ -224,8 +227,11 @@
 	ws_domains_join(self, handle, facts);
 }
 
-/* A silent machine that was removed still counts for the loss of its domain. */
-static void count_removed(const struct ws_domains_machine *machine)
+/*
+ * A machine that stopped sending heartbeats and was then removed still counts as lost with its
+ * domain.
+ */
+static void count_removed_machine(const struct ws_domains_machine *machine)
 {
 	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
 		struct ws_failure_domain *domain = machine->memberships[i].domain;
@@ -255,7 +261,7 @@
 	if (loss == WS_LOSS_LEASE)
 		return;
 	if (machine->presence == WS_DOMAINS_SILENT)
-		count_removed(machine);
+		count_removed_machine(machine);
 	ws_domains_set_presence(domains, machine, WS_DOMAINS_SINGLE);
 }
 
@@ -291,7 +297,10 @@
 	return false;
 }
 
-/* The domain of a zone if it is dark, or recovering within its hold-down; else NULL. */
+/*
+ * Returns the zone's domain if it is unreachable, or recovering and still in hold-down; otherwise
+ * NULL.
+ */
 static const struct ws_failure_domain *find_unavailable_zone(struct ws_failure_domains *domains,
 							     double now, const char *zone)
 {
@@ -312,38 +321,42 @@
 	return find_unavailable_zone(self, now, zone) != NULL;
 }
 
-/* A machine takes its time to boot, so only a zone that flapped is closed while it recovers. */
+/*
+ * A new machine takes time to boot, so a recovering zone is closed to new machines only if it was
+ * lost repeatedly.
+ */
 static bool zone_closed(void *self, double now, const char *zone)
 {
 	const struct ws_failure_domain *domain = find_unavailable_zone(self, now, zone);
 
-	return domain && (domain->state == WS_DOMAINS_DARK || domain->penalty > FIRST_LOSS_PENALTY);
+	return domain &&
+	       (domain->state == WS_DOMAINS_DARK || domain->penalty > SINGLE_LOSS_PENALTY);
 }
 
 /* ---- tick ---- */
 
-static void write_domains(struct ws_failure_domains *domains, double now,
-			  struct ws_request_queue *out)
+static void write_domain_records(struct ws_failure_domains *domains, double now,
+				 struct ws_request_queue *requests)
 {
 	for (struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next) {
 		char name[WS_DOMAINS_NAME_MAX + 16];
 		bool unhealthy =
 		    domain->state == WS_DOMAINS_DARK || domain->state == WS_DOMAINS_RECOVERING;
-		bool old = unhealthy &&
-			   now - domain->recorded_at > RECORD_LEASES * domains->limits.lease_s;
+		bool rewrite_due = unhealthy && now - domain->recorded_at >
+						    RECORD_WRITE_LEASES * domains->limits.lease_s;
 
-		if (!domain->record_due && !old)
+		if (!domain->record_due && !rewrite_due)
 			continue;
 		snprintf(name, sizeof(name), "domain/%s", domain->name);
-		ws_request_write(out, name, ws_failure_domain_record(domains, domain, now),
+		ws_request_write(requests, name, ws_failure_domain_record(domains, domain, now),
 				 domain->record_due);
 		domain->record_due = false;
 		domain->recorded_at = now;
 	}
 }
 
-static void tick(void *self, const struct ws_tick_facts *facts, struct ws_request_queue *out)
+static void tick(void *self, const struct ws_tick_facts *facts, struct ws_request_queue *requests)
 {
 	struct ws_failure_domains *domains = self;
 
@@ -352,11 +365,11 @@
 	ws_domains_health_tick(domains, facts);
 	if (!facts->serving)
 		return;
-	write_domains(domains, facts->now, out);
-	ws_domains_plan_tick(domains, facts->now, out);
+	write_domain_records(domains, facts->now, requests);
+	ws_domains_plan_tick(domains, facts->now, requests);
 	if (facts->now >= domains->holds_due_at) {
-		domains->holds_due_at = facts->now + HOLDS_LEASES * domains->limits.lease_s;
-		ws_request_read(out, "hold/");
+		domains->holds_due_at = facts->now + HOLDS_READ_LEASES * domains->limits.lease_s;
+		ws_request_read(requests, "hold/");
 	}
 }
 
--- a/src/failure_domains/failure_domains.h
+++ b/src/failure_domains/failure_domains.h
@@ -1,14 +1,15 @@
 /*
- * Failure domains: detects that a zone, or a declared group of networks, went dark; plans the
- * evacuation of its work, and brings it back into use step by step. See docs/zones.md.
+ * Failure domains: detects that a zone or a declared group of networks has become unreachable,
+ * plans the evacuation of its work, and returns it to use gradually once it has recovered. The
+ * unreachable state is called "dark" in records, settings and log lines. See docs/zones.md.
  *
- * Ownership: the object owns its domains, its handles of the machines, the evacuation plan, and its
- * records under "zones/". It never starts or stops work itself: it answers the core's hooks and
- * asks by requests (core/extension/hooks.h).
- * Units: fields and variables ending in _s are seconds; times are on the core's clock; *_LEASES and
- * *_HEARTBEATS constants are multiples of the lease and of the heartbeat interval.
- * Errors: wrong settings are refused by ws_domains_new(); the process ends if memory is exhausted.
- * Records of a later format suspend the subsystem for the term.
+ * Ownership: the object owns its domains, its machine handles, the evacuation plan and its records
+ * under "zones/". It never starts or stops work itself: it implements the core's hooks and sends
+ * requests to the core (core/extension/hooks.h).
+ * Units: fields and variables ending in _s are in seconds; times are on the core's clock; *_LEASES
+ * and *_HEARTBEATS constants are multiples of the lease duration and of the heartbeat interval.
+ * Errors: ws_domains_new() rejects invalid settings; the process aborts if memory is exhausted. A
+ * record of a later format suspends the subsystem for the rest of the leader's term.
  * Threading: all functions are called from the thread of the core, never concurrently.
  */
 #ifndef WS_DOMAINS_H
@@ -19,21 +20,21 @@
 #define WS_DOMAINS_NAME_MAX 128
 #define WS_DOMAINS_NETWORK_MAX 64
 
-/* A domain that the settings declare: the machines of some IP networks. */
+/* A domain declared in the settings. Its members are the machines of these IP networks. */
 struct ws_domains_declared {
 	char name[WS_DOMAINS_NAME_MAX];
 	char (*networks)[WS_DOMAINS_NETWORK_MAX];
 	size_t network_count;
 };
 
-/* Times below 0 are derived from the platform's settings. */
+/* Settings of the subsystem. A negative duration selects the default, a multiple of the lease. */
 struct ws_domains_settings {
-	double dark_share;  /* of a domain's machines that must stop together */
-	double stable_s;    /* hold-down of a first loss */
-	double ramp_s;	    /* then its machines come back over this time */
-	double half_life_s; /* of the penalty for flaps */
+	double dark_share;  /* share of a domain's machines that must be lost together */
+	double stable_s;    /* time without loss before use, after a first loss */
+	double ramp_s;	    /* its machines return to use over this time after the hold-down */
+	double half_life_s; /* of the flap penalty */
 	double penalty_max;
-	char (*class_order)[WS_DOMAINS_NAME_MAX]; /* job classes that move first */
+	char (*class_order)[WS_DOMAINS_NAME_MAX]; /* job classes that are evacuated first */
 	size_t class_count;
 	struct ws_domains_declared *declared;
 	size_t declared_count;
@@ -41,43 +42,46 @@
 
 enum ws_domains_error_code {
 	WS_DOMAINS_OK,
-	WS_DOMAINS_BAD_NETWORK,	  /* can't be read */
-	WS_DOMAINS_HOST_BITS,	  /* an address of a network, not the network */
-	WS_DOMAINS_NETWORK_TWICE, /* declared by two domains */
-	WS_DOMAINS_NAME_TWICE,	  /* two domains, or a domain and a zone, of one name */
-	WS_DOMAINS_BAD_NAME,	  /* empty, or with characters that keys can't have */
+	WS_DOMAINS_BAD_NETWORK,	  /* not a network in CIDR notation */
+	WS_DOMAINS_HOST_BITS,	  /* an address within a network, not the network */
+	WS_DOMAINS_NETWORK_TWICE, /* declared more than once */
+	WS_DOMAINS_NAME_TWICE,	  /* the name of another domain or of a zone */
+	WS_DOMAINS_BAD_NAME,	  /* empty, or with characters not allowed in keys */
 };
 
-/* Why settings were refused, and the domain and network concerned; empty if there is none. */
+/* Why settings were rejected, with the domain and network concerned, which are empty if none is. */
 struct ws_domains_error {
 	enum ws_domains_error_code code;
 	char domain[WS_DOMAINS_NAME_MAX];
 	char network[WS_DOMAINS_NETWORK_MAX];
 };
 
-/* The state of the subsystem on one controller. */
+/* The failure domains subsystem of one controller. */
 struct ws_failure_domains;
 
-/* Fills in the settings that apply where the file has none. */
+/* Sets all settings to their defaults. */
 void ws_domains_defaults(struct ws_domains_settings *settings);
-/* Releases the arrays of the settings. */
+/* Frees the arrays of the settings. */
 void ws_domains_settings_free(struct ws_domains_settings *settings);
-/* A description of the error for operators. */
+/* Returns a description of the error for operators, to follow the name of the domain or network. */
 const char *ws_domains_error_text(enum ws_domains_error_code code);
 
 /*
- * Settings and limits are copied. `log` may be NULL. Returns NULL with `error` filled in if the
- * settings are wrong; else the object is released with ws_domains_free().
+ * Creates the subsystem. Settings and limits are copied. `log` may be NULL. Returns NULL and fills
+ * in `error` if the settings are invalid. The caller frees the object with ws_domains_free(),
+ * unless a core has taken it over.
  */
 struct ws_failure_domains *ws_domains_new(const struct ws_domains_settings *settings,
 					  const struct ws_cluster_limits *limits,
 					  ws_subsystem_log_fn log, struct ws_domains_error *error);
-/* Releases the object; NULL is allowed. */
+/* Frees the object, which may be NULL. */
 void ws_domains_free(struct ws_failure_domains *domains);
 
-/* Operations on single machines so far, for tests of the amount of work. */
+/*
+ * Returns the number of operations on single machines so far, by which tests bound the work done.
+ */
 uint64_t ws_domains_steps(const struct ws_failure_domains *domains);
 
-/* For ws_core_attach(), with the object as `self`. */
+/* The hooks to pass to ws_core_attach(), with the object as `self`. */
 extern const struct ws_subsystem_ops ws_domains_ops;
 #endif
--- a/src/failure_domains/health.c
+++ b/src/failure_domains/health.c
@@ -1,10 +1,10 @@
 /*
- * Health of the failure domains.
+ * Liveness of machines and health of the failure domains.
  *
- * Live machines stand on one list in the order in which they were last heard, silent ones on
- * another in the order in which they fell silent. A heartbeat moves its machine to the end of the
- * first; a tick takes from the fronts what is overdue. So the work is in proportion to what
- * changed, and each domain is evaluated by counts alone.
+ * Live machines are on a list ordered by their last heartbeat, unresponsive machines on another,
+ * ordered by the time at which they became unresponsive. A heartbeat moves its machine to the end
+ * of the first list; a tick removes overdue machines from the front of both. The work is therefore
+ * proportional to the number of changes, and each domain is evaluated from its counts alone.
  */
 #include "health.h"
 #include "domains.h"
@@ -13,22 +13,25 @@
 #include <sys/types.h>
 #include <utlist.h>
 
-/* Fewer machines that fall silent together are single failures. */
-#define MACHINES_MIN 2
-/* Half of a domain: silent for suspicion, live for recovery. */
-#define HALF 0.5
-/* In heartbeat intervals: a machine not heard for longer is silent. */
-#define SILENT_HEARTBEATS 1.5
-/* One that is silent for longer, in a healthy domain, is a single failure. */
-#define SINGLE_HEARTBEATS 3
-/* A suspect domain that stays so for longer is dark. */
+/* If fewer machines stop sending heartbeats together, these are isolated failures. */
+#define GROUP_LOSS_MACHINES_MIN 2
+/* The share of a domain that must be lost to suspect it, and live to let it recover. */
+#define HALF_SHARE 0.5
+/* A machine without a heartbeat for longer is unresponsive. */
+#define UNRESPONSIVE_HEARTBEATS 1.5
+/* A machine that is unresponsive for longer in a healthy domain is an isolated failure. */
+#define ISOLATED_FAILURE_HEARTBEATS 3
+/* A domain that is suspect for longer is unreachable. */
 #define CONFIRM_HEARTBEATS 1.5
-/* Time for workers to connect to a new leader. */
-#define SETTLE_HEARTBEATS 3
-/* A longer gap between ticks is a standstill of the process. */
-#define STANDSTILL_HEARTBEATS 0.25
-/* In leases: the length of a lease with clock drift and a margin, as in the core. */
-#define LEASE_MARGIN (1.001 + 1.0 / 32)
+/* Time allowed for workers to connect to a new leader. */
+#define RECONNECT_HEARTBEATS 3
+/* A longer gap between ticks means that the process was paused. */
+#define PAUSE_HEARTBEATS 0.25
+/*
+ * Time in leases after which a lease has expired on any clock: the lease with 0.1 % of clock drift,
+ * and a margin of 1/32 lease, as in the core.
+ */
+#define LEASE_EXPIRY_FACTOR (1.001 + 1.0 / 32)
 
 /* ---- presence ---- */
 
@@ -56,8 +59,8 @@
 	machine->prev = machine->next = NULL;
 }
 
-static struct ws_domains_list *presence_list(struct ws_failure_domains *domains,
-					     const struct ws_domains_machine *machine)
+static struct ws_domains_list *list_for_liveness(struct ws_failure_domains *domains,
+						 const struct ws_domains_machine *machine)
 {
 	switch (machine->presence) {
 	case WS_DOMAINS_EXPECTED: return &domains->expected;
@@ -68,9 +71,9 @@
 	return NULL;
 }
 
-/* Adds a machine to the counts of its presence, or takes it off. */
-static void presence_count(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-			   int sign)
+/* Adds a machine to the counts for its liveness (`sign` 1) or subtracts it (`sign` -1). */
+static void adjust_liveness_counts(struct ws_failure_domains *domains,
+				   struct ws_domains_machine *machine, int sign)
 {
 	size_t change = (size_t)(ssize_t)sign;
 
@@ -87,19 +90,19 @@
 void ws_domains_set_presence(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
 			     enum ws_domains_presence presence)
 {
-	struct ws_domains_list *list = presence_list(domains, machine);
+	struct ws_domains_list *list = list_for_liveness(domains, machine);
 
 	domains->steps++;
 	if (list)
 		list_remove(list, machine);
-	presence_count(domains, machine, -1);
+	adjust_liveness_counts(domains, machine, -1);
 	machine->presence = presence;
 	machine->changed_at = domains->serving_clock;
 	machine->silent_with_domain = false;
 	if (presence != WS_DOMAINS_SILENT)
 		machine->unanswered = false;
-	presence_count(domains, machine, 1);
-	list = presence_list(domains, machine);
+	adjust_liveness_counts(domains, machine, 1);
+	list = list_for_liveness(domains, machine);
 	if (list)
 		list_append(list, machine);
 }
@@ -114,7 +117,9 @@
 			machine->memberships[i].domain->unanswered += unanswered ? 1 : (size_t)-1;
 }
 
-/* Whether one of its domains is not healthy: then its silence is not a single failure. */
+/*
+ * Returns true if a domain of the machine is not healthy. Its failure is then not an isolated one.
+ */
 static bool machine_in_unhealthy_domain(const struct ws_domains_machine *machine)
 {
 	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
@@ -128,28 +133,28 @@
 
 void ws_domains_advance_clock(struct ws_failure_domains *domains, double now)
 {
-	const double standstill = STANDSTILL_HEARTBEATS * domains->limits.report_s;
+	const double pause_s = PAUSE_HEARTBEATS * domains->limits.report_s;
 
 	if (domains->serving && now > domains->clock_advanced_at)
-		domains->serving_clock += fmin(now - domains->clock_advanced_at, standstill);
+		domains->serving_clock += fmin(now - domains->clock_advanced_at, pause_s);
 	domains->clock_advanced_at = now;
 }
 
-/* Takes from the fronts of the lists what is overdue by the serving clock. */
-static void expire_overdue(struct ws_failure_domains *domains)
+/* Moves machines that are overdue by the serving clock from the fronts of the lists. */
+static void expire_overdue_machines(struct ws_failure_domains *domains)
 {
 	const double report_s = domains->limits.report_s;
-	const double silent_after = SILENT_HEARTBEATS * report_s;
-	const double single_after = SINGLE_HEARTBEATS * report_s;
+	const double unresponsive_after = UNRESPONSIVE_HEARTBEATS * report_s;
+	const double isolated_after = ISOLATED_FAILURE_HEARTBEATS * report_s;
 	struct ws_domains_machine *machine;
 
 	while ((machine = domains->live.first) &&
-	       domains->serving_clock - machine->changed_at > silent_after)
+	       domains->serving_clock - machine->changed_at > unresponsive_after)
 		ws_domains_set_presence(domains, machine, WS_DOMAINS_SILENT);
 	while ((machine = domains->expected.first))
 		ws_domains_set_presence(domains, machine, WS_DOMAINS_SILENT);
 	while ((machine = domains->silent.first) &&
-	       domains->serving_clock - machine->changed_at > single_after) {
+	       domains->serving_clock - machine->changed_at > isolated_after) {
 		if (!machine_in_unhealthy_domain(machine)) {
 			ws_domains_set_presence(domains, machine, WS_DOMAINS_SINGLE);
 			continue;
@@ -161,17 +166,18 @@
 
 /* ---- state transitions ---- */
 
-/* Machines of a domain that fell silent together, including those removed since. */
-static size_t lost_machines(const struct ws_failure_domain *domain)
+/* Returns the number of unresponsive machines of a domain, including those removed meanwhile. */
+static size_t lost_machine_count(const struct ws_failure_domain *domain)
 {
 	return domain->silent + domain->removed;
 }
 
 static bool lost_share_reaches(const struct ws_failure_domain *domain, double share)
 {
-	size_t out = lost_machines(domain);
+	size_t lost = lost_machine_count(domain);
 
-	return out >= MACHINES_MIN && (double)out >= share * (double)(out + domain->live);
+	return lost >= GROUP_LOSS_MACHINES_MIN &&
+	       (double)lost >= share * (double)(lost + domain->live);
 }
 
 static size_t saturating_difference(size_t left, size_t right)
@@ -180,27 +186,30 @@
 }
 
 /*
- * Whether this controller's own network connections work: most machines outside the domain are
- * live, and not only those of the controller's own zone while several other zones fell silent.
+ * Returns true if this controller's own network connections appear to work: at least half of the
+ * machines outside the domain and other unreachable domains are live. If half of the machines are
+ * lost in two or more zones that are not yet unreachable, some machine outside the domain and the
+ * controller's own zone must also be live.
  */
-static bool view_is_sound(struct ws_failure_domains *domains,
-			  const struct ws_failure_domain *domain)
+static bool controller_connectivity_ok(struct ws_failure_domains *domains,
+				       const struct ws_failure_domain *domain)
 {
-	const struct ws_failure_domain *own = ws_failure_domain_find(domains, domains->node_zone);
+	const struct ws_failure_domain *own_zone =
+	    ws_failure_domain_find(domains, domains->node_zone);
 	size_t live = saturating_difference(domains->live_count, domain->live);
-	size_t silent = saturating_difference(domains->silent_count, domain->silent);
+	size_t unresponsive = saturating_difference(domains->silent_count, domain->silent);
 	size_t zones_lost = 0;
 
 	for (const struct ws_failure_domain *other = domains->by_name; other;
 	     other = other->hh.next) {
 		if (other != domain && other->state == WS_DOMAINS_DARK)
-			silent = saturating_difference(silent, other->silent);
-		else if (other->is_zone && lost_share_reaches(other, HALF))
+			unresponsive = saturating_difference(unresponsive, other->silent);
+		else if (other->is_zone && lost_share_reaches(other, HALF_SHARE))
 			zones_lost++;
 	}
-	if (!live || (double)live < HALF * (double)(live + silent))
+	if (!live || (double)live < HALF_SHARE * (double)(live + unresponsive))
 		return false;
-	return zones_lost < 2 || !own || live > own->live;
+	return zones_lost < 2 || !own_zone || live > own_zone->live;
 }
 
 static void enter_state(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
@@ -216,7 +225,7 @@
 	domain->state = state;
 	domain->evidence = evidence;
 	domain->since = now;
-	/* a suspicion is not on record: it is found again, or was unfounded */
+	/* the suspect state is not recorded: a new leader detects it again if it persists */
 	domain->record_due |= state != WS_DOMAINS_SUSPECT;
 }
 
@@ -226,8 +235,8 @@
 	return domain->penalty * exp2(-(now - domain->penalty_at) / domains->settings.half_life_s);
 }
 
-static void enter_dark(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
-		       enum ws_domains_evidence evidence, double now)
+static void enter_unreachable(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
+			      enum ws_domains_evidence evidence, double now)
 {
 	domain->penalty =
 	    fmin(domains->settings.penalty_max, ws_domains_penalty(domains, domain, now) + 1);
@@ -235,13 +244,13 @@
 	enter_state(domains, domain, WS_DOMAINS_DARK, evidence, now);
 }
 
-/* Machines that fell silent with the domain and stayed so are single failures from now on. */
+/* Machines that were lost with the domain and have not returned become isolated failures. */
 static void enter_healthy(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
 			  enum ws_domains_evidence evidence, double now)
 {
 	struct ws_domains_member *member, *next;
 
-	/* a suspicion that passed changed nothing on record */
+	/* the suspect state is not recorded, so its end changes no record */
 	bool recorded = domain->state != WS_DOMAINS_SUSPECT;
 
 	enter_state(domains, domain, WS_DOMAINS_HEALTHY, evidence, now);
@@ -266,42 +275,45 @@
 {
 	double elapsed_s = now - domain->since;
 
-	if (!lost_share_reaches(domain, HALF)) {
+	if (!lost_share_reaches(domain, HALF_SHARE)) {
 		enter_healthy(domains, domain, WS_DOMAINS_HEARD, now);
 		return;
 	}
 	if (domain->held || !lost_share_reaches(domain, domains->settings.dark_share))
 		return;
-	if (view_is_sound(domains, domain)) {
-		if (2 * domain->unanswered >= lost_machines(domain))
-			enter_dark(domains, domain, WS_DOMAINS_UNANSWERED, now);
+	if (controller_connectivity_ok(domains, domain)) {
+		if (2 * domain->unanswered >= lost_machine_count(domain))
+			enter_unreachable(domains, domain, WS_DOMAINS_UNANSWERED, now);
 		else if (elapsed_s > CONFIRM_HEARTBEATS * domains->limits.report_s)
-			enter_dark(domains, domain, WS_DOMAINS_SILENCE, now);
+			enter_unreachable(domains, domain, WS_DOMAINS_SILENCE, now);
 	} else if (domains->live_count > domain->live &&
-		   elapsed_s > domains->limits.lease_s * LEASE_MARGIN) {
-		enter_dark(domains, domain, WS_DOMAINS_LEASES_OUT, now);
+		   elapsed_s > domains->limits.lease_s * LEASE_EXPIRY_FACTOR) {
+		enter_unreachable(domains, domain, WS_DOMAINS_LEASES_OUT, now);
 	}
 }
 
-static void evaluate_dark(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
-			  double now)
+static void evaluate_unreachable(struct ws_failure_domains *domains,
+				 struct ws_failure_domain *domain, double now)
 {
-	size_t left = domain->live + domain->silent;
+	size_t remaining = domain->live + domain->silent;
 
 	if (domain->held)
 		return;
-	if (left && (double)domain->live >= HALF * (double)left) {
+	if (remaining && (double)domain->live >= HALF_SHARE * (double)remaining) {
 		domain->loss_free_since = now;
 		domain->removed = 0;
 		enter_state(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_HEARD, now);
-	} else if (!left && now - domain->since > ws_domains_hold_down(domains, domain)) {
+	} else if (!remaining && now - domain->since > ws_domains_hold_down(domains, domain)) {
 		domain->loss_free_since = now - ws_domains_hold_down(domains, domain);
 		domain->removed = 0;
 		enter_state(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_NONE_LEFT, now);
 	}
 }
 
-/* The share of a recovering domain's machines that is in use. */
+/*
+ * Returns the share of a recovering domain's machines that may be used: at most 0 during hold-down,
+ * at least 1 after the ramp-up.
+ */
 static double ramp_share(const struct ws_failure_domains *domains,
 			 const struct ws_failure_domain *domain, double now)
 {
@@ -313,11 +325,11 @@
 static void evaluate_recovering(struct ws_failure_domains *domains,
 				struct ws_failure_domain *domain, double now)
 {
-	if (lost_share_reaches(domain, HALF)) {
+	if (lost_share_reaches(domain, HALF_SHARE)) {
 		domain->loss_free_since = now;
 		if (!domain->held && lost_share_reaches(domain, domains->settings.dark_share) &&
-		    view_is_sound(domains, domain))
-			enter_dark(domains, domain, WS_DOMAINS_SILENCE, now);
+		    controller_connectivity_ok(domains, domain))
+			enter_unreachable(domains, domain, WS_DOMAINS_SILENCE, now);
 		return;
 	}
 	if (!domain->held && ramp_share(domains, domain, now) >= 1)
@@ -329,11 +341,11 @@
 {
 	switch (domain->state) {
 	case WS_DOMAINS_HEALTHY:
-		if (lost_share_reaches(domain, HALF))
+		if (lost_share_reaches(domain, HALF_SHARE))
 			enter_state(domains, domain, WS_DOMAINS_SUSPECT, WS_DOMAINS_SILENCE, now);
 		break;
 	case WS_DOMAINS_SUSPECT: evaluate_suspect(domains, domain, now); break;
-	case WS_DOMAINS_DARK: evaluate_dark(domains, domain, now); break;
+	case WS_DOMAINS_DARK: evaluate_unreachable(domains, domain, now); break;
 	case WS_DOMAINS_RECOVERING: evaluate_recovering(domains, domain, now); break;
 	}
 }
@@ -341,15 +353,14 @@
 void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_facts *facts)
 {
 	ws_domains_advance_clock(domains, facts->now);
-	if (facts->serving &&
-	    !domains->serving) /* workers that were not answered reconnect first */
+	if (facts->serving && !domains->serving) /* unanswered workers need time to reconnect */
 		domains->evaluate_from =
 		    fmax(domains->evaluate_from,
-			 domains->serving_clock + SETTLE_HEARTBEATS * domains->limits.report_s);
+			 domains->serving_clock + RECONNECT_HEARTBEATS * domains->limits.report_s);
 	domains->serving = facts->serving;
 	if (!facts->serving || domains->serving_clock < domains->evaluate_from)
 		return;
-	expire_overdue(domains);
+	expire_overdue_machines(domains);
 	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
 		evaluate(domains, domain, facts->now);
 }
--- a/src/failure_domains/health.h
+++ b/src/failure_domains/health.h
@@ -1,30 +1,36 @@
 /*
- * Health: the presence of machines, and the state of each domain. Owns the lists of machines by
- * presence and the serving clock.
+ * Liveness of machines and the health state of each domain. This module owns the lists of machines
+ * by liveness and the serving clock.
  */
 #ifndef WS_DOMAINS_HEALTH_H
 #define WS_DOMAINS_HEALTH_H
 #include "state.h"
 
-/* Advances the serving clock; a long gap between calls counts as a standstill. */
+/*
+ * Advances the serving clock. A long gap between calls counts as a pause of the process, for which
+ * the clock stops.
+ */
 void ws_domains_advance_clock(struct ws_failure_domains *domains, double now);
-/* Moves a machine to a presence as of now, and updates the counts of its domains. */
+/* Changes the liveness of a machine and updates the lists and the counts of its domains. */
 void ws_domains_set_presence(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
 			     enum ws_domains_presence presence);
-/* Records whether commands to a silent machine go unanswered; ignored for other machines. */
+/* Sets whether commands to an unresponsive machine go unanswered. Other machines are ignored. */
 void ws_domains_set_unanswered(struct ws_domains_machine *machine, bool unanswered);
-/* Expires overdue machines, then evaluates the state of each domain. */
+/* Updates the liveness of overdue machines, then evaluates the state of each domain. */
 void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_facts *facts);
-/* The flap penalty of a domain, decayed until now. */
+/* Returns the flap penalty of a domain, decayed up to `now`. */
 double ws_domains_penalty(const struct ws_failure_domains *domains,
 			  const struct ws_failure_domain *domain, double now);
-/* For how many seconds a recovering domain must be without loss before it is used again. */
+/* Returns the number of seconds without loss after which a recovering domain is used again. */
 double ws_domains_hold_down(const struct ws_failure_domains *domains,
 			    const struct ws_failure_domain *domain);
-/* Whether work is to be placed on a machine of the domain only if there is no other capacity. */
+/*
+ * Returns true if work may be placed on this machine of the domain only when no other capacity is
+ * free.
+ */
 bool ws_failure_domain_avoids(const struct ws_failure_domains *domains,
 			      const struct ws_failure_domain *domain,
 			      const struct ws_domains_machine *machine, double now);
-/* Whether some domain is in this state. */
+/* Returns true if any domain is in this state. */
 bool ws_domains_in_state(const struct ws_failure_domains *domains, enum ws_domains_state state);
 #endif
--- a/src/failure_domains/plan.c
+++ b/src/failure_domains/plan.c
@@ -1,9 +1,10 @@
 /*
- * The evacuation plan: which jobs lose attempts with a dark domain, in which order they are to be
- * placed again, and the capacity reserved for them ahead of that.
+ * The evacuation plan: the jobs that lose attempts with an unreachable domain, the order in which
+ * they are placed again, and the capacity reserved for them in advance.
  *
- * The order is on record, in shards of at most a record's size each. Progress is not: each survey
- * derives it from the core's own view of the jobs, so that the two can't disagree after a crash.
+ * The order is stored in shards, each at most as large as one record may be. The progress of a job
+ * is not restored from the store: each survey derives it from the core's own view of the jobs, so
+ * that the two can't disagree after a crash.
  */
 #include "plan.h"
 #include "../subsystem_support/subsystem_memory.h"
@@ -15,11 +16,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Bytes of a plan record besides its entries, and of an entry besides its job's name. */
-#define SHARD_BYTES 64
-#define ENTRY_BYTES 40
+/* Bytes allowed for a plan record without its entries, and for an entry without its job's name. */
+#define SHARD_OVERHEAD_BYTES 64
+#define ENTRY_OVERHEAD_BYTES 40
 /* Minimum interval between writes of the progress record, in leases. */
-#define PROGRESS_LEASES 0.25
+#define PROGRESS_WRITE_LEASES 0.25
 
 /* ---- entries ---- */
 
@@ -73,9 +74,9 @@
 	return settings->class_count;
 }
 
-/* The ordering rule that decides the place of an entry: the first one that applies. */
-static enum ws_domains_reason reason_of(const struct ws_failure_domains *domains,
-					const struct ws_domains_plan_entry *entry)
+/* Returns the ordering rule that is reported for an entry: the first one that applies. */
+static enum ws_domains_reason ordering_rule_of(const struct ws_failure_domains *domains,
+					       const struct ws_domains_plan_entry *entry)
 {
 	if (entry->pinned)
 		return WS_DOMAINS_PINNED;
@@ -96,9 +97,10 @@
 }
 
 /*
- * The order of evacuation. Not the order of recovery after a cold start (cold_start/recovery.c):
- * here recorded positions and the configured job classes come first, and a first replica goes
- * before other work of the same guarantee and priority only, while there it goes before all.
+ * Compares entries by their order of evacuation. The order of recovery after a cold start
+ * (cold_start/recovery.c) differs: here recorded positions and the configured job classes come
+ * first, and a service without a live replica precedes only other work of the same guarantee and
+ * priority, while there first replicas precede all other work.
  */
 static int compare_entries(const struct ws_domains_plan_entry *left,
 			   const struct ws_domains_plan_entry *right)
@@ -141,7 +143,7 @@
 	return false;
 }
 
-static bool pinned_to_dark(struct ws_failure_domains *domains, const char *zone)
+static bool pinned_to_unreachable_zone(struct ws_failure_domains *domains, const char *zone)
 {
 	const struct ws_failure_domain *domain =
 	    zone[0] ? ws_failure_domain_find(domains, zone) : NULL;
@@ -169,23 +171,26 @@
 	entry->latest_start = facts->latest_start;
 	entry->service = facts->service;
 	entry->first_replica = facts->service && !facts->elsewhere;
-	entry->pinned = pinned_to_dark(domains, facts->pinned_zone);
-	if (entry->shard < 0) /* a recorded entry keeps its reason */
-		entry->reason = reason_of(domains, entry);
+	entry->pinned = pinned_to_unreachable_zone(domains, facts->pinned_zone);
+	if (entry->shard < 0) /* the rule of a recorded entry doesn't change */
+		entry->reason = ordering_rule_of(domains, entry);
 }
 
-/* Over, or all of it placed again or heard again, and no move is requested any more. */
+/*
+ * Returns true if the job is over, or if it has no affected attempts and no waiting tasks and no
+ * move is requested for it.
+ */
 static bool entry_finished(const struct ws_domains_plan *plan,
 			   const struct ws_domains_plan_entry *entry)
 {
-	if (entry->last_survey != plan->surveys) /* the core has no such job any more */
+	if (entry->last_survey != plan->surveys) /* the core no longer has this job */
 		return true;
 	return !entry->affected && !entry->waiting && !entry->requested_move.position &&
 	       !entry->requested_move.reserve_ahead && !entry->requested_move.replicas_apart;
 }
 
-/* Removes finished entries from the plan; returns them as a list linked by `next_finished`. */
-static struct ws_domains_plan_entry *take_finished(struct ws_domains_plan *plan)
+/* Removes finished entries from the plan and returns them as a list linked by `next_finished`. */
+static struct ws_domains_plan_entry *remove_finished_entries(struct ws_domains_plan *plan)
 {
 	struct ws_domains_plan_entry *entry, *next, *finished = NULL;
 
@@ -203,7 +208,7 @@
 {
 	struct ws_failure_domains *domains = self;
 	struct ws_domains_plan *plan = &domains->plan;
-	struct ws_domains_plan_entry *finished = take_finished(plan);
+	struct ws_domains_plan_entry *finished = remove_finished_entries(plan);
 
 	(void)now;
 	HASH_SORT(plan->entries, compare_entries);
@@ -212,7 +217,7 @@
 
 		finished = entry->next_finished;
 		plan->finished += entry->planned;
-		if (entry->shard >= 0) /* its shard is deleted when all its entries are finished */
+		if (entry->shard >= 0) /* a shard is deleted once all its entries are finished */
 			find_or_add_shard(plan, entry->shard)->entries--;
 		free(entry);
 	}
@@ -232,34 +237,35 @@
 	return json_pack("{s:i,s:o}", "v", WS_DOMAINS_FORMAT, "jobs", jobs);
 }
 
-static void write_shard(struct ws_domains_plan *plan, json_t *jobs, struct ws_request_queue *out)
+static void write_shard(struct ws_domains_plan *plan, json_t *jobs,
+			struct ws_request_queue *requests)
 {
 	char name[64];
 
 	snprintf(name, sizeof(name), "plan/%lld", (long long)plan->next_shard);
 	find_or_add_shard(plan, plan->next_shard)->entries = json_array_size(jobs);
-	ws_request_write(out, name, plan_record(jobs), false);
+	ws_request_write(requests, name, plan_record(jobs), false);
 }
 
-/* Writes the entries that are not on record yet, in the order of the plan. */
-static void write_plan(struct ws_failure_domains *domains, struct ws_request_queue *out)
+/* Writes the entries that are not recorded yet, in the order of the plan. */
+static void write_plan(struct ws_failure_domains *domains, struct ws_request_queue *requests)
 {
 	struct ws_domains_plan *plan = &domains->plan;
-	size_t bytes = SHARD_BYTES;
+	size_t bytes = SHARD_OVERHEAD_BYTES;
 	json_t *jobs = NULL;
 
 	for (struct ws_domains_plan_entry *entry = plan->entries; entry; entry = entry->hh.next) {
-		size_t size = ENTRY_BYTES + strlen(entry->job);
+		size_t size = ENTRY_OVERHEAD_BYTES + strlen(entry->job);
 
 		if (entry->shard >= 0)
 			continue;
 		if (jobs && bytes + size > domains->limits.value_bytes) {
-			write_shard(plan, jobs, out);
+			write_shard(plan, jobs, requests);
 			jobs = NULL;
 		}
 		if (!jobs) {
 			jobs = json_array();
-			bytes = SHARD_BYTES;
+			bytes = SHARD_OVERHEAD_BYTES;
 		}
 		bytes += size;
 		entry->shard = plan->next_shard;
@@ -268,12 +274,14 @@
 						ws_domains_reason_name(entry->reason)));
 	}
 	if (jobs)
-		write_shard(plan, jobs, out);
+		write_shard(plan, jobs, requests);
 }
 
-/* Removes shards without unfinished entries from the plan; returns them as a list linked by
- * `next_finished`. */
-static struct ws_domains_plan_shard *take_finished_shards(struct ws_domains_plan *plan)
+/*
+ * Removes shards without unfinished entries from the plan and returns them as a list linked by
+ * `next_finished`.
+ */
+static struct ws_domains_plan_shard *remove_finished_shards(struct ws_domains_plan *plan)
 {
 	struct ws_domains_plan_shard *shard, *next, *finished = NULL;
 
@@ -287,9 +295,9 @@
 	return finished;
 }
 
-static void delete_finished_shards(struct ws_domains_plan *plan, struct ws_request_queue *out)
+static void delete_finished_shards(struct ws_domains_plan *plan, struct ws_request_queue *requests)
 {
-	struct ws_domains_plan_shard *finished = take_finished_shards(plan);
+	struct ws_domains_plan_shard *finished = remove_finished_shards(plan);
 
 	while (finished) {
 		struct ws_domains_plan_shard *shard = finished;
@@ -297,12 +305,14 @@
 
 		finished = shard->next_finished;
 		snprintf(name, sizeof(name), "plan/%lld", (long long)shard->number);
-		ws_request_delete(out, name);
+		ws_request_delete(requests, name);
 		free(shard);
 	}
 }
 
-/* The order of an earlier leader is preserved; jobs that are over drop out with the first survey.
+/*
+ * Restores entries in the order that an earlier leader recorded. Jobs that are over are removed
+ * after the first survey.
  */
 void ws_domains_plan_loaded(struct ws_failure_domains *domains, const char *number,
 			    const json_t *value)
@@ -329,12 +339,12 @@
 }
 
 static void write_progress(struct ws_failure_domains *domains, double now,
-			   struct ws_request_queue *out)
+			   struct ws_request_queue *requests)
 {
 	struct ws_domains_plan *plan = &domains->plan;
 	struct ws_domains_progress progress = {.planned = plan->finished,
 					       .called_off = plan->called_off};
-	size_t open = 0;
+	size_t unmoved = 0;
 
 	for (struct ws_domains_plan_entry *entry = plan->entries; entry; entry = entry->hh.next) {
 		size_t pinned = entry->pinned ? entry->affected + entry->waiting : 0;
@@ -343,23 +353,24 @@
 		progress.moving += entry->affected;
 		progress.waiting += entry->waiting - (entry->pinned ? entry->waiting : 0);
 		progress.pinned += pinned;
-		open += entry->affected + entry->waiting;
+		unmoved += entry->affected + entry->waiting;
 	}
-	progress.moved = progress.planned > open + progress.called_off
-			     ? progress.planned - open - progress.called_off
+	progress.moved = progress.planned > unmoved + progress.called_off
+			     ? progress.planned - unmoved - progress.called_off
 			     : 0;
 	if (!memcmp(&progress, &plan->last_progress, sizeof(progress)) ||
-	    now - plan->last_progress_at < PROGRESS_LEASES * domains->limits.lease_s)
+	    now - plan->last_progress_at < PROGRESS_WRITE_LEASES * domains->limits.lease_s)
 		return;
 	plan->last_progress = progress;
 	plan->last_progress_at = now;
-	ws_subsystem_logf(domains->log,
-			  "zones: plan progress planned=%zu moved=%zu called_off=%zu moving=%zu "
-			  "waiting=%zu pinned=%zu",
-			  progress.planned, progress.moved, progress.called_off, progress.moving,
-			  progress.waiting, progress.pinned);
+	ws_subsystem_logf(
+	    domains->log,
+	    "zones: evacuation progress planned=%zu moved=%zu called_off=%zu moving=%zu "
+	    "waiting=%zu pinned=%zu",
+	    progress.planned, progress.moved, progress.called_off, progress.moving,
+	    progress.waiting, progress.pinned);
 	ws_request_write(
-	    out, "progress",
+	    requests, "progress",
 	    json_pack("{s:i,s:I,s:I,s:I,s:I,s:I,s:I}", "v", WS_DOMAINS_FORMAT, "planned",
 		      (json_int_t)progress.planned, "moved", (json_int_t)progress.moved, "moving",
 		      (json_int_t)progress.moving, "waiting", (json_int_t)progress.waiting,
@@ -370,21 +381,24 @@
 
 /* ---- requests to the core ---- */
 
-/* Capacity is reserved ahead for a flapping domain only after a delay that grows with each flap. */
+/*
+ * Returns true if capacity is to be reserved in advance. For a domain that is lost repeatedly this
+ * is delayed, by a time that grows with each loss up to one lease.
+ */
 static bool reservation_due(const struct ws_failure_domains *domains, double now)
 {
 	for (const struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next) {
-		double wait_s = domains->limits.lease_s / 4 * fmax(0, domain->penalty - 1);
+		double delay_s = domains->limits.lease_s / 4 * fmax(0, domain->penalty - 1);
 
 		if (domain->state == WS_DOMAINS_DARK &&
-		    now - domain->since >= fmin(wait_s, domains->limits.lease_s))
+		    now - domain->since >= fmin(delay_s, domains->limits.lease_s))
 			return true;
 	}
 	return false;
 }
 
-/* Whether some service of the plan may have no live replica. */
+/* Returns true if a service in the plan may have no live replica. */
 static bool replica_missing(const struct ws_domains_plan *plan)
 {
 	for (const struct ws_domains_plan_entry *entry = plan->entries; entry;
@@ -395,7 +409,7 @@
 }
 
 static void request_moves(struct ws_failure_domains *domains, double now,
-			  struct ws_request_queue *out)
+			  struct ws_request_queue *requests)
 {
 	const size_t moves_max = ws_subsystem_moves_max(&domains->limits);
 	const bool reserve_ahead = reservation_due(domains, now);
@@ -407,20 +421,20 @@
 	for (struct ws_domains_plan_entry *entry = domains->plan.entries; entry;
 	     entry = entry->hh.next) {
 		struct ws_move move = {0};
-		bool open = unhealthy && !entry->pinned && (entry->affected || entry->waiting);
+		bool movable = unhealthy && !entry->pinned && (entry->affected || entry->waiting);
 
-		if (open && position < moves_max)
+		if (movable && position < moves_max)
 			move.position = ++position;
-		if (open && reserve_ahead)
+		if (movable && reserve_ahead)
 			move.reserve_ahead = (uint32_t)entry->affected;
-		move.replicas_apart = open && replicas_apart && entry->service;
+		move.replicas_apart = movable && replicas_apart && entry->service;
 		if (move.position == entry->requested_move.position &&
 		    move.reserve_ahead == entry->requested_move.reserve_ahead &&
 		    move.replicas_apart == entry->requested_move.replicas_apart)
 			continue;
 		entry->requested_move = move;
 		move.job = entry->job;
-		ws_request_move(out, &move);
+		ws_request_move(requests, &move);
 	}
 }
 
@@ -432,28 +446,29 @@
 	for (const struct ws_domains_plan_entry *entry = first; entry; entry = entry->hh.next)
 		jobs += entry->shard < 0;
 	if (jobs)
-		ws_subsystem_logf(domains->log,
-				  "zones: plan extended jobs=%zu first_job=%s reason=\"%s\"", jobs,
-				  first->job, ws_domains_reason_name(first->reason));
+		ws_subsystem_logf(
+		    domains->log,
+		    "zones: evacuation plan extended jobs=%zu first_job=%s reason=\"%s\"", jobs,
+		    first->job, ws_domains_reason_name(first->reason));
 }
 
 void ws_domains_plan_tick(struct ws_failure_domains *domains, double now,
-			  struct ws_request_queue *out)
+			  struct ws_request_queue *requests)
 {
 	struct ws_domains_plan *plan = &domains->plan;
 
 	if (plan->surveyed) {
 		plan->surveyed = false;
 		log_plan(domains);
-		request_moves(domains, now, out);
-		write_plan(domains, out);
-		delete_finished_shards(plan, out);
-		write_progress(domains, now, out);
+		request_moves(domains, now, requests);
+		write_plan(domains, requests);
+		delete_finished_shards(plan, requests);
+		write_progress(domains, now, requests);
 	}
 	if ((!plan->entries && !plan->shards && !ws_domains_in_state(domains, WS_DOMAINS_DARK)) ||
 	    now < plan->survey_due_at)
 		return;
-	if (!plan->entries && !plan->shards) { /* a new evacuation: count from zero */
+	if (!plan->entries && !plan->shards) { /* a new evacuation starts its counts at zero */
 		plan->finished = plan->called_off = 0;
 		plan->last_progress = (struct ws_domains_progress){0};
 	}
@@ -465,5 +480,5 @@
 			domains->steps++;
 			member->machine->affected = 0;
 		}
-	ws_request_survey(out);
+	ws_request_survey(requests);
 }
--- a/src/failure_domains/records.c
+++ b/src/failure_domains/records.c
@@ -1,5 +1,4 @@
-/* Records of the failure domains subsystem: their encoding, and what a new leader restores from
- * them. */
+/* Records of the failure domains subsystem: encoding, and restoring of state by a new leader. */
 #include "records.h"
 #include "../subsystem_support/subsystem_records.h"
 #include "domains.h"
@@ -19,8 +18,8 @@
     [WS_DOMAINS_DARK] = "dark",
     [WS_DOMAINS_RECOVERING] = "recovering",
 };
-_Static_assert(WS_DOMAINS_HEALTHY == 0, "the state of an unknown name");
-#define STATES (sizeof(state_names) / sizeof(state_names[0]))
+_Static_assert(WS_DOMAINS_HEALTHY == 0, "an unknown state name must decode as healthy");
+#define STATE_COUNT (sizeof(state_names) / sizeof(state_names[0]))
 
 static const char *const evidence_names[] = {
     [WS_DOMAINS_NO_EVIDENCE] = "none",
@@ -33,7 +32,7 @@
     [WS_DOMAINS_STABLE] = "stable",
 };
 
-static const char *const reason_names[] = {
+static const char *const ordering_rule_names[] = {
     [WS_DOMAINS_BY_CLASS] = "class",
     [WS_DOMAINS_BY_GUARANTEE] = "guarantee",
     [WS_DOMAINS_BY_FIRST_REPLICA] = "first replica",
@@ -54,7 +53,7 @@
 
 const char *ws_domains_reason_name(enum ws_domains_reason reason)
 {
-	return reason_names[reason];
+	return ordering_rule_names[reason];
 }
 
 json_t *ws_failure_domain_record(const struct ws_failure_domains *domains,
@@ -71,19 +70,20 @@
 
 static enum ws_domains_state state_from_name(const char *name)
 {
-	return (enum ws_domains_state)ws_subsystem_name_index(state_names, STATES, name);
+	return (enum ws_domains_state)ws_subsystem_name_index(state_names, STATE_COUNT, name);
 }
 
 /*
- * The state that an earlier leader recorded. A leader in between may not know these records, so it
- * is an initial state only: heartbeats decide from here on. How long ago it was written can't be
- * known, so the penalty counts as undecayed and the stable time begins anew.
+ * Restores the state of a domain from the record of an earlier leader. It is an initial state only,
+ * and heartbeats determine the state from here on, because a leader of a version without these
+ * records may have been in between. The age of the record is unknown, so the penalty is taken as
+ * undecayed and the hold-down starts again.
  */
 static void domain_loaded(struct ws_failure_domains *domains, const char *name, json_t *value)
 {
 	struct ws_failure_domain *domain = ws_failure_domain_find(domains, name);
 
-	if (!domain) /* of a zone that machines brought, or of a domain declared no more */
+	if (!domain) /* a zone that only machines reported, or a domain removed from the settings */
 		domain = ws_domains_add_zone(domains, name);
 	if (!domain)
 		return;
--- a/src/failure_domains/state.h
+++ b/src/failure_domains/state.h
@@ -1,12 +1,12 @@
-/* The state of the failure domains subsystem, which its modules share. All times are in seconds. */
+/* Data structures that the modules of the failure domains subsystem share. Times are in seconds. */
 #ifndef WS_DOMAINS_STATE_H
 #define WS_DOMAINS_STATE_H
 #include "failure_domains.h"
 #include <uthash.h>
 
-/* Format of the records; later ones are left alone. */
+/* The record format that is written, and the latest one that can be read. */
 #define WS_DOMAINS_FORMAT 1
-/* A machine can be in its zone and in one declared domain. */
+/* A machine can belong to its zone and to one declared domain. */
 #define WS_DOMAINS_MEMBERSHIPS 2
 
 enum ws_domains_state {
@@ -16,42 +16,42 @@
 	WS_DOMAINS_RECOVERING,
 };
 
-/* Why a domain is in its state. */
+/* The observation that caused a domain's last change of state. */
 enum ws_domains_evidence {
 	WS_DOMAINS_NO_EVIDENCE,
-	WS_DOMAINS_SILENCE,    /* stopped together and stayed silent */
-	WS_DOMAINS_UNANSWERED, /* and commands got no answer */
-	WS_DOMAINS_LEASES_OUT, /* while this controller's connections are in doubt */
+	WS_DOMAINS_SILENCE,    /* of several machines together */
+	WS_DOMAINS_UNANSWERED, /* in addition, commands were not answered */
+	WS_DOMAINS_LEASES_OUT, /* while this controller's own connections are suspect */
 	WS_DOMAINS_RECORDED,   /* restored from an earlier leader's record */
-	WS_DOMAINS_HEARD,      /* half of it is live again */
-	WS_DOMAINS_NONE_LEFT,  /* it has no machines left */
-	WS_DOMAINS_STABLE,
+	WS_DOMAINS_HEARD,      /* of at least half of its machines */
+	WS_DOMAINS_NONE_LEFT,  /* all its machines were removed */
+	WS_DOMAINS_STABLE,     /* hold-down and ramp-up passed without a loss */
 };
 
-/* Whether a machine is heard. */
+/* Liveness of a machine, judged by its heartbeats. */
 enum ws_domains_presence {
-	WS_DOMAINS_EXPECTED, /* on record, not yet heard by this leader */
+	WS_DOMAINS_EXPECTED, /* recorded as up, no heartbeat received by this leader yet */
 	WS_DOMAINS_LIVE,
-	WS_DOMAINS_SILENT,
-	WS_DOMAINS_SINGLE, /* a single failure: not counted until it is heard again */
+	WS_DOMAINS_SILENT, /* heartbeats are overdue */
+	WS_DOMAINS_SINGLE, /* not counted until its next heartbeat */
 };
 
 struct ws_domains_machine;
 
-/* A zone, or a declared group of networks. */
+/* A failure domain: a zone or a declared group of networks. */
 struct ws_failure_domain {
 	char name[WS_DOMAINS_NAME_MAX];
 	bool is_zone;
 	enum ws_domains_state state;
 	enum ws_domains_evidence evidence;
-	double since;		/* in this state */
-	double loss_free_since; /* recovering: no loss since then */
+	double since;
+	double loss_free_since; /* in recovery: start of the time without loss */
 	double penalty, penalty_at;
-	bool held, held_in_listing; /* by operators; and as the listing in progress says */
+	bool held, held_in_listing; /* by operators; according to the listing being read */
 	bool record_due;
 	double recorded_at;
-	size_t live, silent, unanswered; /* members */
-	size_t removed;			 /* silent ones removed since the domain became suspect */
+	size_t live, silent, unanswered; /* numbers of members */
+	size_t removed;			 /* since the domain became suspect */
 	struct ws_domains_member *members;
 	UT_hash_handle hh;
 };
@@ -63,25 +63,25 @@
 	struct ws_domains_member *prev, *next;
 };
 
-/* The handle of a machine; the core returns it with each hook. */
+/* A machine. The core passes it as the handle to each hook. */
 struct ws_domains_machine {
 	enum ws_domains_presence presence;
-	/* on the serving clock: when it was last heard, or fell silent */
+	/* on the serving clock: time of the last heartbeat, or of the change if it is not live */
 	double changed_at;
 	bool unanswered;
-	bool silent_with_domain; /* overdue while its domain is not healthy: on no list */
-	double ramp;	 /* the share of the ramp at which it is used again, from 0 to below 1 */
-	size_t affected; /* attempts at the last survey */
+	bool silent_with_domain; /* overdue with its unhealthy domain; on no list */
+	double ramp;		 /* share of the ramp-up after which it is used again, in [0, 1) */
+	size_t affected;	 /* in the last survey */
 	struct ws_domains_member memberships[WS_DOMAINS_MEMBERSHIPS];
 	struct ws_domains_machine *prev, *next;
 };
 
-/* Machines in the order in which they were appended. */
+/* A doubly linked list of machines in the order of insertion. */
 struct ws_domains_list {
 	struct ws_domains_machine *first, *last;
 };
 
-/* A declared network, found by its prefix. */
+/* An IP network prefix, the key by which declared networks are found. */
 struct ws_domains_prefix {
 	uint8_t bytes[16];
 	uint8_t length;
@@ -97,10 +97,10 @@
 #define WS_DOMAINS_LENGTHS 129
 struct ws_domains_networks {
 	struct ws_domains_network *table;
-	bool used[2][WS_DOMAINS_LENGTHS]; /* prefix lengths of IPv4 and IPv6 */
+	bool used[2][WS_DOMAINS_LENGTHS]; /* prefix lengths in use for IPv4 and IPv6 */
 };
 
-/* The ordering rule that decides the place of an entry in the plan. */
+/* The ordering rule that determines the position of an entry in the plan. */
 enum ws_domains_reason {
 	WS_DOMAINS_BY_CLASS,
 	WS_DOMAINS_BY_GUARANTEE,
@@ -113,35 +113,38 @@
 /* One job of the evacuation plan. */
 struct ws_domains_plan_entry {
 	char job[WS_DOMAINS_NAME_MAX];
-	uint64_t first_survey; /* number of the survey that found it; earlier ones go first */
+	uint64_t first_survey; /* number of the survey that added it; earlier ones come first */
 	size_t recorded_position;
 	size_t class_position;
 	bool guaranteed, service, first_replica, pinned;
 	int priority;
 	double latest_start;
 	enum ws_domains_reason reason;
-	size_t planned, affected, waiting;
-	int64_t shard; /* number of the record that names it; -1: none yet */
+	size_t planned, affected, waiting; /* tasks; planned: the most that were affected */
+	int64_t shard; /* number of the record that contains it; -1 if none does yet */
 	uint64_t last_survey;
 	struct ws_domains_plan_entry *next_finished;
-	struct ws_move requested_move; /* as last requested, without the job's name */
+	struct ws_move requested_move; /* the last request, without the job's name */
 	UT_hash_handle hh;
 };
 
-/* One record of the plan, with as many entries as it can hold. */
+/* One record of the plan, with as many entries as the record size allows. */
 struct ws_domains_plan_shard {
 	int64_t number;
-	size_t entries; /* that are unfinished */
+	size_t entries;
 	struct ws_domains_plan_shard *next_finished;
 	UT_hash_handle hh;
 };
 
-/* Numbers of tasks, as the record "progress" has them. */
+/* Numbers of tasks, as written to the record "progress". */
 struct ws_domains_progress {
 	size_t planned, moved, moving, waiting, pinned, called_off;
 };
 
-/* The plan itself: entries by job, in their order, and shards by number. */
+/*
+ * The evacuation plan: a hash table of entries by job, kept in plan order, and one of shards by
+ * number.
+ */
 struct ws_domains_plan {
 	struct ws_domains_plan_entry *entries;
 	struct ws_domains_plan_shard *shards;
@@ -149,8 +152,8 @@
 	uint64_t surveys;
 	double survey_due_at;
 	bool surveyed;	   /* since the last tick */
-	size_t called_off; /* attempts heard again before they were moved */
-	size_t finished;   /* tasks of entries that are finished */
+	size_t called_off; /* attempts whose machine returned before they were moved */
+	size_t finished;   /* planned tasks of the entries removed from the plan */
 	struct ws_domains_progress last_progress;
 	double last_progress_at;
 };
@@ -162,21 +165,22 @@
 	ws_subsystem_log_fn log;
 	struct ws_domains_networks networks;
 	struct ws_failure_domain *by_name;
-	struct ws_domains_list live, silent, expected; /* each in the order of changed_at */
+	/* each list is ordered by changed_at */
+	struct ws_domains_list live, silent, expected;
 	/*
-	 * The serving clock counts the seconds during which this controller answered heartbeats: it
-	 * stops while the process is stopped, and while it may not answer. Silence is measured by
-	 * it.
+	 * The serving clock counts the seconds during which this controller answered heartbeats. It
+	 * stops while the process is paused and while the controller may not answer. Missing
+	 * heartbeats are timed by it.
 	 */
 	double serving_clock;
-	double clock_advanced_at; /* time of the core */
-	double evaluate_from;	  /* on that clock: by then workers have had time to reconnect */
+	double clock_advanced_at; /* on the core's clock */
+	double evaluate_from; /* on the serving clock; workers have had time to reconnect by then */
 	bool serving;
 	size_t live_count, silent_count;
-	size_t machine_count; /* ever added: gives each its place in the ramp */
-	bool later_format;    /* a record is of a later format: the subsystem is suspended */
+	size_t machine_count; /* machines added so far; determines each one's ramp-up position */
+	bool later_format;    /* a record of a later format was read; the subsystem is suspended */
 	double holds_due_at;
-	uint64_t steps; /* operations on single machines, counted for tests */
+	uint64_t steps; /* on single machines, counted for tests */
 	struct ws_domains_plan plan;
 };
 #endif
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -70,7 +70,8 @@
 static size_t unreadable;
 static void log_text(const char *text)
 {
-	unreadable += strstr(text, "unreadable address, zone only machine=m ") != NULL;
+	unreadable +=
+	    strstr(text, "invalid address, no declared domain assigned machine=m ") != NULL;
 }
 
 struct lookup {
