--- a/src/failure_domains/domains.c
+++ b/src/failure_domains/domains.c
@@ -139,13 +139,13 @@
 	struct ws_domains_prefix prefix, masked;
 
 	if (!parse_prefix(text, &prefix))
-		return WS_DOMAINS_BAD_NETWORK;
+		return WS_DOMAINS_INVALID_NETWORK;
 	masked = prefix;
 	truncate_prefix(&masked, prefix.length);
 	if (memcmp(&masked, &prefix, sizeof(masked)) != 0)
-		return WS_DOMAINS_HOST_BITS;
+		return WS_DOMAINS_HOST_BITS_SET;
 	if (find_network(&domains->networks, &prefix))
-		return WS_DOMAINS_NETWORK_TWICE;
+		return WS_DOMAINS_DUPLICATE_NETWORK;
 	network = ws_subsystem_allocate(sizeof(*network));
 	network->prefix = prefix;
 	network->domain = domain;
@@ -161,9 +161,9 @@
 
 	/* the name becomes part of a record's key, which can't contain spaces */
 	if (!name[0] || strpbrk(name, " \t/") != NULL)
-		return WS_DOMAINS_BAD_NAME;
+		return WS_DOMAINS_INVALID_NAME;
 	if (ws_failure_domain_find(domains, name))
-		return WS_DOMAINS_NAME_TWICE;
+		return WS_DOMAINS_DUPLICATE_NAME;
 	domain = ws_subsystem_allocate(sizeof(*domain));
 	snprintf(domain->name, sizeof(domain->name), "%s", name);
 	domain->is_zone = is_zone;
@@ -173,7 +173,7 @@
 }
 
 static bool add_declared_domain(struct ws_failure_domains *domains,
-				const struct ws_domains_declared *declared,
+				const struct ws_declared_domain *declared,
 				struct ws_domains_error *error)
 {
 	struct ws_failure_domain *domain;
@@ -193,12 +193,12 @@
 
 	add_domain(domains, name, true, &domain);
 	if (domain)
-		domain->since = domain->penalty_at = domain->loss_free_since =
+		domain->state_changed_at = domain->penalty_updated_at = domain->loss_free_since =
 		    domains->clock_advanced_at;
 	return domain;
 }
 
-bool ws_domains_create(struct ws_failure_domains *domains, struct ws_domains_error *error)
+bool ws_domains_add_configured(struct ws_failure_domains *domains, struct ws_domains_error *error)
 {
 	struct ws_failure_domain *domain;
 
@@ -217,15 +217,15 @@
 	WS_SUBSYSTEM_FREE_TABLE(domains->networks.table);
 }
 
-void ws_failure_domain_count(struct ws_failure_domain *domain,
-			     const struct ws_domains_machine *machine, int sign)
+void ws_failure_domain_adjust_counts(struct ws_failure_domain *domain,
+				     const struct ws_domains_machine *machine, int sign)
 {
 	size_t change = (size_t)(ssize_t)sign;
 
-	if (machine->presence == WS_DOMAINS_LIVE)
+	if (machine->liveness == WS_DOMAINS_LIVE)
 		domain->live += change;
-	if (machine->presence == WS_DOMAINS_SILENT) {
-		domain->silent += change;
+	if (machine->liveness == WS_DOMAINS_UNRESPONSIVE) {
+		domain->unresponsive += change;
 		domain->unanswered += machine->unanswered ? change : 0;
 	}
 }
@@ -233,31 +233,31 @@
 static void add_member(struct ws_domains_machine *machine, size_t index,
 		       struct ws_failure_domain *domain)
 {
-	struct ws_domains_member *member = &machine->memberships[index];
+	struct ws_domains_membership *member = &machine->memberships[index];
 
 	if (!domain)
 		return;
 	member->domain = domain;
 	member->machine = machine;
 	DL_APPEND(domain->members, member);
-	ws_failure_domain_count(domain, machine, 1);
+	ws_failure_domain_adjust_counts(domain, machine, 1);
 }
 
-void ws_domains_leave(struct ws_domains_machine *machine)
+void ws_domains_remove_machine(struct ws_domains_machine *machine)
 {
 	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
-		struct ws_domains_member *member = &machine->memberships[i];
+		struct ws_domains_membership *member = &machine->memberships[i];
 
 		if (!member->domain)
 			continue;
-		ws_failure_domain_count(member->domain, machine, -1);
+		ws_failure_domain_adjust_counts(member->domain, machine, -1);
 		DL_DELETE(member->domain->members, member);
 		member->domain = NULL;
 	}
 }
 
-void ws_domains_join(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-		     const struct ws_machine_info *facts)
+void ws_domains_add_machine(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
+			    const struct ws_machine_info *facts)
 {
 	struct ws_failure_domain *declared = NULL, *zone = NULL;
 
--- a/src/failure_domains/failure_domains.c
+++ b/src/failure_domains/failure_domains.c
@@ -32,23 +32,23 @@
 {
 	switch (code) {
 	case WS_DOMAINS_OK: return "fine";
-	case WS_DOMAINS_BAD_NETWORK: return "is not a valid IP network";
-	case WS_DOMAINS_HOST_BITS: return "has host bits set: it is an address, not a network";
-	case WS_DOMAINS_NETWORK_TWICE: return "is declared more than once";
-	case WS_DOMAINS_NAME_TWICE: return "has the name of another domain or zone";
-	case WS_DOMAINS_BAD_NAME:
+	case WS_DOMAINS_INVALID_NETWORK: return "is not a valid IP network";
+	case WS_DOMAINS_HOST_BITS_SET: return "has host bits set: it is an address, not a network";
+	case WS_DOMAINS_DUPLICATE_NETWORK: return "is declared more than once";
+	case WS_DOMAINS_DUPLICATE_NAME: return "has the name of another domain or zone";
+	case WS_DOMAINS_INVALID_NAME:
 		return "is not a valid name: it is empty or contains a space, tab or slash";
 	}
 	return "";
 }
 
-void ws_domains_defaults(struct ws_domains_settings *settings)
+void ws_domains_settings_init(struct ws_domains_settings *settings)
 {
 	*settings = (struct ws_domains_settings){
-	    .dark_share = UNREACHABLE_SHARE,
-	    .stable_s = -1,
+	    .unreachable_share = UNREACHABLE_SHARE,
+	    .hold_down_s = -1,
 	    .ramp_s = -1,
-	    .half_life_s = -1,
+	    .penalty_half_life_s = -1,
 	    .penalty_max = PENALTY_MAX,
 	};
 }
@@ -90,12 +90,12 @@
 		target->declared[i].networks =
 		    copy_array(source->declared[i].networks, source->declared[i].network_count,
 			       sizeof(*source->declared[i].networks));
-	if (target->stable_s < 0)
-		target->stable_s = HOLD_DOWN_LEASES * lease_s;
+	if (target->hold_down_s < 0)
+		target->hold_down_s = HOLD_DOWN_LEASES * lease_s;
 	if (target->ramp_s < 0)
 		target->ramp_s = RAMP_LEASES * lease_s;
-	if (target->half_life_s <= 0)
-		target->half_life_s = PENALTY_HALF_LIFE_LEASES * lease_s;
+	if (target->penalty_half_life_s <= 0)
+		target->penalty_half_life_s = PENALTY_HALF_LIFE_LEASES * lease_s;
 }
 
 struct ws_failure_domains *ws_domains_new(const struct ws_domains_settings *settings,
@@ -108,7 +108,7 @@
 	domains->limits = *limits;
 	domains->log = log;
 	snprintf(domains->node_zone, sizeof(domains->node_zone), "%s", limits->node_zone);
-	if (!ws_domains_create(domains, error)) {
+	if (!ws_domains_add_configured(domains, error)) {
 		ws_domains_free(domains);
 		return NULL;
 	}
@@ -129,9 +129,9 @@
 
 /* ---- leadership ---- */
 
-uint64_t ws_domains_steps(const struct ws_failure_domains *domains)
+uint64_t ws_domains_machine_operations(const struct ws_failure_domains *domains)
 {
-	return domains->steps;
+	return domains->machine_operations;
 }
 
 static void destroy(void *self)
@@ -149,10 +149,10 @@
 		domain->state = WS_DOMAINS_HEALTHY;
 		domain->evidence = WS_DOMAINS_NO_EVIDENCE;
 		domain->penalty = 0;
-		domain->since = domain->penalty_at = domain->loss_free_since = domain->recorded_at =
-		    now;
+		domain->state_changed_at = domain->penalty_updated_at = domain->loss_free_since =
+		    domain->recorded_at = now;
 		domain->held = domain->held_in_listing = domain->record_due = false;
-		domain->removed = 0;
+		domain->removed_unresponsive = 0;
 	}
 	domains->later_format = false;
 	domains->serving = false; /* the first serving tick sets when evaluation starts */
@@ -213,18 +213,18 @@
 
 	(void)now;
 	/* not counted before its first heartbeat */
-	machine->presence = WS_DOMAINS_SINGLE;
-	machine->ramp = fmod((double)domains->machine_count++ * RAMP_STEP, 1);
-	ws_domains_join(domains, machine, facts);
+	machine->liveness = WS_DOMAINS_ISOLATED_FAILURE;
+	machine->ramp_position = fmod((double)domains->machine_count++ * RAMP_STEP, 1);
+	ws_domains_add_machine(domains, machine, facts);
 	if (facts->expected)
-		ws_domains_set_presence(domains, machine, WS_DOMAINS_EXPECTED);
+		ws_domains_set_liveness(domains, machine, WS_DOMAINS_EXPECTED);
 	return machine;
 }
 
 static void machine_changed(void *self, void *handle, const struct ws_machine_info *facts)
 {
-	ws_domains_leave(handle);
-	ws_domains_join(self, handle, facts);
+	ws_domains_remove_machine(handle);
+	ws_domains_add_machine(self, handle, facts);
 }
 
 /*
@@ -237,7 +237,7 @@
 		struct ws_failure_domain *domain = machine->memberships[i].domain;
 
 		if (domain && domain->state != WS_DOMAINS_HEALTHY)
-			domain->removed++;
+			domain->removed_unresponsive++;
 	}
 }
 
@@ -246,8 +246,8 @@
 	struct ws_failure_domains *domains = self;
 	struct ws_domains_machine *machine = handle;
 
-	ws_domains_set_presence(domains, machine, WS_DOMAINS_SINGLE);
-	ws_domains_leave(machine);
+	ws_domains_set_liveness(domains, machine, WS_DOMAINS_ISOLATED_FAILURE);
+	ws_domains_remove_machine(machine);
 	free(machine);
 }
 
@@ -257,22 +257,22 @@
 	struct ws_domains_machine *machine = handle;
 
 	(void)now;
-	machine->affected = 0;
+	machine->affected_attempts = 0;
 	if (loss == WS_LOSS_LEASE_EXPIRED)
 		return;
-	if (machine->presence == WS_DOMAINS_SILENT)
+	if (machine->liveness == WS_DOMAINS_UNRESPONSIVE)
 		count_removed_machine(machine);
-	ws_domains_set_presence(domains, machine, WS_DOMAINS_SINGLE);
+	ws_domains_set_liveness(domains, machine, WS_DOMAINS_ISOLATED_FAILURE);
 }
 
 static void heartbeat_seen(void *self, double now, void *handle)
 {
 	struct ws_domains_machine *machine = handle;
 
-	if (machine->presence == WS_DOMAINS_SILENT)
-		ws_domains_called_off(self, machine);
+	if (machine->liveness == WS_DOMAINS_UNRESPONSIVE)
+		ws_domains_plan_cancel_moves(self, machine);
 	ws_domains_advance_clock(self, now);
-	ws_domains_set_presence(self, machine, WS_DOMAINS_LIVE);
+	ws_domains_set_liveness(self, machine, WS_DOMAINS_LIVE);
 }
 
 static void command_answered(void *self, void *handle, bool answered)
@@ -291,7 +291,7 @@
 	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS && !domains->later_format; i++) {
 		const struct ws_failure_domain *domain = machine->memberships[i].domain;
 
-		if (domain && ws_failure_domain_avoids(domains, domain, machine, now))
+		if (domain && ws_failure_domain_avoids_machine(domains, domain, machine, now))
 			return true;
 	}
 	return false;
@@ -308,7 +308,7 @@
 
 	if (!domain || !domain->is_zone || domains->later_format)
 		return NULL;
-	if (domain->state == WS_DOMAINS_DARK)
+	if (domain->state == WS_DOMAINS_UNREACHABLE)
 		return domain;
 	return domain->state == WS_DOMAINS_RECOVERING &&
 		       now - domain->loss_free_since < ws_domains_hold_down(domains, domain)
@@ -330,7 +330,7 @@
 	const struct ws_failure_domain *domain = find_unavailable_zone(self, now, zone);
 
 	return domain &&
-	       (domain->state == WS_DOMAINS_DARK || domain->penalty > SINGLE_LOSS_PENALTY);
+	       (domain->state == WS_DOMAINS_UNREACHABLE || domain->penalty > SINGLE_LOSS_PENALTY);
 }
 
 /* ---- tick ---- */
@@ -341,8 +341,8 @@
 	for (struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next) {
 		char name[WS_DOMAINS_NAME_MAX + 16];
-		bool unhealthy =
-		    domain->state == WS_DOMAINS_DARK || domain->state == WS_DOMAINS_RECOVERING;
+		bool unhealthy = domain->state == WS_DOMAINS_UNREACHABLE ||
+				 domain->state == WS_DOMAINS_RECOVERING;
 		bool rewrite_due = unhealthy && now - domain->recorded_at >
 						    RECORD_WRITE_LEASES * domains->limits.lease_s;
 
--- a/src/failure_domains/failure_domains.h
+++ b/src/failure_domains/failure_domains.h
@@ -21,7 +21,7 @@
 #define WS_DOMAINS_NETWORK_MAX 64
 
 /* A domain declared in the settings. Its members are the machines of these IP networks. */
-struct ws_domains_declared {
+struct ws_declared_domain {
 	char name[WS_DOMAINS_NAME_MAX];
 	char (*networks)[WS_DOMAINS_NETWORK_MAX];
 	size_t network_count;
@@ -29,24 +29,24 @@
 
 /* Settings of the subsystem. A negative duration selects the default, a multiple of the lease. */
 struct ws_domains_settings {
-	double dark_share;  /* share of a domain's machines that must be lost together */
-	double stable_s;    /* time without loss before use, after a first loss */
-	double ramp_s;	    /* its machines return to use over this time after the hold-down */
-	double half_life_s; /* of the flap penalty */
+	double unreachable_share; /* share of a domain's machines that must be lost together */
+	double hold_down_s;	  /* time without loss before use, after a first loss */
+	double ramp_s; /* its machines return to use over this time after the hold-down */
+	double penalty_half_life_s; /* of the flap penalty */
 	double penalty_max;
 	char (*class_order)[WS_DOMAINS_NAME_MAX]; /* job classes that are evacuated first */
 	size_t class_count;
-	struct ws_domains_declared *declared;
+	struct ws_declared_domain *declared;
 	size_t declared_count;
 };
 
 enum ws_domains_error_code {
 	WS_DOMAINS_OK,
-	WS_DOMAINS_BAD_NETWORK,	  /* not a network in CIDR notation */
-	WS_DOMAINS_HOST_BITS,	  /* an address within a network, not the network */
-	WS_DOMAINS_NETWORK_TWICE, /* declared more than once */
-	WS_DOMAINS_NAME_TWICE,	  /* the name of another domain or of a zone */
-	WS_DOMAINS_BAD_NAME,	  /* empty, or with characters not allowed in keys */
+	WS_DOMAINS_INVALID_NETWORK,   /* not a network in CIDR notation */
+	WS_DOMAINS_HOST_BITS_SET,     /* an address within a network, not the network */
+	WS_DOMAINS_DUPLICATE_NETWORK, /* declared more than once */
+	WS_DOMAINS_DUPLICATE_NAME,    /* the name of another domain or of a zone */
+	WS_DOMAINS_INVALID_NAME,      /* empty, or with characters not allowed in keys */
 };
 
 /* Why settings were rejected, with the domain and network concerned, which are empty if none is. */
@@ -60,7 +60,7 @@
 struct ws_failure_domains;
 
 /* Sets all settings to their defaults. */
-void ws_domains_defaults(struct ws_domains_settings *settings);
+void ws_domains_settings_init(struct ws_domains_settings *settings);
 /* Frees the arrays of the settings. */
 void ws_domains_settings_free(struct ws_domains_settings *settings);
 /* Returns a description of the error for operators, to follow the name of the domain or network. */
@@ -80,7 +80,7 @@
 /*
  * Returns the number of operations on single machines so far, by which tests bound the work done.
  */
-uint64_t ws_domains_steps(const struct ws_failure_domains *domains);
+uint64_t ws_domains_machine_operations(const struct ws_failure_domains *domains);
 
 /* The hooks to pass to ws_core_attach(), with the object as `self`. */
 extern const struct ws_subsystem_ops ws_domains_ops;
--- a/src/failure_domains/health.c
+++ b/src/failure_domains/health.c
@@ -35,7 +35,7 @@
 
 /* ---- presence ---- */
 
-static void list_append(struct ws_domains_list *list, struct ws_domains_machine *machine)
+static void list_append(struct ws_domains_machine_list *list, struct ws_domains_machine *machine)
 {
 	machine->prev = list->last;
 	machine->next = NULL;
@@ -46,7 +46,7 @@
 	list->last = machine;
 }
 
-static void list_remove(struct ws_domains_list *list, struct ws_domains_machine *machine)
+static void list_remove(struct ws_domains_machine_list *list, struct ws_domains_machine *machine)
 {
 	if (machine->prev)
 		machine->prev->next = machine->next;
@@ -59,14 +59,15 @@
 	machine->prev = machine->next = NULL;
 }
 
-static struct ws_domains_list *list_for_liveness(struct ws_failure_domains *domains,
-						 const struct ws_domains_machine *machine)
+static struct ws_domains_machine_list *list_for_liveness(struct ws_failure_domains *domains,
+							 const struct ws_domains_machine *machine)
 {
-	switch (machine->presence) {
+	switch (machine->liveness) {
 	case WS_DOMAINS_EXPECTED: return &domains->expected;
 	case WS_DOMAINS_LIVE: return &domains->live;
-	case WS_DOMAINS_SILENT: return machine->silent_with_domain ? NULL : &domains->silent;
-	case WS_DOMAINS_SINGLE: break;
+	case WS_DOMAINS_UNRESPONSIVE:
+		return machine->unresponsive_with_domain ? NULL : &domains->unresponsive;
+	case WS_DOMAINS_ISOLATED_FAILURE: break;
 	}
 	return NULL;
 }
@@ -77,29 +78,29 @@
 {
 	size_t change = (size_t)(ssize_t)sign;
 
-	domains->live_count += machine->presence == WS_DOMAINS_LIVE ? change : 0;
-	domains->silent_count += machine->presence == WS_DOMAINS_SILENT ? change : 0;
+	domains->live_count += machine->liveness == WS_DOMAINS_LIVE ? change : 0;
+	domains->unresponsive_count += machine->liveness == WS_DOMAINS_UNRESPONSIVE ? change : 0;
 	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
 		struct ws_failure_domain *domain = machine->memberships[i].domain;
 
 		if (domain)
-			ws_failure_domain_count(domain, machine, sign);
+			ws_failure_domain_adjust_counts(domain, machine, sign);
 	}
 }
 
-void ws_domains_set_presence(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-			     enum ws_domains_presence presence)
+void ws_domains_set_liveness(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
+			     enum ws_domains_liveness presence)
 {
-	struct ws_domains_list *list = list_for_liveness(domains, machine);
+	struct ws_domains_machine_list *list = list_for_liveness(domains, machine);
 
-	domains->steps++;
+	domains->machine_operations++;
 	if (list)
 		list_remove(list, machine);
 	adjust_liveness_counts(domains, machine, -1);
-	machine->presence = presence;
+	machine->liveness = presence;
 	machine->changed_at = domains->serving_clock;
-	machine->silent_with_domain = false;
-	if (presence != WS_DOMAINS_SILENT)
+	machine->unresponsive_with_domain = false;
+	if (presence != WS_DOMAINS_UNRESPONSIVE)
 		machine->unanswered = false;
 	adjust_liveness_counts(domains, machine, 1);
 	list = list_for_liveness(domains, machine);
@@ -109,7 +110,7 @@
 
 void ws_domains_set_unanswered(struct ws_domains_machine *machine, bool unanswered)
 {
-	if (machine->presence != WS_DOMAINS_SILENT || machine->unanswered == unanswered)
+	if (machine->liveness != WS_DOMAINS_UNRESPONSIVE || machine->unanswered == unanswered)
 		return;
 	machine->unanswered = unanswered;
 	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++)
@@ -150,17 +151,17 @@
 
 	while ((machine = domains->live.first) &&
 	       domains->serving_clock - machine->changed_at > unresponsive_after)
-		ws_domains_set_presence(domains, machine, WS_DOMAINS_SILENT);
+		ws_domains_set_liveness(domains, machine, WS_DOMAINS_UNRESPONSIVE);
 	while ((machine = domains->expected.first))
-		ws_domains_set_presence(domains, machine, WS_DOMAINS_SILENT);
-	while ((machine = domains->silent.first) &&
+		ws_domains_set_liveness(domains, machine, WS_DOMAINS_UNRESPONSIVE);
+	while ((machine = domains->unresponsive.first) &&
 	       domains->serving_clock - machine->changed_at > isolated_after) {
 		if (!machine_in_unhealthy_domain(machine)) {
-			ws_domains_set_presence(domains, machine, WS_DOMAINS_SINGLE);
+			ws_domains_set_liveness(domains, machine, WS_DOMAINS_ISOLATED_FAILURE);
 			continue;
 		}
-		list_remove(&domains->silent, machine);
-		machine->silent_with_domain = true;
+		list_remove(&domains->unresponsive, machine);
+		machine->unresponsive_with_domain = true;
 	}
 }
 
@@ -169,7 +170,7 @@
 /* Returns the number of unresponsive machines of a domain, including those removed meanwhile. */
 static size_t lost_machine_count(const struct ws_failure_domain *domain)
 {
-	return domain->silent + domain->removed;
+	return domain->unresponsive + domain->removed_unresponsive;
 }
 
 static bool lost_share_reaches(const struct ws_failure_domain *domain, double share)
@@ -197,13 +198,14 @@
 	const struct ws_failure_domain *own_zone =
 	    ws_failure_domain_find(domains, domains->node_zone);
 	size_t live = saturating_difference(domains->live_count, domain->live);
-	size_t unresponsive = saturating_difference(domains->silent_count, domain->silent);
+	size_t unresponsive =
+	    saturating_difference(domains->unresponsive_count, domain->unresponsive);
 	size_t zones_lost = 0;
 
 	for (const struct ws_failure_domain *other = domains->by_name; other;
 	     other = other->hh.next) {
-		if (other != domain && other->state == WS_DOMAINS_DARK)
-			unresponsive = saturating_difference(unresponsive, other->silent);
+		if (other != domain && other->state == WS_DOMAINS_UNREACHABLE)
+			unresponsive = saturating_difference(unresponsive, other->unresponsive);
 		else if (other->is_zone && lost_share_reaches(other, HALF_SHARE))
 			zones_lost++;
 	}
@@ -220,11 +222,11 @@
 	    "zones: state changed domain=%s state=%s previous=%s after_s=%.1f live=%zu "
 	    "silent=%zu unanswered=%zu gone=%zu evidence=\"%s\"",
 	    domain->name, ws_domains_state_name(state), ws_domains_state_name(domain->state),
-	    now - domain->since, domain->live, domain->silent, domain->unanswered, domain->removed,
-	    ws_domains_evidence_name(evidence));
+	    now - domain->state_changed_at, domain->live, domain->unresponsive, domain->unanswered,
+	    domain->removed_unresponsive, ws_domains_evidence_name(evidence));
 	domain->state = state;
 	domain->evidence = evidence;
-	domain->since = now;
+	domain->state_changed_at = now;
 	/* the suspect state is not recorded: a new leader detects it again if it persists */
 	domain->record_due |= state != WS_DOMAINS_SUSPECT;
 }
@@ -232,7 +234,8 @@
 double ws_domains_penalty(const struct ws_failure_domains *domains,
 			  const struct ws_failure_domain *domain, double now)
 {
-	return domain->penalty * exp2(-(now - domain->penalty_at) / domains->settings.half_life_s);
+	return domain->penalty *
+	       exp2(-(now - domain->penalty_updated_at) / domains->settings.penalty_half_life_s);
 }
 
 static void enter_unreachable(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
@@ -240,73 +243,77 @@
 {
 	domain->penalty =
 	    fmin(domains->settings.penalty_max, ws_domains_penalty(domains, domain, now) + 1);
-	domain->penalty_at = now;
-	enter_state(domains, domain, WS_DOMAINS_DARK, evidence, now);
+	domain->penalty_updated_at = now;
+	enter_state(domains, domain, WS_DOMAINS_UNREACHABLE, evidence, now);
 }
 
 /* Machines that were lost with the domain and have not returned become isolated failures. */
 static void enter_healthy(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
 			  enum ws_domains_evidence evidence, double now)
 {
-	struct ws_domains_member *member, *next;
+	struct ws_domains_membership *member, *next;
 
 	/* the suspect state is not recorded, so its end changes no record */
 	bool recorded = domain->state != WS_DOMAINS_SUSPECT;
 
 	enter_state(domains, domain, WS_DOMAINS_HEALTHY, evidence, now);
 	domain->record_due = recorded;
-	domain->removed = 0;
+	domain->removed_unresponsive = 0;
 	DL_FOREACH_SAFE (domain->members, member, next) {
-		domains->steps++;
-		if (member->machine->silent_with_domain &&
+		domains->machine_operations++;
+		if (member->machine->unresponsive_with_domain &&
 		    !machine_in_unhealthy_domain(member->machine))
-			ws_domains_set_presence(domains, member->machine, WS_DOMAINS_SINGLE);
+			ws_domains_set_liveness(domains, member->machine,
+						WS_DOMAINS_ISOLATED_FAILURE);
 	}
 }
 
 double ws_domains_hold_down(const struct ws_failure_domains *domains,
 			    const struct ws_failure_domain *domain)
 {
-	return domains->settings.stable_s * exp2(fmax(0, domain->penalty - 1));
+	return domains->settings.hold_down_s * exp2(fmax(0, domain->penalty - 1));
 }
 
 static void evaluate_suspect(struct ws_failure_domains *domains, struct ws_failure_domain *domain,
 			     double now)
 {
-	double elapsed_s = now - domain->since;
+	double elapsed_s = now - domain->state_changed_at;
 
 	if (!lost_share_reaches(domain, HALF_SHARE)) {
-		enter_healthy(domains, domain, WS_DOMAINS_HEARD, now);
+		enter_healthy(domains, domain, WS_DOMAINS_HEARTBEATS_RESUMED, now);
 		return;
 	}
-	if (domain->held || !lost_share_reaches(domain, domains->settings.dark_share))
+	if (domain->held || !lost_share_reaches(domain, domains->settings.unreachable_share))
 		return;
 	if (controller_connectivity_ok(domains, domain)) {
 		if (2 * domain->unanswered >= lost_machine_count(domain))
-			enter_unreachable(domains, domain, WS_DOMAINS_UNANSWERED, now);
+			enter_unreachable(domains, domain, WS_DOMAINS_COMMANDS_UNANSWERED, now);
 		else if (elapsed_s > CONFIRM_HEARTBEATS * domains->limits.report_s)
-			enter_unreachable(domains, domain, WS_DOMAINS_SILENCE, now);
+			enter_unreachable(domains, domain, WS_DOMAINS_HEARTBEATS_STOPPED, now);
 	} else if (domains->live_count > domain->live &&
 		   elapsed_s > domains->limits.lease_s * LEASE_EXPIRY_FACTOR) {
-		enter_unreachable(domains, domain, WS_DOMAINS_LEASES_OUT, now);
+		enter_unreachable(domains, domain, WS_DOMAINS_LEASES_EXPIRED, now);
 	}
 }
 
 static void evaluate_unreachable(struct ws_failure_domains *domains,
 				 struct ws_failure_domain *domain, double now)
 {
-	size_t remaining = domain->live + domain->silent;
+	size_t remaining = domain->live + domain->unresponsive;
 
 	if (domain->held)
 		return;
 	if (remaining && (double)domain->live >= HALF_SHARE * (double)remaining) {
 		domain->loss_free_since = now;
-		domain->removed = 0;
-		enter_state(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_HEARD, now);
-	} else if (!remaining && now - domain->since > ws_domains_hold_down(domains, domain)) {
+		domain->removed_unresponsive = 0;
+		enter_state(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_HEARTBEATS_RESUMED,
+			    now);
+	} else if (!remaining &&
+		   now - domain->state_changed_at > ws_domains_hold_down(domains, domain)) {
 		domain->loss_free_since = now - ws_domains_hold_down(domains, domain);
-		domain->removed = 0;
-		enter_state(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_NONE_LEFT, now);
+		domain->removed_unresponsive = 0;
+		enter_state(domains, domain, WS_DOMAINS_RECOVERING, WS_DOMAINS_NO_MACHINES_LEFT,
+			    now);
 	}
 }
 
@@ -327,9 +334,10 @@
 {
 	if (lost_share_reaches(domain, HALF_SHARE)) {
 		domain->loss_free_since = now;
-		if (!domain->held && lost_share_reaches(domain, domains->settings.dark_share) &&
+		if (!domain->held &&
+		    lost_share_reaches(domain, domains->settings.unreachable_share) &&
 		    controller_connectivity_ok(domains, domain))
-			enter_unreachable(domains, domain, WS_DOMAINS_SILENCE, now);
+			enter_unreachable(domains, domain, WS_DOMAINS_HEARTBEATS_STOPPED, now);
 		return;
 	}
 	if (!domain->held && ramp_share(domains, domain, now) >= 1)
@@ -342,10 +350,11 @@
 	switch (domain->state) {
 	case WS_DOMAINS_HEALTHY:
 		if (lost_share_reaches(domain, HALF_SHARE))
-			enter_state(domains, domain, WS_DOMAINS_SUSPECT, WS_DOMAINS_SILENCE, now);
+			enter_state(domains, domain, WS_DOMAINS_SUSPECT,
+				    WS_DOMAINS_HEARTBEATS_STOPPED, now);
 		break;
 	case WS_DOMAINS_SUSPECT: evaluate_suspect(domains, domain, now); break;
-	case WS_DOMAINS_DARK: evaluate_unreachable(domains, domain, now); break;
+	case WS_DOMAINS_UNREACHABLE: evaluate_unreachable(domains, domain, now); break;
 	case WS_DOMAINS_RECOVERING: evaluate_recovering(domains, domain, now); break;
 	}
 }
@@ -365,20 +374,21 @@
 		evaluate(domains, domain, facts->now);
 }
 
-bool ws_failure_domain_avoids(const struct ws_failure_domains *domains,
-			      const struct ws_failure_domain *domain,
-			      const struct ws_domains_machine *machine, double now)
+bool ws_failure_domain_avoids_machine(const struct ws_failure_domains *domains,
+				      const struct ws_failure_domain *domain,
+				      const struct ws_domains_machine *machine, double now)
 {
 	switch (domain->state) {
 	case WS_DOMAINS_HEALTHY: return false;
-	case WS_DOMAINS_SUSPECT: return machine->presence == WS_DOMAINS_SILENT;
-	case WS_DOMAINS_DARK: return true;
-	case WS_DOMAINS_RECOVERING: return machine->ramp >= ramp_share(domains, domain, now);
+	case WS_DOMAINS_SUSPECT: return machine->liveness == WS_DOMAINS_UNRESPONSIVE;
+	case WS_DOMAINS_UNREACHABLE: return true;
+	case WS_DOMAINS_RECOVERING:
+		return machine->ramp_position >= ramp_share(domains, domain, now);
 	}
 	return false;
 }
 
-bool ws_domains_in_state(const struct ws_failure_domains *domains, enum ws_domains_state state)
+bool ws_domains_any_in_state(const struct ws_failure_domains *domains, enum ws_domains_state state)
 {
 	for (const struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next)
--- a/src/failure_domains/health.h
+++ b/src/failure_domains/health.h
@@ -12,8 +12,8 @@
  */
 void ws_domains_advance_clock(struct ws_failure_domains *domains, double now);
 /* Changes the liveness of a machine and updates the lists and the counts of its domains. */
-void ws_domains_set_presence(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-			     enum ws_domains_presence presence);
+void ws_domains_set_liveness(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
+			     enum ws_domains_liveness presence);
 /* Sets whether commands to an unresponsive machine go unanswered. Other machines are ignored. */
 void ws_domains_set_unanswered(struct ws_domains_machine *machine, bool unanswered);
 /* Updates the liveness of overdue machines, then evaluates the state of each domain. */
@@ -28,9 +28,9 @@
  * Returns true if work may be placed on this machine of the domain only when no other capacity is
  * free.
  */
-bool ws_failure_domain_avoids(const struct ws_failure_domains *domains,
-			      const struct ws_failure_domain *domain,
-			      const struct ws_domains_machine *machine, double now);
+bool ws_failure_domain_avoids_machine(const struct ws_failure_domains *domains,
+				      const struct ws_failure_domain *domain,
+				      const struct ws_domains_machine *machine, double now);
 /* Returns true if any domain is in this state. */
-bool ws_domains_in_state(const struct ws_failure_domains *domains, enum ws_domains_state state);
+bool ws_domains_any_in_state(const struct ws_failure_domains *domains, enum ws_domains_state state);
 #endif
--- a/src/failure_domains/plan.c
+++ b/src/failure_domains/plan.c
@@ -35,7 +35,7 @@
 	entry = ws_subsystem_allocate(sizeof(*entry));
 	snprintf(entry->job, sizeof(entry->job), "%s", job);
 	entry->shard = -1;
-	entry->first_survey = plan->surveys;
+	entry->first_survey = plan->survey_number;
 	HASH_ADD_STR(plan->entries, job, entry);
 	return entry;
 }
@@ -75,14 +75,14 @@
 }
 
 /* Returns the ordering rule that is reported for an entry: the first one that applies. */
-static enum ws_domains_reason ordering_rule_of(const struct ws_failure_domains *domains,
-					       const struct ws_domains_plan_entry *entry)
+static enum ws_domains_ordering_rule ordering_rule_of(const struct ws_failure_domains *domains,
+						      const struct ws_domains_plan_entry *entry)
 {
 	if (entry->pinned)
-		return WS_DOMAINS_PINNED;
+		return WS_DOMAINS_BY_ZONE_PIN;
 	if (entry->class_position < domains->settings.class_count)
 		return WS_DOMAINS_BY_CLASS;
-	if (entry->first_replica)
+	if (entry->needs_first_replica)
 		return WS_DOMAINS_BY_FIRST_REPLICA;
 	if (entry->guaranteed)
 		return WS_DOMAINS_BY_GUARANTEE;
@@ -115,8 +115,8 @@
 		return left->guaranteed ? -1 : 1;
 	if (left->priority != right->priority)
 		return left->priority > right->priority ? -1 : 1;
-	if (left->first_replica != right->first_replica)
-		return left->first_replica ? -1 : 1;
+	if (left->needs_first_replica != right->needs_first_replica)
+		return left->needs_first_replica ? -1 : 1;
 	if (left->latest_start != right->latest_start)
 		return left->latest_start < right->latest_start ? -1 : 1;
 	return strcmp(left->job, right->job);
@@ -129,14 +129,14 @@
 	struct ws_domains_machine *machine = machine_handle;
 
 	(void)self;
-	if (machine->presence != WS_DOMAINS_SILENT)
+	if (machine->liveness != WS_DOMAINS_UNRESPONSIVE)
 		return false;
 	for (size_t i = 0; i < WS_DOMAINS_MEMBERSHIPS; i++) {
 		const struct ws_failure_domain *domain = machine->memberships[i].domain;
 
-		if (domain &&
-		    (domain->state == WS_DOMAINS_DARK || domain->state == WS_DOMAINS_RECOVERING)) {
-			machine->affected++;
+		if (domain && (domain->state == WS_DOMAINS_UNREACHABLE ||
+			       domain->state == WS_DOMAINS_RECOVERING)) {
+			machine->affected_attempts++;
 			return true;
 		}
 	}
@@ -148,7 +148,7 @@
 	const struct ws_failure_domain *domain =
 	    zone[0] ? ws_failure_domain_find(domains, zone) : NULL;
 
-	return domain && domain->state == WS_DOMAINS_DARK;
+	return domain && domain->state == WS_DOMAINS_UNREACHABLE;
 }
 
 void ws_domains_job_surveyed(void *self, const struct ws_job_info *facts)
@@ -161,7 +161,7 @@
 	if (!entry && !facts->affected)
 		return;
 	entry = find_or_add_entry(plan, facts->id);
-	entry->last_survey = plan->surveys;
+	entry->last_survey = plan->survey_number;
 	entry->affected = facts->affected;
 	entry->waiting = facts->waiting;
 	entry->planned = entry->planned > facts->affected ? entry->planned : facts->affected;
@@ -170,10 +170,10 @@
 	entry->priority = facts->priority;
 	entry->latest_start = facts->latest_start;
 	entry->service = facts->service;
-	entry->first_replica = facts->service && !facts->elsewhere;
+	entry->needs_first_replica = facts->service && !facts->elsewhere;
 	entry->pinned = pinned_to_unreachable_zone(domains, facts->pinned_zone);
 	if (entry->shard < 0) /* the rule of a recorded entry doesn't change */
-		entry->reason = ordering_rule_of(domains, entry);
+		entry->ordering_rule = ordering_rule_of(domains, entry);
 }
 
 /*
@@ -183,7 +183,7 @@
 static bool entry_finished(const struct ws_domains_plan *plan,
 			   const struct ws_domains_plan_entry *entry)
 {
-	if (entry->last_survey != plan->surveys) /* the core no longer has this job */
+	if (entry->last_survey != plan->survey_number) /* the core no longer has this job */
 		return true;
 	return !entry->affected && !entry->waiting && !entry->requested_move.position &&
 	       !entry->requested_move.reserve_ahead && !entry->requested_move.replicas_apart;
@@ -216,25 +216,26 @@
 		struct ws_domains_plan_entry *entry = finished;
 
 		finished = entry->next_finished;
-		plan->finished += entry->planned;
+		plan->finished_tasks += entry->planned;
 		if (entry->shard >= 0) /* a shard is deleted once all its entries are finished */
-			find_or_add_shard(plan, entry->shard)->entries--;
+			find_or_add_shard(plan, entry->shard)->unfinished_entries--;
 		free(entry);
 	}
-	plan->surveyed = true;
+	plan->survey_completed = true;
 }
 
-void ws_domains_called_off(struct ws_failure_domains *domains, struct ws_domains_machine *machine)
+void ws_domains_plan_cancel_moves(struct ws_failure_domains *domains,
+				  struct ws_domains_machine *machine)
 {
-	domains->plan.called_off += machine->affected;
-	machine->affected = 0;
+	domains->plan.cancelled_moves += machine->affected_attempts;
+	machine->affected_attempts = 0;
 }
 
 /* ---- records ---- */
 
 static json_t *plan_record(json_t *jobs)
 {
-	return json_pack("{s:i,s:o}", "v", WS_DOMAINS_FORMAT, "jobs", jobs);
+	return json_pack("{s:i,s:o}", "v", WS_DOMAINS_RECORD_FORMAT, "jobs", jobs);
 }
 
 static void write_shard(struct ws_domains_plan *plan, json_t *jobs,
@@ -243,7 +244,7 @@
 	char name[64];
 
 	snprintf(name, sizeof(name), "plan/%lld", (long long)plan->next_shard);
-	find_or_add_shard(plan, plan->next_shard)->entries = json_array_size(jobs);
+	find_or_add_shard(plan, plan->next_shard)->unfinished_entries = json_array_size(jobs);
 	ws_request_write(requests, name, plan_record(jobs), false);
 }
 
@@ -269,9 +270,9 @@
 		}
 		bytes += size;
 		entry->shard = plan->next_shard;
-		json_array_append_new(jobs,
-				      json_pack("[s,I,s]", entry->job, (json_int_t)entry->planned,
-						ws_domains_reason_name(entry->reason)));
+		json_array_append_new(
+		    jobs, json_pack("[s,I,s]", entry->job, (json_int_t)entry->planned,
+				    ws_domains_ordering_rule_name(entry->ordering_rule)));
 	}
 	if (jobs)
 		write_shard(plan, jobs, requests);
@@ -286,7 +287,7 @@
 	struct ws_domains_plan_shard *shard, *next, *finished = NULL;
 
 	HASH_ITER (hh, plan->shards, shard, next) {
-		if (shard->entries)
+		if (shard->unfinished_entries)
 			continue;
 		HASH_DEL(plan->shards, shard);
 		shard->next_finished = finished;
@@ -314,8 +315,8 @@
  * Restores entries in the order that an earlier leader recorded. Jobs that are over are removed
  * after the first survey.
  */
-void ws_domains_plan_loaded(struct ws_failure_domains *domains, const char *number,
-			    const json_t *value)
+void ws_domains_plan_shard_loaded(struct ws_failure_domains *domains, const char *number,
+				  const json_t *value)
 {
 	struct ws_domains_plan *plan = &domains->plan;
 	struct ws_domains_plan_shard *shard = find_or_add_shard(plan, strtoll(number, NULL, 10));
@@ -334,7 +335,7 @@
 		entry->shard = shard->number;
 		entry->recorded_position = HASH_COUNT(plan->entries);
 		entry->planned = (size_t)json_integer_value(json_array_get(job, 1));
-		shard->entries++;
+		shard->unfinished_entries++;
 	}
 }
 
@@ -342,8 +343,8 @@
 			   struct ws_request_queue *requests)
 {
 	struct ws_domains_plan *plan = &domains->plan;
-	struct ws_domains_progress progress = {.planned = plan->finished,
-					       .called_off = plan->called_off};
+	struct ws_domains_progress progress = {.planned = plan->finished_tasks,
+					       .cancelled = plan->cancelled_moves};
 	size_t unmoved = 0;
 
 	for (struct ws_domains_plan_entry *entry = plan->entries; entry; entry = entry->hh.next) {
@@ -355,8 +356,8 @@
 		progress.pinned += pinned;
 		unmoved += entry->affected + entry->waiting;
 	}
-	progress.moved = progress.planned > unmoved + progress.called_off
-			     ? progress.planned - unmoved - progress.called_off
+	progress.moved = progress.planned > unmoved + progress.cancelled
+			     ? progress.planned - unmoved - progress.cancelled
 			     : 0;
 	if (!memcmp(&progress, &plan->last_progress, sizeof(progress)) ||
 	    now - plan->last_progress_at < PROGRESS_WRITE_LEASES * domains->limits.lease_s)
@@ -367,15 +368,15 @@
 	    domains->log,
 	    "zones: evacuation progress planned=%zu moved=%zu called_off=%zu moving=%zu "
 	    "waiting=%zu pinned=%zu",
-	    progress.planned, progress.moved, progress.called_off, progress.moving,
-	    progress.waiting, progress.pinned);
+	    progress.planned, progress.moved, progress.cancelled, progress.moving, progress.waiting,
+	    progress.pinned);
 	ws_request_write(
 	    requests, "progress",
-	    json_pack("{s:i,s:I,s:I,s:I,s:I,s:I,s:I}", "v", WS_DOMAINS_FORMAT, "planned",
+	    json_pack("{s:i,s:I,s:I,s:I,s:I,s:I,s:I}", "v", WS_DOMAINS_RECORD_FORMAT, "planned",
 		      (json_int_t)progress.planned, "moved", (json_int_t)progress.moved, "moving",
 		      (json_int_t)progress.moving, "waiting", (json_int_t)progress.waiting,
 		      "pinned", (json_int_t)progress.pinned, "called_off",
-		      (json_int_t)progress.called_off),
+		      (json_int_t)progress.cancelled),
 	    false);
 }
 
@@ -391,8 +392,8 @@
 	     domain = domain->hh.next) {
 		double delay_s = domains->limits.lease_s / 4 * fmax(0, domain->penalty - 1);
 
-		if (domain->state == WS_DOMAINS_DARK &&
-		    now - domain->since >= fmin(delay_s, domains->limits.lease_s))
+		if (domain->state == WS_DOMAINS_UNREACHABLE &&
+		    now - domain->state_changed_at >= fmin(delay_s, domains->limits.lease_s))
 			return true;
 	}
 	return false;
@@ -403,7 +404,7 @@
 {
 	for (const struct ws_domains_plan_entry *entry = plan->entries; entry;
 	     entry = entry->hh.next)
-		if (entry->first_replica && !entry->pinned)
+		if (entry->needs_first_replica && !entry->pinned)
 			return true;
 	return false;
 }
@@ -413,8 +414,8 @@
 {
 	const size_t moves_max = ws_subsystem_moves_max(&domains->limits);
 	const bool reserve_ahead = reservation_due(domains, now);
-	const bool unhealthy = ws_domains_in_state(domains, WS_DOMAINS_DARK) ||
-			       ws_domains_in_state(domains, WS_DOMAINS_RECOVERING);
+	const bool unhealthy = ws_domains_any_in_state(domains, WS_DOMAINS_UNREACHABLE) ||
+			       ws_domains_any_in_state(domains, WS_DOMAINS_RECOVERING);
 	const bool replicas_apart = replica_missing(&domains->plan);
 	uint32_t position = 0;
 
@@ -449,7 +450,7 @@
 		ws_subsystem_logf(
 		    domains->log,
 		    "zones: evacuation plan extended jobs=%zu first_job=%s reason=\"%s\"", jobs,
-		    first->job, ws_domains_reason_name(first->reason));
+		    first->job, ws_domains_ordering_rule_name(first->ordering_rule));
 }
 
 void ws_domains_plan_tick(struct ws_failure_domains *domains, double now,
@@ -457,28 +458,29 @@
 {
 	struct ws_domains_plan *plan = &domains->plan;
 
-	if (plan->surveyed) {
-		plan->surveyed = false;
+	if (plan->survey_completed) {
+		plan->survey_completed = false;
 		log_plan(domains);
 		request_moves(domains, now, requests);
 		write_plan(domains, requests);
 		delete_finished_shards(plan, requests);
 		write_progress(domains, now, requests);
 	}
-	if ((!plan->entries && !plan->shards && !ws_domains_in_state(domains, WS_DOMAINS_DARK)) ||
+	if ((!plan->entries && !plan->shards &&
+	     !ws_domains_any_in_state(domains, WS_DOMAINS_UNREACHABLE)) ||
 	    now < plan->survey_due_at)
 		return;
 	if (!plan->entries && !plan->shards) { /* a new evacuation starts its counts at zero */
-		plan->finished = plan->called_off = 0;
+		plan->finished_tasks = plan->cancelled_moves = 0;
 		plan->last_progress = (struct ws_domains_progress){0};
 	}
 	plan->survey_due_at = now + domains->limits.report_s;
-	plan->surveys++;
+	plan->survey_number++;
 	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
-		for (struct ws_domains_member *member = domain->members; member;
+		for (struct ws_domains_membership *member = domain->members; member;
 		     member = member->next) {
-			domains->steps++;
-			member->machine->affected = 0;
+			domains->machine_operations++;
+			member->machine->affected_attempts = 0;
 		}
 	ws_request_survey(requests);
 }
--- a/src/failure_domains/plan.h
+++ b/src/failure_domains/plan.h
@@ -14,10 +14,11 @@
 void ws_domains_plan_tick(struct ws_failure_domains *domains, double now,
 			  struct ws_request_queue *requests);
 /* Restores the entries of the plan's shard with this number from its record. */
-void ws_domains_plan_loaded(struct ws_failure_domains *domains, const char *number,
-			    const json_t *value);
+void ws_domains_plan_shard_loaded(struct ws_failure_domains *domains, const char *number,
+				  const json_t *value);
 /* Counts the affected attempts of a machine whose heartbeats resumed before they were moved. */
-void ws_domains_called_off(struct ws_failure_domains *domains, struct ws_domains_machine *machine);
+void ws_domains_plan_cancel_moves(struct ws_failure_domains *domains,
+				  struct ws_domains_machine *machine);
 /* Frees the plan. Its records remain in the store. */
 void ws_domains_plan_free(struct ws_failure_domains *domains);
 #endif
--- a/src/failure_domains/records.c
+++ b/src/failure_domains/records.c
@@ -9,13 +9,13 @@
 
 static const struct ws_subsystem_record_format record_format = {
     .log_name = "zones",
-    .supported = WS_DOMAINS_FORMAT,
+    .supported = WS_DOMAINS_RECORD_FORMAT,
 };
 
 static const char *const state_names[] = {
     [WS_DOMAINS_HEALTHY] = "healthy",
     [WS_DOMAINS_SUSPECT] = "suspect",
-    [WS_DOMAINS_DARK] = "dark",
+    [WS_DOMAINS_UNREACHABLE] = "dark",
     [WS_DOMAINS_RECOVERING] = "recovering",
 };
 _Static_assert(WS_DOMAINS_HEALTHY == 0, "an unknown state name must decode as healthy");
@@ -23,12 +23,12 @@
 
 static const char *const evidence_names[] = {
     [WS_DOMAINS_NO_EVIDENCE] = "none",
-    [WS_DOMAINS_SILENCE] = "heartbeats stopped together",
-    [WS_DOMAINS_UNANSWERED] = "heartbeats stopped together, commands unanswered",
-    [WS_DOMAINS_LEASES_OUT] = "leases out, view of the rest not sound",
-    [WS_DOMAINS_RECORDED] = "on record",
-    [WS_DOMAINS_HEARD] = "half of it heard",
-    [WS_DOMAINS_NONE_LEFT] = "no machine left there",
+    [WS_DOMAINS_HEARTBEATS_STOPPED] = "heartbeats stopped together",
+    [WS_DOMAINS_COMMANDS_UNANSWERED] = "heartbeats stopped together, commands unanswered",
+    [WS_DOMAINS_LEASES_EXPIRED] = "leases out, view of the rest not sound",
+    [WS_DOMAINS_RESTORED] = "on record",
+    [WS_DOMAINS_HEARTBEATS_RESUMED] = "half of it heard",
+    [WS_DOMAINS_NO_MACHINES_LEFT] = "no machine left there",
     [WS_DOMAINS_STABLE] = "stable",
 };
 
@@ -38,7 +38,7 @@
     [WS_DOMAINS_BY_FIRST_REPLICA] = "first replica",
     [WS_DOMAINS_BY_DEADLINE] = "deadline",
     [WS_DOMAINS_BY_PRIORITY] = "priority",
-    [WS_DOMAINS_PINNED] = "pinned",
+    [WS_DOMAINS_BY_ZONE_PIN] = "pinned",
 };
 
 const char *ws_domains_state_name(enum ws_domains_state state)
@@ -51,7 +51,7 @@
 	return evidence_names[evidence];
 }
 
-const char *ws_domains_reason_name(enum ws_domains_reason reason)
+const char *ws_domains_ordering_rule_name(enum ws_domains_ordering_rule reason)
 {
 	return ordering_rule_names[reason];
 }
@@ -59,13 +59,14 @@
 json_t *ws_failure_domain_record(const struct ws_failure_domains *domains,
 				 const struct ws_failure_domain *domain, double now)
 {
-	return json_pack("{s:i,s:s,s:s,s:f,s:f,s:b,s:I,s:I,s:I,s:I}", "v", WS_DOMAINS_FORMAT,
+	return json_pack("{s:i,s:s,s:s,s:f,s:f,s:b,s:I,s:I,s:I,s:I}", "v", WS_DOMAINS_RECORD_FORMAT,
 			 "state", ws_domains_state_name(domain->state), "evidence",
 			 ws_domains_evidence_name(domain->evidence), "penalty",
-			 ws_domains_penalty(domains, domain, now), "for_s", now - domain->since,
-			 "held", domain->held, "live", (json_int_t)domain->live, "silent",
-			 (json_int_t)domain->silent, "unanswered", (json_int_t)domain->unanswered,
-			 "gone", (json_int_t)domain->removed);
+			 ws_domains_penalty(domains, domain, now), "for_s",
+			 now - domain->state_changed_at, "held", domain->held, "live",
+			 (json_int_t)domain->live, "silent", (json_int_t)domain->unresponsive,
+			 "unanswered", (json_int_t)domain->unanswered, "gone",
+			 (json_int_t)domain->removed_unresponsive);
 }
 
 static enum ws_domains_state state_from_name(const char *name)
@@ -92,7 +93,7 @@
 	domain->state = state_from_name(json_string_value(json_object_get(value, "state")));
 	if (domain->state == WS_DOMAINS_SUSPECT)
 		domain->state = WS_DOMAINS_HEALTHY;
-	domain->evidence = WS_DOMAINS_RECORDED;
+	domain->evidence = WS_DOMAINS_RESTORED;
 }
 
 static void hold_loaded(struct ws_failure_domains *domains, const char *name)
@@ -115,5 +116,5 @@
 	else if (!strncmp(name, "hold/", 5))
 		hold_loaded(domains, name + 5);
 	else if (!strncmp(name, "plan/", 5))
-		ws_domains_plan_loaded(domains, name + 5, value);
+		ws_domains_plan_shard_loaded(domains, name + 5, value);
 }
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -10,7 +10,7 @@
 void ws_subsystem_defaults(struct ws_subsystem_settings *settings)
 {
 	settings->failure_domains_enabled = false;
-	ws_domains_defaults(&settings->failure_domains);
+	ws_domains_settings_init(&settings->failure_domains);
 	settings->cold_start_enabled = false;
 	ws_cold_start_defaults(&settings->cold_start);
 }
@@ -29,7 +29,7 @@
 	return memory;
 }
 
-static void read_networks(struct ws_config_reader *reader, struct ws_domains_declared *declared,
+static void read_networks(struct ws_config_reader *reader, struct ws_declared_domain *declared,
 			  size_t domain)
 {
 	char path[PATH_LENGTH];
@@ -85,12 +85,12 @@
 	if (ws_toml_bool(reader->toml, "zones.enabled", &settings->failure_domains_enabled) !=
 	    WS_TOML_OK)
 		ws_config_invalid(reader, "zones.enabled", "must be true or false");
-	ws_config_number(reader, "zones.dark_share", &domains->dark_share, 0.5, false);
-	if (domains->dark_share > 1)
+	ws_config_number(reader, "zones.dark_share", &domains->unreachable_share, 0.5, false);
+	if (domains->unreachable_share > 1)
 		ws_config_invalid(reader, "zones.dark_share", "must be at most 1");
-	ws_config_number(reader, "zones.stable_s", &domains->stable_s, 0, false);
+	ws_config_number(reader, "zones.stable_s", &domains->hold_down_s, 0, false);
 	ws_config_number(reader, "zones.ramp_s", &domains->ramp_s, 0, false);
-	ws_config_above_zero(reader, "zones.half_life_s", &domains->half_life_s, false);
+	ws_config_above_zero(reader, "zones.half_life_s", &domains->penalty_half_life_s, false);
 	ws_config_number(reader, "zones.penalty_max", &domains->penalty_max, 1, false);
 	if (domains->penalty_max > 16) /* the hold-down doubles with each */
 		ws_config_invalid(reader, "zones.penalty_max", "must be at most 16");
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -114,14 +114,14 @@
 		const struct ws_failure_domain *got;
 		char what[128];
 
-		ws_domains_join(domains, &machine, &facts);
+		ws_domains_add_machine(domains, &machine, &facts);
 		got = machine.memberships[1].domain;
 		snprintf(what, sizeof(what), "%s is in %s", lookups[i].address,
 			 lookups[i].domain ? lookups[i].domain : "its zone alone");
 		check(what, machine.memberships[0].domain &&
 				(lookups[i].domain ? got && !strcmp(got->name, lookups[i].domain)
 						   : !got));
-		ws_domains_leave(&machine);
+		ws_domains_remove_machine(&machine);
 	}
 	check("two addresses were reported as unreadable", unreadable == 2);
 	ws_domains_free(domains);
@@ -138,14 +138,14 @@
 	const struct ws_failure_domain *domain;
 	json_t *record = json_pack("{s:i,s:s,s:f}", "v", 1, "state", "dark", "penalty", 2.0);
 
-	ws_domains_defaults(&settings);
+	ws_domains_settings_init(&settings);
 	domains = ws_domains_new(&settings, &limits, log_text, &wrong);
 	ws_domains_ops.elected(domains, &(struct ws_election_info){.now = 10});
 	ws_domains_ops.record_loaded(domains, "domain/far", record);
 	ws_domains_ops.records_loaded(domains, 10);
 	domain = ws_failure_domain_find(domains, "far");
 	check("a zone on record that is not listed is dark",
-	      domain && domain->state == WS_DOMAINS_DARK && domain->penalty == 2);
+	      domain && domain->state == WS_DOMAINS_UNREACHABLE && domain->penalty == 2);
 	check("and avoided", ws_domains_ops.zone_avoided(domains, 11, "far"));
 	check("one that nobody has heard of is not",
 	      !ws_domains_ops.zone_avoided(domains, 11, "near"));
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -49,10 +49,10 @@
 	ws_core_attach(node->core, &ws_domains_ops, domains);
 }
 
-static struct ws_domains_declared *declared_get(struct ws_domains_settings *settings,
-						const char *name)
+static struct ws_declared_domain *declared_get(struct ws_domains_settings *settings,
+					       const char *name)
 {
-	struct ws_domains_declared *declared;
+	struct ws_declared_domain *declared;
 
 	for (size_t i = 0; i < settings->declared_count; i++)
 		if (!strcmp(settings->declared[i].name, name))
@@ -70,15 +70,16 @@
 	struct ws_domains_settings *settings = &sim->domains_settings;
 
 	sim->domains_on = true;
-	settings->stable_s = sim_option(text, "stable", settings->stable_s);
+	settings->hold_down_s = sim_option(text, "stable", settings->hold_down_s);
 	settings->ramp_s = sim_option(text, "ramp", settings->ramp_s);
-	settings->half_life_s = sim_option(text, "half-life", settings->half_life_s);
+	settings->penalty_half_life_s =
+	    sim_option(text, "half-life", settings->penalty_half_life_s);
 }
 
 /* network NAME CIDR */
 static const char *take_network(struct sim *sim, struct sim_setting *setting)
 {
-	struct ws_domains_declared *declared =
+	struct ws_declared_domain *declared =
 	    declared_get(&sim->domains_settings, sim_next_word(&setting->rest));
 	size_t count = ++declared->network_count;
 
@@ -403,7 +404,8 @@
 		sim_fail(sim, "nobody leads");
 		return;
 	}
-	steps = (double)ws_domains_steps(sim->nodes[leader].domains) / (double)sim->heartbeats;
+	steps = (double)ws_domains_machine_operations(sim->nodes[leader].domains) /
+		(double)sim->heartbeats;
 	if (sim_verbose)
 		fprintf(stderr, "%.2f steps a heartbeat\n", steps);
 	if (steps > atof(expectation->first))
