--- a/src/core/records/attempt_list.c
+++ b/src/core/records/attempt_list.c
@@ -1,21 +1,22 @@
 /*
- * The packed list of the attempts of a job that may be alive:
+ * The packed list of a job's attempts that may still be running:
  *
  *   [[term, zone, prefix, "231=0-5,7;232/2#9=8"], ...]
  *
- * An entry holds the attempts of one term in one zone, since it is names and zones that take the
- * room. Its text names machines, divided by ";": the machine's name without the prefix that all of
- * the entry share, "/" and its incarnation unless that is 1, "#" and the attempt's sequence number
- * unless that is the one before, and "=" with the tasks as ranges. An attempt's number is the term,
- * shifted by WS_ATTEMPT_SHIFT, plus the sequence number; attempts of one placement pass share it.
+ * An entry holds the attempts of one term in one zone, because machine and zone names take most of
+ * the space. Its text lists machines, separated by ";". Each consists of the machine's name without
+ * the prefix that all names of the entry share, "/" and the incarnation unless that is 1, "#" and
+ * the attempt's sequence number unless it equals the previous one, and "=" with the tasks as
+ * ranges. An attempt number is the term, shifted left by WS_ATTEMPT_SHIFT, plus the sequence
+ * number; all attempts of one placement pass have the same number.
  */
 #include "attempt_list.h"
 #include "../core_state.h"
 #include "record_fields.h"
 
 #define WS_FIRST_INCARNATION 1
-#define WS_ZONE_UNKNOWN (-1) /* of a machine whose zone is not known yet */
-#define WS_ENTRY_BYTES 32    /* of an entry's punctuation and its term, at the most */
+#define WS_ZONE_UNKNOWN (-1)	 /* zone index of a machine whose zone is not known yet */
+#define WS_ENTRY_OVERHEAD_MAX 32 /* bytes of an entry's punctuation and term */
 
 uint64_t ws_attempt_term(uint64_t attempt)
 {
@@ -35,7 +36,7 @@
 	return length;
 }
 
-/* ---- writing an entry ---- */
+/* ---- encoding of an entry ---- */
 
 void ws_attempt_entry_add(struct ws_attempt_entry_writer *writer,
 			  const struct ws_attempt_range *range)
@@ -59,7 +60,7 @@
 	writer->last = *range;
 }
 
-/* Appends more tasks of the machine, incarnation and attempt that were appended last. */
+/* Appends more tasks for the machine, incarnation and attempt of the last appended range. */
 static void ws_attempt_entry_add_tasks(struct ws_attempt_entry_writer *writer, uint32_t first,
 				       uint32_t last)
 {
@@ -83,14 +84,15 @@
 	ws_text_builder_free(&writer->text);
 }
 
-/* ---- the attempts of a job ---- */
+/* ---- encoding of a job's attempts ---- */
 
-static bool ws_attempt_listed(const struct ws_attempt *attempt)
+static bool ws_attempt_is_listed(const struct ws_attempt *attempt)
 {
 	return attempt->state != WS_ATTEMPT_GONE && !attempt->unrecorded;
 }
 
-/* Whether two tasks are written behind one name: one machine, incarnation and attempt. */
+/* Returns true if two attempts are written under one machine name: machine, incarnation and attempt
+ * number are the same. */
 static bool ws_same_machine_and_attempt(const struct ws_attempt *one,
 					const struct ws_attempt *other)
 {
@@ -98,7 +100,8 @@
 	       one->incarnation == other->incarnation;
 }
 
-/* Length of what the names of all machines of an entry begin with, short of the whole name. */
+/* Returns the length of the common prefix of an entry's machine names, which is shorter than each
+ * of the names. */
 static size_t ws_entry_shared_prefix(const struct ws_job *job, int zone, uint64_t term)
 {
 	const struct ws_attempt *attempt;
@@ -106,7 +109,7 @@
 	size_t length = 0;
 
 	DL_FOREACH2 (job->attempts, attempt, job_next) {
-		if (!ws_attempt_listed(attempt) || attempt->machine->zone_index != zone ||
+		if (!ws_attempt_is_listed(attempt) || attempt->machine->zone_index != zone ||
 		    ws_attempt_term(attempt->number) != term)
 			continue;
 		if (!first) {
@@ -118,13 +121,14 @@
 	return length;
 }
 
-/* The last of the attempts that are written as one range with this one; marks them. */
-static struct ws_attempt *ws_mark_range(struct ws_attempt *attempt)
+/* Marks the attempts that form one range beginning with `attempt` as being written. Returns the
+ * last of them. */
+static struct ws_attempt *ws_attempt_range_mark(struct ws_attempt *attempt)
 {
 	struct ws_attempt *next = attempt->job_next;
 
 	attempt->write_in_flight = true;
-	while (next && ws_attempt_listed(next) && ws_same_machine_and_attempt(attempt, next) &&
+	while (next && ws_attempt_is_listed(next) && ws_same_machine_and_attempt(attempt, next) &&
 	       next->task == attempt->task + 1) {
 		attempt = next;
 		attempt->write_in_flight = true;
@@ -133,8 +137,8 @@
 	return attempt;
 }
 
-static struct ws_attempt_range ws_range_of(const struct ws_attempt *first,
-					   const struct ws_attempt *last)
+static struct ws_attempt_range ws_attempt_range_of(const struct ws_attempt *first,
+						   const struct ws_attempt *last)
 {
 	return (struct ws_attempt_range){
 	    .machine = first->machine->name,
@@ -146,16 +150,16 @@
 	};
 }
 
-static void ws_encode_zone(const struct ws_job *job, int zone,
-			   struct ws_attempt_entry_writer *writer, json_t *list)
+static void ws_zone_attempts_encode(const struct ws_job *job, int zone,
+				    struct ws_attempt_entry_writer *writer, json_t *list)
 {
-	const struct ws_attempt *previous = NULL; /* of the entry that is open */
+	const struct ws_attempt *previous = NULL; /* last attempt of the unfinished entry */
 
 	for (struct ws_attempt *attempt = job->attempts; attempt; attempt = attempt->job_next) {
 		const struct ws_attempt *first = attempt;
 		uint64_t term = ws_attempt_term(attempt->number);
 
-		if (!ws_attempt_listed(attempt) || attempt->machine->zone_index != zone)
+		if (!ws_attempt_is_listed(attempt) || attempt->machine->zone_index != zone)
 			continue;
 		if (previous && ws_attempt_term(previous->number) != term) {
 			ws_attempt_entry_close(writer, list);
@@ -163,11 +167,11 @@
 		}
 		if (!previous)
 			writer->shared_prefix = ws_entry_shared_prefix(job, zone, term);
-		attempt = ws_mark_range(attempt);
+		attempt = ws_attempt_range_mark(attempt);
 		if (ws_same_machine_and_attempt(previous, first)) {
 			ws_attempt_entry_add_tasks(writer, first->task, attempt->task);
 		} else {
-			struct ws_attempt_range range = ws_range_of(first, attempt);
+			struct ws_attempt_range range = ws_attempt_range_of(first, attempt);
 
 			ws_attempt_entry_add(writer, &range);
 		}
@@ -187,39 +191,40 @@
 		attempt->write_in_flight = false;
 	for (int zone = WS_ZONE_UNKNOWN; zone < zone_count; zone++)
 		if (zone == WS_ZONE_UNKNOWN || job->attempts_by_zone[zone])
-			ws_encode_zone(job, zone, &writer, list);
+			ws_zone_attempts_encode(job, zone, &writer, list);
 	ws_attempt_entry_writer_free(&writer);
 	return list;
 }
 
-size_t ws_attempt_list_growth(const struct ws_attempt *before, const struct ws_attempt *attempt,
+size_t ws_attempt_list_growth(const struct ws_attempt *previous, const struct ws_attempt *attempt,
 			      size_t shared_prefix)
 {
 	size_t bytes = ws_decimal_digits(attempt->task) + 1;
-	bool same_zone = before && before->machine->zone_index == attempt->machine->zone_index;
+	bool same_zone = previous && previous->machine->zone_index == attempt->machine->zone_index;
 
-	if (ws_same_machine_and_attempt(before, attempt))
+	if (ws_same_machine_and_attempt(previous, attempt))
 		return bytes;
-	/* a name that shares less with the others than all did makes each of them longer by one */
+	/* one byte more than the separators take: a name that shortens the common prefix makes
+	 * each of the other names longer by one */
 	bytes += strlen(attempt->machine->name) - shared_prefix + 2;
 	if (attempt->incarnation != WS_FIRST_INCARNATION)
 		bytes += 1 + ws_decimal_digits(attempt->incarnation);
-	if (!same_zone || before->number != attempt->number)
+	if (!same_zone || previous->number != attempt->number)
 		bytes += 1 + ws_decimal_digits(ws_attempt_sequence_number(attempt->number));
-	if (!same_zone || ws_attempt_term(before->number) != ws_attempt_term(attempt->number))
-		bytes += strlen(attempt->machine->zone) + shared_prefix + WS_ENTRY_BYTES;
+	if (!same_zone || ws_attempt_term(previous->number) != ws_attempt_term(attempt->number))
+		bytes += strlen(attempt->machine->zone) + shared_prefix + WS_ENTRY_OVERHEAD_MAX;
 	return bytes;
 }
 
 /* ---- decoding ---- */
 
-struct ws_assigned_list {
+struct ws_decoded_attempts {
 	struct ws_recorded_attempt *attempts;
 	size_t count, capacity;
 };
 
-static void ws_assigned_append(struct ws_assigned_list *list,
-			       const struct ws_recorded_attempt *attempt)
+static void ws_decoded_attempts_append(struct ws_decoded_attempts *list,
+				       const struct ws_recorded_attempt *attempt)
 {
 	if (list->count == list->capacity) {
 		list->capacity = list->capacity ? 2 * list->capacity : 64;
@@ -228,16 +233,17 @@
 	list->attempts[list->count++] = *attempt;
 }
 
-/* What an entry's text is decoded with. */
-struct ws_entry_reader {
+/* State of decoding an entry's text. */
+struct ws_attempt_entry_reader {
 	uint64_t term;
 	const char *zone, *prefix;
-	uint64_t sequence_number; /* of the attempt before */
+	uint64_t sequence_number; /* of the previous attempt, used if the next one has none */
 };
 
-/* One machine, up to the "=" before its tasks, which is returned; NULL: it can't be decoded. */
-static char *ws_decode_machine(struct ws_entry_reader *reader, char *text,
-			       struct ws_recorded_attempt *attempt)
+/* Decodes one machine, with its incarnation and sequence number. Returns the position of the "="
+ * before its tasks, or NULL if the text is malformed. */
+static char *ws_attempt_machine_decode(struct ws_attempt_entry_reader *reader, char *text,
+				       struct ws_recorded_attempt *attempt)
 {
 	size_t length = strcspn(text, "/#=;");
 	char *end = text + length;
@@ -257,9 +263,9 @@
 	return *end == '=' ? end : NULL;
 }
 
-/* The tasks of a machine, from the "=" on; returns what follows them. */
-static char *ws_decode_tasks(char *end, struct ws_recorded_attempt *attempt,
-			     struct ws_assigned_list *list)
+/* Decodes the tasks of a machine, starting at the "=" at `end`. Returns the position after them. */
+static char *ws_attempt_tasks_decode(char *end, struct ws_recorded_attempt *attempt,
+				     struct ws_decoded_attempts *list)
 {
 	do {
 		unsigned long long task = strtoull(end + 1, &end, 10);
@@ -269,16 +275,16 @@
 			last = strtoull(end + 1, &end, 10);
 		for (; task <= last && last < WS_MAX_TASKS; task++) {
 			attempt->task = (uint32_t)task;
-			ws_assigned_append(list, attempt);
+			ws_decoded_attempts_append(list, attempt);
 		}
 	} while (*end == ',');
 	return end;
 }
 
-/* An entry; what follows something that can't be decoded is left out. */
-static void ws_decode_entry(json_t *entry, struct ws_assigned_list *list)
+/* Decodes an entry up to the first malformed part; the rest of the entry is ignored. */
+static void ws_attempt_entry_decode(json_t *entry, struct ws_decoded_attempts *list)
 {
-	struct ws_entry_reader reader = {0};
+	struct ws_attempt_entry_reader reader = {0};
 	struct ws_recorded_attempt attempt;
 	json_int_t term;
 	const char *text;
@@ -287,11 +293,11 @@
 		return;
 	reader.term = (uint64_t)term;
 	while (*text) {
-		char *end = ws_decode_machine(&reader, (char *)text, &attempt);
+		char *end = ws_attempt_machine_decode(&reader, (char *)text, &attempt);
 
 		if (!end)
 			return;
-		end = ws_decode_tasks(end, &attempt, list);
+		end = ws_attempt_tasks_decode(end, &attempt, list);
 		if (*end != ';')
 			return;
 		text = end + 1;
@@ -300,12 +306,12 @@
 
 size_t ws_record_read_attempts(json_t *record, struct ws_recorded_attempt **list)
 {
-	struct ws_assigned_list decoded = {0};
+	struct ws_decoded_attempts decoded = {0};
 	json_t *entry;
 	size_t i;
 
 	json_array_foreach (json_object_get(record, WS_FIELD_ATTEMPTS), i, entry)
-		ws_decode_entry(entry, &decoded);
+		ws_attempt_entry_decode(entry, &decoded);
 	*list = decoded.attempts;
 	return decoded.count;
 }
--- a/src/core/records/attempt_list.h
+++ b/src/core/records/attempt_list.h
@@ -1,4 +1,4 @@
-/* The packed list of attempts, as job_record.c and continuation_record.c write it. */
+/* The packed list of attempts that job records and continuation records contain. */
 #ifndef WS_ATTEMPT_LIST_H
 #define WS_ATTEMPT_LIST_H
 #include "records.h"
@@ -11,29 +11,29 @@
 	uint32_t first_task, last_task;
 };
 
-/* Writes one entry of the list: attempts of one term in one zone. */
+/* Builds one entry of the list, which holds the attempts of one term in one zone. */
 struct ws_attempt_entry_writer {
 	struct ws_text_builder text;
-	size_t shared_prefix;	      /* bytes that the names of its machines begin with */
-	struct ws_attempt_range last; /* the range that was appended last, if there is text */
+	size_t shared_prefix;	      /* length of the common prefix of the entry's machine names */
+	struct ws_attempt_range last; /* the range appended last; valid if `text` is not empty */
 };
 
-/* Appends a range with its machine. */
+/* Appends a range together with the name of its machine. */
 void ws_attempt_entry_add(struct ws_attempt_entry_writer *writer,
 			  const struct ws_attempt_range *range);
 
-/* Appends the entry to the list, and begins another one. */
+/* Appends the finished entry to the list and starts a new one. */
 void ws_attempt_entry_close(struct ws_attempt_entry_writer *writer, json_t *list);
 
 void ws_attempt_entry_writer_free(struct ws_attempt_entry_writer *writer);
 
-/* How many of the `length` first bytes of a name another one begins with as well, short of the
- * other's whole. */
+/* Returns the length of the common prefix of `other` and the first `length` bytes of `name`. The
+ * result is always shorter than `other`, so that at least one character of it remains. */
 size_t ws_shared_name_prefix(const char *name, size_t length, const char *other);
 
-/* The term of leadership that an attempt's number was given in. */
+/* Returns the leadership term in which an attempt number was assigned. */
 uint64_t ws_attempt_term(uint64_t attempt);
 
-/* The attempts of a job that may be alive, and marks them as being written. */
+/* Encodes the attempts of a job that may still be running and marks them as being written. */
 json_t *ws_attempt_list_encode(const struct ws_job *job, int zone_count);
 #endif
--- a/src/core/records/continuation_record.c
+++ b/src/core/records/continuation_record.c
@@ -1,31 +1,33 @@
 /*
- * Attempts of a cancelled job that its record has no room for.
+ * Continuation records: attempts of a cancelled job that do not fit into the job's own record.
  *
- * Compatibility: a record may be larger than the limit that holds by now, if it was written under a
- * higher one, as the version before gangs did. Its job's attempts end by and by, and once those
- * that are left fit it is written again; it can end at any time. Only a cancellation can't wait:
- * then the attempts that don't fit go to records of their own, in the same transaction, and a field
- * of the job's record tells how many these are. Versions that don't know them can lead no more when
- * the limit is lowered. This may go when no limit will be lowered again.
+ * Compatibility: a record may exceed the current size limit if it was written under a higher limit,
+ * as the version before gangs did. Its job's attempts end over time, and the record is written
+ * again once the remaining attempts fit; the job can finish at any time. Only a cancellation
+ * cannot wait for that: it moves the attempts that do not fit to continuation records in the same
+ * transaction, and a field of the job's record holds their number. Versions without support for
+ * continuation records can no longer lead once the limit is lowered. This code can be removed when
+ * the limit will not be lowered again.
  */
 #include "attempt_list.h"
 #include "record_fields.h"
 #include <stdlib.h>
 #include <string.h>
 
-#define WS_RECORD_RESERVE 16 /* bytes of a record kept free for the number of continuations */
-#define WS_ENTRY_RESERVE 40  /* bytes of an entry's punctuation and its term, at the most */
+#define WS_RECORD_RESERVE 16 /* bytes kept free in a record for the number of continuations */
+#define WS_ENTRY_RESERVE 40  /* upper bound, in bytes, of an entry's punctuation and term */
 
-/* The attempts of a record that are distributed over several. */
+/* State of distributing the attempts of one record over several records. */
 struct ws_record_splitter {
 	struct ws_recorded_attempt *attempts;
 	size_t count;
-	size_t next; /* the first one that no record names yet */
+	size_t next; /* index of the first attempt that is in no record yet */
 	size_t shared_prefix;
-	size_t limit; /* bytes of a record */
+	size_t limit; /* size limit of each record, in bytes */
 };
 
-static size_t ws_all_shared_prefix(const struct ws_recorded_attempt *attempts, size_t count)
+static size_t ws_recorded_attempts_shared_prefix(const struct ws_recorded_attempt *attempts,
+						 size_t count)
 {
 	size_t length = count ? strlen(attempts[0].machine) - 1 : 0;
 
@@ -34,22 +36,23 @@
 	return length;
 }
 
-static bool ws_same_entry(const struct ws_recorded_attempt *one,
-			  const struct ws_recorded_attempt *other)
+static bool ws_belong_to_one_entry(const struct ws_recorded_attempt *one,
+				   const struct ws_recorded_attempt *other)
 {
 	return !strcmp(one->zone, other->zone) &&
 	       ws_attempt_term(one->number) == ws_attempt_term(other->number);
 }
 
-/* The range that begins with an attempt; `end` is the first one behind it. */
-static struct ws_attempt_range ws_range_at(const struct ws_record_splitter *splitter, size_t begin,
-					   size_t *end)
+/* Returns the range that begins with attempt `begin`. Sets `end` to the index of the first attempt
+ * after the range. */
+static struct ws_attempt_range ws_recorded_range_at(const struct ws_record_splitter *splitter,
+						    size_t begin, size_t *end)
 {
 	const struct ws_recorded_attempt *first = &splitter->attempts[begin];
 	const struct ws_recorded_attempt *last = first;
-	const struct ws_recorded_attempt *behind = splitter->attempts + splitter->count;
+	const struct ws_recorded_attempt *end_of_attempts = splitter->attempts + splitter->count;
 
-	while (last + 1 < behind && !strcmp(last[1].machine, first->machine) &&
+	while (last + 1 < end_of_attempts && !strcmp(last[1].machine, first->machine) &&
 	       last[1].number == first->number && last[1].incarnation == first->incarnation &&
 	       last[1].task == last->task + 1)
 		last++;
@@ -64,9 +67,9 @@
 	};
 }
 
-/* Moves attempts of one term and zone to a list, in a record with `used` bytes. Returns the bytes
- * that they take; 0: not even one fits. */
-static size_t ws_add_entry(struct ws_record_splitter *splitter, json_t *list, size_t used)
+/* Adds an entry with as many attempts of one term and zone as fit to the list of a record that has
+ * `used` bytes. Returns the bytes added, or 0 if no attempt fits. */
+static size_t ws_record_add_entry(struct ws_record_splitter *splitter, json_t *list, size_t used)
 {
 	const struct ws_recorded_attempt *first = &splitter->attempts[splitter->next];
 	struct ws_attempt_entry_writer writer = {.shared_prefix = splitter->shared_prefix};
@@ -74,9 +77,10 @@
 	size_t bytes;
 
 	while (splitter->next < splitter->count &&
-	       ws_same_entry(&splitter->attempts[splitter->next], first)) {
+	       ws_belong_to_one_entry(&splitter->attempts[splitter->next], first)) {
 		size_t before = writer.text.length, end;
-		struct ws_attempt_range range = ws_range_at(splitter, splitter->next, &end);
+		struct ws_attempt_range range =
+		    ws_recorded_range_at(splitter, splitter->next, &end);
 
 		ws_attempt_entry_add(&writer, &range);
 		if (used + overhead + writer.text.length > splitter->limit) {
@@ -92,15 +96,15 @@
 	return bytes;
 }
 
-/* Moves as many attempts to a record as it has room for. */
-static void ws_fill_record(struct ws_record_splitter *splitter, json_t *record)
+/* Adds attempts to a record until it is full or all attempts are distributed. */
+static void ws_record_fill(struct ws_record_splitter *splitter, json_t *record)
 {
 	json_t *list = json_object_get(record, WS_FIELD_ATTEMPTS);
 	size_t used = ws_record_size(record) + WS_RECORD_RESERVE;
 	size_t added = 1;
 
 	while (added && splitter->next < splitter->count) {
-		added = ws_add_entry(splitter, list, used);
+		added = ws_record_add_entry(splitter, list, used);
 		used += added;
 	}
 }
@@ -112,7 +116,8 @@
 	json_t *filled = record;
 
 	splitter.count = ws_record_read_attempts(record, &splitter.attempts);
-	splitter.shared_prefix = ws_all_shared_prefix(splitter.attempts, splitter.count);
+	splitter.shared_prefix =
+	    ws_recorded_attempts_shared_prefix(splitter.attempts, splitter.count);
 	*count = 0;
 	json_object_set_new(record, WS_FIELD_COMPLETED_TASKS, json_string(""));
 	json_object_set_new(record, WS_FIELD_ATTEMPTS, json_array());
@@ -121,7 +126,7 @@
 	while (filled && splitter.next < splitter.count) {
 		size_t before = splitter.next;
 
-		ws_fill_record(&splitter, filled);
+		ws_record_fill(&splitter, filled);
 		if (splitter.next == splitter.count || *count == continuations_max ||
 		    (splitter.next == before && filled != record))
 			break;
--- a/src/core/records/job_record.c
+++ b/src/core/records/job_record.c
@@ -1,22 +1,22 @@
 /*
- * A job's record: what its user asked for, its phase, the attempts that may be alive
- * (attempt_list.c) and the completed tasks, which are written as ranges: tasks start in order, so
- * that these stay few. An archived job's record has its phase and counts alone.
+ * A job's record: the submitted description, the phase, the attempts that may still be running (see
+ * attempt_list.c) and the completed tasks. Completed tasks are written as ranges, which stay few
+ * because tasks start in order. An archived job's record contains only the phase and the counts.
  */
 #include "../core_state.h"
 #include "attempt_list.h"
 #include "record_fields.h"
 
-/* Bytes kept free for the counts, and the names of the fields behind the attempts. */
+/* Bytes kept free for the counts and for the names of the fields that follow the attempts. */
 #define WS_JOB_RECORD_RESERVE 64
 
-static const char *const phases[] = {"queued", "running", "done", "withdrawn"};
-#define WS_PHASE_COUNT (sizeof(phases) / sizeof(phases[0]))
+static const char *const phase_names[] = {"queued", "running", "done", "withdrawn"};
+#define WS_PHASE_COUNT (sizeof(phase_names) / sizeof(phase_names[0]))
 
-static bool ws_phase_read(const char *name, enum ws_job_phase *phase)
+static bool ws_phase_decode(const char *name, enum ws_job_phase *phase)
 {
 	for (size_t i = 0; name && i < WS_PHASE_COUNT; i++)
-		if (!strcmp(name, phases[i])) {
+		if (!strcmp(name, phase_names[i])) {
 			*phase = (enum ws_job_phase)i;
 			return true;
 		}
@@ -33,15 +33,16 @@
 	       (spec->gang ? WS_PLACEMENT_GANG : 0);
 }
 
-json_t *ws_record_spec(const struct ws_job_spec *spec, enum ws_job_phase phase, double wall)
+json_t *ws_record_spec(const struct ws_job_spec *spec, enum ws_job_phase phase,
+		       double submitted_at_wall)
 {
 	json_t *record = json_pack(
-	    "{s:s,s:f,s:s,s:s,s:b,s:i,s:I,s:f,s:f,s:f,s:s,s:f}", WS_FIELD_PHASE, phases[phase],
-	    WS_FIELD_SUBMITTED_AT, wall, WS_FIELD_CLASS, spec->job_class, WS_FIELD_TEAM, spec->team,
-	    WS_FIELD_SERVICE, spec->service, WS_FIELD_PRIORITY_CLASS, (int)spec->priority,
-	    WS_FIELD_TASK_COUNT, (json_int_t)spec->tasks, WS_FIELD_CPUS, spec->cpus, WS_FIELD_GPUS,
-	    spec->gpus, WS_FIELD_MEMORY, spec->mem_gb, WS_FIELD_IMAGE, spec->image,
-	    WS_FIELD_IMAGE_SIZE, spec->image_gb);
+	    "{s:s,s:f,s:s,s:s,s:b,s:i,s:I,s:f,s:f,s:f,s:s,s:f}", WS_FIELD_PHASE, phase_names[phase],
+	    WS_FIELD_SUBMITTED_AT, submitted_at_wall, WS_FIELD_CLASS, spec->job_class,
+	    WS_FIELD_TEAM, spec->team, WS_FIELD_SERVICE, spec->service, WS_FIELD_PRIORITY_CLASS,
+	    (int)spec->priority, WS_FIELD_TASK_COUNT, (json_int_t)spec->tasks, WS_FIELD_CPUS,
+	    spec->cpus, WS_FIELD_GPUS, spec->gpus, WS_FIELD_MEMORY, spec->mem_gb, WS_FIELD_IMAGE,
+	    spec->image, WS_FIELD_IMAGE_SIZE, spec->image_gb);
 	json_t *types = json_array();
 
 	for (size_t i = 0; i < spec->type_count; i++)
@@ -57,8 +58,8 @@
 	return record;
 }
 
-/* The completed tasks as ranges, as far as they fit `limit` bytes; marks those that do as being
- * written. */
+/* Encodes the completed tasks as ranges, leaving out ranges that do not fit into `limit` bytes.
+ * Marks the tasks that fit as being written. */
 static json_t *ws_completed_encode(const struct ws_job *job, size_t limit)
 {
 	struct ws_text_builder text = {0};
@@ -109,29 +110,29 @@
 
 json_t *ws_record_final(const struct ws_job *job)
 {
-	return json_pack("{s:s,s:I,s:i}", WS_FIELD_PHASE, phases[job->phase],
+	return json_pack("{s:s,s:I,s:i}", WS_FIELD_PHASE, phase_names[job->phase],
 			 WS_FIELD_COMPLETED_COUNT, (json_int_t)job->done_count,
 			 WS_FIELD_ATTEMPT_COUNT, 0);
 }
 
 bool ws_record_cancel(json_t *record)
 {
-	return json_object_set_new(record, WS_FIELD_PHASE, json_string(phases[WS_JOB_CANCELLED])) ==
-	       0;
+	return json_object_set_new(record, WS_FIELD_PHASE,
+				   json_string(phase_names[WS_JOB_CANCELLED])) == 0;
 }
 
 /* ---- decoding ---- */
 
-/* Fields of a job's record that are copied or checked before they are taken over. */
+/* Fields of a job's record that are checked or copied before they are stored in the job. */
 struct ws_job_fields {
 	const char *phase, *job_class, *team, *image, *zone;
-	const char *completed; /* empty: none */
+	const char *completed; /* ranges of completed tasks; empty if there are none */
 	json_t *types;
 	int service, priority_class, placement_flags;
 	json_int_t tasks;
 };
 
-/* False: a field is missing or of another type. */
+/* Returns false if a field is missing or has the wrong type. */
 static bool ws_job_unpack(json_t *record, struct ws_job *job, struct ws_job_fields *fields)
 {
 	struct ws_job_spec *spec = &job->spec;
@@ -160,8 +161,8 @@
 	       json_array_size(fields->types) <= WS_MAX_ALLOWED;
 }
 
-static void ws_spec_set(struct ws_job_spec *spec, const char *id,
-			const struct ws_job_fields *fields)
+static void ws_spec_copy_fields(struct ws_job_spec *spec, const char *id,
+				const struct ws_job_fields *fields)
 {
 	ws_text_copy(spec->id, sizeof(spec->id), id);
 	ws_text_copy(spec->job_class, sizeof(spec->job_class), fields->job_class);
@@ -180,7 +181,7 @@
 			     json_string_value(json_array_get(fields->types, i)));
 }
 
-/* Completed tasks, as far as they can be decoded. */
+/* Decodes the ranges of completed tasks up to the first malformed one. */
 static void ws_completed_decode(struct ws_job *job, const char *text)
 {
 	while (*text) {
@@ -209,13 +210,13 @@
 
 	if (!job)
 		return NULL;
-	if (!ws_job_unpack(record, job, &fields) || !ws_phase_read(fields.phase, &job->phase) ||
+	if (!ws_job_unpack(record, job, &fields) || !ws_phase_decode(fields.phase, &job->phase) ||
 	    !ws_job_fields_in_range(&fields) ||
 	    !(job->tasks = calloc((size_t)fields.tasks, sizeof(*job->tasks)))) {
 		free(job);
 		return NULL;
 	}
-	ws_spec_set(&job->spec, id, &fields);
+	ws_spec_copy_fields(&job->spec, id, &fields);
 	ws_completed_decode(job, fields.completed);
 	job->started = job->phase == WS_JOB_RUNNING;
 	return job;
@@ -229,7 +230,7 @@
 
 	if (json_unpack(record, "{s:s,s?I,s?I}", WS_FIELD_PHASE, &name, WS_FIELD_COMPLETED_COUNT,
 			&completed, WS_FIELD_ATTEMPT_COUNT, &attempts) ||
-	    !ws_phase_read(name, phase))
+	    !ws_phase_decode(name, phase))
 		return false;
 	*done = (uint32_t)completed;
 	*running = *phase == WS_JOB_RUNNING ? (uint32_t)attempts : 0;
--- a/src/core/records/leader_record.c
+++ b/src/core/records/leader_record.c
@@ -1,4 +1,4 @@
-/* The leader's record: it lives as long as the leader's store session. */
+/* The leader's record. The store deletes it when the leader's store session ends. */
 #include "record_fields.h"
 #include "records.h"
 
--- a/src/core/records/machine_shard_record.c
+++ b/src/core/records/machine_shard_record.c
@@ -1,6 +1,6 @@
 /*
- * A shard of the machines, with their addresses and newest images, so that the next leader can
- * greet them and place as well as the last one:
+ * The record of a shard of the machines. It contains addresses and most recently cached images, so
+ * that a new leader can contact the machines and place tasks as well as its predecessor:
  *
  *   {"im": [image, ...],
  *    "m": [[name, address, port, type, zone, preemptible, incarnation, [image's index, ...]], ...]}
@@ -12,17 +12,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WS_SHARD_RESERVE 64   /* bytes of the record round its machines, with some to spare */
-#define WS_MACHINE_RESERVE 30 /* bytes of a machine's punctuation, port and flag, at the most */
-#define WS_IMAGE_INDEX_BYTES 5
-#define WS_IMAGE_NAME_RESERVE 3 /* bytes of the punctuation of an image's name */
+#define WS_SHARD_RESERVE 64	/* bytes of the record outside its lists, with a margin */
+#define WS_MACHINE_RESERVE 30	/* upper bound of a machine's punctuation, port and flag, bytes */
+#define WS_IMAGE_INDEX_BYTES 5	/* bytes reserved for an image's index and its comma */
+#define WS_IMAGE_NAME_RESERVE 3 /* bytes of punctuation around an image's name */
 
-/* A shard's record under construction. */
+/* State of encoding a shard's record. */
 struct ws_shard_writer {
 	const struct ws_machine_shard_record *record;
-	size_t used, limit;  /* bytes */
-	json_t *image_names; /* those written so far */
-	int *positions;	     /* of each image of the shard among them, from 1; 0: not written yet */
+	size_t used, limit;  /* size of the record, bytes */
+	json_t *image_names; /* image names written so far */
+	int *positions;	     /* 1-based position of each image in image_names; 0 if not written */
 };
 
 static size_t ws_machine_bytes(const struct ws_machine_record *machine)
@@ -31,7 +31,7 @@
 	       strlen(machine->zone) + WS_MACHINE_RESERVE + ws_decimal_digits(machine->incarnation);
 }
 
-/* How many machines fit; counts their bytes. */
+/* Returns the number of machines that fit and adds their sizes to the bytes used. */
 static size_t ws_machines_fit(struct ws_shard_writer *writer)
 {
 	size_t count = 0;
@@ -45,7 +45,7 @@
 	return count;
 }
 
-/* The images of a machine, as far as there is room. */
+/* Encodes the cached images of a machine, leaving out those that do not fit. */
 static json_t *ws_machine_images_encode(struct ws_shard_writer *writer,
 					const struct ws_machine_record *machine)
 {
@@ -54,13 +54,13 @@
 	for (int i = 0; i < machine->image_count; i++) {
 		const char *name = writer->record->image_names[machine->images[i]];
 		int *position = &writer->positions[machine->images[i]];
-		size_t more = WS_IMAGE_INDEX_BYTES;
+		size_t added = WS_IMAGE_INDEX_BYTES;
 
 		if (!*position)
-			more += strlen(name) + WS_IMAGE_NAME_RESERVE;
-		if (writer->used + more > writer->limit)
+			added += strlen(name) + WS_IMAGE_NAME_RESERVE;
+		if (writer->used + added > writer->limit)
 			continue;
-		writer->used += more;
+		writer->used += added;
 		if (!*position) {
 			json_array_append_new(writer->image_names, json_string(name));
 			*position = (int)json_array_size(writer->image_names);
@@ -93,7 +93,7 @@
 			 machines);
 }
 
-/* Indices that name no image are left out. */
+/* Decodes the cached images of a machine, ignoring indices out of range. */
 static void ws_machine_images_decode(json_t *images, const struct ws_machine_shard_record *record,
 				     struct ws_machine_record *machine)
 {
--- a/src/core/records/machine_type_record.c
+++ b/src/core/records/machine_type_record.c
@@ -1,10 +1,11 @@
 /*
- * The machine types of the cloud, as it last listed them:
+ * The record of the machine types that the cloud offered when they were last listed:
  *
  *   [[name, cpus, gpus, memory, local disk, image fetch rate, price, preemptible price, boot time,
  *     [zone, ...]], ...]
  *
- * Memory and disk in GB, the rate in GB a second, prices an hour, the boot time in seconds.
+ * Memory and disk are in GB, the fetch rate in GB per second, prices per hour, the boot time in
+ * seconds.
  */
 #include "records.h"
 #include "text_builder.h"
@@ -27,8 +28,8 @@
 	return record;
 }
 
-/* Zones beyond WS_MAX_ALLOWED are left out. */
-static enum ws_record_outcome ws_type_decode(json_t *value, struct ws_machine_type *type)
+/* Decodes a machine type, ignoring zones beyond the first WS_MAX_ALLOWED. */
+static enum ws_record_outcome ws_machine_type_decode(json_t *value, struct ws_machine_type *type)
 {
 	const char *name;
 	json_t *zones;
@@ -53,7 +54,7 @@
 	json_array_foreach (record, i, value) {
 		if (count == WS_MAX_TYPES)
 			break;
-		if (ws_type_decode(value, &types[count]) == WS_RECORD_DECODED)
+		if (ws_machine_type_decode(value, &types[count]) == WS_RECORD_DECODED)
 			count++;
 	}
 	return count;
--- a/src/core/records/record_size.c
+++ b/src/core/records/record_size.c
@@ -1,4 +1,4 @@
-/* The size of a record, of any kind. */
+/* The encoded size of a record of any kind. */
 #include "records.h"
 
 size_t ws_record_size(json_t *record)
--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -1,36 +1,37 @@
 /*
- * Records of the store: the values that the cluster keeps under keys of the core, encoded
- * to JSON and decoded from it. Nothing here changes a key's revision, decides when a record is
- * written, or knows struct ws_core; the adapters between the core's state and these records are
- * src/core/machine_shards.c and src/core/stored_state.c.
+ * Records of the store: the JSON values of the core's keys, and the functions that encode and
+ * decode them. This code does not use struct ws_core, does not change the revisions of keys and
+ * does not decide when a record is written. Adapters between the core's state and these records are
+ * declared in src/core/record_sources.h.
  *
  *   key              value                                     written by
  *   ---------------- ----------------------------------------- ----------------------------------
- *   leader           node that leads, its process incarnation  the candidate, bound to its store
+ *   leader           leading node, its process incarnation     the candidate, bound to its store
  *                                                              session
- *   owned            name of the last machine that is owned    the leader, once
+ *   owned            name of the last owned machine            the leader, once
  *   types            machine types of the cloud                the leader, once
  *   job/<id>         a live job: description, phase, attempts  any node at submission and
- *                    that may be alive, completed tasks        cancellation, then the leader
- *   more/<id>/<n>    attempts of a cancelled job for which     the node that cancels it; deleted
- *                    its own record has no room                by the leader
+ *                    that may be running, completed tasks      cancellation, then the leader
+ *   more/<id>/<n>    attempts of a cancelled job that do not   the node that cancels it; deleted
+ *                    fit into the job's own record             by the leader
  *   old/<id>         an archived job: phase, completed tasks   the leader
  *   fleet/<n>        a shard of the machines: address, type,   the leader
  *                    zone, incarnation, cached images
  *   rental/<key>     a scale-out request, by its idempotency   the leader
- *                    key, and the instances that it brought
+ *                    key, and the instances started for it
  *
- * The short names of the JSON fields stand in record_fields.h, each with what it means. Values are
- * limited in size, which is why they are short and why attempts and tasks are packed into text.
+ * The names of the JSON fields are defined in record_fields.h. They are short, and attempts and
+ * tasks are packed into text, because the store limits the size of values.
  *
- * Decoders ignore fields they do not know. What they refuse, they refuse whole, unless said
- * otherwise. Encoders return a new reference. Memory that can't be had ends the program.
+ * Decoders ignore unknown fields and reject a malformed record as a whole unless their comment says
+ * otherwise. Encoders return a new reference. The process aborts if an allocation fails, unless a
+ * function's comment says otherwise.
  */
 #ifndef WS_RECORDS_H
 #define WS_RECORDS_H
 #include "../core.h"
 
-/* Keys, and the prefixes of keys that go on with a name or a number. */
+/* Keys, and prefixes of keys that continue with a name or a number. */
 #define WS_KEY_LEADER "leader"
 #define WS_KEY_OWNED_MACHINES "owned"
 #define WS_KEY_MACHINE_TYPES "types"
@@ -40,86 +41,93 @@
 #define WS_KEY_PREFIX_MACHINE_SHARD "fleet/"
 #define WS_KEY_PREFIX_SCALE_OUT "rental/"
 
-/* An attempt's number: the leader key's revision, shifted by this, plus a sequence number. */
+/* An attempt number is the leader key's revision, shifted left by this many bits, plus a sequence
+ * number. */
 #define WS_ATTEMPT_SHIFT 24
-/* Cached images of one machine that its shard's record names. */
+/* Largest number of cached images that a shard's record lists for one machine. */
 #define WS_CACHE_KEPT 12
-/* Instances of one scale-out request. */
+/* Largest number of instances of one scale-out request. */
 #define WS_SCALE_OUT_MAX 50
 
 struct ws_attempt;
 struct ws_job;
 
-/* What became of decoding a record. */
+/* The result of decoding a record. */
 enum ws_record_outcome {
 	WS_RECORD_DECODED,
-	WS_RECORD_MALFORMED,	/* a field is missing or of another type */
-	WS_RECORD_OUT_OF_RANGE, /* a number is not one that a record of this kind can have */
+	WS_RECORD_MALFORMED,	/* a field is missing or has the wrong type */
+	WS_RECORD_OUT_OF_RANGE, /* a value is outside the range that this kind of record allows */
 };
 
-/* Bytes of a record as it is sent; 0: it can't be encoded. */
+/* Returns the size of a record in its encoded form, in bytes, or 0 if it cannot be encoded. */
 size_t ws_record_size(json_t *record);
 
 /* ---- job_record.c: job/<id> and old/<id> ---- */
 
-/* A new job's record: its description, without attempts or completed tasks. `wall`: when it was
- * submitted, in seconds of the time of day. */
-json_t *ws_record_spec(const struct ws_job_spec *spec, enum ws_job_phase phase, double wall);
+/* Encodes a new job's record, which has a description but no attempts or completed tasks.
+ * `submitted_at_wall` is the wall-clock time of its submission, in seconds. */
+json_t *ws_record_spec(const struct ws_job_spec *spec, enum ws_job_phase phase,
+		       double submitted_at_wall);
 
 /*
- * A live job's record, of at most `limit` bytes: its description, the attempts that may be alive,
- * in zones numbered below `zone_count`, and its completed tasks. Marks the attempts and the tasks
- * that it names as being written. Completed tasks that have no room stay out: they are not marked,
- * so not reaped, and their results wait on their machines. NULL: not even the attempts fit.
+ * Encodes a live job's record of at most `limit` bytes: its description, the attempts that may
+ * still be running, in zones with an index below `zone_count`, and its completed tasks. Marks the
+ * attempts and tasks in the record as being written. Completed tasks that do not fit are left out
+ * and not marked; they are therefore not reaped, and their results stay on their machines. Returns
+ * NULL if the attempts do not fit.
  */
 json_t *ws_job_record_encode(const struct ws_job *job, int zone_count, size_t limit);
 
-/* The job that a record describes, without its attempts; the caller frees it and its tasks. NULL:
- * the record is malformed or out of range. */
+/* Decodes a job's record, except for its attempts. Returns NULL if the record is malformed or out
+ * of range, or if memory is exhausted. The caller frees the job and its tasks. */
 struct ws_job *ws_record_read_job(const char *id, json_t *record);
 
-/* An archived job's record. */
+/* Encodes the record of an archived job. */
 json_t *ws_record_final(const struct ws_job *job);
 
-/* What polls are answered from, of a live or an archived job. False: the record has no phase. */
+/* Decodes the phase and the task counts, which answer status queries, from the record of a live or
+ * an archived job. Returns false if the phase is missing or unknown, or a count is malformed. */
 bool ws_record_read_phase(json_t *record, enum ws_job_phase *phase, uint32_t *done,
 			  uint32_t *running);
 
-/* Makes a live job's record say that it is cancelled. False: it can't be changed. */
+/* Sets the phase in a live job's record to cancelled. Returns false if the record could not be
+ * changed. */
 bool ws_record_cancel(json_t *record);
 
-/* ---- attempt_list.c: the attempts that a job's record or a continuation record names ---- */
+/* ---- attempt_list.c: the attempts in a job's record or a continuation record ---- */
 
-/* An attempt as a record names it. */
+/* An attempt as it is stored in a record. */
 struct ws_recorded_attempt {
 	char machine[WS_NAME_MAX], zone[WS_NAME_MAX];
 	uint64_t incarnation, number;
 	uint32_t task;
 };
 
-/* The attempts that a record names, as many as could be decoded. Returns their number; the caller
- * frees the list. */
+/* Decodes the attempts in a record, skipping malformed parts of the list. Returns their number. The
+ * caller frees the list. */
 size_t ws_record_read_attempts(json_t *record, struct ws_recorded_attempt **list);
 
 /*
- * Bytes that an attempt adds to its job's record at the most, behind `before`, the live one before
- * it in the job's list (NULL: none). `shared_prefix`: length of what the names of all machines
- * begin with. When others of the list go, the record never grows by it.
+ * Returns an upper bound on the bytes that an attempt adds to its job's record. `previous` is the
+ * live attempt before it in the job's list, or NULL if there is none; `shared_prefix` is the length
+ * of the common prefix of all machine names. The removal of other attempts from the list never
+ * makes the record larger.
  */
-size_t ws_attempt_list_growth(const struct ws_attempt *before, const struct ws_attempt *attempt,
+size_t ws_attempt_list_growth(const struct ws_attempt *previous, const struct ws_attempt *attempt,
 			      size_t shared_prefix);
 
 /* ---- continuation_record.c: more/<id>/<n> ---- */
 
 /*
- * Splits the record of a job that was cancelled: attempts that do not fit `limit` bytes move to at
- * most `most` continuation records, of which `count` are made. The completed tasks are dropped.
- * Attempts that fit none of them are lost to the records.
+ * Splits the record of a cancelled job so that it has at most `limit` bytes. Attempts that do not
+ * fit move to at most `continuations_max` continuation records; their number is stored in `count`.
+ * The completed tasks are removed from the record. Attempts that do not fit into any of these
+ * records are not recorded any more.
  */
 void ws_record_split_attempts(json_t *record, size_t limit, json_t **continuations,
 			      size_t continuations_max, size_t *count);
 
-/* How many continuation records a job's record has. */
+/* Returns the number of continuation records that belong to a job's record. */
 uint32_t ws_record_continuation_count(json_t *record);
 
 /* ---- machine_shard_record.c: fleet/<n> ---- */
@@ -130,27 +138,26 @@
 	int port;
 	bool preemptible;
 	uint64_t incarnation;
-	int images[WS_CACHE_KEPT]; /* cached images, newest first, as indices of the shard's names
-				    */
+	int images[WS_CACHE_KEPT]; /* cached images as indices into image_names, newest first */
 	int image_count;
 };
 
 struct ws_machine_shard_record {
 	struct ws_machine_record *machines;
 	size_t machine_count;
-	const char **image_names; /* may hold more than the machines refer to */
+	const char **image_names; /* may contain names that no machine refers to */
 	size_t image_name_count;
 };
 
-/* A shard's record of at most `limit` bytes: machines are left out from the first one that does not
- * fit, then images that have no room. */
+/* Encodes a shard's record of at most `limit` bytes. The first machine that does not fit and all
+ * machines after it are left out; images are left out if they do not fit beside the machines. */
 json_t *ws_machine_shard_record_encode(const struct ws_machine_shard_record *record, size_t limit);
 
-/* Machines and images that can't be decoded are left out. The strings are those of `value`; free
- * the record with ws_machine_shard_record_free(). */
+/* Decodes a shard's record, leaving out malformed machines and images. The strings are owned by
+ * `value`. The caller frees the record with ws_machine_shard_record_free(). */
 void ws_machine_shard_record_decode(json_t *value, struct ws_machine_shard_record *record);
 
-/* Frees what decoding allocated. */
+/* Frees the memory that decoding allocated. */
 void ws_machine_shard_record_free(struct ws_machine_shard_record *record);
 
 /* ---- scale_out_record.c: rental/<idempotency key> ---- */
@@ -159,42 +166,43 @@
 struct ws_scale_out_record {
 	const char *type, *zone;
 	bool preemptible;
-	uint32_t count; /* instances asked for */
-	bool acquired;	/* the cloud has confirmed it, with the instances below */
+	uint32_t count; /* number of requested instances */
+	bool acquired;	/* the cloud has confirmed the request and started the instances below */
 	const char *instances[WS_SCALE_OUT_MAX];
 	uint32_t instance_count;
 };
 
-/* A scale-out request's record. */
+/* Encodes the record of a scale-out request. */
 json_t *ws_scale_out_record_encode(const struct ws_scale_out_record *record);
 
-/* The strings are those of `value`. */
+/* Decodes the record of a scale-out request. The strings are owned by `value`. */
 enum ws_record_outcome ws_scale_out_record_decode(json_t *value,
 						  struct ws_scale_out_record *record);
 
 /* ---- leader_record.c: leader ---- */
 
-/* Who is the leader. Strings are borrowed. */
+/* The current leader. Strings are borrowed. */
 struct ws_leader_record {
 	const char *node;
-	uint64_t process_incarnation; /* tells two processes of one node apart; below 2^63 */
+	uint64_t process_incarnation; /* distinguishes successive processes of a node; below 2^63 */
 };
 
-/* The leader key's value. */
+/* Encodes the value of the leader key. */
 json_t *ws_leader_record_encode(const struct ws_leader_record *record);
 
-/* The node is a string of `value`; a record without an incarnation has 0. */
+/* Decodes the value of the leader key. The node's name is owned by `value`; a missing incarnation
+ * is decoded as 0. */
 enum ws_record_outcome ws_leader_record_decode(json_t *value, struct ws_leader_record *record);
 
-/* The node that a leader's record names, or NULL. */
+/* Returns the name of the node in a leader's record, or NULL if the record is malformed. The string
+ * is owned by `value`. */
 const char *ws_record_leader_node(json_t *value);
 
 /* ---- machine_type_record.c: types ---- */
 
-/* The record of all machine types. */
+/* Encodes the record of all machine types. */
 json_t *ws_record_types(const struct ws_machine_type *types, size_t count);
 
-/* Decodes up to WS_MAX_TYPES types and returns their number; those that are malformed are left
- * out. */
+/* Decodes up to WS_MAX_TYPES machine types, leaving out malformed ones. Returns their number. */
 size_t ws_record_read_types(json_t *record, struct ws_machine_type *types);
 #endif
--- a/src/core/records/scale_out_record.c
+++ b/src/core/records/scale_out_record.c
@@ -1,4 +1,5 @@
-/* A scale-out request, written before the cloud is asked, and the instances that it brought. */
+/* The record of a scale-out request. It is written before the request is sent to the cloud, and
+ * later names the instances that the cloud started for it. */
 #include "record_fields.h"
 #include "records.h"
 
--- a/src/core/records/text_builder.c
+++ b/src/core/records/text_builder.c
@@ -1,18 +1,18 @@
-/* A string that grows as text is appended to it. */
+/* A growable string. */
 #include "text_builder.h"
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define WS_TEXT_FIRST_CAPACITY 1024
-#define WS_NUMBER_DIGITS_MAX 20 /* of a uint64_t */
+#define WS_TEXT_INITIAL_CAPACITY 1024 /* bytes */
+#define WS_NUMBER_DIGITS_MAX 20	      /* decimal digits of the largest uint64_t */
 
-/* Makes room for so many more bytes and the terminator. */
-static void ws_text_builder_reserve(struct ws_text_builder *builder, size_t more)
+/* Grows the buffer to hold `extra` more bytes and the terminator; aborts if memory is exhausted. */
+static void ws_text_builder_reserve(struct ws_text_builder *builder, size_t extra)
 {
-	size_t capacity = builder->capacity ? builder->capacity : WS_TEXT_FIRST_CAPACITY;
+	size_t capacity = builder->capacity ? builder->capacity : WS_TEXT_INITIAL_CAPACITY;
 
-	while (capacity < builder->length + more + 1)
+	while (capacity < builder->length + extra + 1)
 		capacity *= 2;
 	if (capacity == builder->capacity)
 		return;
@@ -92,7 +92,7 @@
 	return digits;
 }
 
-void ws_text_copy(char *target, size_t size, const char *from)
+void ws_text_copy(char *target, size_t size, const char *source)
 {
-	snprintf(target, size, "%s", from ? from : "");
+	snprintf(target, size, "%s", source ? source : "");
 }
--- a/src/core/records/text_builder.h
+++ b/src/core/records/text_builder.h
@@ -1,6 +1,6 @@
 /*
- * A string that grows as text is appended to it. It owns its memory, starts as zeroes, and is
- * always terminated once something was appended. Memory that can't be had ends the program.
+ * A growable string that owns its memory. A builder is initialized with zeroes, and its text is
+ * terminated after every append. The process aborts if an allocation fails.
  */
 #ifndef WS_TEXT_BUILDER_H
 #define WS_TEXT_BUILDER_H
@@ -8,7 +8,7 @@
 #include <stdint.h>
 
 struct ws_text_builder {
-	char *text; /* NULL until something is appended */
+	char *text; /* NULL until something is appended; read it with ws_text_builder_text() */
 	size_t length, capacity;
 };
 
@@ -16,20 +16,20 @@
 void ws_text_builder_add_char(struct ws_text_builder *builder, char character);
 void ws_text_builder_add_number(struct ws_text_builder *builder, uint64_t number);
 
-/* Appends "first-last", or "first" alone where the two are equal. */
+/* Appends "first-last", or only "first" if the two are equal. */
 void ws_text_builder_add_range(struct ws_text_builder *builder, uint32_t first, uint32_t last);
 
-/* Takes back what was appended behind this length. */
+/* Shortens the text to `length` bytes; does nothing if it is not longer. */
 void ws_text_builder_truncate(struct ws_text_builder *builder, size_t length);
 
-/* The text so far; it lives until something else is appended. */
+/* Returns the current text, which is never NULL. The pointer is valid until the next append. */
 const char *ws_text_builder_text(const struct ws_text_builder *builder);
 
 void ws_text_builder_free(struct ws_text_builder *builder);
 
-/* Digits of a number in decimal. */
+/* Returns the number of decimal digits of a number. */
 size_t ws_decimal_digits(uint64_t number);
 
-/* Copies text, NULL as an empty one, and cuts it to fit `size` bytes. */
-void ws_text_copy(char *target, size_t size, const char *from);
+/* Copies `source`, truncated to fit a buffer of `size` bytes. NULL is copied as an empty string. */
+void ws_text_copy(char *target, size_t size, const char *source);
 #endif
