--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -1,4 +1,4 @@
-/* The API by the clock, and its end. */
+/* The periodic work of the API, and its cleanup. */
 #include "../core_state.h"
 
 void ws_requests_tick(struct ws_core *core)
--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -1,12 +1,13 @@
 /*
- * The API: what users, workers and peers ask of any node, leader or not. Answers that bind the
- * service are read from or written to the store first; a node that can't tell says so at once.
+ * The API: requests of users, workers and peers, which any node serves whether it leads or not.
+ * Answers that bind the service are given only after a read from or a write to the store; a node
+ * that cannot answer reports that at once.
  */
 #ifndef WS_API_H
 #define WS_API_H
 #include "../core.h"
 
-struct ws_job_status { /* what a live job's record says */
+struct ws_job_status { /* the status in a live job's record */
 	char id[WS_ID_MAX];
 	enum ws_job_phase phase;
 	uint32_t done, running;
@@ -14,10 +15,10 @@
 	UT_hash_handle hh;
 };
 
-/* The job status cache: what the records of all live jobs say, as of a revision. */
+/* The job status cache: the statuses in the records of all live jobs, as of a revision. */
 struct ws_status_cache {
 	struct ws_job_status *jobs;
-	bool complete; /* up to the revision */
+	bool complete; /* contains all changes up to the revision */
 	bool request_in_flight;
 	uint64_t revision;
 	double next_request_at, fresh_at;
@@ -25,110 +26,119 @@
 
 /* Status queries of users. */
 struct ws_status_queries {
-	struct ws_status_query *waiting;	/* for the cache to be found current */
-	struct ws_final_status *final_statuses; /* of jobs that are over; the newest */
+	struct ws_status_query *waiting;	/* wait until the cache is brought up to date */
+	struct ws_final_status *final_statuses; /* of completed and cancelled jobs */
 };
 
-/* Of a node that does not lead: workers that were sent to the leader. */
+/* State of a node that does not lead: the workers whose heartbeats it forwards or redirects. */
 struct ws_follower {
 	struct ws_redirect *redirects;
 	double next_sweep_at;
 };
 
-/* Whether the store and the peers answer this node. */
+/* Whether the store and the peers respond to this node. Times are on the core's clock. */
 struct ws_store_health {
-	double served_at;			     /* last answer other than a refusal */
-	double refused_at;			     /* last refusal or silence */
-	double refused_since;			     /* the first of those in a row */
-	double peer_answered_at, next_peer_probe_at; /* while the store refuses us */
+	double served_at;			     /* last response that is no failure */
+	double refused_at;			     /* last response "unavailable", or timeout */
+	double refused_since;			     /* first of the consecutive failures */
+	double peer_answered_at, next_peer_probe_at; /* used while store calls fail */
 };
 
-/* A user's request under way: the context of the calls that it takes, one after the other. */
+/* A user's request in progress. It is the context of the calls made for it, one at a time. */
 struct ws_user_request {
 	char job[WS_ID_MAX];
 	uint64_t request_id;
 	bool forwarded;
-	bool record_split;   /* the record is too large to be written whole */
-	bool never_runnable; /* a submission that can never run, unless it was accepted before */
+	bool record_split;   /* the record is too large to be written unsplit */
+	bool never_runnable; /* a submission that can never run; rejected unless accepted before */
 	int attempts;
 };
 
 /* ---- api.c ---- */
 
-/* All that any node does for its callers by the clock, and its end. */
+/* Runs the periodic work of the API, which any node does. */
 void ws_requests_tick(struct ws_core *core);
+/* Frees the status cache, the waiting queries and the redirects. */
 void ws_requests_free(struct ws_core *core);
 
 /* ---- store_health.c ---- */
 
-/* Takes in whether the store served a call, by its outcome. */
+/* Records from the outcome of a call whether the store served it. */
 void ws_store_answered(struct ws_core *core, enum ws_outcome outcome);
-/* The store refused this node, or did not answer it, a moment ago. */
+/* Returns true if the last store call failed, less than a quarter of a lease ago. */
 bool ws_store_refuses(const struct ws_core *core);
-/* Neither the store nor any peer answers. */
+/* Returns true if neither the store nor any peer has responded for some time. */
 bool ws_node_is_isolated(const struct ws_core *core);
-/* Asks the peers whether they answer, while the store does not. */
+/* Probes the peers while store calls fail. */
 void ws_peer_probe_tick(struct ws_core *core);
 
 /* ---- user_answers.c ---- */
 
-/* Answers a user without counts. */
+/* Answers a user's request without task counts. */
 void ws_user_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
 		    const char *id, enum ws_job_phase phase);
-/* The store does not serve us: a peer may do better, unless the request came from one. */
+/* Handles a request that the store did not serve: forwards it to a peer, or answers that the
+ * service is unavailable if no peer can help, for instance because the request was forwarded by
+ * one. */
 void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
 				bool forwarded, enum ws_outcome outcome);
-/* A request about a job; NULL without memory. Owned by the call whose context it becomes. */
+/* Creates a request about a job. Returns NULL if memory is exhausted. The call whose context it
+ * becomes owns it. */
 struct ws_user_request *ws_user_request_new(uint64_t request_id, const char *id, bool forwarded);
-/* Takes the request from a call, for the call that follows. */
+/* Detaches the request from a call, so that it can become the context of the next call. */
 struct ws_user_request *ws_user_request_take(struct ws_call *call);
-/* Reads the job's record under a prefix, live or archived; takes over the request. */
+/* Reads the job's record, live or archived depending on the key prefix. The new call owns the
+ * request. */
 void ws_job_record_get(struct ws_core *core, const char *prefix, struct ws_user_request *request,
 		       ws_result_fn on_result);
-/* Answers with the state of a job; with_counts: the counts of its tasks go with it. */
+/* Answers with the phase of a job and, if `with_counts` is set, its task counts. */
 void ws_user_answer_status(struct ws_core *core, uint64_t request_id, const char *id,
 			   enum ws_job_phase phase, uint32_t done, uint32_t running,
 			   bool with_counts);
-/* Answers with what a record says; the call's context is the request. */
+/* Answers with the status in the record that a call has read; the call's context is the request. */
 void ws_user_answer_record(struct ws_core *core, struct ws_call *call,
 			   const struct ws_result *result, bool with_counts);
-/* A user is about to be told that a job is cancelled: the job status cache must hold that. */
+/* Records a cancellation in the job status cache; called before it is confirmed to a user. Does
+ * nothing for keys of archived jobs. */
 void ws_status_cache_note_cancelled(struct ws_core *core, const char *key, uint64_t revision);
 
 /* ---- status_cache.c ---- */
 
-/* Loads the cache, and keeps it current while queries wait, or else now and then. */
+/* Loads the cache if it is incomplete; refreshes it while queries wait and otherwise periodically.
+ */
 void ws_status_cache_tick(struct ws_core *core);
-/* Forgets all of it; it is loaded anew. */
+/* Removes all entries and marks the cache as incomplete, so that it is loaded again. */
 void ws_status_cache_clear(struct ws_core *core);
-/* What a watch of the jobs brought: only what is newer than the cache. */
+/* Applies those changes from a watch of the job records that are newer than the cache. */
 void ws_status_cache_apply(struct ws_core *core, const struct ws_call *call,
 			   const struct ws_result *result);
-/* The entry of a job of which we know more than the cache tells; NULL: the cache is as new. */
+/* Returns the entry of a job, created if necessary and set to `revision`, for the caller to update.
+ * Returns NULL if the cache already contains this revision or a later one. */
 struct ws_job_status *ws_status_cache_note(struct ws_core *core, const char *id, uint64_t revision);
 
 /* ---- status_queries.c ---- */
 
-/* The cache was checked, with this outcome: answers the queries that awaited it. */
+/* Answers the queries that waited for the refresh of the cache that ended with this outcome. */
 void ws_queries_answer(struct ws_core *core, enum ws_outcome outcome);
-/* A check of the cache is sent: the queries that wait now are answered by it. */
+/* Marks all waiting queries to be answered by the refresh of the cache that is being sent. */
 void ws_queries_await_check(struct ws_core *core);
-/* That check did not take place: they wait for the next. */
+/* Makes all waiting queries wait for the next refresh, as the last one did not take place. */
 void ws_queries_await_next_check(struct ws_core *core);
-/* Passes queries that have waited too long to a peer. */
+/* Forwards queries that have waited too long to a peer. */
 void ws_queries_expire(struct ws_core *core);
-/* Answers with an archived record. */
+/* Result handler of reading an archived job's record: answers the request with its status. */
 void ws_query_archived_read(struct ws_core *core, struct ws_call *call,
 			    const struct ws_result *result);
-/* Frees waiting queries and kept answers, at the end of the core. */
+/* Frees the waiting queries and the cached final statuses when the core is freed. */
 void ws_queries_free(struct ws_core *core);
 
 /* ---- outage_votes.c ---- */
 
 /*
- * Jobs cancelled after a revision, as the job status cache has them, the first ones by revision and
- * id, from behind `after` on where that is one of the revision itself. The caller frees the list.
- * False: the cache can't tell.
+ * Lists jobs that were cancelled after revision `since` according to the job status cache, at most
+ * `limit`, ordered by revision and id. If `after` is not empty, also lists the jobs of revision
+ * `since` whose ids are greater than `after`, which continues an earlier listing. Sets `has_more`
+ * if jobs were left out. Returns false if the cache is incomplete. The caller frees the list.
  */
 bool ws_cancellations_since(struct ws_core *core, uint64_t since, const char *after,
 			    struct ws_cancellation **list, size_t *count, size_t limit,
@@ -136,14 +146,17 @@
 
 /* ---- heartbeat_requests.c ---- */
 
-/* Answers a heartbeat that is not taken in; with the leader's name where it is to go there. */
+/* Answers a heartbeat that is not processed. `leader` is the node to which the worker is
+ * redirected, or NULL. */
 void ws_heartbeat_answer(struct ws_core *core, uint64_t request_id, enum ws_answer answer,
 			 const char *leader);
-/* A heartbeat that reached a node that does not lead: forwarded, or sent to the leader. */
+/* Handles a heartbeat on a node that does not lead: forwards it or redirects the worker to the
+ * leader. */
 void ws_follower_heartbeat(struct ws_core *core, uint64_t request_id,
 			   const struct ws_heartbeat *heartbeat, bool forwarded);
 
-/* Forgets workers that were sent to the leader long ago; frees all. */
+/* Removes redirects whose workers have sent no heartbeat to this node for a lease. */
 void ws_redirects_tick(struct ws_core *core);
+/* Frees all redirects. */
 void ws_redirects_free(struct ws_core *core);
 #endif
--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -1,11 +1,11 @@
 /*
- * Cancellations: a job is cancelled once its record says so. The leader learns of it by its watch
- * of the jobs and ends the tasks.
+ * Cancellations: a job is cancelled once the phase in its record is cancelled. The leader detects
+ * that through its watch of the job records and stops the tasks.
  */
 #include "../core_state.h"
 
-/* The record may change between the read and the write; after so many tries the user is to retry.
- */
+/* The record may change between the read and the write. After this many attempts the user has to
+ * retry. */
 #define CANCEL_ATTEMPTS_MAX 8
 
 static void ws_cancel_record_read(struct ws_core *core, struct ws_call *call,
@@ -24,7 +24,7 @@
 	} else if ((result->outcome == WS_OUTCOME_CONFLICT ||
 		    result->outcome == WS_OUTCOME_REJECTED) &&
 		   ++request->attempts < CANCEL_ATTEMPTS_MAX) {
-		/* changed meanwhile, or larger than the limit of now: read it again */
+		/* the record has changed, or exceeds the current size limit: read it again */
 		request->record_split |= result->outcome == WS_OUTCOME_REJECTED;
 		ws_job_record_get(core, WS_KEY_PREFIX_JOB, ws_user_request_take(call),
 				  ws_cancel_record_read);
@@ -35,12 +35,13 @@
 	}
 }
 
-/* The record as it is was refused: what does not fit goes to records of its own. */
-static void ws_cancel_split_written(struct ws_core *core, struct ws_call *call)
+/* Splits a record that the store rejected as too large: attempts that do not fit are moved to
+ * continuation records in the same transaction. */
+static void ws_cancel_split_record(struct ws_core *core, struct ws_call *call)
 {
 	const struct ws_user_request *request = call->context;
 	size_t continuations_max = (size_t)core->settings->txn_ops - 1, continuation_count,
-	       bytes_before = ws_record_size(call->transaction.operations[0].value);
+	       original_size = ws_record_size(call->transaction.operations[0].value);
 	json_t **continuations = ws_alloc(continuations_max + 1, sizeof(*continuations));
 
 	ws_record_split_attempts(call->transaction.operations[0].value, ws_record_size_limit(core),
@@ -54,7 +55,7 @@
 	free(continuations);
 	ws_log(core, WS_LOG_INFO,
 	       "oversized record split by cancellation job=%s bytes=%zu records=%zu", request->job,
-	       bytes_before, continuation_count + 1);
+	       original_size, continuation_count + 1);
 }
 
 static void ws_cancel_record_read(struct ws_core *core, struct ws_call *call,
@@ -92,7 +93,7 @@
 			   json_deep_copy(result->records.entries[0].value));
 	ws_record_cancel(transaction->transaction.operations[0].value);
 	if (request->record_split)
-		ws_cancel_split_written(core, transaction);
+		ws_cancel_split_record(core, transaction);
 }
 
 void ws_core_cancel(struct ws_core *core, double now, uint64_t request_id, const char *id,
--- a/src/core/api/heartbeat_requests.c
+++ b/src/core/api/heartbeat_requests.c
@@ -1,11 +1,13 @@
-/* Heartbeats taken in: to the fleet where this node leads, else forwarded or sent to the leader. */
+/* Heartbeat requests: the leader processes them; other nodes forward them to the leader or redirect
+ * the worker to it. */
 #include "../core_state.h"
 
-struct ws_redirect { /* a worker sent to the leader a short while ago */
+/* A worker that recently sent heartbeats to this node, which does not lead. */
+struct ws_redirect {
 	char machine[WS_NAME_MAX];
 	double last_heartbeat_at;
-	uint64_t leader_revision; /* of the leader it was sent to */
-	uint32_t heartbeat_count;
+	uint64_t leader_revision; /* identifies the leader at that time */
+	uint32_t heartbeat_count; /* heartbeats received during that leader's term */
 	struct ws_redirect *next_expired;
 	UT_hash_handle hh;
 };
@@ -22,9 +24,10 @@
 }
 
 /*
- * A worker reports to a node that does not lead. Its first heartbeat is forwarded, so that its
- * lease is renewed and the leader hears of it at once; with the second it is sent to the leader;
- * one that is back after that could not get through, and its heartbeats are forwarded from then on.
+ * Handles a heartbeat on a node that does not lead. A worker's first heartbeat is forwarded, so
+ * that its lease is renewed at once; the second one is answered with a redirect to the leader. If
+ * the worker still returns, it could not reach the leader, and its heartbeats are forwarded from
+ * then on.
  */
 void ws_follower_heartbeat(struct ws_core *core, uint64_t request_id,
 			   const struct ws_heartbeat *heartbeat, bool forwarded)
@@ -61,7 +64,8 @@
 		 core->leadership.leader_node);
 }
 
-/* Takes redirects that are a lease old off the table, as a list linked by `next_expired`. */
+/* Removes from the table the redirects whose last heartbeat is more than a lease ago. Returns them
+ * as a list linked by `next_expired`. */
 static struct ws_redirect *ws_redirects_expired(struct ws_core *core)
 {
 	struct ws_redirect *redirect, *next, *expired = NULL;
@@ -100,8 +104,10 @@
 	}
 }
 
-/* Whether this node may answer as the leader, as far as the sender knows of leaders. */
-static bool ws_leads_sender(const struct ws_core *core, const struct ws_heartbeat *heartbeat)
+/* Returns true if this node is the entitled leader and the heartbeat carries no fencing token of a
+ * later leader. */
+static bool ws_may_process_heartbeat(const struct ws_core *core,
+				     const struct ws_heartbeat *heartbeat)
 {
 	return core->leadership.role == WS_LEADER && ws_is_entitled(core) &&
 	       heartbeat->fencing_token >> WS_FENCING_TOKEN_SHIFT <=
@@ -117,8 +123,9 @@
 		ws_follower_heartbeat(core, request_id, heartbeat, forwarded);
 		return;
 	}
-	if (!ws_leads_sender(core, heartbeat) || ws_machine_is_returned(core, heartbeat->machine)) {
-		ws_event_count(core, ws_leads_sender(core, heartbeat)
+	if (!ws_may_process_heartbeat(core, heartbeat) ||
+	    ws_machine_is_returned(core, heartbeat->machine)) {
+		ws_event_count(core, ws_may_process_heartbeat(core, heartbeat)
 					 ? WS_EVENT_STALE_MACHINE
 					 : WS_EVENT_UNENTITLED_HEARTBEAT);
 		ws_heartbeat_answer(core, request_id, WS_ANSWER_UNAVAILABLE, NULL);
--- a/src/core/api/status_cache.c
+++ b/src/core/api/status_cache.c
@@ -1,10 +1,10 @@
 /*
- * The job status cache: what the live jobs' records say, on every node.
+ * The job status cache: a copy of the statuses in the live jobs' records, kept by every node.
  *
- * Status queries wait until a request that was sent after they came has brought the cache up to
- * date, and are then answered together: so an answer is never older than one that another node
- * gave, and the store is asked a few times a second however many users ask. Outage votes are given
- * by it too.
+ * Status queries wait until a refresh that was sent after their arrival has brought the cache up to
+ * date, and are then answered together. So an answer is never older than one that another node has
+ * already given, and the store gets a few requests per second regardless of the number of queries.
+ * Outage votes are based on the cache too.
  */
 #include "../core_state.h"
 #include "../record_sources.h"
@@ -35,7 +35,7 @@
 		   : ws_status_cache_put(core, id, revision);
 }
 
-static void ws_status_cache_drop(struct ws_core *core, struct ws_job_status *job_status)
+static void ws_status_cache_remove(struct ws_core *core, struct ws_job_status *job_status)
 {
 	HASH_DEL(core->status_cache.jobs, job_status);
 	free(job_status);
@@ -55,12 +55,13 @@
 		return;
 	if (!entry->value) {
 		if (job_status)
-			ws_status_cache_drop(core, job_status);
+			ws_status_cache_remove(core, job_status);
 		return;
 	}
 	job_status = ws_status_cache_put(core, id, entry->revision);
 	if (!ws_record_read_phase(entry->value, &phase, &done, &running)) {
-		job_status->phase = WS_JOB_QUEUED; /* known at any rate */
+		/* the job exists, although its record is malformed */
+		job_status->phase = WS_JOB_QUEUED;
 		return;
 	}
 	job_status->phase = phase;
@@ -81,24 +82,23 @@
 	core->status_cache.revision = 0;
 }
 
-/* What a watch of the jobs brought, to the cache of their phases: only what is newer than it. */
 void ws_status_cache_apply(struct ws_core *core, const struct ws_call *call,
 			   const struct ws_result *result)
 {
-	uint64_t held = core->status_cache.revision;
+	uint64_t cached_revision = core->status_cache.revision;
 
-	if (!core->status_cache.complete || call->watch.since_revision > held)
+	if (!core->status_cache.complete || call->watch.since_revision > cached_revision)
 		return;
 	for (size_t i = 0; i < result->records.entry_count; i++)
-		if (result->records.entries[i].revision > held)
+		if (result->records.entries[i].revision > cached_revision)
 			ws_status_cache_apply_change(core, &result->records.entries[i]);
 	core->status_cache.revision =
-	    result->records.revision > held ? result->records.revision : held;
+	    result->records.revision > cached_revision ? result->records.revision : cached_revision;
 	core->status_cache.fresh_at = core->now;
 }
 
-static void ws_status_cache_watch_answered(struct ws_core *core, struct ws_call *call,
-					   const struct ws_result *result)
+static void ws_status_cache_refreshed(struct ws_core *core, struct ws_call *call,
+				      const struct ws_result *result)
 {
 	core->status_cache.request_in_flight = false;
 	if (result->outcome != WS_OUTCOME_RATE_LIMITED)
@@ -107,7 +107,7 @@
 		ws_job_watch_apply(core, call, result);
 		ws_queries_answer(core, WS_OUTCOME_OK);
 	} else if (result->outcome == WS_OUTCOME_COMPACTED) {
-		/* the copy is too old to be brought up to date */
+		/* the store no longer has all changes since the cache's revision: load it again */
 		ws_status_cache_clear(core);
 	} else if (result->outcome == WS_OUTCOME_RATE_LIMITED) {
 		ws_queries_await_next_check(core);
@@ -118,7 +118,8 @@
 
 static void ws_status_cache_load(struct ws_core *core, const char *after);
 
-/* The pages of a listing as of a revision are about to come: they tell what was noted up to it. */
+/* Prepares for the pages of a listing as of `revision`: frees the entries up to that revision,
+ * since the listing contains them, and keeps later ones. */
 static void ws_status_cache_begin_load(struct ws_core *core, uint64_t revision)
 {
 	struct ws_status_cache *cache = &core->status_cache;
@@ -135,8 +136,8 @@
 	}
 }
 
-static void ws_status_cache_page_read(struct ws_core *core, struct ws_call *call,
-				      const struct ws_result *result)
+static void ws_status_cache_page_loaded(struct ws_core *core, struct ws_call *call,
+					const struct ws_result *result)
 {
 	if (result->outcome != WS_OUTCOME_OK) {
 		core->status_cache.request_in_flight = false;
@@ -159,7 +160,7 @@
 
 static void ws_status_cache_load(struct ws_core *core, const char *after)
 {
-	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_status_cache_page_read);
+	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_status_cache_page_loaded);
 
 	snprintf(call->read.key, sizeof(call->read.key), WS_KEY_PREFIX_JOB);
 	snprintf(call->read.after, sizeof(call->read.after), "%s", after);
@@ -180,12 +181,12 @@
 	if (!core->status_queries.waiting &&
 	    core->now - core->status_cache.fresh_at < core->settings->lease_s / 4)
 		return;
-	/* all nodes together spend a quarter of the requests allowed on this */
+	/* the refreshes of all nodes together use a quarter of the store's request rate limit */
 	core->status_cache.next_request_at =
 	    core->now + 4.0 * (double)(core->settings->peer_count + 1) / core->settings->state_rps;
 	core->status_cache.request_in_flight = true;
 	ws_queries_await_check(core);
-	call = ws_call_new(core, WS_CALL_WATCH, ws_status_cache_watch_answered);
+	call = ws_call_new(core, WS_CALL_WATCH, ws_status_cache_refreshed);
 	snprintf(call->watch.prefix, sizeof(call->watch.prefix), WS_KEY_PREFIX_JOB);
 	call->watch.since_revision = core->status_cache.revision;
 }
--- a/src/core/api/status_queries.c
+++ b/src/core/api/status_queries.c
@@ -1,13 +1,15 @@
 /*
- * Status queries of users: answered from the job status cache once that was checked after they
- * came; what is not live is read from the archived records, and final answers are kept.
+ * Status queries of users. They are answered from the job status cache after it has been refreshed
+ * since their arrival. Jobs that are not live are read from the archived records, and their final
+ * statuses are cached.
  */
 #include "../core_state.h"
 
-/* The protocol: a user waits 2 s for the answer to a poll; a peer may have to be asked as well. */
+/* Seconds. By the protocol a user waits 2 s for the answer, and the query may have to be forwarded
+ * to a peer within that time. */
 #define WS_QUERY_WAIT_S 0.8
 
-struct ws_final_status { /* the answer about a job that is over: it never changes */
+struct ws_final_status { /* the status of a completed or cancelled job, which never changes */
 	char id[WS_ID_MAX];
 	enum ws_job_phase phase;
 	uint32_t done;
@@ -18,15 +20,16 @@
 	char id[WS_ID_MAX];
 	uint64_t request_id;
 	bool forwarded;
-	bool check_sent; /* the check of the cache in flight began after it came */
+	bool refresh_sent; /* the refresh in flight was sent after its arrival */
 	double received_at;
 	struct ws_status_query *prev, *next;
 };
 
-/* Some thousands are kept, the newest, so that asking again costs the store nothing. */
+/* Number of cached final statuses, the most recently read ones. Repeated queries for these jobs
+ * cause no store requests. */
 #define WS_FINAL_STATUSES_MAX 4096
 
-static void ws_final_status_keep(struct ws_core *core, const char *id, json_t *value)
+static void ws_final_status_cache(struct ws_core *core, const char *id, json_t *value)
 {
 	struct ws_final_status *final_status;
 	enum ws_job_phase phase;
@@ -37,14 +40,13 @@
 	    (phase != WS_JOB_DONE && phase != WS_JOB_CANCELLED))
 		return;
 	if (HASH_COUNT(core->status_queries.final_statuses) >= WS_FINAL_STATUSES_MAX) {
-		final_status =
-		    core->status_queries
-			.final_statuses; /* the oldest: the table keeps the order of adding */
+		/* the oldest one, since the table keeps insertion order */
+		final_status = core->status_queries.final_statuses;
 		HASH_DEL(core->status_queries.final_statuses, final_status);
 	} else {
 		final_status = calloc(1, sizeof(*final_status));
 		if (!final_status)
-			return; /* it can be read again */
+			return; /* it is read again if needed */
 	}
 	memset(final_status, 0, sizeof(*final_status));
 	snprintf(final_status->id, sizeof(final_status->id), "%s", id);
@@ -59,7 +61,7 @@
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_OK && result->records.entry_count == 1)
-		ws_final_status_keep(core, request->job, result->records.entries[0].value);
+		ws_final_status_cache(core, request->job, result->records.entries[0].value);
 	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, true);
 	else if (result->outcome == WS_OUTCOME_NOT_FOUND)
@@ -76,7 +78,7 @@
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
-		/* a job moves from job/ to old/ once and never back */
+		/* a job's record moves from job/ to old/ once and never back */
 		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_take(call),
 				  ws_query_archived_read);
 		return;
@@ -88,9 +90,10 @@
 					   request->forwarded, result->outcome);
 }
 
-/* Reads the record of a job that the cache can't tell of: under live jobs, or archived ones. */
-static void ws_query_store(struct ws_core *core, uint64_t request_id, const char *id,
-			   bool forwarded, bool may_be_live)
+/* Answers a query from the store: reads the live record first if `may_be_live` is set, and
+ * otherwise only the archived one. */
+static void ws_query_read_record(struct ws_core *core, uint64_t request_id, const char *id,
+				 bool forwarded, bool may_be_live)
 {
 	struct ws_user_request *request = ws_user_request_new(request_id, id, forwarded);
 
@@ -112,7 +115,7 @@
 	DL_FOREACH_SAFE (core->status_queries.waiting, query, next_query) {
 		struct ws_job_status *job_status;
 
-		if (!query->check_sent)
+		if (!query->refresh_sent)
 			continue;
 		DL_DELETE(core->status_queries.waiting, query);
 		HASH_FIND_STR(core->status_cache.jobs, query->id, job_status);
@@ -122,8 +125,9 @@
 		else if (job_status)
 			ws_user_answer_status(core, query->request_id, query->id, job_status->phase,
 					      job_status->done, job_status->running, true);
-		else /* not live by now: over, or never submitted */
-			ws_query_store(core, query->request_id, query->id, query->forwarded, false);
+		else /* no longer live, or never submitted */
+			ws_query_read_record(core, query->request_id, query->id, query->forwarded,
+					     false);
 		free(query);
 	}
 }
@@ -132,7 +136,7 @@
 {
 	struct ws_status_query *query, *next_query;
 
-	/* a peer is asked, or the user told, well before the user gives up */
+	/* forward or answer the query well before the user's timeout; oldest queries come first */
 	DL_FOREACH_SAFE (core->status_queries.waiting, query, next_query)
 		if (core->now - query->received_at > WS_QUERY_WAIT_S) {
 			DL_DELETE(core->status_queries.waiting, query);
@@ -149,7 +153,7 @@
 	struct ws_status_query *query;
 
 	DL_FOREACH (core->status_queries.waiting, query)
-		query->check_sent = true;
+		query->refresh_sent = true;
 }
 
 void ws_queries_await_next_check(struct ws_core *core)
@@ -157,7 +161,7 @@
 	struct ws_status_query *query;
 
 	DL_FOREACH (core->status_queries.waiting, query)
-		query->check_sent = false;
+		query->refresh_sent = false;
 }
 
 void ws_core_query_status(struct ws_core *core, double now, uint64_t request_id, const char *id,
@@ -179,7 +183,7 @@
 		return;
 	}
 	if (!core->status_cache.complete) {
-		ws_query_store(core, request_id, id, forwarded, true);
+		ws_query_read_record(core, request_id, id, forwarded, true);
 		ws_core_tick(core, now);
 		return;
 	}
--- a/src/core/api/store_health.c
+++ b/src/core/api/store_health.c
@@ -1,7 +1,6 @@
-/* Whether the store and the peers answer this node, as their last answers tell. */
+/* Tracks whether the store and the peers respond to this node. */
 #include "../core_state.h"
 
-/* Whether the store serves us, as the last answers tell. */
 void ws_store_answered(struct ws_core *core, enum ws_outcome outcome)
 {
 	if (outcome == WS_OUTCOME_UNAVAILABLE || outcome == WS_OUTCOME_NO_ANSWER) {
@@ -14,17 +13,18 @@
 }
 
 /*
- * Neither the store nor any peer answers: this node can do nothing for anybody. It says so
- * at once, to its health check as well, and goes on asking.
+ * Returns true if neither the store nor any peer has responded for an eighth of a lease. Such a
+ * node cannot serve requests: it rejects them at once, also fails its health check, and keeps
+ * probing.
  */
 bool ws_node_is_isolated(const struct ws_core *core)
 {
-	double patience = core->settings->lease_s / 8;
+	double isolation_delay_s = core->settings->lease_s / 8;
 
 	return core->settings->peer_count && core->store_health.served_at > 0 &&
 	       core->store_health.refused_at > core->store_health.served_at &&
-	       core->now - core->store_health.refused_since > patience &&
-	       core->now - core->store_health.peer_answered_at > patience;
+	       core->now - core->store_health.refused_since > isolation_delay_s &&
+	       core->now - core->store_health.peer_answered_at > isolation_delay_s;
 }
 
 static void ws_peer_answered(struct ws_core *core, struct ws_call *call,
@@ -46,14 +46,16 @@
 
 		snprintf(call->outage_vote.peer, sizeof(call->outage_vote.peer), "%s",
 			 core->settings->peers[i].node);
-		call->outage_vote.since_revision = UINT64_MAX; /* only whether it answers */
+		/* only a probe: no cancellations are listed */
+		call->outage_vote.since_revision = UINT64_MAX;
 	}
 }
 
 /*
- * Recently refused by the store, or without an answer: ask a peer straight away, since a
- * user waits 2 s and a time-out of our own would use that up. Reading who is the leader goes on
- * meanwhile and tells when the service is back.
+ * Returns true if the last store call failed, less than a quarter of a lease ago. Requests are then
+ * forwarded to a peer at once: a user waits 2 s, and a timeout of this node's own store call would
+ * use up that time. This node keeps reading the leader key meanwhile, and so detects when the store
+ * serves it again.
  */
 bool ws_store_refuses(const struct ws_core *core)
 {
--- a/src/core/api/submission.c
+++ b/src/core/api/submission.c
@@ -1,12 +1,13 @@
 /*
- * Submissions: a job is accepted once its record is in the store, under the condition that no
- * record, live or archived, has its id; so a repeated submission is answered with what the job is
- * by now.
+ * Submissions: a job is accepted once its record is in the store. The record is written only if no
+ * live or archived record has the same id; a repeated submission is answered with the job's current
+ * status.
  */
 #include "../core_state.h"
 
-/* At most half of its tasks in a zone, and all of them at once: that takes two zones. */
-static bool ws_gang_spreads(struct ws_core *core, const struct ws_job_spec *spec)
+/* Returns true unless the job is a gang to be spread that cannot run. Such a gang runs all tasks at
+ * once with at most half of them in a zone, so it needs two zones with a suitable machine type. */
+static bool ws_gang_can_spread(struct ws_core *core, const struct ws_job_spec *spec)
 {
 	uint32_t zones = 0;
 
@@ -35,20 +36,21 @@
 	for (size_t i = 0; i < core->catalog.type_count; i++)
 		fits |= ws_machine_type_fits(&core->catalog.types[i], spec) &&
 			ws_gang_recordable(core, spec, &core->catalog.types[i]);
-	return team && fits && ws_gang_spreads(core, spec) &&
+	return team && fits && ws_gang_can_spread(core, spec) &&
 	       tasks_at_once * spec->cpus <= team->settings->cpus_max + 1e-9 &&
 	       tasks_at_once * spec->gpus <= team->settings->gpus_max + 1e-9;
 }
 
-static void ws_submit_known_old(struct ws_core *core, struct ws_call *call,
-				const struct ws_result *result)
+static void ws_submit_archived_record_read(struct ws_core *core, struct ws_call *call,
+					   const struct ws_result *result)
 {
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_OK)
 		ws_user_answer_record(core, call, result, false);
 	else if (result->outcome == WS_OUTCOME_NOT_FOUND)
-		/* if it can run, it moved between two reads, and is known in any case */
+		/* a job that can run exists, since its write conflicted, but its record was moved
+		 * between the two reads: the user has to retry */
 		ws_user_answer(core, request->request_id,
 			       request->never_runnable ? WS_ANSWER_NEVER_RUNNABLE
 						       : WS_ANSWER_UNAVAILABLE,
@@ -58,14 +60,14 @@
 					   request->forwarded, result->outcome);
 }
 
-static void ws_submit_known(struct ws_core *core, struct ws_call *call,
-			    const struct ws_result *result)
+static void ws_submit_live_record_read(struct ws_core *core, struct ws_call *call,
+				       const struct ws_result *result)
 {
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
 		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_take(call),
-				  ws_submit_known_old);
+				  ws_submit_archived_record_read);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_OK)
@@ -82,7 +84,7 @@
 
 	if (result->outcome == WS_OUTCOME_CONFLICT) {
 		ws_job_record_get(core, WS_KEY_PREFIX_JOB, ws_user_request_take(call),
-				  ws_submit_known);
+				  ws_submit_live_record_read);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_OK) {
@@ -90,7 +92,7 @@
 		ws_user_answer(core, request->request_id, WS_ANSWER_ACCEPTED, request->job,
 			       WS_JOB_QUEUED);
 	} else if (result->outcome == WS_OUTCOME_REJECTED) {
-		/* a record over the limits: it can't be kept */
+		/* the record exceeds the store's limits and cannot be stored */
 		ws_user_answer(core, request->request_id, WS_ANSWER_UNAVAILABLE, request->job,
 			       WS_JOB_QUEUED);
 	} else {
@@ -124,9 +126,9 @@
 		return;
 	}
 	if (!ws_can_ever_run(core, spec)) {
-		/* limits and teams change: what was accepted under others stays known */
+		/* the job may have been accepted earlier, under other limits or teams */
 		request->never_runnable = true;
-		ws_job_record_get(core, WS_KEY_PREFIX_JOB, request, ws_submit_known);
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, request, ws_submit_live_record_read);
 		ws_core_tick(core, now);
 		return;
 	}
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -1,6 +1,6 @@
 /*
- * Answers to users. One that binds the service (accepted, done, cancelled) is given only with what
- * was read from or written to the store.
+ * Answers to users. An answer that binds the service (accepted, done, cancelled) is given only if
+ * it was read from or written to the store.
  */
 #include "../core_state.h"
 #include "../record_sources.h"
@@ -18,7 +18,6 @@
 		effect->user.retry_after_s = 1;
 }
 
-/* The store does not serve us: a peer may do better, unless the request came from one. */
 void ws_user_answer_unavailable(struct ws_core *core, uint64_t request_id, const char *id,
 				bool forwarded, enum ws_outcome outcome)
 {
@@ -63,8 +62,9 @@
 }
 
 /*
- * A user is about to be told that this job is cancelled: the job status cache must hold that,
- * for it is what we vote with. A record under old/ has nothing left on any machine.
+ * Outage votes list cancellations from the job status cache, so it must contain a cancellation
+ * before that is confirmed to a user. A job with a record under old/ has no tasks left on any
+ * machine, so it need not be listed.
  */
 void ws_status_cache_note_cancelled(struct ws_core *core, const char *key, uint64_t revision)
 {
@@ -109,7 +109,7 @@
 
 	if (result->records.entry_count != 1 ||
 	    !ws_record_read_phase(result->records.entries[0].value, &phase, &done, &running)) {
-		ws_log(core, WS_LOG_ERROR, "unreadable record key=%s", call->read.key);
+		ws_log(core, WS_LOG_ERROR, "job record cannot be decoded key=%s", call->read.key);
 		ws_user_answer(core, request->request_id, WS_ANSWER_UNAVAILABLE, request->job,
 			       WS_JOB_QUEUED);
 		return;
