--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -138,7 +138,7 @@
 	int port;
 	bool preemptible;
 	uint64_t incarnation;
-	int images[WS_CACHE_KEPT]; /* cached images as indices into image_names, newest first */
+	int images[WS_CACHE_KEPT]; /* indices into image_names, newest first */
 	int image_count;
 };
 
