--- a/src/core/api/api.c
+++ b/src/core/api/api.c
@@ -1,7 +1,7 @@
 /* The periodic work of the API, and its cleanup. */
 #include "../core_state.h"
 
-void ws_requests_tick(struct ws_core *core)
+void ws_api_tick(struct ws_core *core)
 {
 	ws_queries_expire(core);
 	ws_status_cache_tick(core);
@@ -10,7 +10,7 @@
 	ws_redirects_tick(core);
 }
 
-void ws_requests_free(struct ws_core *core)
+void ws_api_free(struct ws_core *core)
 {
 	ws_status_cache_clear(core);
 	ws_queries_free(core);
--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -21,7 +21,7 @@
 	bool complete; /* contains all changes up to the revision */
 	bool request_in_flight;
 	uint64_t revision;
-	double next_request_at, fresh_at;
+	double next_request_at, refreshed_at;
 };
 
 /* Status queries of users. */
@@ -38,10 +38,10 @@
 
 /* Whether the store and the peers respond to this node. Times are on the core's clock. */
 struct ws_store_health {
-	double served_at;			     /* last response that is no failure */
-	double refused_at;			     /* last response "unavailable", or timeout */
-	double refused_since;			     /* first of the consecutive failures */
-	double peer_answered_at, next_peer_probe_at; /* used while store calls fail */
+	double last_success_at; /* last response that is no failure */
+	double last_failure_at; /* last response "unavailable", or timeout */
+	double failing_since;	/* first of the consecutive failures */
+	double last_peer_response_at, next_peer_probe_at; /* used while store calls fail */
 };
 
 /* A user's request in progress. It is the context of the calls made for it, one at a time. */
@@ -49,7 +49,7 @@
 	char job[WS_ID_MAX];
 	uint64_t request_id;
 	bool forwarded;
-	bool record_split;   /* the record is too large to be written unsplit */
+	bool must_split_record; /* the record is too large to be written unsplit */
 	bool never_runnable; /* a submission that can never run; rejected unless accepted before */
 	int attempts;
 };
@@ -57,16 +57,16 @@
 /* ---- api.c ---- */
 
 /* Runs the periodic work of the API, which any node does. */
-void ws_requests_tick(struct ws_core *core);
+void ws_api_tick(struct ws_core *core);
 /* Frees the status cache, the waiting queries and the redirects. */
-void ws_requests_free(struct ws_core *core);
+void ws_api_free(struct ws_core *core);
 
 /* ---- store_health.c ---- */
 
 /* Records from the outcome of a call whether the store served it. */
-void ws_store_answered(struct ws_core *core, enum ws_outcome outcome);
+void ws_store_health_update(struct ws_core *core, enum ws_outcome outcome);
 /* Returns true if the last store call failed, less than a quarter of a lease ago. */
-bool ws_store_refuses(const struct ws_core *core);
+bool ws_store_is_unavailable(const struct ws_core *core);
 /* Returns true if neither the store nor any peer has responded for some time. */
 bool ws_node_is_isolated(const struct ws_core *core);
 /* Probes the peers while store calls fail. */
@@ -86,7 +86,7 @@
  * becomes owns it. */
 struct ws_user_request *ws_user_request_new(uint64_t request_id, const char *id, bool forwarded);
 /* Detaches the request from a call, so that it can become the context of the next call. */
-struct ws_user_request *ws_user_request_take(struct ws_call *call);
+struct ws_user_request *ws_user_request_detach(struct ws_call *call);
 /* Reads the job's record, live or archived depending on the key prefix. The new call owns the
  * request. */
 void ws_job_record_get(struct ws_core *core, const char *prefix, struct ws_user_request *request,
@@ -100,7 +100,7 @@
 			   const struct ws_result *result, bool with_counts);
 /* Records a cancellation in the job status cache; called before it is confirmed to a user. Does
  * nothing for keys of archived jobs. */
-void ws_status_cache_note_cancelled(struct ws_core *core, const char *key, uint64_t revision);
+void ws_status_cache_mark_cancelled(struct ws_core *core, const char *key, uint64_t revision);
 
 /* ---- status_cache.c ---- */
 
@@ -114,21 +114,22 @@
 			   const struct ws_result *result);
 /* Returns the entry of a job, created if necessary and set to `revision`, for the caller to update.
  * Returns NULL if the cache already contains this revision or a later one. */
-struct ws_job_status *ws_status_cache_note(struct ws_core *core, const char *id, uint64_t revision);
+struct ws_job_status *ws_status_cache_put_newer(struct ws_core *core, const char *id,
+						uint64_t revision);
 
 /* ---- status_queries.c ---- */
 
 /* Answers the queries that waited for the refresh of the cache that ended with this outcome. */
 void ws_queries_answer(struct ws_core *core, enum ws_outcome outcome);
 /* Marks all waiting queries to be answered by the refresh of the cache that is being sent. */
-void ws_queries_await_check(struct ws_core *core);
+void ws_queries_mark_refresh_sent(struct ws_core *core);
 /* Makes all waiting queries wait for the next refresh, as the last one did not take place. */
-void ws_queries_await_next_check(struct ws_core *core);
+void ws_queries_clear_refresh_sent(struct ws_core *core);
 /* Forwards queries that have waited too long to a peer. */
 void ws_queries_expire(struct ws_core *core);
 /* Result handler of reading an archived job's record: answers the request with its status. */
-void ws_query_archived_read(struct ws_core *core, struct ws_call *call,
-			    const struct ws_result *result);
+void ws_query_archived_record_read(struct ws_core *core, struct ws_call *call,
+				   const struct ws_result *result);
 /* Frees the waiting queries and the cached final statuses when the core is freed. */
 void ws_queries_free(struct ws_core *core);
 
--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -17,7 +17,7 @@
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_OK) {
-		ws_status_cache_note_cancelled(core, call->transaction.compares[0].key,
+		ws_status_cache_mark_cancelled(core, call->transaction.compares[0].key,
 					       result->transaction.revision);
 		ws_user_answer(core, request->request_id, WS_ANSWER_OK, request->job,
 			       WS_JOB_CANCELLED);
@@ -25,8 +25,8 @@
 		    result->outcome == WS_OUTCOME_REJECTED) &&
 		   ++request->attempts < CANCEL_ATTEMPTS_MAX) {
 		/* the record has changed, or exceeds the current size limit: read it again */
-		request->record_split |= result->outcome == WS_OUTCOME_REJECTED;
-		ws_job_record_get(core, WS_KEY_PREFIX_JOB, ws_user_request_take(call),
+		request->must_split_record |= result->outcome == WS_OUTCOME_REJECTED;
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, ws_user_request_detach(call),
 				  ws_cancel_record_read);
 		return;
 	} else {
@@ -44,8 +44,8 @@
 	       original_size = ws_record_size(call->transaction.operations[0].value);
 	json_t **continuations = ws_alloc(continuations_max + 1, sizeof(*continuations));
 
-	ws_record_split_attempts(call->transaction.operations[0].value, ws_record_size_limit(core),
-				 continuations, continuations_max, &continuation_count);
+	ws_job_record_split(call->transaction.operations[0].value, ws_record_size_limit(core),
+			    continuations, continuations_max, &continuation_count);
 	for (size_t i = 0; i < continuation_count; i++) {
 		snprintf(call->transaction.operations[call->transaction.operation_count].key,
 			 WS_KEY_MAX, WS_KEY_PREFIX_JOB_CONTINUATION "%s/%zu", request->job, i);
@@ -67,12 +67,12 @@
 	struct ws_call *transaction;
 
 	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
-		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_take(call),
-				  ws_query_archived_read);
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_detach(call),
+				  ws_query_archived_record_read);
 		return;
 	}
 	if (result->outcome != WS_OUTCOME_OK || result->records.entry_count != 1 ||
-	    !ws_record_read_phase(result->records.entries[0].value, &phase, &done, &running)) {
+	    !ws_job_status_decode(result->records.entries[0].value, &phase, &done, &running)) {
 		ws_user_answer_unavailable(
 		    core, request->request_id, request->job, request->forwarded,
 		    result->outcome == WS_OUTCOME_OK ? WS_OUTCOME_OTHER : result->outcome);
@@ -80,19 +80,19 @@
 	}
 	if (phase == WS_JOB_DONE || phase == WS_JOB_CANCELLED) {
 		if (phase == WS_JOB_CANCELLED)
-			ws_status_cache_note_cancelled(core, call->read.key,
+			ws_status_cache_mark_cancelled(core, call->read.key,
 						       result->records.entries[0].revision);
 		ws_user_answer(core, request->request_id, WS_ANSWER_OK, request->job, phase);
 		return;
 	}
 	transaction = ws_call_new(core, WS_CALL_TRANSACTION, ws_cancel_written);
-	transaction->context = ws_user_request_take(call);
+	transaction->context = ws_user_request_detach(call);
 	ws_transaction_reserve(transaction, 1, (size_t)core->settings->transaction_ops);
 	ws_transaction_compare(transaction, call->read.key, result->records.entries[0].revision);
 	ws_transaction_set(transaction, call->read.key,
 			   json_deep_copy(result->records.entries[0].value));
-	ws_record_cancel(transaction->transaction.operations[0].value);
-	if (request->record_split)
+	ws_job_record_cancel(transaction->transaction.operations[0].value);
+	if (request->must_split_record)
 		ws_cancel_split_record(core, transaction);
 }
 
--- a/src/core/api/status_cache.c
+++ b/src/core/api/status_cache.c
@@ -24,7 +24,8 @@
 	return job_status;
 }
 
-struct ws_job_status *ws_status_cache_note(struct ws_core *core, const char *id, uint64_t revision)
+struct ws_job_status *ws_status_cache_put_newer(struct ws_core *core, const char *id,
+						uint64_t revision)
 {
 	struct ws_job_status *job_status;
 
@@ -59,7 +60,7 @@
 		return;
 	}
 	job_status = ws_status_cache_put(core, id, entry->revision);
-	if (!ws_record_read_phase(entry->value, &phase, &done, &running)) {
+	if (!ws_job_status_decode(entry->value, &phase, &done, &running)) {
 		/* the job exists, although its record is malformed */
 		job_status->phase = WS_JOB_QUEUED;
 		return;
@@ -94,7 +95,7 @@
 			ws_status_cache_apply_change(core, &result->records.entries[i]);
 	core->status_cache.revision =
 	    result->records.revision > cached_revision ? result->records.revision : cached_revision;
-	core->status_cache.fresh_at = core->now;
+	core->status_cache.refreshed_at = core->now;
 }
 
 static void ws_status_cache_refreshed(struct ws_core *core, struct ws_call *call,
@@ -102,7 +103,7 @@
 {
 	core->status_cache.request_in_flight = false;
 	if (result->outcome != WS_OUTCOME_RATE_LIMITED)
-		ws_store_answered(core, result->outcome);
+		ws_store_health_update(core, result->outcome);
 	if (result->outcome == WS_OUTCOME_OK) {
 		ws_job_watch_apply(core, call, result);
 		ws_queries_answer(core, WS_OUTCOME_OK);
@@ -110,7 +111,7 @@
 		/* the store no longer has all changes since the cache's revision: load it again */
 		ws_status_cache_clear(core);
 	} else if (result->outcome == WS_OUTCOME_RATE_LIMITED) {
-		ws_queries_await_next_check(core);
+		ws_queries_clear_refresh_sent(core);
 	} else {
 		ws_queries_answer(core, result->outcome);
 	}
@@ -155,7 +156,7 @@
 	}
 	core->status_cache.request_in_flight = false;
 	core->status_cache.complete = true;
-	core->status_cache.fresh_at = core->now;
+	core->status_cache.refreshed_at = core->now;
 }
 
 static void ws_status_cache_load(struct ws_core *core, const char *after)
@@ -179,13 +180,13 @@
 		return;
 	}
 	if (!core->status_queries.waiting &&
-	    core->now - core->status_cache.fresh_at < core->settings->lease_s / 4)
+	    core->now - core->status_cache.refreshed_at < core->settings->lease_s / 4)
 		return;
 	/* the refreshes of all nodes together use a quarter of the store's request rate limit */
 	core->status_cache.next_request_at =
 	    core->now + 4.0 * (double)(core->settings->peer_count + 1) / core->settings->store_rps;
 	core->status_cache.request_in_flight = true;
-	ws_queries_await_check(core);
+	ws_queries_mark_refresh_sent(core);
 	call = ws_call_new(core, WS_CALL_WATCH, ws_status_cache_refreshed);
 	snprintf(call->watch.prefix, sizeof(call->watch.prefix), WS_KEY_PREFIX_JOB);
 	call->watch.since_revision = core->status_cache.revision;
--- a/src/core/api/status_queries.c
+++ b/src/core/api/status_queries.c
@@ -36,7 +36,7 @@
 	uint32_t done, running;
 
 	HASH_FIND_STR(core->status_queries.final_statuses, id, final_status);
-	if (final_status || !ws_record_read_phase(value, &phase, &done, &running) ||
+	if (final_status || !ws_job_status_decode(value, &phase, &done, &running) ||
 	    (phase != WS_JOB_DONE && phase != WS_JOB_CANCELLED))
 		return;
 	if (HASH_COUNT(core->status_queries.final_statuses) >= WS_FINAL_STATUSES_MAX) {
@@ -55,8 +55,8 @@
 	HASH_ADD_STR(core->status_queries.final_statuses, id, final_status);
 }
 
-void ws_query_archived_read(struct ws_core *core, struct ws_call *call,
-			    const struct ws_result *result)
+void ws_query_archived_record_read(struct ws_core *core, struct ws_call *call,
+				   const struct ws_result *result)
 {
 	struct ws_user_request *request = call->context;
 
@@ -79,8 +79,8 @@
 
 	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
 		/* a job's record moves from job/ to old/ once and never back */
-		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_take(call),
-				  ws_query_archived_read);
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_detach(call),
+				  ws_query_archived_record_read);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_OK)
@@ -105,7 +105,7 @@
 		ws_job_record_get(core, WS_KEY_PREFIX_JOB, request, ws_query_live_read);
 	else
 		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, request,
-				  ws_query_archived_read);
+				  ws_query_archived_record_read);
 }
 
 void ws_queries_answer(struct ws_core *core, enum ws_outcome outcome)
@@ -148,7 +148,7 @@
 		}
 }
 
-void ws_queries_await_check(struct ws_core *core)
+void ws_queries_mark_refresh_sent(struct ws_core *core)
 {
 	struct ws_status_query *query;
 
@@ -156,7 +156,7 @@
 		query->refresh_sent = true;
 }
 
-void ws_queries_await_next_check(struct ws_core *core)
+void ws_queries_clear_refresh_sent(struct ws_core *core)
 {
 	struct ws_status_query *query;
 
@@ -178,7 +178,7 @@
 				      0, true);
 		return;
 	}
-	if (!forwarded && ws_store_refuses(core)) {
+	if (!forwarded && ws_store_is_unavailable(core)) {
 		ws_user_answer_unavailable(core, request_id, id, forwarded, WS_OUTCOME_UNAVAILABLE);
 		return;
 	}
--- a/src/core/api/store_health.c
+++ b/src/core/api/store_health.c
@@ -1,14 +1,14 @@
 /* Tracks whether the store and the peers respond to this node. */
 #include "../core_state.h"
 
-void ws_store_answered(struct ws_core *core, enum ws_outcome outcome)
+void ws_store_health_update(struct ws_core *core, enum ws_outcome outcome)
 {
 	if (outcome == WS_OUTCOME_UNAVAILABLE || outcome == WS_OUTCOME_NO_ANSWER) {
-		if (core->store_health.refused_at <= core->store_health.served_at)
-			core->store_health.refused_since = core->now;
-		core->store_health.refused_at = core->now;
+		if (core->store_health.last_failure_at <= core->store_health.last_success_at)
+			core->store_health.failing_since = core->now;
+		core->store_health.last_failure_at = core->now;
 	} else {
-		core->store_health.served_at = core->now;
+		core->store_health.last_success_at = core->now;
 	}
 }
 
@@ -21,10 +21,10 @@
 {
 	double isolation_delay_s = core->settings->lease_s / 8;
 
-	return core->settings->peer_count && core->store_health.served_at > 0 &&
-	       core->store_health.refused_at > core->store_health.served_at &&
-	       core->now - core->store_health.refused_since > isolation_delay_s &&
-	       core->now - core->store_health.peer_answered_at > isolation_delay_s;
+	return core->settings->peer_count && core->store_health.last_success_at > 0 &&
+	       core->store_health.last_failure_at > core->store_health.last_success_at &&
+	       core->now - core->store_health.failing_since > isolation_delay_s &&
+	       core->now - core->store_health.last_peer_response_at > isolation_delay_s;
 }
 
 static void ws_peer_answered(struct ws_core *core, struct ws_call *call,
@@ -32,12 +32,12 @@
 {
 	(void)call;
 	if (result->outcome != WS_OUTCOME_NO_ANSWER && result->outcome != WS_OUTCOME_NOT_SENT)
-		core->store_health.peer_answered_at = core->now;
+		core->store_health.last_peer_response_at = core->now;
 }
 
 void ws_peer_probe_tick(struct ws_core *core)
 {
-	if (core->store_health.refused_at <= core->store_health.served_at ||
+	if (core->store_health.last_failure_at <= core->store_health.last_success_at ||
 	    core->now < core->store_health.next_peer_probe_at)
 		return;
 	core->store_health.next_peer_probe_at = core->now + core->settings->lease_s / 32;
@@ -57,8 +57,8 @@
  * use up that time. This node keeps reading the leader key meanwhile, and so detects when the store
  * serves it again.
  */
-bool ws_store_refuses(const struct ws_core *core)
+bool ws_store_is_unavailable(const struct ws_core *core)
 {
-	return core->store_health.refused_at > core->store_health.served_at &&
-	       core->now - core->store_health.refused_at < core->settings->lease_s / 4;
+	return core->store_health.last_failure_at > core->store_health.last_success_at &&
+	       core->now - core->store_health.last_failure_at < core->settings->lease_s / 4;
 }
--- a/src/core/api/submission.c
+++ b/src/core/api/submission.c
@@ -66,7 +66,7 @@
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_NOT_FOUND) {
-		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_take(call),
+		ws_job_record_get(core, WS_KEY_PREFIX_ARCHIVED_JOB, ws_user_request_detach(call),
 				  ws_submit_archived_record_read);
 		return;
 	}
@@ -83,7 +83,7 @@
 	struct ws_user_request *request = call->context;
 
 	if (result->outcome == WS_OUTCOME_CONFLICT) {
-		ws_job_record_get(core, WS_KEY_PREFIX_JOB, ws_user_request_take(call),
+		ws_job_record_get(core, WS_KEY_PREFIX_JOB, ws_user_request_detach(call),
 				  ws_submit_live_record_read);
 		return;
 	}
@@ -115,7 +115,7 @@
 					   WS_OUTCOME_UNAVAILABLE);
 		return;
 	}
-	if (!forwarded && ws_store_refuses(core)) {
+	if (!forwarded && ws_store_is_unavailable(core)) {
 		ws_user_answer_unavailable(core, request_id, spec->id, forwarded,
 					   WS_OUTCOME_UNAVAILABLE);
 		return;
@@ -139,6 +139,6 @@
 	ws_transaction_reserve(call, 2, 1);
 	ws_transaction_compare(call, live_key, 0);
 	ws_transaction_compare(call, archived_key, 0);
-	ws_transaction_set(call, live_key, ws_record_spec(spec, WS_JOB_QUEUED, wall));
+	ws_transaction_set(call, live_key, ws_new_job_record_encode(spec, WS_JOB_QUEUED, wall));
 	ws_core_tick(core, now);
 }
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -44,7 +44,7 @@
 	return request;
 }
 
-struct ws_user_request *ws_user_request_take(struct ws_call *call)
+struct ws_user_request *ws_user_request_detach(struct ws_call *call)
 {
 	struct ws_user_request *request = call->context;
 
@@ -66,11 +66,11 @@
  * before that is confirmed to a user. A job with a record under old/ has no tasks left on any
  * machine, so it need not be listed.
  */
-void ws_status_cache_note_cancelled(struct ws_core *core, const char *key, uint64_t revision)
+void ws_status_cache_mark_cancelled(struct ws_core *core, const char *key, uint64_t revision)
 {
 	struct ws_job_status *job_status =
 	    ws_key_has_prefix(key, WS_KEY_PREFIX_JOB)
-		? ws_status_cache_note(core, key + strlen(WS_KEY_PREFIX_JOB), revision)
+		? ws_status_cache_put_newer(core, key + strlen(WS_KEY_PREFIX_JOB), revision)
 		: NULL;
 
 	if (job_status)
@@ -108,14 +108,14 @@
 	uint32_t done, running;
 
 	if (result->records.entry_count != 1 ||
-	    !ws_record_read_phase(result->records.entries[0].value, &phase, &done, &running)) {
+	    !ws_job_status_decode(result->records.entries[0].value, &phase, &done, &running)) {
 		ws_log(core, WS_LOG_ERROR, "job record cannot be decoded key=%s", call->read.key);
 		ws_user_answer(core, request->request_id, WS_ANSWER_UNAVAILABLE, request->job,
 			       WS_JOB_QUEUED);
 		return;
 	}
 	if (phase == WS_JOB_CANCELLED)
-		ws_status_cache_note_cancelled(core, call->read.key,
+		ws_status_cache_mark_cancelled(core, call->read.key,
 					       result->records.entries[0].revision);
 	ws_user_answer_status(core, request->request_id, request->job, phase, done, running,
 			      with_counts);
--- a/src/core/autoscaler/capacity_errors.c
+++ b/src/core/autoscaler/capacity_errors.c
@@ -80,7 +80,7 @@
 	if (!error || !ws_machine_was_healthy(core, machine))
 		return;
 	error->returned_since_error += 1;
-	if (error->returned_since_error > fleet_size / (2 * WS_SCALE_OUT_MAX))
+	if (error->returned_since_error > fleet_size / (2 * WS_SCALE_OUT_INSTANCES_MAX))
 		memset(error, 0, sizeof(*error));
 }
 
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -61,7 +61,7 @@
 {
 	const struct ws_autoscaler *autoscaler = &core->autoscaler;
 
-	return autoscaler->scale_in_due_count >= WS_SCALE_OUT_MAX ||
+	return autoscaler->scale_in_due_count >= WS_SCALE_OUT_INSTANCES_MAX ||
 	       (autoscaler->scale_in_due_count &&
 		core->now - autoscaler->scale_in_wait_start > core->settings->heartbeat_s);
 }
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -57,8 +57,8 @@
 	double names = (core->writer.value_bytes_max - RECORD_FIXED_BYTES) /
 		       (double)(name_bytes + NAME_OVERHEAD_BYTES);
 
-	if (names > WS_SCALE_OUT_MAX)
-		return WS_SCALE_OUT_MAX;
+	if (names > WS_SCALE_OUT_INSTANCES_MAX)
+		return WS_SCALE_OUT_INSTANCES_MAX;
 	return names < 1 ? 1 : (uint32_t)names;
 }
 
@@ -103,7 +103,7 @@
 	free(request->instances);
 	request->instance_count = 0;
 	request->instances = ws_alloc(result->instances.count + 1, sizeof(*request->instances));
-	for (size_t i = 0; i < result->instances.count && i < WS_SCALE_OUT_MAX; i++) {
+	for (size_t i = 0; i < result->instances.count && i < WS_SCALE_OUT_INSTANCES_MAX; i++) {
 		const char *name = result->instances.list[i].name;
 		struct ws_machine *machine = ws_machine_find_or_add(core, name);
 
--- a/src/core/autoscaler/scale_out_plan.c
+++ b/src/core/autoscaler/scale_out_plan.c
@@ -230,8 +230,8 @@
 static void ws_plan_pack(struct ws_core *core, struct ws_scale_out_plan *plan)
 {
 	struct ws_autoscaler *autoscaler = &core->autoscaler;
-	const int enough_units =
-	    2 * WS_SCALE_OUT_MAX + (plan->units_allowed > 0 ? (int)plan->units_allowed : 0);
+	const int enough_units = 2 * WS_SCALE_OUT_INSTANCES_MAX +
+				 (plan->units_allowed > 0 ? (int)plan->units_allowed : 0);
 
 	for (size_t i = 0; i < core->scheduler.unmet_count; i++) {
 		const struct ws_unmet_demand *demand = &core->scheduler.unmet_demand[i];
--- a/src/core/catalog/machine_type_records.c
+++ b/src/core/catalog/machine_type_records.c
@@ -8,7 +8,7 @@
 
 	if (core->catalog.types_recorded || !core->catalog.type_count)
 		return;
-	value = ws_record_types(core->catalog.types, core->catalog.type_count);
+	value = ws_machine_types_encode(core->catalog.types, core->catalog.type_count);
 	if ((double)ws_record_size(value) < core->writer.value_bytes_max) {
 		ws_write_batch_set(batch, WS_KEY_MACHINE_TYPES, value);
 		return;
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -13,7 +13,7 @@
 	if (result->outcome == WS_OUTCOME_OK && result->records.entry_count == 1 &&
 	    !core->catalog.type_count)
 		core->catalog.type_count =
-		    ws_record_read_types(result->records.entries[0].value, core->catalog.types);
+		    ws_machine_types_decode(result->records.entries[0].value, core->catalog.types);
 	core->catalog.types_version++;
 	if (!core->catalog.type_count)
 		core->catalog.next_request_at = core->now + core->settings->heartbeat_s / 2;
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -81,7 +81,7 @@
 	if (now > core->now)
 		core->now = now;
 	if (call->kind <= WS_CALL_SESSION_CLOSE && call->kind != WS_CALL_WATCH)
-		ws_store_answered(core, result->outcome);
+		ws_store_health_update(core, result->outcome);
 	call->on_result(core, call, result);
 	ws_call_free(call);
 	ws_core_tick(core, now);
@@ -170,7 +170,7 @@
 	core->now = now;
 	core->nonce = nonce;
 	ws_writer_reset(core);
-	core->store_health.served_at = core->store_health.refused_at = -1e9;
+	core->store_health.last_success_at = core->store_health.last_failure_at = -1e9;
 	ws_leadership_init(core);
 	if (core->policy.rental_ceiling < 0)
 		core->policy.rental_ceiling =
@@ -195,7 +195,7 @@
 			ws_call_free(effect->call);
 		ws_effect_free(effect);
 	}
-	ws_requests_free(core);
+	ws_api_free(core);
 	ws_subsystems_free(core);
 	free(core->fleet.commands);
 	free(core->scheduler.scratch);
@@ -204,7 +204,7 @@
 
 bool ws_core_is_ready(const struct ws_core *core)
 {
-	return core->catalog.type_count > 0 && core->store_health.served_at > 0 &&
+	return core->catalog.type_count > 0 && core->store_health.last_success_at > 0 &&
 	       !ws_node_is_isolated(core);
 }
 
@@ -226,7 +226,7 @@
 	if (core->now - core->last_tick_at > core->settings->heartbeat_s / 4)
 		core->resumed_at = core->now;
 	core->last_tick_at = core->now;
-	ws_requests_tick(core);
+	ws_api_tick(core);
 	if (ws_leadership_tick(core))
 		ws_job_watch_tick(core);
 	if (core->leadership.role == WS_LEADER) {
--- a/src/core/fleet/image_cache.c
+++ b/src/core/fleet/image_cache.c
@@ -15,7 +15,7 @@
 
 	while (position < machine->image_cache_count && machine->image_cache[position] != image)
 		position++;
-	if (position < machine->image_cache_count && position < WS_CACHE_KEPT) {
+	if (position < machine->image_cache_count && position < WS_RECORD_IMAGES_MAX) {
 		ws_image_cache_put_first(machine, image, position);
 		return;
 	}
--- a/src/core/fleet/machine_shards.c
+++ b/src/core/fleet/machine_shards.c
@@ -68,8 +68,9 @@
 	    .incarnation = machine->incarnation,
 	};
 
-	record.image_count =
-	    machine->image_cache_count < WS_CACHE_KEPT ? machine->image_cache_count : WS_CACHE_KEPT;
+	record.image_count = machine->image_cache_count < WS_RECORD_IMAGES_MAX
+				 ? machine->image_cache_count
+				 : WS_RECORD_IMAGES_MAX;
 	memcpy(record.images, machine->image_cache,
 	       (size_t)record.image_count * sizeof(record.images[0]));
 	return record;
@@ -120,8 +121,8 @@
 	machine->port = record->port;
 	if (record->incarnation > machine->incarnation)
 		machine->incarnation = record->incarnation;
-	for (int i = 0; i < record->image_count && machine->image_cache_count < WS_CACHE_KEPT;
-	     i++) {
+	for (int i = 0;
+	     i < record->image_count && machine->image_cache_count < WS_RECORD_IMAGES_MAX; i++) {
 		const char *image = shard->image_names[record->images[i]];
 
 		machine->image_cache[machine->image_cache_count++] = ws_image_index(core, image);
--- a/src/core/fleet/restored_attempts.c
+++ b/src/core/fleet/restored_attempts.c
@@ -40,7 +40,7 @@
 void ws_attempts_restore(struct ws_core *core, const char *job_id, json_t *record)
 {
 	struct ws_recorded_attempt *attempts;
-	size_t count = ws_record_read_attempts(record, &attempts);
+	size_t count = ws_attempt_list_decode(record, &attempts);
 
 	for (size_t i = 0; i < count; i++)
 		ws_attempt_restore(core, job_id, &attempts[i]);
--- a/src/core/jobs/job_records.c
+++ b/src/core/jobs/job_records.c
@@ -85,7 +85,7 @@
 	char key[WS_KEY_MAX];
 
 	snprintf(key, sizeof(key), "%s%s", WS_KEY_PREFIX_ARCHIVED_JOB, job->spec.id);
-	ws_write_batch_set_if(batch, key, 0, ws_record_final(job));
+	ws_write_batch_set_if(batch, key, 0, ws_archived_job_record_encode(job));
 	snprintf(key, sizeof(key), "%s%s", WS_KEY_PREFIX_JOB, job->spec.id);
 	ws_write_batch_set_if(batch, key, job->record.revision, NULL);
 	/* those that do not fit into this transaction are deleted by the next leader as orphaned */
--- a/src/core/jobs/jobs.c
+++ b/src/core/jobs/jobs.c
@@ -149,8 +149,8 @@
 	job->record.revision = revision;
 	job->record.compare_failed = false;
 	ws_writer_wake(core);
-	job->record.continuation_count = ws_record_continuation_count(value);
-	if (!ws_record_read_phase(value, &phase, &done, &running))
+	job->record.continuation_count = ws_job_record_continuation_count(value);
+	if (!ws_job_status_decode(value, &phase, &done, &running))
 		return;
 	if (phase != WS_JOB_CANCELLED)
 		return;
@@ -168,12 +168,12 @@
 static struct ws_job *ws_job_decode(struct ws_core *core, const char *id, json_t *value,
 				    uint64_t revision)
 {
-	struct ws_job *job = ws_record_read_job(id, value);
+	struct ws_job *job = ws_job_record_decode(id, value);
 
 	if (!job)
 		return NULL;
 	job->record.revision = revision;
-	job->record.continuation_count = ws_record_continuation_count(value);
+	job->record.continuation_count = ws_job_record_continuation_count(value);
 	job->team = ws_team_find(core, job->spec.team);
 	job->pinned_zone = ws_zone_index(core, job->spec.zone);
 	job->image_index = ws_image_index(core, job->spec.image);
--- a/src/core/leadership/election.c
+++ b/src/core/leadership/election.c
@@ -85,7 +85,7 @@
 
 static void ws_leader_changed(struct ws_core *core, json_t *value, uint64_t revision)
 {
-	const char *node = value ? ws_record_leader_node(value) : NULL;
+	const char *node = value ? ws_leader_record_node(value) : NULL;
 
 	if (strcmp(core->leadership.leader_node, node ? node : ""))
 		ws_log(core, WS_LOG_INFO, "leader changed leader=%s", node ? node : "none");
--- a/src/core/records/attempt_list.c
+++ b/src/core/records/attempt_list.c
@@ -304,7 +304,7 @@
 	}
 }
 
-size_t ws_record_read_attempts(json_t *record, struct ws_recorded_attempt **list)
+size_t ws_attempt_list_decode(json_t *record, struct ws_recorded_attempt **list)
 {
 	struct ws_decoded_attempts decoded = {0};
 	json_t *entry;
--- a/src/core/records/continuation_record.c
+++ b/src/core/records/continuation_record.c
@@ -109,13 +109,13 @@
 	}
 }
 
-void ws_record_split_attempts(json_t *record, size_t limit, json_t **continuations,
-			      size_t continuations_max, size_t *count)
+void ws_job_record_split(json_t *record, size_t limit, json_t **continuations,
+			 size_t continuations_max, size_t *count)
 {
 	struct ws_record_splitter splitter = {.limit = limit};
 	json_t *filled = record;
 
-	splitter.count = ws_record_read_attempts(record, &splitter.attempts);
+	splitter.count = ws_attempt_list_decode(record, &splitter.attempts);
 	splitter.shared_prefix =
 	    ws_recorded_attempts_shared_prefix(splitter.attempts, splitter.count);
 	*count = 0;
@@ -137,7 +137,7 @@
 	free(splitter.attempts);
 }
 
-uint32_t ws_record_continuation_count(json_t *record)
+uint32_t ws_job_record_continuation_count(json_t *record)
 {
 	return (uint32_t)json_integer_value(json_object_get(record, WS_FIELD_CONTINUATIONS));
 }
--- a/src/core/records/job_record.c
+++ b/src/core/records/job_record.c
@@ -33,8 +33,8 @@
 	       (spec->gang ? WS_PLACEMENT_GANG : 0);
 }
 
-json_t *ws_record_spec(const struct ws_job_spec *spec, enum ws_job_phase phase,
-		       double submitted_at_wall)
+json_t *ws_new_job_record_encode(const struct ws_job_spec *spec, enum ws_job_phase phase,
+				 double submitted_at_wall)
 {
 	json_t *record = json_pack(
 	    "{s:s,s:f,s:s,s:s,s:b,s:i,s:I,s:f,s:f,s:f,s:s,s:f}", WS_FIELD_PHASE, phase_names[phase],
@@ -92,7 +92,7 @@
 
 json_t *ws_job_record_encode(const struct ws_job *job, int zone_count, size_t limit)
 {
-	json_t *record = ws_record_spec(&job->spec, job->phase, job->submitted_at_wall);
+	json_t *record = ws_new_job_record_encode(&job->spec, job->phase, job->submitted_at_wall);
 	size_t size;
 
 	json_object_set_new(record, WS_FIELD_ATTEMPTS, ws_attempt_list_encode(job, zone_count));
@@ -109,14 +109,14 @@
 	return record;
 }
 
-json_t *ws_record_final(const struct ws_job *job)
+json_t *ws_archived_job_record_encode(const struct ws_job *job)
 {
 	return json_pack("{s:s,s:I,s:i}", WS_FIELD_PHASE, phase_names[job->phase],
 			 WS_FIELD_COMPLETED_COUNT, (json_int_t)job->done_count,
 			 WS_FIELD_ATTEMPT_COUNT, 0);
 }
 
-bool ws_record_cancel(json_t *record)
+bool ws_job_record_cancel(json_t *record)
 {
 	return json_object_set_new(record, WS_FIELD_PHASE,
 				   json_string(phase_names[WS_JOB_CANCELLED])) == 0;
@@ -204,7 +204,7 @@
 	}
 }
 
-struct ws_job *ws_record_read_job(const char *id, json_t *record)
+struct ws_job *ws_job_record_decode(const char *id, json_t *record)
 {
 	struct ws_job *job = calloc(1, sizeof(*job));
 	struct ws_job_fields fields;
@@ -223,7 +223,7 @@
 	return job;
 }
 
-bool ws_record_read_phase(json_t *record, enum ws_job_phase *phase, uint32_t *done,
+bool ws_job_status_decode(json_t *record, enum ws_job_phase *phase, uint32_t *done,
 			  uint32_t *running)
 {
 	json_int_t completed = 0, attempts = 0;
--- a/src/core/records/leader_record.c
+++ b/src/core/records/leader_record.c
@@ -17,7 +17,7 @@
 	return record->node ? WS_RECORD_DECODED : WS_RECORD_MALFORMED;
 }
 
-const char *ws_record_leader_node(json_t *value)
+const char *ws_leader_record_node(json_t *value)
 {
 	struct ws_leader_record record;
 
--- a/src/core/records/machine_shard_record.c
+++ b/src/core/records/machine_shard_record.c
@@ -104,7 +104,7 @@
 		size_t index = (size_t)json_integer_value(value);
 
 		if (index < record->image_name_count && record->image_names[index] &&
-		    machine->image_count < WS_CACHE_KEPT)
+		    machine->image_count < WS_RECORD_IMAGES_MAX)
 			machine->images[machine->image_count++] = (int)index;
 	}
 }
--- a/src/core/records/machine_type_record.c
+++ b/src/core/records/machine_type_record.c
@@ -11,7 +11,7 @@
 #include "text_builder.h"
 #include <string.h>
 
-json_t *ws_record_types(const struct ws_machine_type *types, size_t count)
+json_t *ws_machine_types_encode(const struct ws_machine_type *types, size_t count)
 {
 	json_t *record = json_array();
 
@@ -46,7 +46,7 @@
 	return WS_RECORD_DECODED;
 }
 
-size_t ws_record_read_types(json_t *record, struct ws_machine_type *types)
+size_t ws_machine_types_decode(json_t *record, struct ws_machine_type *types)
 {
 	size_t count = 0, i;
 	json_t *value;
--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -45,9 +45,9 @@
  * number. */
 #define WS_ATTEMPT_SHIFT 24
 /* Largest number of cached images that a shard's record lists for one machine. */
-#define WS_CACHE_KEPT 12
+#define WS_RECORD_IMAGES_MAX 12
 /* Largest number of instances of one scale-out request. */
-#define WS_SCALE_OUT_MAX 50
+#define WS_SCALE_OUT_INSTANCES_MAX 50
 
 struct ws_attempt;
 struct ws_job;
@@ -66,8 +66,8 @@
 
 /* Encodes a new job's record, which has a description but no attempts or completed tasks.
  * `submitted_at_wall` is the wall-clock time of its submission, in seconds. */
-json_t *ws_record_spec(const struct ws_job_spec *spec, enum ws_job_phase phase,
-		       double submitted_at_wall);
+json_t *ws_new_job_record_encode(const struct ws_job_spec *spec, enum ws_job_phase phase,
+				 double submitted_at_wall);
 
 /*
  * Encodes a live job's record of at most `limit` bytes: its description, the attempts that may
@@ -80,19 +80,19 @@
 
 /* Decodes a job's record, except for its attempts. Returns NULL if the record is malformed or out
  * of range, or if memory is exhausted. The caller frees the job and its tasks. */
-struct ws_job *ws_record_read_job(const char *id, json_t *record);
+struct ws_job *ws_job_record_decode(const char *id, json_t *record);
 
 /* Encodes the record of an archived job. */
-json_t *ws_record_final(const struct ws_job *job);
+json_t *ws_archived_job_record_encode(const struct ws_job *job);
 
 /* Decodes the phase and the task counts, which answer status queries, from the record of a live or
  * an archived job. Returns false if the phase is missing or unknown, or a count is malformed. */
-bool ws_record_read_phase(json_t *record, enum ws_job_phase *phase, uint32_t *done,
+bool ws_job_status_decode(json_t *record, enum ws_job_phase *phase, uint32_t *done,
 			  uint32_t *running);
 
 /* Sets the phase in a live job's record to cancelled. Returns false if the record could not be
  * changed. */
-bool ws_record_cancel(json_t *record);
+bool ws_job_record_cancel(json_t *record);
 
 /* ---- attempt_list.c: the attempts in a job's record or a continuation record ---- */
 
@@ -105,7 +105,7 @@
 
 /* Decodes the attempts in a record, skipping malformed parts of the list. Returns their number. The
  * caller frees the list. */
-size_t ws_record_read_attempts(json_t *record, struct ws_recorded_attempt **list);
+size_t ws_attempt_list_decode(json_t *record, struct ws_recorded_attempt **list);
 
 /*
  * Returns an upper bound on the bytes that an attempt adds to its job's record. `previous` is the
@@ -124,11 +124,11 @@
  * The completed tasks are removed from the record. Attempts that do not fit into any of these
  * records are not recorded any more.
  */
-void ws_record_split_attempts(json_t *record, size_t limit, json_t **continuations,
-			      size_t continuations_max, size_t *count);
+void ws_job_record_split(json_t *record, size_t limit, json_t **continuations,
+			 size_t continuations_max, size_t *count);
 
 /* Returns the number of continuation records that belong to a job's record. */
-uint32_t ws_record_continuation_count(json_t *record);
+uint32_t ws_job_record_continuation_count(json_t *record);
 
 /* ---- machine_shard_record.c: fleet/<n> ---- */
 
@@ -138,7 +138,7 @@
 	int port;
 	bool preemptible;
 	uint64_t incarnation;
-	int images[WS_CACHE_KEPT]; /* indices into image_names, newest first */
+	int images[WS_RECORD_IMAGES_MAX]; /* indices into image_names, newest first */
 	int image_count;
 };
 
@@ -168,7 +168,7 @@
 	bool preemptible;
 	uint32_t count; /* number of requested instances */
 	bool acquired;	/* the cloud has confirmed the request and started the instances below */
-	const char *instances[WS_SCALE_OUT_MAX];
+	const char *instances[WS_SCALE_OUT_INSTANCES_MAX];
 	uint32_t instance_count;
 };
 
@@ -196,13 +196,13 @@
 
 /* Returns the name of the node in a leader's record, or NULL if the record is malformed. The string
  * is owned by `value`. */
-const char *ws_record_leader_node(json_t *value);
+const char *ws_leader_record_node(json_t *value);
 
 /* ---- machine_type_record.c: types ---- */
 
 /* Encodes the record of all machine types. */
-json_t *ws_record_types(const struct ws_machine_type *types, size_t count);
+json_t *ws_machine_types_encode(const struct ws_machine_type *types, size_t count);
 
 /* Decodes up to WS_MAX_TYPES machine types, leaving out malformed ones. Returns their number. */
-size_t ws_record_read_types(json_t *record, struct ws_machine_type *types);
+size_t ws_machine_types_decode(json_t *record, struct ws_machine_type *types);
 #endif
--- a/src/core/records/scale_out_record.c
+++ b/src/core/records/scale_out_record.c
@@ -27,7 +27,8 @@
 			WS_FIELD_INSTANCE_COUNT, &count, WS_FIELD_ACQUIRED, &acquired,
 			WS_FIELD_INSTANCES, &instances))
 		return WS_RECORD_MALFORMED;
-	if (count < 1 || count > WS_SCALE_OUT_MAX || json_array_size(instances) > WS_SCALE_OUT_MAX)
+	if (count < 1 || count > WS_SCALE_OUT_INSTANCES_MAX ||
+	    json_array_size(instances) > WS_SCALE_OUT_INSTANCES_MAX)
 		return WS_RECORD_OUT_OF_RANGE;
 	record->preemptible = preemptible;
 	record->count = (uint32_t)count;
--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -180,7 +180,7 @@
 	struct ws_policy policy;
 	struct ws_core *core;
 	const struct ws_job *job;
-	json_t *record = ws_record_spec(&spec, WS_JOB_QUEUED, 0);
+	json_t *record = ws_new_job_record_encode(&spec, WS_JOB_QUEUED, 0);
 
 	ws_policy_defaults(&policy);
 	core = ws_core_new(&platform, &policy, NULL, 0, 1);
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -105,7 +105,7 @@
 static void read_jobs(void)
 {
 	json_t *value = json_loads(array_job, 0, NULL);
-	struct ws_job *job = ws_record_read_job("job-000001", value);
+	struct ws_job *job = ws_job_record_decode("job-000001", value);
 	struct ws_recorded_attempt *recorded;
 	size_t count;
 
@@ -115,7 +115,7 @@
 		  job->done_count == 21 && job->tasks[33].recorded && !job->tasks[20].done &&
 		  job->spec.allows_preemptible && !job->spec.gang && job->spec.type_count == 2 &&
 		  job->spec.deadline_s == 133);
-	count = ws_record_read_attempts(value, &recorded);
+	count = ws_attempt_list_decode(value, &recorded);
 	check("all its attempts", count == 12);
 	check("a range", assigned(recorded, count, "n-000031", 21, (41ULL << 24) + 5, 1));
 	check("a list", assigned(recorded, count, "n-000031", 30, (41ULL << 24) + 5, 1));
@@ -124,22 +124,22 @@
 	check("a tenure", assigned(recorded, count, "n-000040", 24, (41ULL << 24) + 9, 2));
 	check("another term", assigned(recorded, count, "n-000091", 31, (57ULL << 24) + 1, 1));
 	free(recorded);
-	check("withdrawn, and still readable for it", ws_record_cancel(value) &&
-							  old_reads_job(value) &&
-							  ws_record_continuation_count(value) == 0);
+	check("withdrawn, and still readable for it",
+	      ws_job_record_cancel(value) && old_reads_job(value) &&
+		  ws_job_record_continuation_count(value) == 0);
 	json_decref(value);
 	if (job) {
 		free(job->tasks);
 		free(job);
 	}
 	value = json_loads(gang_job, 0, NULL);
-	job = ws_record_read_job("job-000002", value);
+	job = ws_job_record_decode("job-000002", value);
 	check("a gang's record reads", job && job->spec.gang && job->spec.one_zone &&
 					   !job->spec.spread && job->phase == WS_JOB_QUEUED &&
 					   job->spec.checkpoint_interval_s == 20 &&
 					   !strcmp(job->spec.zone, "huye"));
 	json_decref(value);
-	value = job ? ws_record_spec(&job->spec, WS_JOB_QUEUED, 1.5) : NULL;
+	value = job ? ws_new_job_record_encode(&job->spec, WS_JOB_QUEUED, 1.5) : NULL;
 	check("and is written as production reads it", value && old_reads_job(value));
 	json_object_del(value, "fl");
 	check("the statement sees a missing field", value && !old_reads_job(value));
@@ -164,20 +164,20 @@
 	json_object_set_new(value, "n", json_integer(400));
 	json_object_set_new(value, "p", json_pack("[[i,s,s,s]]", 41, "huye", "n-000", text));
 	check("a large record of production reads",
-	      ws_record_read_attempts(value, &recorded) == 400);
+	      ws_attempt_list_decode(value, &recorded) == 400);
 	free(recorded);
-	ws_record_cancel(value);
-	ws_record_split_attempts(value, 2000, pieces, 7, &count);
+	ws_job_record_cancel(value);
+	ws_job_record_split(value, 2000, pieces, 7, &count);
 	check("it is split",
-	      count >= 1 && count <= 3 && ws_record_continuation_count(value) == count);
+	      count >= 1 && count <= 3 && ws_job_record_continuation_count(value) == count);
 	check("its own record fits and reads",
 	      ws_record_size(value) <= 2000 && old_reads_job(value));
-	total = ws_record_read_attempts(value, &recorded);
+	total = ws_attempt_list_decode(value, &recorded);
 	check("the first attempt is in it",
 	      assigned(recorded, total, "n-000000", 0, (41ULL << 24) + 7, 1));
 	free(recorded);
 	for (size_t i = 0; i < count; i++) {
-		size_t found = ws_record_read_attempts(pieces[i], &recorded);
+		size_t found = ws_attempt_list_decode(pieces[i], &recorded);
 
 		check("a piece fits", ws_record_size(pieces[i]) <= 2000);
 		if (i + 1 == count)
@@ -220,9 +220,9 @@
 	json_decref(written);
 	free(request.instances);
 	value = json_loads(old_types, 0, NULL);
-	check("types read", ws_record_read_types(value, type) == 1 && type[0].cpus == 16 &&
+	check("types read", ws_machine_types_decode(value, type) == 1 && type[0].cpus == 16 &&
 				!strcmp(type[0].zones[0], "huye"));
-	written = ws_record_types(type, 1);
+	written = ws_machine_types_encode(type, 1);
 	check("and are written alike", json_equal(value, written));
 	json_decref(value);
 	json_decref(written);
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -163,7 +163,7 @@
 	HASH_FIND_STR(sim->entries, "leader", entry);
 	if (!entry || entry->revision == sim->last_leader_revision)
 		return false;
-	leader = ws_record_leader_node(entry->value);
+	leader = ws_leader_record_node(entry->value);
 	for (int i = 0; i < sim->node_count; i++) {
 		const struct sim_node *node = &sim->nodes[i];
 
--- a/tests/stored_records_test.c
+++ b/tests/stored_records_test.c
@@ -108,9 +108,9 @@
 static bool decode_job(struct decoded_job *decoded, const struct stored_record *record)
 {
 	struct ws_recorded_attempt *list;
-	size_t count = ws_record_read_attempts(record->value, &list);
+	size_t count = ws_attempt_list_decode(record->value, &list);
 
-	decoded->job = ws_record_read_job(record->key + strlen(WS_KEY_PREFIX_JOB), record->value);
+	decoded->job = ws_job_record_decode(record->key + strlen(WS_KEY_PREFIX_JOB), record->value);
 	for (size_t i = 0; decoded->job && i < count && i < FIXTURE_ATTEMPTS_MAX; i++) {
 		struct ws_attempt *attempt = &decoded->attempts[i];
 
@@ -137,10 +137,11 @@
 
 	if (same)
 		same = same_bytes(
-		    record, has_attempts ? ws_job_record_encode(decoded->job, decoded->zone_count,
-								FIXTURE_LIMIT)
-					 : ws_record_spec(&decoded->job->spec, decoded->job->phase,
-							  decoded->job->submitted_at_wall));
+		    record,
+		    has_attempts
+			? ws_job_record_encode(decoded->job, decoded->zone_count, FIXTURE_LIMIT)
+			: ws_new_job_record_encode(&decoded->job->spec, decoded->job->phase,
+						   decoded->job->submitted_at_wall));
 	if (decoded && decoded->job) {
 		free(decoded->job->tasks);
 		free(decoded->job);
@@ -157,9 +158,9 @@
 	size_t count;
 	bool same;
 
-	ws_record_cancel(record);
-	ws_record_split_attempts(record, FIXTURE_SPLIT_LIMIT, continuations, MOST, &count);
-	same = count && ws_record_continuation_count(before[1].value) == count;
+	ws_job_record_cancel(record);
+	ws_job_record_split(record, FIXTURE_SPLIT_LIMIT, continuations, MOST, &count);
+	same = count && ws_job_record_continuation_count(before[1].value) == count;
 	same &= same_bytes(&before[1], record);
 	for (size_t i = 0; i < count; i++)
 		same &= same_bytes(&before[2 + i], continuations[i]);
@@ -171,8 +172,8 @@
 	struct ws_job job = {0};
 	uint32_t running;
 
-	return ws_record_read_phase(record->value, &job.phase, &job.done_count, &running) &&
-	       !running && same_bytes(record, ws_record_final(&job));
+	return ws_job_status_decode(record->value, &job.phase, &job.done_count, &running) &&
+	       !running && same_bytes(record, ws_archived_job_record_encode(&job));
 }
 
 static bool shard_keeps_bytes(const struct stored_record *record)
@@ -206,9 +207,9 @@
 static bool types_keep_bytes(const struct stored_record *record)
 {
 	struct ws_machine_type types[WS_MAX_TYPES];
-	size_t count = ws_record_read_types(record->value, types);
+	size_t count = ws_machine_types_decode(record->value, types);
 
-	return same_bytes(record, ws_record_types(types, count));
+	return same_bytes(record, ws_machine_types_encode(types, count));
 }
 
 static bool has_prefix(const struct stored_record *record, const char *prefix)
@@ -220,8 +221,9 @@
 static bool keeps_bytes(const struct stored_record *record)
 {
 	if (has_prefix(record, WS_KEY_PREFIX_JOB))
-		return ws_record_continuation_count(record->value) ? split_keeps_bytes(record - 1)
-								   : job_keeps_bytes(record);
+		return ws_job_record_continuation_count(record->value)
+			   ? split_keeps_bytes(record - 1)
+			   : job_keeps_bytes(record);
 	if (has_prefix(record, WS_KEY_PREFIX_ARCHIVED_JOB))
 		return archived_job_keeps_bytes(record);
 	if (has_prefix(record, WS_KEY_PREFIX_MACHINE_SHARD))
@@ -230,7 +232,7 @@
 		return scale_out_keeps_bytes(record);
 	if (has_prefix(record, WS_KEY_PREFIX_JOB_CONTINUATION)) {
 		struct ws_recorded_attempt *list;
-		size_t count = ws_record_read_attempts(record->value, &list);
+		size_t count = ws_attempt_list_decode(record->value, &list);
 
 		free(list);
 		return count > 0;
