--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -10,17 +10,17 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define HEAD_MAX (WS_PATH_MAX + 256)
-/* No deadline: later than all that are. */
-#define NEVER 1e18
-/* Timers end this much after the moment they are for. */
+#define REQUEST_HEAD_MAX (WS_PATH_MAX + 256)
+/* Later than every deadline. */
+#define NO_DEADLINE 1e18
+/* Added to timers, so that the deadline has passed when they fire. */
 #define TIMER_SLACK_S 0.001
 
-/* Outcomes without an answer; see ws_reply_fn. */
+/* Statuses of requests without a reply; see ws_reply_fn. */
 enum { STATUS_UNKNOWN = 0, STATUS_NOT_SENT = -1 };
 
 struct request {
-	char *text;
+	char *bytes;
 	size_t length;
 	double deadline;
 	ws_reply_fn on_reply;
@@ -32,15 +32,15 @@
 	struct ws_http_client *client;
 	int fd;
 	bool connected;
-	bool close_after; /* the reply */
-	bool complete;	  /* the reply */
-	bool failed;
+	bool close_after_reply; /* close the connection after the reply */
+	bool reply_complete;	/* the whole reply was received */
+	bool send_failed;	/* sending the request failed */
 	ev_io readable, writable;
 	http_parser parser;
 	struct ws_buffer body;
-	size_t sent;		 /* of the request */
+	size_t sent;		 /* bytes of the request already sent */
 	struct request *request; /* NULL: idle */
-	double used;
+	double last_used;	 /* time of the last reply */
 	struct connection *next;
 };
 
@@ -50,27 +50,27 @@
 	struct ws_http_client_options options;
 	struct connection *connections;
 	int count;
-	struct request *first, *last; /* the queue */
+	struct request *first, *last; /* the queue of requests not yet started */
 	int queued;
-	double tokens, tokens_at; /* the rate limit's bucket */
-	double used;
+	double tokens, tokens_refilled; /* token bucket of the rate limit, and its last refill */
+	double last_used;		/* time of the last ws_client_send() */
 	ev_timer timer;
-	bool pumping;
+	bool starting_queued;
 };
 
-static void pump(struct ws_http_client *client);
+static void start_queued(struct ws_http_client *client);
 
-static void finish(struct request *request, int status, const char *body, size_t length)
+static void complete_request(struct request *request, int status, const char *body, size_t length)
 {
 	request->on_reply(request->context, status, body, length);
-	free(request->text);
+	free(request->bytes);
 	free(request);
 }
 
-/* ---- the end of a connection ---- */
+/* ---- closing connections ---- */
 
-/* Frees a connection that is not in the client's list; its request stays. */
-static void release(struct connection *connection)
+/* Closes and frees a connection that is no longer in the client's list. Its request is kept. */
+static void free_connection(struct connection *connection)
 {
 	struct ws_http_client *client = connection->client;
 
@@ -89,28 +89,28 @@
 	while (*link != connection)
 		link = &(*link)->next;
 	*link = connection->next;
-	release(connection);
+	free_connection(connection);
 }
 
-static void fail(struct connection *connection)
+static void fail_connection(struct connection *connection)
 {
 	struct request *request = connection->request;
 	bool sent = connection->connected && connection->sent > 0;
 
 	remove_connection(connection);
 	if (request)
-		finish(request, sent ? STATUS_UNKNOWN : STATUS_NOT_SENT, "", 0);
+		complete_request(request, sent ? STATUS_UNKNOWN : STATUS_NOT_SENT, "", 0);
 }
 
-static void fail_and_pump(struct connection *connection)
+static void fail_and_start_queued(struct connection *connection)
 {
 	struct ws_http_client *client = connection->client;
 
-	fail(connection);
-	pump(client);
+	fail_connection(connection);
+	start_queued(client);
 }
 
-/* ---- the parser's callbacks ---- */
+/* ---- parser callbacks ---- */
 
 static int on_body(http_parser *parser, const char *bytes, size_t length)
 {
@@ -125,8 +125,8 @@
 {
 	struct connection *connection = parser->data;
 
-	connection->complete = true;
-	connection->close_after = !http_should_keep_alive(parser);
+	connection->reply_complete = true;
+	connection->close_after_reply = !http_should_keep_alive(parser);
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -144,7 +144,7 @@
 	struct ev_loop *loop = connection->client->loop;
 
 	while (request && connection->sent < request->length) {
-		ssize_t count = send(connection->fd, request->text + connection->sent,
+		ssize_t count = send(connection->fd, request->bytes + connection->sent,
 				     request->length - connection->sent, MSG_NOSIGNAL);
 
 		if (count < 0 && errno == EINTR)
@@ -154,7 +154,7 @@
 			return;
 		}
 		if (count <= 0) {
-			connection->failed = true;
+			connection->send_failed = true;
 			return;
 		}
 		connection->sent += (size_t)count;
@@ -169,32 +169,34 @@
 	(void)events;
 	if (!connection->connected) {
 		if (!ws_socket_connected(connection->fd)) {
-			fail_and_pump(connection);
+			fail_and_start_queued(connection);
 			return;
 		}
 		connection->connected = true;
 		ev_io_start(loop, &connection->readable);
 	}
 	write_request(connection);
-	if (connection->failed)
-		fail_and_pump(connection);
+	if (connection->send_failed)
+		fail_and_start_queued(connection);
 }
 
 /* ---- receiving ---- */
 
-/* Takes in what recv() gave; false: it is no reply, or ended within one. */
-static bool parse(struct connection *connection, const char *bytes, ssize_t count)
+/* Parses the result of recv(). Returns false if the data is no valid reply, or if the connection
+ * ended before the reply was complete. */
+static bool parse_reply(struct connection *connection, const char *bytes, ssize_t count)
 {
 	if (count < 0)
 		return false;
-	/* with no bytes: a reply may end with the connection */
+	/* 0 bytes mark the end of the connection, which may also end the reply */
 	http_parser_execute(&connection->parser, &parser_settings, bytes, (size_t)count);
-	if (connection->complete)
+	if (connection->reply_complete)
 		return true;
 	return count > 0 && HTTP_PARSER_ERRNO(&connection->parser) == HPE_OK;
 }
 
-/* Hands a complete reply on, after the connection was given its next request. */
+/* Passes a complete reply to its callback. The next queued request is started on the connection
+ * first. */
 static void deliver_reply(struct connection *connection, bool ended)
 {
 	struct ws_http_client *client = connection->client;
@@ -203,13 +205,14 @@
 	int status = connection->parser.status_code;
 
 	connection->request = NULL;
-	connection->complete = false; /* an idle one that ends must not pass for an answered one */
-	connection->used = ws_now();
+	/* else the end of an idle connection would look like a complete reply */
+	connection->reply_complete = false;
+	connection->last_used = ws_now();
 	connection->body = (struct ws_buffer){0};
-	if (connection->close_after || ended)
+	if (connection->close_after_reply || ended)
 		remove_connection(connection);
-	pump(client);
-	finish(request, status, ws_buffer_text(&body), body.length);
+	start_queued(client);
+	complete_request(request, status, ws_buffer_text(&body), body.length);
 	ws_buffer_free(&body);
 }
 
@@ -223,9 +226,9 @@
 	(void)events;
 	if (!ws_socket_receive(connection->fd, bytes, sizeof(bytes), &count))
 		return;
-	if (!connection->request || !parse(connection, bytes, count))
-		fail_and_pump(connection);
-	else if (connection->complete)
+	if (!connection->request || !parse_reply(connection, bytes, count))
+		fail_and_start_queued(connection);
+	else if (connection->reply_complete)
 		deliver_reply(connection, count <= 0);
 }
 
@@ -235,15 +238,15 @@
 {
 	connection->request = request;
 	connection->sent = 0;
-	connection->complete = connection->close_after = false;
+	connection->reply_complete = connection->close_after_reply = false;
 	http_parser_init(&connection->parser, HTTP_RESPONSE);
 	connection->parser.data = connection;
 	if (connection->connected)
 		write_request(connection);
 }
 
-/* A socket that is being connected; -1 if there is none. */
-static int connect_to(const struct sockaddr_in *address)
+/* Starts to connect a new socket. Returns -1 if that fails. */
+static int open_connecting_socket(const struct sockaddr_in *address)
 {
 	int socket_fd = ws_socket_open();
 
@@ -258,7 +261,7 @@
 
 	if (!connection)
 		return NULL;
-	connection->fd = connect_to(&client->address);
+	connection->fd = open_connecting_socket(&client->address);
 	if (connection->fd < 0) {
 		free(connection);
 		return NULL;
@@ -283,8 +286,8 @@
 
 	if (options->rate <= 0)
 		return true;
-	client->tokens += (now - client->tokens_at) * options->rate;
-	client->tokens_at = now;
+	client->tokens += (now - client->tokens_refilled) * options->rate;
+	client->tokens_refilled = now;
 	if (client->tokens > options->burst)
 		client->tokens = options->burst;
 	if (client->tokens < 1)
@@ -293,38 +296,38 @@
 	return true;
 }
 
-static double earlier(double moment, double other)
+static double earlier_of(double first, double second)
 {
-	return other < moment ? other : moment;
+	return second < first ? second : first;
 }
 
-/* When the client has to act by itself next. */
-static double next_moment(const struct ws_http_client *client, double now)
+/* Returns the time of the next timeout or of the next token of the rate limit. */
+static double next_timeout(const struct ws_http_client *client, double now)
 {
 	const struct ws_http_client_options *options = &client->options;
-	double next = NEVER;
+	double next = NO_DEADLINE;
 
 	for (const struct connection *connection = client->connections; connection;
 	     connection = connection->next) {
 		if (connection->request)
-			next = earlier(next, connection->request->deadline);
+			next = earlier_of(next, connection->request->deadline);
 		else if (options->idle_s > 0)
-			next = earlier(next, connection->used + options->idle_s);
+			next = earlier_of(next, connection->last_used + options->idle_s);
 	}
 	for (const struct request *request = client->first; request; request = request->next)
-		next = earlier(next, request->deadline);
+		next = earlier_of(next, request->deadline);
 	if (client->first && options->rate > 0 && client->tokens < 1)
-		next = earlier(next, now + (1 - client->tokens) / options->rate);
+		next = earlier_of(next, now + (1 - client->tokens) / options->rate);
 	return next;
 }
 
 static void arm_timer(struct ws_http_client *client)
 {
 	double now = ws_now();
-	double next = next_moment(client, now);
+	double next = next_timeout(client, now);
 
 	ev_timer_stop(client->loop, &client->timer);
-	if (next < NEVER) {
+	if (next < NO_DEADLINE) {
 		ev_now_update(client->loop);
 		ev_timer_set(&client->timer, (next > now ? next - now : 0) + TIMER_SLACK_S, 0);
 		ev_timer_start(client->loop, &client->timer);
@@ -351,12 +354,12 @@
 	return request;
 }
 
-/* Starts as many queued requests as there are connections for; not within itself. */
-static void pump(struct ws_http_client *client)
+/* Starts queued requests while connections and the rate limit allow. Recursive calls do nothing. */
+static void start_queued(struct ws_http_client *client)
 {
-	if (client->pumping)
+	if (client->starting_queued)
 		return;
-	client->pumping = true;
+	client->starting_queued = true;
 	while (client->first) {
 		struct connection *connection = idle_connection(client);
 		struct request *request;
@@ -369,32 +372,32 @@
 		if (!connection)
 			connection = add_connection(client);
 		if (!connection) {
-			finish(request, STATUS_NOT_SENT, "", 0);
+			complete_request(request, STATUS_NOT_SENT, "", 0);
 			continue;
 		}
 		start_request(connection, request);
-		if (connection->failed)
-			fail(connection);
+		if (connection->send_failed)
+			fail_connection(connection);
 	}
-	client->pumping = false;
+	client->starting_queued = false;
 	arm_timer(client);
 }
 
 /* ---- timeouts ---- */
 
-/* Ends one connection that is past its time; false: none is. */
-static bool end_late_connection(struct ws_http_client *client, double now)
+/* Closes one connection whose request or idle time has timed out; false if there is none. */
+static bool close_timed_out_connection(struct ws_http_client *client, double now)
 {
 	double idle_s = client->options.idle_s;
 
 	for (struct connection *connection = client->connections; connection;
 	     connection = connection->next) {
 		if (connection->request && connection->request->deadline <= now) {
-			fail(connection);
+			fail_connection(connection);
 			return true;
 		}
 		if (!connection->request && idle_s > 0 && connection->connected &&
-		    connection->used + idle_s <= now) {
+		    connection->last_used + idle_s <= now) {
 			remove_connection(connection);
 			return true;
 		}
@@ -402,11 +405,11 @@
 	return false;
 }
 
-/* Takes requests that are past their time out of the queue; the last one is the list's first. */
-static struct request *dequeue_late(struct ws_http_client *client, double now)
+/* Removes timed-out requests from the queue and returns them as a list in reverse order. */
+static struct request *dequeue_timed_out(struct ws_http_client *client, double now)
 {
 	struct request **link = &client->first;
-	struct request *late = NULL, *request;
+	struct request *timed_out = NULL, *request;
 
 	client->last = NULL;
 	while ((request = *link)) {
@@ -417,30 +420,30 @@
 		}
 		*link = request->next;
 		client->queued--;
-		request->next = late;
-		late = request;
+		request->next = timed_out;
+		timed_out = request;
 	}
-	return late;
+	return timed_out;
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *watcher, int events)
 {
 	struct ws_http_client *client = watcher->data;
-	struct request *late;
+	struct request *timed_out;
 	double now = ws_now();
 
 	(void)loop;
 	(void)events;
-	while (end_late_connection(client, now))
+	while (close_timed_out_connection(client, now))
 		;
-	late = dequeue_late(client, now);
-	while (late) {
-		struct request *next = late->next;
+	timed_out = dequeue_timed_out(client, now);
+	while (timed_out) {
+		struct request *next = timed_out->next;
 
-		finish(late, STATUS_NOT_SENT, "", 0);
-		late = next;
+		complete_request(timed_out, STATUS_NOT_SENT, "", 0);
+		timed_out = next;
 	}
-	pump(client);
+	start_queued(client);
 }
 
 /* ---- the client ---- */
@@ -455,7 +458,7 @@
 	client->loop = loop;
 	client->options = *options;
 	client->tokens = options->burst;
-	client->tokens_at = client->used = ws_now();
+	client->tokens_refilled = client->last_used = ws_now();
 	client->address = ws_socket_address(host, port);
 	ev_timer_init(&client->timer, on_timer, 0, 0);
 	client->timer.data = client;
@@ -468,11 +471,11 @@
 	client->options.burst = burst;
 }
 
-/* The bytes of a request; false: no memory, or too long a path. */
-static bool write_text(const struct ws_http_client *client, struct request *request,
-		       const char *method, const char *path, const char *body, size_t length)
+/* Formats a request. Returns false if memory is exhausted or the path is too long. */
+static bool format_request(const struct ws_http_client *client, struct request *request,
+			   const char *method, const char *path, const char *body, size_t length)
 {
-	char head[HEAD_MAX], host[INET_ADDRSTRLEN];
+	char head[REQUEST_HEAD_MAX], host[INET_ADDRSTRLEN];
 	int head_length;
 
 	inet_ntop(AF_INET, &client->address.sin_addr, host, sizeof(host));
@@ -483,12 +486,12 @@
 	if (head_length < 0 || (size_t)head_length >= sizeof(head))
 		return false;
 	request->length = (size_t)head_length + length;
-	request->text = malloc(request->length);
-	if (!request->text)
+	request->bytes = malloc(request->length);
+	if (!request->bytes)
 		return false;
-	memcpy(request->text, head, (size_t)head_length);
+	memcpy(request->bytes, head, (size_t)head_length);
 	if (length)
-		memcpy(request->text + head_length, body, length);
+		memcpy(request->bytes + head_length, body, length);
 	return true;
 }
 
@@ -520,22 +523,22 @@
 	request = calloc(1, sizeof(*request));
 	if (!request)
 		return false;
-	if (!write_text(client, request, method, path, body, length)) {
+	if (!format_request(client, request, method, path, body, length)) {
 		free(request);
 		return false;
 	}
-	client->used = ws_now();
-	request->deadline = client->used + timeout_s;
+	client->last_used = ws_now();
+	request->deadline = client->last_used + timeout_s;
 	request->on_reply = on_reply;
 	request->context = context;
 	enqueue(client, request, urgent);
-	pump(client);
+	start_queued(client);
 	return true;
 }
 
 bool ws_client_idle(const struct ws_http_client *client, double now, double idle_s)
 {
-	if (client->first || now - client->used < idle_s)
+	if (client->first || now - client->last_used < idle_s)
 		return false;
 	for (const struct connection *connection = client->connections; connection;
 	     connection = connection->next)
@@ -559,11 +562,11 @@
 		struct request *request = connection->request;
 
 		client->connections = connection->next;
-		release(connection);
+		free_connection(connection);
 		if (request)
-			finish(request, STATUS_UNKNOWN, "", 0);
+			complete_request(request, STATUS_UNKNOWN, "", 0);
 	}
 	while (client->first)
-		finish(dequeue(client), STATUS_NOT_SENT, "", 0);
+		complete_request(dequeue(client), STATUS_NOT_SENT, "", 0);
 	free(client);
 }
--- a/src/io/http_client.h
+++ b/src/io/http_client.h
@@ -1,7 +1,7 @@
 /*
  * A pooled HTTP/1.1 client for one server, over TCP on libev and http-parser, without pipelining:
- * requests wait in a queue for a connection and for the rate limit. Belongs to the thread of its
- * event loop.
+ * requests wait in a queue for a connection and for the rate limit. Only the thread of its
+ * event loop may use it.
  */
 #ifndef WS_HTTP_CLIENT_H
 #define WS_HTTP_CLIENT_H
@@ -9,31 +9,33 @@
 #include <ev.h>
 
 struct ws_http_client;
-/* status: 0 no answer (the outcome is unknown), -1 surely not sent. */
+/* `status` is that of the reply, 0 if there is no reply and the outcome is unknown, or -1 if the
+ * request was certainly not sent. */
 typedef void (*ws_reply_fn)(void *context, int status, const char *body, size_t length);
 
 struct ws_http_client_options {
 	int max_conns;
 	int max_queue;
-	size_t max_reply; /* bytes; a longer body is no answer */
-	double rate;	  /* requests a second, 0: no limit */
+	size_t max_reply; /* maximum reply body in bytes; a longer one counts as no reply */
+	double rate;	  /* requests per second; 0: no limit */
 	double burst;
-	double idle_s; /* unused connections are closed after this, 0: kept */
+	double idle_s; /* idle timeout of connections; 0: they stay open */
 };
-/* NULL without memory. Connects with the first request. */
+/* Returns NULL if memory is exhausted. The first request opens the first connection. */
 struct ws_http_client *ws_client_new(struct ev_loop *loop, const char *host, int port,
 				     const struct ws_http_client_options *options);
-/* Sets the limit of requests a second. */
+/* Sets the limit of requests per second and the burst size. */
 void ws_client_rate(struct ws_http_client *client, double rate, double burst);
-/* An urgent one goes before all others, also to a full queue. False: the queue is full; nothing was
- * sent and on_reply is not called. */
+/* Queues a request. An urgent request goes to the head of the queue, even of a full one. Returns
+ * false if the queue is full, the path is too long or memory is exhausted; then nothing is sent and
+ * on_reply is not called. */
 bool ws_client_send(struct ws_http_client *client, const char *method, const char *path,
 		    const char *body, size_t length, double timeout_s, bool urgent,
 		    ws_reply_fn on_reply, void *context);
-/* Whether nothing is under way and the last request was made so many seconds ago. */
+/* Whether no request is pending and the last one was made at least `idle_s` seconds ago. */
 bool ws_client_idle(const struct ws_http_client *client, double now, double idle_s);
-/* Open connections. */
+/* Returns the number of open connections. */
 int ws_client_conns(const struct ws_http_client *client);
-/* Ends what is under way without an answer, and what is queued as not sent; NULL is none. */
+/* Frees a client, which may be NULL. Started requests end with status 0, queued ones with -1. */
 void ws_client_free(struct ws_http_client *client);
 #endif
--- a/src/io/http_common.c
+++ b/src/io/http_common.c
@@ -2,16 +2,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FIRST_CAPACITY 512
-/* One large message must not keep its memory for ever. */
-#define KEPT_CAPACITY_MAX 16384
+#define INITIAL_CAPACITY 512
+/* Larger buffers are freed on reset, so that one large message does not hold memory forever. */
+#define RETAINED_CAPACITY_MAX 16384
 
 bool ws_buffer_add(struct ws_buffer *buffer, const char *bytes, size_t length)
 {
 	size_t needed = buffer->length + length + 1;
 
 	if (needed > buffer->capacity) {
-		size_t capacity = buffer->capacity ? buffer->capacity : FIRST_CAPACITY;
+		size_t capacity = buffer->capacity ? buffer->capacity : INITIAL_CAPACITY;
 		char *grown;
 
 		while (capacity < needed)
@@ -31,7 +31,7 @@
 
 void ws_buffer_reset(struct ws_buffer *buffer)
 {
-	if (buffer->capacity > KEPT_CAPACITY_MAX)
+	if (buffer->capacity > RETAINED_CAPACITY_MAX)
 		ws_buffer_free(buffer);
 	buffer->length = 0;
 	if (buffer->bytes)
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -9,10 +9,10 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define TOKEN_BUCKETS 1024
-/* Connections accepted before other events have their turn. */
-#define ACCEPTED_AT_ONCE 64
-#define HEAD_MAX 256
+#define REQUEST_ID_BUCKETS 1024
+/* Connections accepted by one callback, so that other events are not delayed. */
+#define ACCEPT_BATCH_MAX 64
+#define RESPONSE_HEAD_MAX 256
 #define RETRY_HEADER_MAX 48
 
 struct connection {
@@ -21,16 +21,16 @@
 	ev_io readable, writable;
 	http_parser parser;
 	struct ws_buffer path, body, out;
-	size_t sent;	  /* of `out` */
-	uint64_t token;	  /* of the request being handled; 0: none */
-	bool busy;	  /* a request waits for its answer */
-	bool close_after; /* its answer */
-	bool too_large;	  /* the request that is arriving */
-	bool closed;	  /* to be freed by whoever had it closed */
-	bool in_handler;  /* its read handler is on the stack and will free it */
+	size_t sent;		   /* bytes of `out` already sent */
+	uint64_t request_id;	   /* of the request that awaits its response; 0: none */
+	bool awaiting_response;	   /* a request awaits its response */
+	bool close_after_response; /* close the connection once the response is sent */
+	bool too_large;		   /* the request being received exceeds a size limit */
+	bool closed;		   /* resources released; the struct is still to be freed */
+	bool in_read_callback;	   /* on_readable() is running and frees the struct if closed */
 	enum ws_conn_kind kind;
-	double used;  /* last time it took part in anything */
-	double began; /* since when a request is arriving; 0: none is */
+	double last_active;	/* time of the last data received or response */
+	double receive_started; /* time of the first bytes of an incomplete request; 0: none */
 	struct connection *next, *previous;
 	struct connection *next_in_bucket;
 };
@@ -41,54 +41,54 @@
 	struct ws_http_server_options options;
 	int count, count_by_kind[WS_CONN_KINDS];
 	ev_io acceptable;
-	ev_timer sweep;
+	ev_timer sweep_timer;
 	ws_request_fn on_request;
 	void *context;
-	uint64_t last_token;
+	uint64_t last_request_id;
 	struct connection *connections;
-	struct connection *by_token[TOKEN_BUCKETS];
+	struct connection *by_request_id[REQUEST_ID_BUCKETS];
 };
 
-/* ---- tokens ---- */
+/* ---- request ids ---- */
 
-static struct connection *find(const struct ws_http_server *server, uint64_t request_id)
+static struct connection *find_connection(const struct ws_http_server *server, uint64_t request_id)
 {
-	struct connection *connection = server->by_token[request_id % TOKEN_BUCKETS];
+	struct connection *connection = server->by_request_id[request_id % REQUEST_ID_BUCKETS];
 
-	while (connection && connection->token != request_id)
+	while (connection && connection->request_id != request_id)
 		connection = connection->next_in_bucket;
 	return connection;
 }
 
-static void give_token(struct connection *connection)
+static void assign_request_id(struct connection *connection)
 {
 	struct ws_http_server *server = connection->server;
 	struct connection **bucket;
 
-	connection->token = ++server->last_token;
-	bucket = &server->by_token[connection->token % TOKEN_BUCKETS];
+	connection->request_id = ++server->last_request_id;
+	bucket = &server->by_request_id[connection->request_id % REQUEST_ID_BUCKETS];
 	connection->next_in_bucket = *bucket;
 	*bucket = connection;
 }
 
-static void take_token(struct connection *connection)
+static void clear_request_id(struct connection *connection)
 {
 	struct connection **link;
 
-	if (!connection->token)
+	if (!connection->request_id)
 		return;
-	link = &connection->server->by_token[connection->token % TOKEN_BUCKETS];
+	link = &connection->server->by_request_id[connection->request_id % REQUEST_ID_BUCKETS];
 	while (*link && *link != connection)
 		link = &(*link)->next_in_bucket;
 	if (*link)
 		*link = connection->next_in_bucket;
-	connection->token = 0;
+	connection->request_id = 0;
 }
 
-/* ---- the end of a connection ---- */
+/* ---- closing connections ---- */
 
-/* Gives back all but the connection itself. */
-static void release(struct connection *connection)
+/* Frees everything that a connection holds, but not the struct itself. */
+static void release_resources(struct connection *connection)
 {
 	struct ev_loop *loop = connection->server->loop;
 
@@ -100,7 +100,7 @@
 	ws_buffer_free(&connection->out);
 }
 
-/* Closes a connection; it is freed by whoever looks at `closed` last. */
+/* Closes a connection. The outermost caller checks `closed` and frees the struct. */
 static void close_connection(struct connection *connection)
 {
 	struct ws_http_server *server = connection->server;
@@ -108,7 +108,7 @@
 	if (connection->closed)
 		return;
 	connection->closed = true;
-	take_token(connection);
+	clear_request_id(connection);
 	if (connection->previous)
 		connection->previous->next = connection->next;
 	else
@@ -117,7 +117,7 @@
 		connection->next->previous = connection->previous;
 	server->count--;
 	server->count_by_kind[connection->kind]--;
-	release(connection);
+	release_resources(connection);
 }
 
 static void close_and_free(struct connection *connection)
@@ -126,9 +126,9 @@
 	free(connection);
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
-static const char *status_text(int status)
+static const char *reason_phrase(int status)
 {
 	switch (status) {
 	case 200: return "OK";
@@ -148,7 +148,7 @@
 	}
 }
 
-static void write_out(struct connection *connection)
+static void flush_output(struct connection *connection)
 {
 	struct ev_loop *loop = connection->server->loop;
 
@@ -171,48 +171,48 @@
 	ev_io_stop(loop, &connection->writable);
 	connection->sent = 0;
 	ws_buffer_reset(&connection->out);
-	if (connection->close_after)
+	if (connection->close_after_response)
 		close_connection(connection);
 	else
 		ev_io_start(loop, &connection->readable);
 }
 
-static void answer(struct connection *connection, int status, const char *body, size_t length,
-		   int retry_after_s)
+static void send_response(struct connection *connection, int status, const char *body,
+			  size_t length, int retry_after_s)
 {
 	const struct ws_http_server *server = connection->server;
-	char head[HEAD_MAX], retry[RETRY_HEADER_MAX] = "";
+	char head[RESPONSE_HEAD_MAX], retry_header[RETRY_HEADER_MAX] = "";
 	int head_length;
 
 	if (server->count_by_kind[connection->kind] > server->options.keep[connection->kind])
-		connection->close_after = true;
+		connection->close_after_response = true;
 	if (retry_after_s > 0)
-		snprintf(retry, sizeof(retry), "Retry-After: %d\r\n", retry_after_s);
+		snprintf(retry_header, sizeof(retry_header), "Retry-After: %d\r\n", retry_after_s);
 	head_length = snprintf(head, sizeof(head),
 			       "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\n"
 			       "Content-Length: %zu\r\n%s%s\r\n",
-			       status, status_text(status), length, retry,
-			       connection->close_after ? "Connection: close\r\n" : "");
-	connection->busy = false;
-	take_token(connection);
+			       status, reason_phrase(status), length, retry_header,
+			       connection->close_after_response ? "Connection: close\r\n" : "");
+	connection->awaiting_response = false;
+	clear_request_id(connection);
 	if (!ws_buffer_add(&connection->out, head, (size_t)head_length) ||
 	    !ws_buffer_add(&connection->out, body, length)) {
 		close_connection(connection);
 		return;
 	}
-	connection->used = ws_now();
-	write_out(connection);
+	connection->last_active = ws_now();
+	flush_output(connection);
 }
 
-/* Answers what is no request, and closes. */
-static void refuse(struct connection *connection, int status)
+/* Responds with an error to an invalid or incomplete request, then closes the connection. */
+static void reject_request(struct connection *connection, int status)
 {
-	connection->close_after = true;
-	connection->began = 0;
-	answer(connection, status, "{}", 2, status == 503 ? 1 : 0);
+	connection->close_after_response = true;
+	connection->receive_started = 0;
+	send_response(connection, status, "{}", 2, status == 503 ? 1 : 0);
 }
 
-/* ---- the parser's callbacks ---- */
+/* ---- parser callbacks ---- */
 
 static int on_url(http_parser *parser, const char *bytes, size_t length)
 {
@@ -261,8 +261,8 @@
 {
 	struct connection *connection = parser->data;
 
-	connection->busy = true;
-	connection->close_after = !http_should_keep_alive(parser);
+	connection->awaiting_response = true;
+	connection->close_after_response = !http_should_keep_alive(parser);
 	http_parser_pause(parser, 1); /* one request at a time */
 	return 0;
 }
@@ -277,36 +277,36 @@
 
 /* ---- reading ---- */
 
-/* Hands a complete request on; it is not read again before the answer. */
-static void handle_request(struct connection *connection)
+/* Passes a complete request to the callback. Reading stops until the response has been sent. */
+static void dispatch_request(struct connection *connection)
 {
 	struct ws_http_server *server = connection->server;
 
-	connection->began = 0;
+	connection->receive_started = 0;
 	ev_io_stop(server->loop, &connection->readable);
-	give_token(connection);
-	connection->in_handler = true;
-	server->on_request(server->context, connection->token,
+	assign_request_id(connection);
+	connection->in_read_callback = true;
+	server->on_request(server->context, connection->request_id,
 			   http_method_str(connection->parser.method),
 			   ws_buffer_text(&connection->path), ws_buffer_text(&connection->body),
 			   connection->body.length);
-	connection->in_handler = false;
+	connection->in_read_callback = false;
 }
 
 static void parse(struct connection *connection, const char *bytes, size_t length)
 {
 	http_parser *parser = &connection->parser;
-	size_t used = http_parser_execute(parser, &parser_settings, bytes, length);
+	size_t parsed = http_parser_execute(parser, &parser_settings, bytes, length);
 
 	if (connection->too_large) {
-		refuse(connection, connection->path.length + 1 > WS_PATH_MAX ? 414 : 413);
+		reject_request(connection, connection->path.length + 1 > WS_PATH_MAX ? 414 : 413);
 	} else if (HTTP_PARSER_ERRNO(parser) == HPE_PAUSED) {
 		http_parser_pause(parser, 0);
-		if (used + 1 < length) /* more than one request's worth: answer, then close */
-			connection->close_after = true;
-		handle_request(connection);
+		if (parsed + 1 < length) /* pipelined data follows: respond, then close */
+			connection->close_after_response = true;
+		dispatch_request(connection);
 	} else if (parser->upgrade || HTTP_PARSER_ERRNO(parser) != HPE_OK) {
-		refuse(connection, 400);
+		reject_request(connection, 400);
 	}
 }
 
@@ -320,13 +320,13 @@
 	(void)events;
 	if (!ws_socket_receive(connection->fd, bytes, sizeof(bytes), &count))
 		return;
-	if (count <= 0 || connection->busy) { /* pipelining is not allowed */
+	if (count <= 0 || connection->awaiting_response) { /* pipelining is not supported */
 		close_and_free(connection);
 		return;
 	}
-	connection->used = ws_now();
-	if (!connection->began)
-		connection->began = connection->used;
+	connection->last_active = ws_now();
+	if (!connection->receive_started)
+		connection->receive_started = connection->last_active;
 	parse(connection, bytes, (size_t)count);
 	if (connection->closed)
 		free(connection);
@@ -338,23 +338,23 @@
 
 	(void)loop;
 	(void)events;
-	write_out(connection);
+	flush_output(connection);
 	if (connection->closed)
 		free(connection);
 }
 
 /* ---- accepting ---- */
 
-static void refuse_socket(int socket_fd)
+static void reject_connection(int socket_fd)
 {
-	static const char full[] = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
-				   "Content-Length: 0\r\nConnection: close\r\n\r\n";
+	static const char response[] = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\n"
+				       "Content-Length: 0\r\nConnection: close\r\n\r\n";
 
-	(void)!send(socket_fd, full, sizeof(full) - 1, MSG_NOSIGNAL);
+	(void)!send(socket_fd, response, sizeof(response) - 1, MSG_NOSIGNAL);
 	close(socket_fd);
 }
 
-/* False without memory. */
+/* Returns false if memory is exhausted. */
 static bool add_connection(struct ws_http_server *server, int socket_fd)
 {
 	struct connection *connection = calloc(1, sizeof(*connection));
@@ -364,7 +364,7 @@
 	ws_socket_no_delay(socket_fd);
 	connection->server = server;
 	connection->fd = socket_fd;
-	connection->used = ws_now();
+	connection->last_active = ws_now();
 	http_parser_init(&connection->parser, HTTP_REQUEST);
 	connection->parser.data = connection;
 	ev_io_init(&connection->readable, on_readable, socket_fd, EV_READ);
@@ -385,21 +385,22 @@
 	struct ws_http_server *server = watcher->data;
 
 	(void)events;
-	for (int i = 0; i < ACCEPTED_AT_ONCE; i++) {
+	for (int i = 0; i < ACCEPT_BATCH_MAX; i++) {
 		int socket_fd = ws_socket_accept(server->fd);
 
 		if (socket_fd < 0) {
-			/* no descriptor to be had: asked again with the next sweep */
+			/* no descriptor is available: the next sweep resumes accepting */
 			if (errno == EMFILE || errno == ENFILE)
 				ev_io_stop(loop, &server->acceptable);
 			return;
 		}
 		if (server->count >= server->options.max || !add_connection(server, socket_fd))
-			refuse_socket(socket_fd);
+			reject_connection(socket_fd);
 	}
 }
 
-/* Connections that have been idle for long go, and requests that arrive too slowly. */
+/* Closes connections that exceeded their idle timeout, and rejects requests that take too long to
+ * arrive with 408. */
 static void on_sweep(struct ev_loop *loop, ev_timer *watcher, int events)
 {
 	struct ws_http_server *server = watcher->data;
@@ -410,11 +411,12 @@
 	ev_io_start(loop, &server->acceptable);
 	for (connection = server->connections; connection; connection = next) {
 		next = connection->next;
-		if (connection->busy)
+		if (connection->awaiting_response)
 			continue;
-		if (connection->began > 0 && now - connection->began > server->options.slow)
-			refuse(connection, 408);
-		else if (now - connection->used > server->options.idle[connection->kind])
+		if (connection->receive_started > 0 &&
+		    now - connection->receive_started > server->options.slow)
+			reject_request(connection, 408);
+		else if (now - connection->last_active > server->options.idle[connection->kind])
 			close_connection(connection);
 		if (connection->closed)
 			free(connection);
@@ -445,17 +447,17 @@
 	ev_io_init(&server->acceptable, on_acceptable, server->fd, EV_READ);
 	server->acceptable.data = server;
 	ev_io_start(loop, &server->acceptable);
-	ev_timer_init(&server->sweep, on_sweep, options->slow, options->slow);
-	server->sweep.data = server;
-	ev_timer_start(loop, &server->sweep);
+	ev_timer_init(&server->sweep_timer, on_sweep, options->slow, options->slow);
+	server->sweep_timer.data = server;
+	ev_timer_start(loop, &server->sweep_timer);
 	return server;
 }
 
-/* What a connection has of its request stays until it is answered: only then it is read again. */
+/* The request data stays valid until the response, because the connection is not read before it. */
 bool ws_server_request(const struct ws_http_server *server, uint64_t request_id,
 		       struct ws_http_request *request)
 {
-	const struct connection *connection = find(server, request_id);
+	const struct connection *connection = find_connection(server, request_id);
 
 	if (!connection)
 		return false;
@@ -468,7 +470,7 @@
 
 void ws_server_kind(struct ws_http_server *server, uint64_t request_id, enum ws_conn_kind kind)
 {
-	struct connection *connection = find(server, request_id);
+	struct connection *connection = find_connection(server, request_id);
 
 	if (!connection)
 		return;
@@ -480,12 +482,12 @@
 void ws_server_answer(struct ws_http_server *server, uint64_t request_id, int status,
 		      const char *body, size_t length, int retry_after_s)
 {
-	struct connection *connection = find(server, request_id);
+	struct connection *connection = find_connection(server, request_id);
 
 	if (!connection)
 		return;
-	answer(connection, status, body, length, retry_after_s);
-	if (connection->closed && !connection->in_handler)
+	send_response(connection, status, body, length, retry_after_s);
+	if (connection->closed && !connection->in_read_callback)
 		free(connection);
 }
 
@@ -507,11 +509,11 @@
 		return;
 	for (connection = server->connections; connection; connection = next) {
 		next = connection->next;
-		release(connection);
+		release_resources(connection);
 		free(connection);
 	}
 	ev_io_stop(server->loop, &server->acceptable);
-	ev_timer_stop(server->loop, &server->sweep);
+	ev_timer_stop(server->loop, &server->sweep_timer);
 	close(server->fd);
 	free(server);
 }
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -10,26 +10,26 @@
 #include <unistd.h>
 
 #define FRAME_MAX ((size_t)160 * 1024)
-/* Bytes that wait to be sent by a connection. */
-#define OUT_MAX ((size_t)1024 * 1024)
-/* Of the length in front of a frame, in network order. */
-#define LENGTH_SIZE 4
-#define READ_SIZE_LEAST 16384
+/* The maximum number of unsent bytes of a connection. */
+#define OUTPUT_MAX ((size_t)1024 * 1024)
+/* Bytes of the length prefix of a frame, which is in network byte order. */
+#define LENGTH_PREFIX_SIZE 4
+#define READ_SIZE_MIN 16384
 #define READ_BUFFER_STEP 32768
-#define BACKLOG 64
-/* A peer keeps one connection; a few more may be left over from its earlier lives. */
+#define LISTEN_BACKLOG 64
+/* A peer uses one connection; more may be left over from before its restarts. */
 #define ACCEPTED_PER_PEER 8
-#define TIMER_S 0.1
-/* A connection on which nothing came for so long, while replies are due, is closed. */
-#define SILENT_S 1
+#define TIMER_INTERVAL_S 0.1
+/* A connection is closed if a request times out on it and no reply arrived for this time. */
+#define NO_REPLY_TIMEOUT_S 1
 
-/* A request whose reply is waited for. */
-struct awaited_reply {
+/* A request that awaits its reply. */
+struct pending_reply {
 	uint64_t id;
 	double deadline;
 	ws_peer_done_fn on_reply;
 	void *context;
-	struct awaited_reply *next;
+	struct pending_reply *next;
 };
 
 struct connection {
@@ -40,12 +40,12 @@
 	uint8_t *in, *out;
 	size_t in_length, in_capacity, out_length, out_capacity;
 	struct connection *next;
-	/* of an accepted one: */
+	/* accepted connections only: */
 	uint64_t id;
-	/* of one to a peer: */
-	const struct ws_endpoint *peer; /* NULL: accepted */
-	struct awaited_reply *awaited;
-	double heard, failed, opened; /* when that was last */
+	/* outgoing connections only: */
+	const struct ws_endpoint *peer; /* NULL: an accepted connection */
+	struct pending_reply *pending;
+	double last_reply, last_failure, last_opened; /* times; a close counts as failure */
 };
 
 struct ws_peers {
@@ -58,19 +58,19 @@
 	void *context;
 	uint64_t last_id;
 	struct connection *accepted;
-	struct connection *closed; /* accepted ones, to be freed by the timer */
+	struct connection *closed; /* accepted connections, to be freed by the timer */
 	int accepted_count;
 	struct connection to_peers[WS_MAX_PEERS];
-	size_t turn; /* the peer that "any" is looked for from */
+	size_t first_choice; /* where choose_connection() starts; rotates to spread requests */
 };
 
-/* ---- awaited replies ---- */
+/* ---- pending replies ---- */
 
-/* Ends requests without a reply. */
-static void end_unanswered(struct awaited_reply *list)
+/* Completes requests without a reply. */
+static void end_without_reply(struct pending_reply *list)
 {
 	while (list) {
-		struct awaited_reply *next = list->next;
+		struct pending_reply *next = list->next;
 
 		list->on_reply(list->context, NULL);
 		free(list);
@@ -78,11 +78,11 @@
 	}
 }
 
-/* Takes one out; NULL: it is not waited for (any more). */
-static struct awaited_reply *take_awaited(struct connection *connection, uint64_t id)
+/* Removes a pending reply by its id. Returns NULL if there is none, or if it has timed out. */
+static struct pending_reply *remove_pending(struct connection *connection, uint64_t id)
 {
-	struct awaited_reply **link = &connection->awaited;
-	struct awaited_reply *found;
+	struct pending_reply **link = &connection->pending;
+	struct pending_reply *found;
 
 	while (*link && (*link)->id != id)
 		link = &(*link)->next;
@@ -92,27 +92,27 @@
 	return found;
 }
 
-/* Takes those out that are past their time; the last one is the list's first. */
-static struct awaited_reply *take_late(struct connection *connection, double now)
+/* Removes the timed-out pending replies and returns them as a list in reverse order. */
+static struct pending_reply *remove_timed_out(struct connection *connection, double now)
 {
-	struct awaited_reply **link = &connection->awaited;
-	struct awaited_reply *late = NULL, *awaited;
+	struct pending_reply **link = &connection->pending;
+	struct pending_reply *timed_out = NULL, *pending;
 
-	while ((awaited = *link)) {
-		if (awaited->deadline > now) {
-			link = &awaited->next;
+	while ((pending = *link)) {
+		if (pending->deadline > now) {
+			link = &pending->next;
 			continue;
 		}
-		*link = awaited->next;
-		awaited->next = late;
-		late = awaited;
+		*link = pending->next;
+		pending->next = timed_out;
+		timed_out = pending;
 	}
-	return late;
+	return timed_out;
 }
 
-/* ---- the end of a connection ---- */
+/* ---- closing connections ---- */
 
-/* An accepted one is freed by the timer: it may be on the stack now. */
+/* An accepted connection is freed by the timer, because its callback may be on the call stack. */
 static void move_to_closed(struct connection *connection)
 {
 	struct ws_peers *peers = connection->peers;
@@ -129,7 +129,7 @@
 
 static void close_connection(struct connection *connection)
 {
-	struct awaited_reply *awaited = connection->awaited;
+	struct pending_reply *pending = connection->pending;
 
 	if (connection->fd < 0)
 		return;
@@ -139,16 +139,16 @@
 	connection->fd = -1;
 	connection->connected = false;
 	connection->in_length = connection->out_length = 0;
-	connection->failed = ws_now();
-	connection->awaited = NULL;
-	end_unanswered(awaited);
+	connection->last_failure = ws_now();
+	connection->pending = NULL;
+	end_without_reply(pending);
 	if (!connection->peer)
 		move_to_closed(connection);
 }
 
 /* ---- sending ---- */
 
-static void write_out(struct connection *connection)
+static void flush_output(struct connection *connection)
 {
 	struct ev_loop *loop = connection->peers->loop;
 	size_t sent = 0;
@@ -177,7 +177,7 @@
 		ev_io_stop(loop, &connection->writable);
 }
 
-/* Room for so many bytes to send; false without memory. */
+/* Grows the output buffer to a capacity. Returns false if memory is exhausted. */
 static bool reserve_out(struct connection *connection, size_t capacity)
 {
 	uint8_t *grown;
@@ -192,22 +192,23 @@
 	return true;
 }
 
-/* Sends a frame; false: it is too long, too much waits, or the connection is closed. */
+/* Sends a frame. Returns false if the frame is too long, the output buffer is full, memory is
+ * exhausted or the connection is closed. */
 static bool send_frame(struct connection *connection, Ws__PeerFrame *frame)
 {
 	size_t length = ws__peer_frame__get_packed_size(frame);
 	uint32_t network_length = htonl((uint32_t)length);
-	size_t after = connection->out_length + length + LENGTH_SIZE;
-	uint8_t *to;
+	size_t out_length = connection->out_length + length + LENGTH_PREFIX_SIZE;
+	uint8_t *target;
 
-	if (connection->fd < 0 || length > FRAME_MAX || after > OUT_MAX ||
-	    !reserve_out(connection, after))
+	if (connection->fd < 0 || length > FRAME_MAX || out_length > OUTPUT_MAX ||
+	    !reserve_out(connection, out_length))
 		return false;
-	to = connection->out + connection->out_length;
-	memcpy(to, &network_length, LENGTH_SIZE);
-	ws__peer_frame__pack(frame, to + LENGTH_SIZE);
-	connection->out_length = after;
-	write_out(connection);
+	target = connection->out + connection->out_length;
+	memcpy(target, &network_length, LENGTH_PREFIX_SIZE);
+	ws__peer_frame__pack(frame, target + LENGTH_PREFIX_SIZE);
+	connection->out_length = out_length;
+	flush_output(connection);
 	return true;
 }
 
@@ -216,42 +217,43 @@
 static void handle_frame(struct connection *connection, const Ws__PeerFrame *frame)
 {
 	struct ws_peers *peers = connection->peers;
-	struct awaited_reply *awaited;
+	struct pending_reply *pending;
 
 	if (!connection->peer) {
 		if (frame->kind != WS__PEER_FRAME__KIND__REPLY)
 			peers->on_request(peers->context, connection->id, frame);
 		return;
 	}
-	connection->heard = ws_now();
-	awaited = take_awaited(connection, frame->id);
-	if (!awaited)
+	connection->last_reply = ws_now();
+	pending = remove_pending(connection, frame->id);
+	if (!pending)
 		return;
-	awaited->on_reply(awaited->context, frame);
-	free(awaited);
+	pending->on_reply(pending->context, frame);
+	free(pending);
 }
 
-/* Takes the next whole frame in; false: there is none yet, or the connection was closed. */
-static bool take_frame(struct connection *connection)
+/* Handles the next complete frame. Returns false if there is none or the connection is closed. */
+static bool process_next_frame(struct connection *connection)
 {
 	Ws__PeerFrame *frame;
 	uint32_t length;
 
-	if (connection->fd < 0 || connection->in_length < LENGTH_SIZE)
+	if (connection->fd < 0 || connection->in_length < LENGTH_PREFIX_SIZE)
 		return false;
-	memcpy(&length, connection->in, LENGTH_SIZE);
+	memcpy(&length, connection->in, LENGTH_PREFIX_SIZE);
 	length = ntohl(length);
 	if (length > FRAME_MAX) {
 		ws_logf(WS_LOG_ERROR, "oversized peer frame refused bytes=%u", length);
 		close_connection(connection);
 		return false;
 	}
-	if (connection->in_length < length + LENGTH_SIZE)
+	if (connection->in_length < length + LENGTH_PREFIX_SIZE)
 		return false;
-	frame = ws__peer_frame__unpack(NULL, length, connection->in + LENGTH_SIZE);
-	connection->in_length -= LENGTH_SIZE + length;
-	memmove(connection->in, connection->in + LENGTH_SIZE + length, connection->in_length);
-	if (!frame) { /* not ours, or garbled */
+	frame = ws__peer_frame__unpack(NULL, length, connection->in + LENGTH_PREFIX_SIZE);
+	connection->in_length -= LENGTH_PREFIX_SIZE + length;
+	memmove(connection->in, connection->in + LENGTH_PREFIX_SIZE + length,
+		connection->in_length);
+	if (!frame) { /* no valid PeerFrame */
 		ws_logf(WS_LOG_ERROR, "unreadable peer frame refused bytes=%u", length);
 		close_connection(connection);
 		return false;
@@ -261,12 +263,12 @@
 	return true;
 }
 
-/* Room for the next bytes; false without memory. */
+/* Makes room to receive. Returns false if memory is exhausted. */
 static bool reserve_in(struct connection *connection)
 {
 	uint8_t *grown;
 
-	if (connection->in_capacity - connection->in_length >= READ_SIZE_LEAST)
+	if (connection->in_capacity - connection->in_length >= READ_SIZE_MIN)
 		return true;
 	grown = realloc(connection->in, connection->in_capacity + READ_BUFFER_STEP);
 	if (!grown)
@@ -295,7 +297,7 @@
 		return;
 	}
 	connection->in_length += (size_t)count;
-	while (take_frame(connection))
+	while (process_next_frame(connection))
 		;
 }
 
@@ -312,23 +314,23 @@
 		connection->connected = true;
 		ev_io_start(loop, &connection->readable);
 	}
-	write_out(connection);
+	flush_output(connection);
 }
 
 /* ---- connecting and accepting ---- */
 
-static void start(struct connection *connection, struct ws_peers *peers, int socket_fd)
+static void init_connection(struct connection *connection, struct ws_peers *peers, int socket_fd)
 {
 	ws_socket_no_delay(socket_fd);
 	connection->peers = peers;
 	connection->fd = socket_fd;
-	connection->opened = ws_now();
+	connection->last_opened = ws_now();
 	ev_io_init(&connection->readable, on_readable, socket_fd, EV_READ);
 	ev_io_init(&connection->writable, on_writable, socket_fd, EV_WRITE);
 	connection->readable.data = connection->writable.data = connection;
 }
 
-/* Has a connection to a peer, which may still be under way; false: it can't be opened. */
+/* Opens a connection to a peer unless it is open or being opened. Returns false on failure. */
 static bool open_connection(struct connection *connection)
 {
 	struct sockaddr_in address;
@@ -341,15 +343,15 @@
 		return false;
 	address = ws_socket_address(connection->peer->host, connection->peer->port);
 	if (!ws_socket_connect(socket_fd, &address)) {
-		connection->failed = ws_now();
+		connection->last_failure = ws_now();
 		return false;
 	}
-	start(connection, connection->peers, socket_fd);
+	init_connection(connection, connection->peers, socket_fd);
 	ev_io_start(connection->peers->loop, &connection->writable);
 	return true;
 }
 
-/* False: there are too many, or no memory. */
+/* Returns false if there are too many connections or memory is exhausted. */
 static bool add_accepted(struct ws_peers *peers, int socket_fd)
 {
 	struct connection *connection;
@@ -359,7 +361,7 @@
 	connection = calloc(1, sizeof(*connection));
 	if (!connection)
 		return false;
-	start(connection, peers, socket_fd);
+	init_connection(connection, peers, socket_fd);
 	connection->connected = true;
 	connection->id = ++peers->last_id;
 	connection->next = peers->accepted;
@@ -395,14 +397,14 @@
 	}
 }
 
-static void end_late(struct connection *connection, double now)
+static void handle_timeouts(struct connection *connection, double now)
 {
-	struct awaited_reply *late = take_late(connection, now);
+	struct pending_reply *timed_out = remove_timed_out(connection, now);
 
-	if (late && connection->fd >= 0 && now - connection->heard > SILENT_S &&
-	    now - connection->opened > SILENT_S)
-		close_connection(connection); /* a new connection may fare better */
-	end_unanswered(late);
+	if (timed_out && connection->fd >= 0 && now - connection->last_reply > NO_REPLY_TIMEOUT_S &&
+	    now - connection->last_opened > NO_REPLY_TIMEOUT_S)
+		close_connection(connection); /* the next request opens a new one */
+	end_without_reply(timed_out);
 }
 
 static void on_timer(struct ev_loop *loop, ev_timer *watcher, int events)
@@ -414,7 +416,7 @@
 	(void)events;
 	free_closed(peers);
 	for (size_t i = 0; i < peers->settings->peer_count; i++)
-		end_late(&peers->to_peers[i], now);
+		handle_timeouts(&peers->to_peers[i], now);
 }
 
 /* ---- all peers ---- */
@@ -428,7 +430,8 @@
 
 	if (!peers)
 		return NULL;
-	peers->fd = ws_socket_listen(settings->peer_bind.host, &port, BACKLOG, error, error_size);
+	peers->fd =
+	    ws_socket_listen(settings->peer_bind.host, &port, LISTEN_BACKLOG, error, error_size);
 	if (peers->fd < 0) {
 		free(peers);
 		return NULL;
@@ -445,64 +448,66 @@
 	ev_io_init(&peers->acceptable, on_acceptable, peers->fd, EV_READ);
 	peers->acceptable.data = peers;
 	ev_io_start(loop, &peers->acceptable);
-	ev_timer_init(&peers->timer, on_timer, TIMER_S, TIMER_S);
+	ev_timer_init(&peers->timer, on_timer, TIMER_INTERVAL_S, TIMER_INTERVAL_S);
 	peers->timer.data = peers;
 	ev_timer_start(loop, &peers->timer);
 	return peers;
 }
 
-/* Whether the last answer came later after the last failure than with the other peer. */
-static bool fared_better(const struct connection *connection, const struct connection *other)
+/* Compares the time of the last reply relative to the last failure; the higher value is better. */
+static bool is_more_responsive(const struct connection *connection, const struct connection *other)
 {
-	return connection->heard - connection->failed > other->heard - other->failed;
+	return connection->last_reply - connection->last_failure >
+	       other->last_reply - other->last_failure;
 }
 
-/* The connection to a node, or with "" to the peer that fared best; NULL: there is none. */
-static struct connection *choose(struct ws_peers *peers, const char *node)
+/* Returns the connection to a node, or with "" that to the most responsive peer. Returns NULL if
+ * there is no such node. */
+static struct connection *choose_connection(struct ws_peers *peers, const char *node)
 {
 	size_t count = peers->settings->peer_count;
 	struct connection *chosen = NULL;
 
 	for (size_t i = 0; i < count; i++) {
-		struct connection *connection = &peers->to_peers[(i + peers->turn) % count];
+		struct connection *connection = &peers->to_peers[(i + peers->first_choice) % count];
 		bool fits = node[0] ? !strcmp(connection->peer->node, node)
-				    : !chosen || fared_better(connection, chosen);
+				    : !chosen || is_more_responsive(connection, chosen);
 
 		if (fits)
 			chosen = connection;
 	}
-	peers->turn++;
+	peers->first_choice++;
 	return chosen;
 }
 
 bool ws_peers_send(struct ws_peers *peers, const char *node, Ws__PeerFrame *frame, double timeout_s,
 		   ws_peer_done_fn on_reply, void *context)
 {
-	struct connection *connection = choose(peers, node);
-	struct awaited_reply *awaited;
+	struct connection *connection = choose_connection(peers, node);
+	struct pending_reply *pending;
 
 	if (!connection || !open_connection(connection))
 		return false;
-	awaited = calloc(1, sizeof(*awaited));
-	if (!awaited)
+	pending = calloc(1, sizeof(*pending));
+	if (!pending)
 		return false;
-	frame->id = awaited->id = ++peers->last_id;
-	awaited->deadline = ws_now() + timeout_s;
-	awaited->on_reply = on_reply;
-	awaited->context = context;
-	awaited->next = connection->awaited;
-	connection->awaited = awaited;
+	frame->id = pending->id = ++peers->last_id;
+	pending->deadline = ws_now() + timeout_s;
+	pending->on_reply = on_reply;
+	pending->context = context;
+	pending->next = connection->pending;
+	connection->pending = pending;
 	if (send_frame(connection, frame))
 		return true;
-	free(take_awaited(connection, awaited->id));
+	free(remove_pending(connection, pending->id));
 	return false;
 }
 
 void ws_peers_reply(struct ws_peers *peers, uint64_t connection, Ws__PeerFrame *frame)
 {
-	for (struct connection *to = peers->accepted; to; to = to->next)
-		if (to->id == connection) {
-			send_frame(to, frame);
+	for (struct connection *target = peers->accepted; target; target = target->next)
+		if (target->id == connection) {
+			send_frame(target, frame);
 			return;
 		}
 }
--- a/src/io/peer.h
+++ b/src/io/peer.h
@@ -1,7 +1,7 @@
 /*
- * Frames between controllers: protobuf-c with a length in front, over TCP. Each node has one
- * connection to each peer for its own requests, and answers on those that it accepted. Belongs to
- * the thread of its event loop.
+ * Frames between controllers: length-prefixed protobuf messages over TCP. Each node has one
+ * outgoing connection to each peer for its own requests, and sends replies on the connections that
+ * it accepted. Only the thread of the event loop may use it.
  */
 #ifndef WS_PEER_H
 #define WS_PEER_H
@@ -10,21 +10,24 @@
 #include <ev.h>
 
 struct ws_peers;
-/* A frame that asks for something; answered by ws_peers_reply() with its connection and id. */
+/* Called for each request frame. The reply is sent by ws_peers_reply() on the same connection, with
+ * the id of the frame. */
 typedef void (*ws_peer_ask_fn)(void *context, uint64_t connection, const Ws__PeerFrame *frame);
-/* reply is NULL when none came. */
+/* Called when a request ends. `reply` is NULL if it timed out or the connection failed. */
 typedef void (*ws_peer_done_fn)(void *context, const Ws__PeerFrame *reply);
 
-/* Listens; NULL with one line in `error` if it can't. The settings must outlive it. */
+/* Starts to listen. Returns NULL with one line in `error` if listening fails, and NULL without a
+ * message if memory is exhausted. The settings must outlive the peers. */
 struct ws_peers *ws_peers_new(struct ev_loop *loop, const struct ws_settings *settings,
 			      ws_peer_ask_fn on_request, void *context, char *error,
 			      size_t error_size);
-/* Sends a request to a node by name, or with "" to the one that answered best. False: nobody to
- * send to, and on_reply is not called. */
+/* Sends a request to a node by name, or with "" to the most responsive peer. Returns false if it
+ * can't be sent; then on_reply is not called. */
 bool ws_peers_send(struct ws_peers *peers, const char *node, Ws__PeerFrame *frame, double timeout_s,
 		   ws_peer_done_fn on_reply, void *context);
-/* Sends a reply by the connection that the request came by; nothing if that is gone. */
+/* Sends a reply on the connection of the request; does nothing if that connection is closed. */
 void ws_peers_reply(struct ws_peers *peers, uint64_t connection, Ws__PeerFrame *frame);
-/* Closes all connections; requests under way end without a reply. NULL is none. */
+/* Closes all connections and frees `peers`, which may be NULL. Pending requests end without a
+ * reply. */
 void ws_peers_free(struct ws_peers *peers);
 #endif
--- a/src/io/pool.c
+++ b/src/io/pool.c
@@ -4,24 +4,24 @@
 #include <stdint.h>
 #include <stdlib.h>
 
-/* A value takes a few times the bytes of its text; pages that are not used take no memory. */
+/* A JSON document takes a few times the size of its text. Pages never written use no memory. */
 #define POOL_SIZE (16 * WS_BODY_MAX)
 #define ALIGNMENT ((size_t)16)
 
 static _Alignas(16) unsigned char block[POOL_SIZE];
-static size_t used;	     /* of the block */
-static size_t misses;	     /* allocations that went to malloc, from the start */
-static size_t recent_misses; /* and since the last ws_pool_begin() */
+static size_t used_bytes;    /* bytes allocated from the block */
+static size_t misses;	     /* allocations passed to malloc() since the process started */
+static size_t recent_misses; /* allocations passed to malloc() since the last ws_pool_begin() */
 static bool active;
 
 static void *allocate(size_t size)
 {
 	size_t aligned = (size + ALIGNMENT - 1) & ~(ALIGNMENT - 1);
 
-	if (active && aligned <= POOL_SIZE - used) {
-		void *memory = block + used;
+	if (active && aligned <= POOL_SIZE - used_bytes) {
+		void *memory = block + used_bytes;
 
-		used += aligned;
+		used_bytes += aligned;
 		return memory;
 	}
 	if (active) {
@@ -31,7 +31,7 @@
 	return malloc(size);
 }
 
-/* What is in the block is given back with it. */
+/* Memory of the block is not freed singly: the next ws_pool_begin() reuses the whole block. */
 static void release(void *memory)
 {
 	if ((uintptr_t)memory - (uintptr_t)block >= sizeof(block))
@@ -45,13 +45,13 @@
 
 void ws_pool_begin(void)
 {
-	used = recent_misses = 0;
+	used_bytes = recent_misses = 0;
 	active = true;
 }
 
 bool ws_pool_whole(void)
 {
-	return recent_misses == 0 && used > 0;
+	return recent_misses == 0 && used_bytes > 0;
 }
 
 void ws_pool_end(void)
--- a/src/io/pool.h
+++ b/src/io/pool.h
@@ -1,20 +1,23 @@
 /*
- * Memory for JSON documents that live no longer than it takes to write a message: handed out from
- * one block, given back whole, where malloc would be asked for every node.
+ * An arena for JSON documents that exist only while a message is written. Allocations come from one
+ * block that is reused as a whole, which avoids a malloc() for every JSON node.
  */
 #ifndef WS_POOL_H
 #define WS_POOL_H
 #include <stdbool.h>
 #include <stddef.h>
 
-/* Before any other use of jansson; without it all goes to malloc as ever. */
+/* Installs the allocator in jansson; called before any other use of jansson. Without it jansson
+ * uses malloc(). */
 void ws_pool_setup(void);
-/* Between these two jansson's memory comes from the block, and from malloc once that is used up.
- * One thread, not nested. Nothing made in between may live on, unless it was freed node by node. */
+/* Between these two calls jansson allocates from the block, and from malloc() once the block is
+ * full. For one thread, not nested. Values created in between must not be used afterwards, and are
+ * released with json_decref(), which frees the memory that came from malloc(). */
 void ws_pool_begin(void);
-/* True: all of it was in the block, so nothing need be freed one by one. */
+/* Whether all allocations since ws_pool_begin() came from the block: then none has to be freed. */
 bool ws_pool_whole(void);
 void ws_pool_end(void);
-/* What went to malloc in between, counted from the start, for tests. */
+/* For tests: the number of allocations passed to malloc() between begin and end since the process
+ * started. */
 size_t ws_pool_misses(void);
 #endif
--- a/src/io/sockets.c
+++ b/src/io/sockets.c
@@ -40,12 +40,12 @@
 	return false;
 }
 
-/* False with errno. */
+/* Returns false with errno on failure. */
 static bool bind_and_listen(int socket_fd, const struct sockaddr_in *address, int backlog)
 {
-	int one = 1;
+	int enabled = 1;
 
-	setsockopt(socket_fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
+	setsockopt(socket_fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof(enabled));
 	return !bind(socket_fd, (const struct sockaddr *)address, sizeof(*address)) &&
 	       !listen(socket_fd, backlog);
 }
--- a/src/io/sockets.h
+++ b/src/io/sockets.h
@@ -1,4 +1,4 @@
-/* TCP sockets that neither block nor delay small segments. IPv4 alone. */
+/* Non-blocking TCP sockets that send small segments without delay (TCP_NODELAY). IPv4 only. */
 #ifndef WS_SOCKETS_H
 #define WS_SOCKETS_H
 #include <netinet/in.h>
@@ -6,25 +6,26 @@
 #include <stddef.h>
 #include <sys/types.h>
 
-/* -1 with errno if there is none to be had. */
+/* Creates a socket with TCP_NODELAY set. Returns -1 with errno on failure. */
 int ws_socket_open(void);
-/* Has small segments sent at once. */
+/* Sets TCP_NODELAY; for accepted sockets. */
 void ws_socket_no_delay(int socket_fd);
-/* The address of a host that is given by its number. */
+/* Returns the address of a host given as a dotted IPv4 address. */
 struct sockaddr_in ws_socket_address(const char *host, int port);
-/* Starts to connect; false: it failed, and the socket was closed. */
+/* Starts to connect. On failure it closes the socket and returns false. */
 bool ws_socket_connect(int socket_fd, const struct sockaddr_in *address);
-/* A socket that listens, -1 with one line in `error` if it can't. `port` becomes the one it has. */
+/* Creates a listening socket. Returns -1 with one line in `error` on failure. `port` is set to the
+ * port in use, which matters if it was 0. */
 int ws_socket_listen(const char *host, int *port, int backlog, char *error, size_t error_size);
-/* Accepts a connection; -1 with errno if there is none. */
+/* Accepts a connection. Returns -1 with errno if none is waiting or on failure. */
 int ws_socket_accept(int listener_fd);
-/* Whether a connection under way came about; false: it failed. */
+/* Whether a pending connection attempt succeeded; called once the socket is writable. */
 bool ws_socket_connected(int socket_fd);
 /*
- * Receives what has arrived, up to `size` bytes; false if there is nothing to receive yet. `count`
- * becomes the number of bytes, 0 at the end of the connection, or negative with errno on an error.
+ * Receives up to `size` bytes. Returns false if no data is available yet. `count` is set to the
+ * number of bytes, to 0 at the end of the connection, or to -1 with errno on an error.
  */
 bool ws_socket_receive(int socket_fd, void *bytes, size_t size, ssize_t *count);
-/* Whether errno says that the socket is to be waited for. */
+/* Whether errno says that the last operation would have blocked. */
 bool ws_socket_would_block(void);
 #endif
--- a/src/io/worker_connections.c
+++ b/src/io/worker_connections.c
@@ -6,8 +6,8 @@
 
 /* Large enough for "ADDRESS:PORT". */
 #define WORKER_NAME_MAX 80
-/* The share of the sockets that may go to workers: one in so many. */
-#define SOCKETS_PER_CONNECTION 8
+/* One connection to a worker is allowed per this many client sockets. */
+#define SOCKETS_PER_WORKER_CONNECTION 8
 #define WORKER_QUEUE_MAX 4
 #define WORKER_REPLY_MAX ((size_t)256 * 1024)
 
@@ -21,7 +21,7 @@
 struct ws_worker_connections {
 	struct ev_loop *loop;
 	const struct ws_settings *settings;
-	/* in the order of their last use: one that is used is taken out and added again */
+	/* least recently used first: a client that is used is removed and added again */
 	struct worker_connection *by_name;
 	struct worker_connection *retired, **retired_end;
 };
@@ -39,7 +39,7 @@
 	return pool;
 }
 
-/* The client may be on the stack, in whose callback this is: it is freed by the timer. */
+/* The timer frees the client, because this may run in a callback of that client. */
 static void retire(struct ws_worker_connections *pool, struct worker_connection *worker)
 {
 	HASH_DEL(pool->by_name, worker);
@@ -48,8 +48,8 @@
 	pool->retired_end = &worker->next_retired;
 }
 
-/* Retires the least recently used idle client; false: all are busy. */
-static bool retire_one(struct ws_worker_connections *pool)
+/* Retires the least recently used idle client. Returns false if no client is idle. */
+static bool retire_least_recently_used(struct ws_worker_connections *pool)
 {
 	struct worker_connection *worker, *next;
 
@@ -61,8 +61,8 @@
 	return false;
 }
 
-static struct worker_connection *add(struct ws_worker_connections *pool, const char *name,
-				     const char *address, int port)
+static struct worker_connection *add_worker(struct ws_worker_connections *pool, const char *name,
+					    const char *address, int port)
 {
 	struct ws_http_client_options options = {.max_conns = 1,
 						 .max_queue = WORKER_QUEUE_MAX,
@@ -85,7 +85,8 @@
 struct ws_http_client *ws_worker_connections_get(struct ws_worker_connections *pool,
 						 const char *address, int port)
 {
-	unsigned most = (unsigned)(pool->settings->client_sockets / SOCKETS_PER_CONNECTION + 1);
+	unsigned limit =
+	    (unsigned)(pool->settings->client_sockets / SOCKETS_PER_WORKER_CONNECTION + 1);
 	struct worker_connection *worker;
 	char name[WORKER_NAME_MAX];
 
@@ -96,9 +97,9 @@
 		HASH_ADD_STR(pool->by_name, name, worker);
 		return worker->client;
 	}
-	if (HASH_COUNT(pool->by_name) >= most && !retire_one(pool))
+	if (HASH_COUNT(pool->by_name) >= limit && !retire_least_recently_used(pool))
 		return NULL;
-	worker = add(pool, name, address, port);
+	worker = add_worker(pool, name, address, port);
 	return worker ? worker->client : NULL;
 }
 
