--- a/src/config.c
+++ b/src/config.c
@@ -1,31 +1,32 @@
-/* Settings: the platform's file and the operators' own, both checked before anything starts. */
+/* Reads and checks the platform's settings file and the operator's policy file before startup. */
 #include "config.h"
 #include "config_reader.h"
 #include <stdio.h>
 #include <string.h>
 
-#define PATH_MAX_LENGTH 128
-/* Sockets kept from users and workers: 14 to store and cloud, 2 to listen on; */
-#define SOCKETS_OWN 16
-/* those of each peer's few lives; */
-#define SOCKETS_PEER 9
-/* and what must be left. */
-#define SOCKETS_LEAST 16
+#define KEY_PATH_SIZE 128
+/* Sockets reserved for the store and the cloud (14) and for listening (2). */
+#define SOCKETS_RESERVED 16
+/* Sockets reserved per peer: one outgoing connection and the 8 that may be accepted from a peer,
+ * since some may be left over from before its restarts. */
+#define SOCKETS_PER_PEER 9
+/* The minimum number of sockets left for users and workers. */
+#define CLIENT_SOCKETS_MIN 16
 #define TXN_OPS_MAX 1000
 #define MAX_SOCKETS_MAX 1000000
 #define MACHINES_MAX 10000
 
-/* Writes the path of a field of an array's entry: "seeds[0].node"; returns `path`. */
-static const char *entry_path(char path[PATH_MAX_LENGTH], const char *array, size_t index,
+/* Writes the path of a field of an array entry, such as "seeds[0].node", and returns `path`. */
+static const char *entry_path(char path[KEY_PATH_SIZE], const char *array, size_t index,
 			      const char *field)
 {
-	snprintf(path, PATH_MAX_LENGTH, "%s[%zu].%s", array, index, field);
+	snprintf(path, KEY_PATH_SIZE, "%s[%zu].%s", array, index, field);
 	return path;
 }
 
 static void read_addresses(struct ws_config_reader *reader, struct ws_settings *settings)
 {
-	char path[PATH_MAX_LENGTH];
+	char path[KEY_PATH_SIZE];
 
 	ws_config_text(reader, "node", settings->node, sizeof(settings->node));
 	ws_config_text(reader, "zone", settings->zone, sizeof(settings->zone));
@@ -51,7 +52,7 @@
 
 static void read_team(struct ws_config_reader *reader, struct ws_team_setting *team, size_t index)
 {
-	char path[PATH_MAX_LENGTH];
+	char path[KEY_PATH_SIZE];
 
 	ws_config_text(reader, entry_path(path, "settings.teams", index, "name"), team->name,
 		       WS_NAME_MAX);
@@ -68,7 +69,7 @@
 static void read_objective(struct ws_config_reader *reader, struct ws_objective *objective,
 			   size_t index)
 {
-	char path[PATH_MAX_LENGTH];
+	char path[KEY_PATH_SIZE];
 
 	ws_config_text(reader, entry_path(path, "settings.objectives", index, "kind"),
 		       objective->kind, sizeof(objective->kind));
@@ -105,13 +106,13 @@
 
 static void read_state(struct ws_config_reader *reader, struct ws_settings *settings)
 {
-	char text[PATH_MAX_LENGTH];
-	double ops = 0;
+	char text[KEY_PATH_SIZE];
+	double operations = 0;
 
 	ws_config_number(reader, "settings.state.rps", &settings->store_rps, 1, true);
 	ws_config_number(reader, "settings.state.write_rps", &settings->store_write_rps, 1, true);
 	ws_config_number(reader, "settings.state.value_kb", &settings->value_kb, 1, true);
-	ws_config_number(reader, "settings.state.txn_ops", &ops, 3, true);
+	ws_config_number(reader, "settings.state.txn_ops", &operations, 3, true);
 	if (ws_toml_string(reader->toml, "settings.state.next", text, sizeof(text)) !=
 		WS_TOML_MISSING &&
 	    !ws_toml_table(reader->toml, "settings.state.next"))
@@ -119,8 +120,8 @@
 	ws_config_lower(reader, "settings.state.next.rps", 1, &settings->store_rps);
 	ws_config_lower(reader, "settings.state.next.write_rps", 1, &settings->store_write_rps);
 	ws_config_lower(reader, "settings.state.next.value_kb", 1, &settings->value_kb);
-	ws_config_lower(reader, "settings.state.next.txn_ops", 3, &ops);
-	settings->transaction_ops = ops > TXN_OPS_MAX ? TXN_OPS_MAX : (int)ops;
+	ws_config_lower(reader, "settings.state.next.txn_ops", 3, &operations);
+	settings->transaction_ops = operations > TXN_OPS_MAX ? TXN_OPS_MAX : (int)operations;
 }
 
 static void read_limits(struct ws_config_reader *reader, struct ws_settings *settings)
@@ -129,18 +130,18 @@
 
 	ws_config_number(reader, "settings.cloud.rps", &settings->cloud_rps, 0.01, true);
 	ws_config_number(reader, "settings.cloud.list_lag_s", &settings->list_lag_s, 0, true);
-	/* at rest a small deployment takes a thousandth of a core and 2 MB; the block for messages,
-	 * and one answer of the store as long as it may be, come on top */
+	/* an idle small deployment uses 0.001 of a core and 2 MB of memory; the JSON arena and one
+	 * store reply of the maximum size are added to that */
 	ws_config_number(reader, "settings.machine_limits.core_share", &settings->cpu_share, 0.002,
 			 true);
 	ws_config_number(reader, "settings.machine_limits.ram_mb", &settings->ram_mb, 8, true);
 	ws_config_number(reader, "settings.machine_limits.max_sockets", &sockets, 16, true);
 	settings->max_sockets = sockets > MAX_SOCKETS_MAX ? MAX_SOCKETS_MAX : (int)sockets;
 	settings->client_sockets =
-	    settings->max_sockets - SOCKETS_OWN - SOCKETS_PEER * (int)settings->peer_count;
-	if (reader->valid && settings->client_sockets < SOCKETS_LEAST)
+	    settings->max_sockets - SOCKETS_RESERVED - SOCKETS_PER_PEER * (int)settings->peer_count;
+	if (reader->valid && settings->client_sockets < CLIENT_SOCKETS_MIN)
 		ws_config_invalid(reader, "settings.machine_limits.max_sockets",
-				  "leaves no room for users and workers");
+				  "leaves too few sockets for users and workers");
 }
 
 bool ws_config_settings(const char *path, struct ws_settings *settings,
@@ -162,8 +163,8 @@
 	return ws_config_close(&reader);
 }
 
-/* A whole number that may be left out: then it stays as it is. */
-static void read_machines(struct ws_config_reader *reader, const char *path, int *target)
+/* Reads an optional whole number, at most MACHINES_MAX. If it is missing, `target` is unchanged. */
+static void read_machine_count(struct ws_config_reader *reader, const char *path, int *target)
 {
 	double value = *target;
 
@@ -187,8 +188,8 @@
 	ws_config_number(&reader, "rentals_max", &policy->rentals_max, 1e-6, false);
 	ws_config_number(&reader, "wait_max_s", &policy->wait_max_s, 1e-6, false);
 	ws_config_number(&reader, "latency_bound_s", &policy->latency_bound_s, 1e-6, false);
-	read_machines(&reader, "rental_ceiling", &policy->rental_ceiling);
-	read_machines(&reader, "waiting_loads", &policy->waiting_units_max);
+	read_machine_count(&reader, "rental_ceiling", &policy->rental_ceiling);
+	read_machine_count(&reader, "waiting_loads", &policy->waiting_units_max);
 	ws_config_number(&reader, "empty_wait_s", &policy->idle_timeout_s, 0, false);
 	ws_config_number(&reader, "sizing_period_s", &policy->sizing_period_s, 1, false);
 	ws_config_number(&reader, "leader_ttl_ratio", &policy->leader_ttl_ratio, 0.01, false);
--- a/src/config_reader.c
+++ b/src/config_reader.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* No setting is larger than this. */
+/* The maximum of every number in a settings file. */
 #define NUMBER_MAX 1e12
 
 bool ws_config_open(struct ws_config_reader *reader, const char *path,
@@ -44,12 +44,13 @@
 
 void ws_config_text(struct ws_config_reader *reader, const char *path, char *target, size_t size)
 {
-	enum ws_toml_got found = ws_toml_string(reader->toml, path, target, size);
+	enum ws_toml_got result = ws_toml_string(reader->toml, path, target, size);
 
-	if (found == WS_TOML_MISSING)
+	if (result == WS_TOML_MISSING)
 		ws_config_fail(reader, WS_STARTUP_KEY_MISSING, path, "is missing");
-	else if (found == WS_TOML_WRONG_TYPE || !target[0])
-		ws_config_invalid(reader, path, "must be a non-empty string of fair length");
+	else if (result == WS_TOML_WRONG_TYPE || !target[0])
+		ws_config_invalid(reader, path,
+				  "must be a non-empty string within the length limit");
 }
 
 void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *target,
@@ -59,46 +60,46 @@
 }
 
 void ws_config_number(struct ws_config_reader *reader, const char *path, double *target,
-		      double least, bool needed)
+		      double minimum, bool required)
 {
 	double value;
-	enum ws_toml_got found = ws_toml_number(reader->toml, path, &value);
+	enum ws_toml_got result = ws_toml_number(reader->toml, path, &value);
 
-	if (found == WS_TOML_MISSING) {
-		if (needed)
+	if (result == WS_TOML_MISSING) {
+		if (required)
 			ws_config_fail(reader, WS_STARTUP_KEY_MISSING, path, "is missing");
 		return;
 	}
-	if (found == WS_TOML_WRONG_TYPE || !isfinite(value) || value < least ||
+	if (result == WS_TOML_WRONG_TYPE || !isfinite(value) || value < minimum ||
 	    value > NUMBER_MAX) {
-		char what[64];
+		char message[64];
 
-		snprintf(what, sizeof(what), "must be a number of at least %g", least);
-		ws_config_invalid(reader, path, what);
+		snprintf(message, sizeof(message), "must be a number of at least %g", minimum);
+		ws_config_invalid(reader, path, message);
 		return;
 	}
 	*target = value;
 }
 
 void ws_config_above_zero(struct ws_config_reader *reader, const char *path, double *target,
-			  bool needed)
+			  bool required)
 {
 	double value = 1;
 
-	ws_config_number(reader, path, &value, 0, needed);
+	ws_config_number(reader, path, &value, 0, required);
 	if (value <= 0)
 		ws_config_invalid(reader, path, "must be above 0");
 	else if (ws_toml_number(reader->toml, path, &value) != WS_TOML_MISSING)
 		*target = value;
 }
 
-void ws_config_lower(struct ws_config_reader *reader, const char *path, double least,
+void ws_config_lower(struct ws_config_reader *reader, const char *path, double minimum,
 		     double *target)
 {
-	double next = *target;
+	double limit = *target;
 
-	ws_config_number(reader, path, &next, least, false);
-	*target = next < *target ? next : *target;
+	ws_config_number(reader, path, &limit, minimum, false);
+	*target = limit < *target ? limit : *target;
 }
 
 void ws_config_endpoint(struct ws_config_reader *reader, const char *path,
@@ -127,14 +128,15 @@
 	endpoint->port = (int)port;
 }
 
-size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t limit, bool needed)
+size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t limit,
+		       bool required)
 {
 	long length = ws_toml_length(reader->toml, path);
 
 	if (length < 0) {
-		if (needed)
+		if (required)
 			ws_config_fail(reader, WS_STARTUP_KEY_MISSING, path,
-				       "is missing or no array");
+				       "is missing or not an array");
 		return 0;
 	}
 	if ((size_t)length > limit) {
@@ -163,6 +165,6 @@
 		if (is_known(key, known, count))
 			continue;
 		snprintf(path, sizeof(path), "%s%s%s", table, table[0] ? "." : "", key);
-		ws_config_fail(reader, WS_STARTUP_KEY_UNKNOWN, path, "is not a setting of waystep");
+		ws_config_fail(reader, WS_STARTUP_KEY_UNKNOWN, path, "is not a known setting");
 	}
 }
--- a/src/config_reader.h
+++ b/src/config_reader.h
@@ -1,11 +1,11 @@
-/* Reads settings files field by field: the first wrong one is kept, with its name. */
+/* Reads and checks settings files key by key; the first error is kept, with the name of its key. */
 #ifndef WS_CONFIG_READER_H
 #define WS_CONFIG_READER_H
 #include "core/settings.h"
 #include "startup_error.h"
 #include "toml.h"
 
-/* A file being read. Once a field was wrong, `valid` stays false and later errors are dropped. */
+/* A file being read. After the first invalid key `valid` is false, and later errors are ignored. */
 struct ws_config_reader {
 	struct ws_toml *toml;
 	const char *file;
@@ -13,38 +13,39 @@
 	bool valid;
 };
 
-/* Opens a file; false with the error if that fails. `path` must outlive the reader. */
+/* Opens a file. Returns false with the error on failure. `path` must outlive the reader. */
 bool ws_config_open(struct ws_config_reader *reader, const char *path,
 		    struct ws_startup_error *error);
-/* Closes it; whether all was read without an error. */
+/* Closes the file. Returns whether it was read without an error. */
 bool ws_config_close(struct ws_config_reader *reader);
-/* Records that a key is wrong, and how; only the first error is kept. */
+/* Records an error of a key; only the first error is kept. */
 void ws_config_fail(struct ws_config_reader *reader, enum ws_startup_error_code code,
 		    const char *key, const char *text);
-/* The same for a value that is not allowed. */
+/* Records WS_STARTUP_KEY_INVALID for a key. */
 void ws_config_invalid(struct ws_config_reader *reader, const char *key, const char *text);
 
-/* A string that must be there and not be empty. */
+/* Reads a required, non-empty string. */
 void ws_config_text(struct ws_config_reader *reader, const char *path, char *target, size_t size);
-/* A string that may be missing; then `target` stays as it is. */
+/* Reads an optional string. If it is missing or invalid, `target` is unchanged. */
 void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *target,
 			     size_t size);
-/* A number of at least `least`; if it is missing and not needed, `target` stays as it is. */
+/* Reads a number of at least `minimum`. If an optional number is missing, `target` is unchanged. */
 void ws_config_number(struct ws_config_reader *reader, const char *path, double *target,
-		      double least, bool needed);
-/* A time or a share of which there must be some. */
+		      double minimum, bool required);
+/* Reads a number above 0. If an optional number is missing, `target` is unchanged. */
 void ws_config_above_zero(struct ws_config_reader *reader, const char *path, double *target,
-			  bool needed);
-/* A limit that will hold from some later moment on: planned by from the start if it is lower. */
-void ws_config_lower(struct ws_config_reader *reader, const char *path, double least,
+			  bool required);
+/* Reads an optional limit that takes effect at some later time. If it is lower than `target`, it
+ * replaces it, so that the lower limit is respected from the start. */
+void ws_config_lower(struct ws_config_reader *reader, const char *path, double minimum,
 		     double *target);
-/* "IPv4:port". */
+/* Reads an address in the form "IPv4:port". */
 void ws_config_endpoint(struct ws_config_reader *reader, const char *path,
 			struct ws_endpoint *endpoint);
-/* Entries of an array; 0 if it is missing. */
+/* Returns the length of an array, or 0 if it is missing or has more than `limit` entries. */
 size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t limit,
-		       bool needed);
-/* Refuses keys of a table that are not among those known; an empty path is the file itself. */
+		       bool required);
+/* Records an error if a table has a key that is not in `known`. An empty `table` is the root. */
 void ws_config_known_keys(struct ws_config_reader *reader, const char *table,
 			  const char *const *known, size_t count);
 #endif
--- a/src/startup_error.h
+++ b/src/startup_error.h
@@ -1,6 +1,6 @@
 /*
- * Why waystep can't start: an error of the settings files or of what they ask for, with the key or
- * the line at fault. The functions that fail fill it in; main() alone prints it.
+ * The reason why the process can't start: an error in a settings file, with its key or line, or a
+ * socket or thread that can't be created. The failing function fills it in; only main() prints it.
  */
 #ifndef WS_STARTUP_ERROR_H
 #define WS_STARTUP_ERROR_H
@@ -12,12 +12,12 @@
 
 enum ws_startup_error_code {
 	WS_STARTUP_NO_ERROR,
-	WS_STARTUP_FILE_UNREADABLE, /* without a line */
-	WS_STARTUP_FILE_MALFORMED,  /* no TOML, at `line` */
+	WS_STARTUP_FILE_UNREADABLE, /* `line` is not set */
+	WS_STARTUP_FILE_MALFORMED,  /* a TOML syntax error at `line` */
 	WS_STARTUP_KEY_MISSING,
-	WS_STARTUP_KEY_INVALID, /* of another type, or out of bounds */
+	WS_STARTUP_KEY_INVALID, /* of the wrong type, or out of range */
 	WS_STARTUP_KEY_UNKNOWN,
-	WS_STARTUP_SETTINGS_CONFLICT, /* keys that don't go together; `file` is empty */
+	WS_STARTUP_SETTINGS_CONFLICT, /* settings that contradict each other; `file` is empty */
 	WS_STARTUP_LISTEN_FAILED,
 	WS_STARTUP_THREAD_FAILED,
 };
@@ -25,15 +25,15 @@
 struct ws_startup_error {
 	enum ws_startup_error_code code;
 	char file[WS_STARTUP_FILE_MAX];
-	char key[WS_STARTUP_KEY_MAX]; /* its path, "settings.workers.lease_s"; "" if none is */
+	char key[WS_STARTUP_KEY_MAX]; /* path such as "settings.workers.lease_s", or "" */
 	unsigned line;
-	char text[WS_STARTUP_TEXT_MAX]; /* what is wrong */
+	char text[WS_STARTUP_TEXT_MAX]; /* the message */
 };
 
 #ifdef __cplusplus
 extern "C" {
 #endif
-/* One line for the operator; "" without an error. */
+/* Writes the error as one line for the operator, or "" if there is none. */
 void ws_startup_error_line(const struct ws_startup_error *error, char *target, size_t size);
 #ifdef __cplusplus
 }
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PATH_LENGTH 160
+#define KEY_PATH_SIZE 160
 
 void ws_subsystem_defaults(struct ws_subsystem_settings *settings)
 {
@@ -32,7 +32,7 @@
 static void read_networks(struct ws_config_reader *reader, struct ws_domains_declared *declared,
 			  size_t domain)
 {
-	char path[PATH_LENGTH];
+	char path[KEY_PATH_SIZE];
 
 	snprintf(path, sizeof(path), "zones.domains[%zu].networks", domain);
 	declared->network_count = ws_config_count(reader, path, SIZE_MAX, true);
@@ -47,7 +47,7 @@
 {
 	static const char *const known[] = {"name", "networks"};
 	size_t count = ws_config_count(reader, "zones.domains", SIZE_MAX, false);
-	char path[PATH_LENGTH];
+	char path[KEY_PATH_SIZE];
 
 	domains->declared = allocate(count, sizeof(*domains->declared));
 	for (size_t i = 0; i < count && reader->valid; i++) {
@@ -67,7 +67,7 @@
 	domains->class_order = allocate(count, sizeof(*domains->class_order));
 	domains->class_count = count;
 	for (size_t i = 0; i < count && reader->valid; i++) {
-		char path[PATH_LENGTH];
+		char path[KEY_PATH_SIZE];
 
 		snprintf(path, sizeof(path), "zones.class_order[%zu]", i);
 		ws_config_text(reader, path, domains->class_order[i], WS_DOMAINS_NAME_MAX);
@@ -92,7 +92,7 @@
 	ws_config_number(reader, "zones.ramp_s", &domains->ramp_s, 0, false);
 	ws_config_above_zero(reader, "zones.half_life_s", &domains->half_life_s, false);
 	ws_config_number(reader, "zones.penalty_max", &domains->penalty_max, 1, false);
-	if (domains->penalty_max > 16) /* the hold-down doubles with each */
+	if (domains->penalty_max > 16) /* the hold-down doubles with each penalty point */
 		ws_config_invalid(reader, "zones.penalty_max", "must be at most 16");
 	read_class_order(reader, domains);
 	read_domains(reader, domains);
@@ -113,7 +113,7 @@
 		ws_config_invalid(reader, "coldstart.heard_share", "must be at most 1");
 }
 
-/* Reads the table of a subsystem if there is one. */
+/* Reads the table of a subsystem if the file has one. */
 static void read_table(struct ws_config_reader *reader, const char *name,
 		       void (*read)(struct ws_config_reader *, struct ws_subsystem_settings *),
 		       struct ws_subsystem_settings *settings)
@@ -143,24 +143,27 @@
 	ws_log_write(WS_LOG_INFO, text);
 }
 
-/* What the domains are refused for: the domain, and the network where it is one. */
-static void set_domain_error(struct ws_startup_error *error, const struct ws_domains_error *wrong)
+/* Sets the error to the invalid domain and, if that is the cause, its network. */
+static void set_domain_error(struct ws_startup_error *error,
+			     const struct ws_domains_error *domains_error)
 {
 	*error =
 	    (struct ws_startup_error){.code = WS_STARTUP_SETTINGS_CONFLICT, .key = "zones.domains"};
-	snprintf(error->text, sizeof(error->text), "%s%s%s %s", wrong->domain,
-		 wrong->network[0] ? ": " : "", wrong->network, ws_domains_error_text(wrong->code));
+	snprintf(error->text, sizeof(error->text), "%s%s%s %s", domains_error->domain,
+		 domains_error->network[0] ? ": " : "", domains_error->network,
+		 ws_domains_error_text(domains_error->code));
 }
 
 static bool attach_failure_domains(struct ws_core *core, const struct ws_domains_settings *settings,
 				   const struct ws_cluster_limits *limits,
 				   struct ws_startup_error *error)
 {
-	struct ws_domains_error wrong;
-	struct ws_failure_domains *domains = ws_domains_new(settings, limits, log_line, &wrong);
+	struct ws_domains_error domains_error;
+	struct ws_failure_domains *domains =
+	    ws_domains_new(settings, limits, log_line, &domains_error);
 
 	if (!domains) {
-		set_domain_error(error, &wrong);
+		set_domain_error(error, &domains_error);
 		return false;
 	}
 	if (core && ws_core_attach(core, &ws_domains_ops, domains))
@@ -183,7 +186,7 @@
 bool ws_subsystem_attach(struct ws_core *core, const struct ws_subsystem_settings *settings,
 			 const struct ws_settings *platform, struct ws_startup_error *error)
 {
-	const char *names[WS_MAX_ZONES];
+	const char *zone_names[WS_MAX_ZONES];
 	struct ws_cluster_limits limits = {
 	    .report_s = platform->heartbeat_s,
 	    .lease_s = platform->lease_s,
@@ -191,12 +194,12 @@
 	    .value_bytes = (size_t)(platform->value_kb * 1024),
 	    .cancel_s = platform->cancel_s,
 	    .node_zone = platform->zone,
-	    .zones = names,
+	    .zones = zone_names,
 	    .zone_count = platform->zone_count,
 	};
 
 	for (size_t i = 0; i < platform->zone_count; i++)
-		names[i] = platform->zones[i];
+		zone_names[i] = platform->zones[i];
 	if ((settings->failure_domains_enabled || !core) &&
 	    !attach_failure_domains(core, &settings->failure_domains, &limits, error))
 		return false;
--- a/src/subsystem_settings.h
+++ b/src/subsystem_settings.h
@@ -13,15 +13,15 @@
 	struct ws_cold_start_settings cold_start;
 };
 
-/* Every subsystem disabled, with its default settings. */
+/* Sets every subsystem to disabled, with its default settings. */
 void ws_subsystem_defaults(struct ws_subsystem_settings *settings);
 void ws_subsystem_free(struct ws_subsystem_settings *settings);
-/* Reads the file; false with the first error, which names the key. */
+/* Reads the file. Returns false with the first error, which names the key. */
 bool ws_subsystem_read(const char *path, struct ws_subsystem_settings *settings,
 		       struct ws_startup_error *error);
 /*
  * Attaches the enabled subsystems to a core; with a NULL core the settings are only checked against
- * the platform's. False with the error.
+ * the platform's. Returns false with the error on failure.
  */
 bool ws_subsystem_attach(struct ws_core *core, const struct ws_subsystem_settings *settings,
 			 const struct ws_settings *platform, struct ws_startup_error *error);
--- a/src/toml.cpp
+++ b/src/toml.cpp
@@ -21,12 +21,12 @@
 {
 	try {
 		return new ws_toml{toml::parse_file(path)};
-	} catch (const toml::parse_error &wrong) {
+	} catch (const toml::parse_error &exception) {
 		set_error(error, WS_STARTUP_FILE_MALFORMED, path,
-			  (unsigned)wrong.source().begin.line,
-			  std::string(wrong.description()).c_str());
-	} catch (const std::exception &wrong) {
-		set_error(error, WS_STARTUP_FILE_UNREADABLE, path, 0, wrong.what());
+			  (unsigned)exception.source().begin.line,
+			  std::string(exception.description()).c_str());
+	} catch (const std::exception &exception) {
+		set_error(error, WS_STARTUP_FILE_UNREADABLE, path, 0, exception.what());
 	}
 	return nullptr;
 }
@@ -97,9 +97,9 @@
 	auto value = toml->root.at_path(path);
 	if (!value)
 		return WS_TOML_MISSING;
-	auto truth = value.value<bool>();
-	if (!value.is_boolean() || !truth)
+	auto boolean = value.value<bool>();
+	if (!value.is_boolean() || !boolean)
 		return WS_TOML_WRONG_TYPE;
-	*target = *truth;
+	*target = *boolean;
 	return WS_TOML_OK;
 }
--- a/src/toml.h
+++ b/src/toml.h
@@ -1,4 +1,4 @@
-/* The little of TOML that waystep reads, from toml++ (Debian has no C parser). */
+/* A C interface to the toml++ parser, since Debian packages no TOML parser in C. */
 #ifndef WS_TOML_H
 #define WS_TOML_H
 #include "startup_error.h"
@@ -11,20 +11,23 @@
 struct ws_toml;
 enum ws_toml_got { WS_TOML_OK, WS_TOML_MISSING, WS_TOML_WRONG_TYPE };
 
-/* Reads a file; NULL with the error, of the file or of a line, if that fails. */
+/* Parses a file. Returns NULL with the error if it is unreadable or malformed. */
 struct ws_toml *ws_toml_open(const char *path, struct ws_startup_error *error);
 void ws_toml_close(struct ws_toml *toml);
-/* Values by path, as toml++ has them: "settings.workers.lease_s", "seeds[0].node". They leave
- * `target` as it is where they don't give WS_TOML_OK. A string fits into `size` bytes. */
+/* Read a value by its toml++ path, such as "settings.workers.lease_s" or "seeds[0].node". `target`
+ * is unchanged unless WS_TOML_OK is returned. A string that does not fit into `size` bytes is
+ * WS_TOML_WRONG_TYPE. */
 enum ws_toml_got ws_toml_string(struct ws_toml *toml, const char *path, char *target, size_t size);
 enum ws_toml_got ws_toml_number(struct ws_toml *toml, const char *path, double *target);
 enum ws_toml_got ws_toml_bool(struct ws_toml *toml, const char *path, bool *target);
-/* Whether there is a table, or anything. */
+/* Whether the path is a table. */
 bool ws_toml_table(struct ws_toml *toml, const char *path);
+/* Whether the path has a value of any type. */
 bool ws_toml_has(struct ws_toml *toml, const char *path);
-/* Length of an array; -1 if there is none. */
+/* Returns the length of an array, or -1 if the path is not an array. */
 long ws_toml_length(struct ws_toml *toml, const char *path);
-/* Name of the index-th key of a table, of the root with an empty path; false behind the last. */
+/* Gets the name of a key of a table by its index; an empty path is the root. Returns false after
+ * the last key. */
 bool ws_toml_key(struct ws_toml *toml, const char *path, size_t index, char *target, size_t size);
 #ifdef __cplusplus
 }
