--- a/src/config.c
+++ b/src/config.c
@@ -28,25 +28,25 @@
 {
 	char path[KEY_PATH_SIZE];
 
-	ws_config_text(reader, "node", settings->node, sizeof(settings->node));
-	ws_config_text(reader, "zone", settings->zone, sizeof(settings->zone));
+	ws_config_string(reader, "node", settings->node, sizeof(settings->node));
+	ws_config_string(reader, "zone", settings->zone, sizeof(settings->zone));
 	ws_config_endpoint(reader, "bind", &settings->bind);
 	ws_config_endpoint(reader, "peer_bind", &settings->peer_bind);
 	ws_config_endpoint(reader, "services.cloud", &settings->cloud);
 	ws_config_endpoint(reader, "services.state", &settings->store);
-	settings->peer_count = ws_config_count(reader, "seeds", WS_MAX_PEERS, false);
+	settings->peer_count = ws_config_array_length(reader, "seeds", WS_MAX_PEERS, false);
 	for (size_t i = 0; i < settings->peer_count && reader->valid; i++) {
-		ws_config_text(reader, entry_path(path, "seeds", i, "node"),
-			       settings->peers[i].node, WS_NAME_MAX);
+		ws_config_string(reader, entry_path(path, "seeds", i, "node"),
+				 settings->peers[i].node, WS_NAME_MAX);
 		ws_config_endpoint(reader, entry_path(path, "seeds", i, "endpoint"),
 				   &settings->peers[i]);
-		ws_config_optional_text(reader, entry_path(path, "seeds", i, "zone"),
-					settings->peers[i].zone, WS_NAME_MAX);
+		ws_config_optional_string(reader, entry_path(path, "seeds", i, "zone"),
+					  settings->peers[i].zone, WS_NAME_MAX);
 	}
-	settings->zone_count = ws_config_count(reader, "settings.zones", WS_MAX_ZONES, true);
+	settings->zone_count = ws_config_array_length(reader, "settings.zones", WS_MAX_ZONES, true);
 	for (size_t i = 0; i < settings->zone_count && reader->valid; i++) {
 		snprintf(path, sizeof(path), "settings.zones[%zu]", i);
-		ws_config_text(reader, path, settings->zones[i], WS_NAME_MAX);
+		ws_config_string(reader, path, settings->zones[i], WS_NAME_MAX);
 	}
 }
 
@@ -54,8 +54,8 @@
 {
 	char path[KEY_PATH_SIZE];
 
-	ws_config_text(reader, entry_path(path, "settings.teams", index, "name"), team->name,
-		       WS_NAME_MAX);
+	ws_config_string(reader, entry_path(path, "settings.teams", index, "name"), team->name,
+			 WS_NAME_MAX);
 	ws_config_number(reader, entry_path(path, "settings.teams", index, "cpus"), &team->cpus, 0,
 			 true);
 	ws_config_number(reader, entry_path(path, "settings.teams", index, "cpus_max"),
@@ -71,10 +71,10 @@
 {
 	char path[KEY_PATH_SIZE];
 
-	ws_config_text(reader, entry_path(path, "settings.objectives", index, "kind"),
-		       objective->kind, sizeof(objective->kind));
-	ws_config_optional_text(reader, entry_path(path, "settings.objectives", index, "class"),
-				objective->job_class, WS_NAME_MAX);
+	ws_config_string(reader, entry_path(path, "settings.objectives", index, "kind"),
+			 objective->kind, sizeof(objective->kind));
+	ws_config_optional_string(reader, entry_path(path, "settings.objectives", index, "class"),
+				  objective->job_class, WS_NAME_MAX);
 	ws_config_number(reader, entry_path(path, "settings.objectives", index, "within_s"),
 			 &objective->within_s, 0, false);
 	ws_config_number(reader, entry_path(path, "settings.objectives", index, "share"),
@@ -83,11 +83,11 @@
 
 static void read_users(struct ws_config_reader *reader, struct ws_settings *settings)
 {
-	settings->team_count = ws_config_count(reader, "settings.teams", WS_MAX_TEAMS, true);
+	settings->team_count = ws_config_array_length(reader, "settings.teams", WS_MAX_TEAMS, true);
 	for (size_t i = 0; i < settings->team_count && reader->valid; i++)
 		read_team(reader, &settings->teams[i], i);
 	settings->objective_count =
-	    ws_config_count(reader, "settings.objectives", WS_MAX_OBJECTIVES, false);
+	    ws_config_array_length(reader, "settings.objectives", WS_MAX_OBJECTIVES, false);
 	for (size_t i = 0; i < settings->objective_count && reader->valid; i++)
 		read_objective(reader, &settings->objectives[i], i);
 }
@@ -96,12 +96,13 @@
 {
 	ws_config_number(reader, "settings.workers.report_s", &settings->heartbeat_s, 0.01, true);
 	ws_config_number(reader, "settings.workers.lease_s", &settings->lease_s, 0.1, true);
-	ws_config_above_zero(reader, "settings.workers.cancel_s", &settings->cancel_s, true);
+	ws_config_positive_number(reader, "settings.workers.cancel_s", &settings->cancel_s, true);
 	settings->gang_wait_s = settings->lease_s;
 	settings->gang_peer_s = settings->lease_s / 2;
 	ws_config_number(reader, "settings.workers.gang_wait_s", &settings->gang_wait_s, 0.1,
 			 false);
-	ws_config_above_zero(reader, "settings.workers.gang_peer_s", &settings->gang_peer_s, false);
+	ws_config_positive_number(reader, "settings.workers.gang_peer_s", &settings->gang_peer_s,
+				  false);
 }
 
 static void read_state(struct ws_config_reader *reader, struct ws_settings *settings)
@@ -115,12 +116,13 @@
 	ws_config_number(reader, "settings.state.txn_ops", &operations, 3, true);
 	if (ws_toml_string(reader->toml, "settings.state.next", text, sizeof(text)) !=
 		WS_TOML_MISSING &&
-	    !ws_toml_table(reader->toml, "settings.state.next"))
+	    !ws_toml_is_table(reader->toml, "settings.state.next"))
 		ws_config_invalid(reader, "settings.state.next", "must be a table");
-	ws_config_lower(reader, "settings.state.next.rps", 1, &settings->store_rps);
-	ws_config_lower(reader, "settings.state.next.write_rps", 1, &settings->store_write_rps);
-	ws_config_lower(reader, "settings.state.next.value_kb", 1, &settings->value_kb);
-	ws_config_lower(reader, "settings.state.next.txn_ops", 3, &operations);
+	ws_config_lower_limit(reader, "settings.state.next.rps", 1, &settings->store_rps);
+	ws_config_lower_limit(reader, "settings.state.next.write_rps", 1,
+			      &settings->store_write_rps);
+	ws_config_lower_limit(reader, "settings.state.next.value_kb", 1, &settings->value_kb);
+	ws_config_lower_limit(reader, "settings.state.next.txn_ops", 3, &operations);
 	settings->transaction_ops = operations > TXN_OPS_MAX ? TXN_OPS_MAX : (int)operations;
 }
 
@@ -144,8 +146,8 @@
 				  "leaves too few sockets for users and workers");
 }
 
-bool ws_config_settings(const char *path, struct ws_settings *settings,
-			struct ws_startup_error *error)
+bool ws_config_read_settings(const char *path, struct ws_settings *settings,
+			     struct ws_startup_error *error)
 {
 	struct ws_config_reader reader;
 
@@ -172,7 +174,8 @@
 	*target = value > MACHINES_MAX ? MACHINES_MAX : (int)value;
 }
 
-bool ws_config_policy(const char *path, struct ws_policy *policy, struct ws_startup_error *error)
+bool ws_config_read_policy(const char *path, struct ws_policy *policy,
+			   struct ws_startup_error *error)
 {
 	static const char *const known[] = {
 	    "delta",	       "rentals_max",	  "wait_max_s",
@@ -183,7 +186,7 @@
 
 	if (!ws_config_open(&reader, path, error))
 		return false;
-	ws_config_known_keys(&reader, "", known, sizeof(known) / sizeof(known[0]));
+	ws_config_reject_unknown_keys(&reader, "", known, sizeof(known) / sizeof(known[0]));
 	ws_config_number(&reader, "delta", &policy->delta, 1e-6, false);
 	ws_config_number(&reader, "rentals_max", &policy->rentals_max, 1e-6, false);
 	ws_config_number(&reader, "wait_max_s", &policy->wait_max_s, 1e-6, false);
--- a/src/config_reader.c
+++ b/src/config_reader.c
@@ -42,9 +42,9 @@
 	ws_config_fail(reader, WS_STARTUP_KEY_INVALID, key, text);
 }
 
-void ws_config_text(struct ws_config_reader *reader, const char *path, char *target, size_t size)
+void ws_config_string(struct ws_config_reader *reader, const char *path, char *target, size_t size)
 {
-	enum ws_toml_got result = ws_toml_string(reader->toml, path, target, size);
+	enum ws_toml_result result = ws_toml_string(reader->toml, path, target, size);
 
 	if (result == WS_TOML_MISSING)
 		ws_config_fail(reader, WS_STARTUP_KEY_MISSING, path, "is missing");
@@ -53,8 +53,8 @@
 				  "must be a non-empty string within the length limit");
 }
 
-void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *target,
-			     size_t size)
+void ws_config_optional_string(struct ws_config_reader *reader, const char *path, char *target,
+			       size_t size)
 {
 	ws_toml_string(reader->toml, path, target, size);
 }
@@ -63,7 +63,7 @@
 		      double minimum, bool required)
 {
 	double value;
-	enum ws_toml_got result = ws_toml_number(reader->toml, path, &value);
+	enum ws_toml_result result = ws_toml_number(reader->toml, path, &value);
 
 	if (result == WS_TOML_MISSING) {
 		if (required)
@@ -81,8 +81,8 @@
 	*target = value;
 }
 
-void ws_config_above_zero(struct ws_config_reader *reader, const char *path, double *target,
-			  bool required)
+void ws_config_positive_number(struct ws_config_reader *reader, const char *path, double *target,
+			       bool required)
 {
 	double value = 1;
 
@@ -93,8 +93,8 @@
 		*target = value;
 }
 
-void ws_config_lower(struct ws_config_reader *reader, const char *path, double minimum,
-		     double *target)
+void ws_config_lower_limit(struct ws_config_reader *reader, const char *path, double minimum,
+			   double *target)
 {
 	double limit = *target;
 
@@ -109,7 +109,7 @@
 	struct in_addr address;
 	long port;
 
-	ws_config_text(reader, path, text, sizeof(text));
+	ws_config_string(reader, path, text, sizeof(text));
 	if (!reader->valid)
 		return;
 	colon = strrchr(text, ':');
@@ -128,10 +128,10 @@
 	endpoint->port = (int)port;
 }
 
-size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t limit,
-		       bool required)
+size_t ws_config_array_length(struct ws_config_reader *reader, const char *path, size_t limit,
+			      bool required)
 {
-	long length = ws_toml_length(reader->toml, path);
+	long length = ws_toml_array_length(reader->toml, path);
 
 	if (length < 0) {
 		if (required)
@@ -154,8 +154,8 @@
 	return false;
 }
 
-void ws_config_known_keys(struct ws_config_reader *reader, const char *table,
-			  const char *const *known, size_t count)
+void ws_config_reject_unknown_keys(struct ws_config_reader *reader, const char *table,
+				   const char *const *known, size_t count)
 {
 	char key[128];
 
--- a/src/config_reader.h
+++ b/src/config_reader.h
@@ -25,27 +25,27 @@
 void ws_config_invalid(struct ws_config_reader *reader, const char *key, const char *text);
 
 /* Reads a required, non-empty string. */
-void ws_config_text(struct ws_config_reader *reader, const char *path, char *target, size_t size);
+void ws_config_string(struct ws_config_reader *reader, const char *path, char *target, size_t size);
 /* Reads an optional string. If it is missing or invalid, `target` is unchanged. */
-void ws_config_optional_text(struct ws_config_reader *reader, const char *path, char *target,
-			     size_t size);
+void ws_config_optional_string(struct ws_config_reader *reader, const char *path, char *target,
+			       size_t size);
 /* Reads a number of at least `minimum`. If an optional number is missing, `target` is unchanged. */
 void ws_config_number(struct ws_config_reader *reader, const char *path, double *target,
 		      double minimum, bool required);
 /* Reads a number above 0. If an optional number is missing, `target` is unchanged. */
-void ws_config_above_zero(struct ws_config_reader *reader, const char *path, double *target,
-			  bool required);
+void ws_config_positive_number(struct ws_config_reader *reader, const char *path, double *target,
+			       bool required);
 /* Reads an optional limit that takes effect at some later time. If it is lower than `target`, it
  * replaces it, so that the lower limit is respected from the start. */
-void ws_config_lower(struct ws_config_reader *reader, const char *path, double minimum,
-		     double *target);
+void ws_config_lower_limit(struct ws_config_reader *reader, const char *path, double minimum,
+			   double *target);
 /* Reads an address in the form "IPv4:port". */
 void ws_config_endpoint(struct ws_config_reader *reader, const char *path,
 			struct ws_endpoint *endpoint);
 /* Returns the length of an array, or 0 if it is missing or has more than `limit` entries. */
-size_t ws_config_count(struct ws_config_reader *reader, const char *path, size_t limit,
-		       bool required);
+size_t ws_config_array_length(struct ws_config_reader *reader, const char *path, size_t limit,
+			      bool required);
 /* Records an error if a table has a key that is not in `known`. An empty `table` is the root. */
-void ws_config_known_keys(struct ws_config_reader *reader, const char *table,
-			  const char *const *known, size_t count);
+void ws_config_reject_unknown_keys(struct ws_config_reader *reader, const char *table,
+				   const char *const *known, size_t count);
 #endif
--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -128,7 +128,7 @@
 	frame.method = (char *)http->method;
 	frame.path = path;
 	frame.body.data = (uint8_t *)http->body;
-	frame.body.len = http->len;
+	frame.body.len = http->body_length;
 	if (!ws_peers_send(service->peers, leader, &frame,
 			   forward_timeout_s(request->heartbeat, http->method), on_reply, request))
 		on_reply(request, NULL);
@@ -144,7 +144,7 @@
 
 	if (!pending)
 		return;
-	if (!ws_server_request(service->server, effect->request_id, &http)) {
+	if (!ws_server_get_request(service->server, effect->request_id, &http)) {
 		/* who asked is gone, or it was a peer */
 		ws_router_answer_status(service, effect->request_id, 503);
 		return;
--- a/src/io/http_client.c
+++ b/src/io/http_client.c
@@ -16,14 +16,14 @@
 /* Added to timers, so that the deadline has passed when they fire. */
 #define TIMER_SLACK_S 0.001
 
-/* Statuses of requests without a reply; see ws_reply_fn. */
+/* Statuses of requests without a reply; see ws_http_reply_fn. */
 enum { STATUS_UNKNOWN = 0, STATUS_NOT_SENT = -1 };
 
 struct request {
 	char *bytes;
 	size_t length;
 	double deadline;
-	ws_reply_fn on_reply;
+	ws_http_reply_fn on_reply;
 	void *context;
 	struct request *next;
 };
@@ -116,9 +116,9 @@
 {
 	struct connection *connection = parser->data;
 
-	if (connection->body.length + length > connection->client->options.max_reply)
+	if (connection->body.length + length > connection->client->options.max_reply_bytes)
 		return 1;
-	return !ws_buffer_add(&connection->body, bytes, length);
+	return !ws_buffer_append(&connection->body, bytes, length);
 }
 
 static int on_message_complete(http_parser *parser)
@@ -168,7 +168,7 @@
 
 	(void)events;
 	if (!connection->connected) {
-		if (!ws_socket_connected(connection->fd)) {
+		if (!ws_socket_connect_succeeded(connection->fd)) {
 			fail_and_start_queued(connection);
 			return;
 		}
@@ -284,9 +284,9 @@
 	const struct ws_http_client_options *options = &client->options;
 	double now = ws_now();
 
-	if (options->rate <= 0)
+	if (options->requests_per_s <= 0)
 		return true;
-	client->tokens += (now - client->tokens_refilled) * options->rate;
+	client->tokens += (now - client->tokens_refilled) * options->requests_per_s;
 	client->tokens_refilled = now;
 	if (client->tokens > options->burst)
 		client->tokens = options->burst;
@@ -311,13 +311,13 @@
 	     connection = connection->next) {
 		if (connection->request)
 			next = earlier_of(next, connection->request->deadline);
-		else if (options->idle_s > 0)
-			next = earlier_of(next, connection->last_used + options->idle_s);
+		else if (options->idle_timeout_s > 0)
+			next = earlier_of(next, connection->last_used + options->idle_timeout_s);
 	}
 	for (const struct request *request = client->first; request; request = request->next)
 		next = earlier_of(next, request->deadline);
-	if (client->first && options->rate > 0 && client->tokens < 1)
-		next = earlier_of(next, now + (1 - client->tokens) / options->rate);
+	if (client->first && options->requests_per_s > 0 && client->tokens < 1)
+		next = earlier_of(next, now + (1 - client->tokens) / options->requests_per_s);
 	return next;
 }
 
@@ -364,7 +364,7 @@
 		struct connection *connection = idle_connection(client);
 		struct request *request;
 
-		if (!connection && client->count >= client->options.max_conns)
+		if (!connection && client->count >= client->options.max_connections)
 			break;
 		if (!take_token(client))
 			break;
@@ -388,7 +388,7 @@
 /* Closes one connection whose request or idle time has timed out; false if there is none. */
 static bool close_timed_out_connection(struct ws_http_client *client, double now)
 {
-	double idle_s = client->options.idle_s;
+	double idle_s = client->options.idle_timeout_s;
 
 	for (struct connection *connection = client->connections; connection;
 	     connection = connection->next) {
@@ -465,9 +465,9 @@
 	return client;
 }
 
-void ws_client_rate(struct ws_http_client *client, double rate, double burst)
+void ws_client_set_rate(struct ws_http_client *client, double rate, double burst)
 {
-	client->options.rate = rate;
+	client->options.requests_per_s = rate;
 	client->options.burst = burst;
 }
 
@@ -514,7 +514,7 @@
 
 bool ws_client_send(struct ws_http_client *client, const char *method, const char *path,
 		    const char *body, size_t length, double timeout_s, bool urgent,
-		    ws_reply_fn on_reply, void *context)
+		    ws_http_reply_fn on_reply, void *context)
 {
 	struct request *request;
 
@@ -536,7 +536,7 @@
 	return true;
 }
 
-bool ws_client_idle(const struct ws_http_client *client, double now, double idle_s)
+bool ws_client_is_idle(const struct ws_http_client *client, double now, double idle_s)
 {
 	if (client->first || now - client->last_used < idle_s)
 		return false;
@@ -547,7 +547,7 @@
 	return true;
 }
 
-int ws_client_conns(const struct ws_http_client *client)
+int ws_client_connection_count(const struct ws_http_client *client)
 {
 	return client->count;
 }
--- a/src/io/http_common.c
+++ b/src/io/http_common.c
@@ -6,7 +6,7 @@
 /* Larger buffers are freed on reset, so that one large message does not hold memory forever. */
 #define RETAINED_CAPACITY_MAX 16384
 
-bool ws_buffer_add(struct ws_buffer *buffer, const char *bytes, size_t length)
+bool ws_buffer_append(struct ws_buffer *buffer, const char *bytes, size_t length)
 {
 	size_t needed = buffer->length + length + 1;
 
--- a/src/io/http_common.h
+++ b/src/io/http_common.h
@@ -19,7 +19,7 @@
 };
 
 /* Appends bytes. Returns false and leaves the buffer unchanged if memory is exhausted. */
-bool ws_buffer_add(struct ws_buffer *buffer, const char *bytes, size_t length);
+bool ws_buffer_append(struct ws_buffer *buffer, const char *bytes, size_t length);
 /* Empties a buffer. The memory of a large buffer is freed, that of a small one is kept. */
 void ws_buffer_reset(struct ws_buffer *buffer);
 void ws_buffer_free(struct ws_buffer *buffer);
--- a/src/io/http_server.c
+++ b/src/io/http_server.c
@@ -42,7 +42,7 @@
 	int count, count_by_kind[WS_CONN_KINDS];
 	ev_io acceptable;
 	ev_timer sweep_timer;
-	ws_request_fn on_request;
+	ws_http_request_fn on_request;
 	void *context;
 	uint64_t last_request_id;
 	struct connection *connections;
@@ -184,7 +184,8 @@
 	char head[RESPONSE_HEAD_MAX], retry_header[RETRY_HEADER_MAX] = "";
 	int head_length;
 
-	if (server->count_by_kind[connection->kind] > server->options.keep[connection->kind])
+	if (server->count_by_kind[connection->kind] >
+	    server->options.keep_alive_max[connection->kind])
 		connection->close_after_response = true;
 	if (retry_after_s > 0)
 		snprintf(retry_header, sizeof(retry_header), "Retry-After: %d\r\n", retry_after_s);
@@ -195,8 +196,8 @@
 			       connection->close_after_response ? "Connection: close\r\n" : "");
 	connection->awaiting_response = false;
 	clear_request_id(connection);
-	if (!ws_buffer_add(&connection->out, head, (size_t)head_length) ||
-	    !ws_buffer_add(&connection->out, body, length)) {
+	if (!ws_buffer_append(&connection->out, head, (size_t)head_length) ||
+	    !ws_buffer_append(&connection->out, body, length)) {
 		close_connection(connection);
 		return;
 	}
@@ -220,7 +221,7 @@
 
 	if (connection->path.length + length > WS_PATH_MAX)
 		connection->too_large = true;
-	else if (!ws_buffer_add(&connection->path, bytes, length))
+	else if (!ws_buffer_append(&connection->path, bytes, length))
 		return 1;
 	return 0;
 }
@@ -231,7 +232,7 @@
 
 	if (connection->body.length + length > WS_BODY_MAX)
 		connection->too_large = true;
-	else if (!ws_buffer_add(&connection->body, bytes, length))
+	else if (!ws_buffer_append(&connection->body, bytes, length))
 		return 1;
 	return connection->too_large;
 }
@@ -361,7 +362,7 @@
 
 	if (!connection)
 		return false;
-	ws_socket_no_delay(socket_fd);
+	ws_socket_set_no_delay(socket_fd);
 	connection->server = server;
 	connection->fd = socket_fd;
 	connection->last_active = ws_now();
@@ -375,7 +376,7 @@
 		server->connections->previous = connection;
 	server->connections = connection;
 	server->count++;
-	server->count_by_kind[WS_CONN_NEW]++;
+	server->count_by_kind[WS_CONN_UNCLASSIFIED]++;
 	ev_io_start(server->loop, &connection->readable);
 	return true;
 }
@@ -394,7 +395,8 @@
 				ev_io_stop(loop, &server->acceptable);
 			return;
 		}
-		if (server->count >= server->options.max || !add_connection(server, socket_fd))
+		if (server->count >= server->options.max_connections ||
+		    !add_connection(server, socket_fd))
 			reject_connection(socket_fd);
 	}
 }
@@ -414,9 +416,10 @@
 		if (connection->awaiting_response)
 			continue;
 		if (connection->receive_started > 0 &&
-		    now - connection->receive_started > server->options.slow)
+		    now - connection->receive_started > server->options.receive_timeout_s)
 			reject_request(connection, 408);
-		else if (now - connection->last_active > server->options.idle[connection->kind])
+		else if (now - connection->last_active >
+			 server->options.idle_timeout_s[connection->kind])
 			close_connection(connection);
 		if (connection->closed)
 			free(connection);
@@ -427,7 +430,7 @@
 
 struct ws_http_server *ws_server_new(struct ev_loop *loop, const char *host, int port,
 				     const struct ws_http_server_options *options,
-				     ws_request_fn on_request, void *context, char *error,
+				     ws_http_request_fn on_request, void *context, char *error,
 				     size_t error_size)
 {
 	struct ws_http_server *server = calloc(1, sizeof(*server));
@@ -447,15 +450,16 @@
 	ev_io_init(&server->acceptable, on_acceptable, server->fd, EV_READ);
 	server->acceptable.data = server;
 	ev_io_start(loop, &server->acceptable);
-	ev_timer_init(&server->sweep_timer, on_sweep, options->slow, options->slow);
+	ev_timer_init(&server->sweep_timer, on_sweep, options->receive_timeout_s,
+		      options->receive_timeout_s);
 	server->sweep_timer.data = server;
 	ev_timer_start(loop, &server->sweep_timer);
 	return server;
 }
 
 /* The request data stays valid until the response, because the connection is not read before it. */
-bool ws_server_request(const struct ws_http_server *server, uint64_t request_id,
-		       struct ws_http_request *request)
+bool ws_server_get_request(const struct ws_http_server *server, uint64_t request_id,
+			   struct ws_http_request *request)
 {
 	const struct connection *connection = find_connection(server, request_id);
 
@@ -464,11 +468,11 @@
 	request->method = http_method_str(connection->parser.method);
 	request->url = ws_buffer_text(&connection->path);
 	request->body = ws_buffer_text(&connection->body);
-	request->len = connection->body.length;
+	request->body_length = connection->body.length;
 	return true;
 }
 
-void ws_server_kind(struct ws_http_server *server, uint64_t request_id, enum ws_conn_kind kind)
+void ws_server_set_kind(struct ws_http_server *server, uint64_t request_id, enum ws_conn_kind kind)
 {
 	struct connection *connection = find_connection(server, request_id);
 
@@ -479,8 +483,8 @@
 	connection->kind = kind;
 }
 
-void ws_server_answer(struct ws_http_server *server, uint64_t request_id, int status,
-		      const char *body, size_t length, int retry_after_s)
+void ws_server_respond(struct ws_http_server *server, uint64_t request_id, int status,
+		       const char *body, size_t length, int retry_after_s)
 {
 	struct connection *connection = find_connection(server, request_id);
 
@@ -496,7 +500,7 @@
 	return server->port;
 }
 
-int ws_server_conns(const struct ws_http_server *server, enum ws_conn_kind kind)
+int ws_server_connection_count(const struct ws_http_server *server, enum ws_conn_kind kind)
 {
 	return server->count_by_kind[kind];
 }
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -48,8 +48,8 @@
 	if (!settings->peer_count)
 		share = 1;
 	service->outgoing.leading = leading;
-	ws_client_rate(service->outgoing.state, settings->store_rps * share * STATE_SHARE_USED,
-		       settings->store_rps * share / 2);
+	ws_client_set_rate(service->outgoing.state, settings->store_rps * share * STATE_SHARE_USED,
+			   settings->store_rps * share / 2);
 }
 
 /* Takes so many changes of the write budget; false: it is used up, none was taken. */
@@ -269,15 +269,16 @@
 {
 	const struct ws_settings *settings = service->settings;
 	struct ws_outgoing_calls *outgoing = &service->outgoing;
-	const struct ws_http_client_options state = {.max_conns = STATE_CONNECTIONS,
+	const struct ws_http_client_options state = {.max_connections = STATE_CONNECTIONS,
 						     .max_queue = (int)(settings->store_rps / 2),
-						     .max_reply = STATE_REPLY_MAX};
-	const struct ws_http_client_options watch = {
-	    .max_conns = WATCH_CONNECTIONS, .max_queue = WATCH_QUEUE, .max_reply = WATCH_REPLY_MAX};
-	const struct ws_http_client_options cloud = {.max_conns = CLOUD_CONNECTIONS,
+						     .max_reply_bytes = STATE_REPLY_MAX};
+	const struct ws_http_client_options watch = {.max_connections = WATCH_CONNECTIONS,
+						     .max_queue = WATCH_QUEUE,
+						     .max_reply_bytes = WATCH_REPLY_MAX};
+	const struct ws_http_client_options cloud = {.max_connections = CLOUD_CONNECTIONS,
 						     .max_queue = CLOUD_QUEUE,
-						     .max_reply = CLOUD_REPLY_MAX,
-						     .rate = settings->cloud_rps,
+						     .max_reply_bytes = CLOUD_REPLY_MAX,
+						     .requests_per_s = settings->cloud_rps,
 						     .burst = fmax(1, settings->cloud_rps)};
 
 	outgoing->state =
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -27,7 +27,7 @@
 struct pending_reply {
 	uint64_t id;
 	double deadline;
-	ws_peer_done_fn on_reply;
+	ws_peer_reply_fn on_reply;
 	void *context;
 	struct pending_reply *next;
 };
@@ -54,7 +54,7 @@
 	int fd;
 	ev_io acceptable;
 	ev_timer timer;
-	ws_peer_ask_fn on_request;
+	ws_peer_request_fn on_request;
 	void *context;
 	uint64_t last_id;
 	struct connection *accepted;
@@ -307,7 +307,7 @@
 
 	(void)events;
 	if (!connection->connected) {
-		if (!ws_socket_connected(connection->fd)) {
+		if (!ws_socket_connect_succeeded(connection->fd)) {
 			close_connection(connection);
 			return;
 		}
@@ -321,7 +321,7 @@
 
 static void init_connection(struct connection *connection, struct ws_peers *peers, int socket_fd)
 {
-	ws_socket_no_delay(socket_fd);
+	ws_socket_set_no_delay(socket_fd);
 	connection->peers = peers;
 	connection->fd = socket_fd;
 	connection->last_opened = ws_now();
@@ -422,7 +422,7 @@
 /* ---- all peers ---- */
 
 struct ws_peers *ws_peers_new(struct ev_loop *loop, const struct ws_settings *settings,
-			      ws_peer_ask_fn on_request, void *context, char *error,
+			      ws_peer_request_fn on_request, void *context, char *error,
 			      size_t error_size)
 {
 	struct ws_peers *peers = calloc(1, sizeof(*peers));
@@ -481,7 +481,7 @@
 }
 
 bool ws_peers_send(struct ws_peers *peers, const char *node, Ws__PeerFrame *frame, double timeout_s,
-		   ws_peer_done_fn on_reply, void *context)
+		   ws_peer_reply_fn on_reply, void *context)
 {
 	struct connection *connection = choose_connection(peers, node);
 	struct pending_reply *pending;
--- a/src/io/pool.c
+++ b/src/io/pool.c
@@ -49,7 +49,7 @@
 	active = true;
 }
 
-bool ws_pool_whole(void)
+bool ws_pool_sufficed(void)
 {
 	return recent_misses == 0 && used_bytes > 0;
 }
--- a/src/io/pool.h
+++ b/src/io/pool.h
@@ -15,7 +15,7 @@
  * released with json_decref(), which frees the memory that came from malloc(). */
 void ws_pool_begin(void);
 /* Whether all allocations since ws_pool_begin() came from the block: then none has to be freed. */
-bool ws_pool_whole(void);
+bool ws_pool_sufficed(void);
 void ws_pool_end(void);
 /* For tests: the number of allocations passed to malloc() between begin and end since the process
  * started. */
--- a/src/io/request_router.c
+++ b/src/io/request_router.c
@@ -42,7 +42,7 @@
 	if (request->peer_connection)
 		answer_by_frame(service, request, status, body, length, retry_after_s);
 	else
-		ws_server_answer(service->server, request_id, status, body, length, retry_after_s);
+		ws_server_respond(service->server, request_id, status, body, length, retry_after_s);
 	ws_pending_requests_remove(&service->requests, request);
 }
 
@@ -201,7 +201,7 @@
 static void route_heartbeat(struct ws_service *service, uint64_t request_id, const char *method,
 			    const char *body, size_t length)
 {
-	ws_server_kind(service->server, request_id, WS_CONN_WORKER);
+	ws_server_set_kind(service->server, request_id, WS_CONN_WORKER);
 	if (strcmp(method, "POST"))
 		ws_router_answer_status(service, request_id, 405);
 	else
@@ -219,14 +219,14 @@
 	heartbeat = !strcmp(path, HEARTBEAT_PATH);
 	if (!ws_pending_requests_add(&service->requests, request_id,
 				     heartbeat ? WS_REQUEST_HEARTBEAT : WS_REQUEST_USER)) {
-		ws_server_answer(service->server, request_id, 503, EMPTY_BODY, strlen(EMPTY_BODY),
-				 RETRY_AFTER_S);
+		ws_server_respond(service->server, request_id, 503, EMPTY_BODY, strlen(EMPTY_BODY),
+				  RETRY_AFTER_S);
 		return;
 	}
 	if (heartbeat) {
 		route_heartbeat(service, request_id, method, body, length);
 	} else if (is_user_path(path)) {
-		ws_server_kind(service->server, request_id, WS_CONN_USER);
+		ws_server_set_kind(service->server, request_id, WS_CONN_USER);
 		ws_router_handle_user(service, request_id, method, path, body, length, false);
 	} else if (!strcmp(path, HEALTH_PATH)) {
 		answer_health_check(service, request_id, method);
--- a/src/io/server.c
+++ b/src/io/server.c
@@ -23,9 +23,9 @@
 	ws_logf(WS_LOG_INFO,
 		"connections from_workers=%d from_users=%d other=%d to_workers=%u "
 		"user_requests=%d forwarded_heartbeats=%d",
-		ws_server_conns(service->server, WS_CONN_WORKER),
-		ws_server_conns(service->server, WS_CONN_USER),
-		ws_server_conns(service->server, WS_CONN_NEW),
+		ws_server_connection_count(service->server, WS_CONN_WORKER),
+		ws_server_connection_count(service->server, WS_CONN_USER),
+		ws_server_connection_count(service->server, WS_CONN_UNCLASSIFIED),
 		ws_worker_connections_count(service->outgoing.workers),
 		service->requests.user_requests, service->forwarding.heartbeats);
 	ws_worker_connections_retire_idle(service->outgoing.workers, now,
@@ -66,11 +66,12 @@
 	int sockets = settings->client_sockets;
 
 	return (struct ws_http_server_options){
-	    .max = sockets * 3 / 4,
+	    .max_connections = sockets * 3 / 4,
 	    .backlog = sockets / 16 + 1,
-	    .keep = {sockets, sockets * 3 / 16, sockets / 2},
-	    .idle = {settings->lease_s / 4, 4 * settings->lease_s, 2.5 * settings->heartbeat_s},
-	    .slow = settings->lease_s / 4,
+	    .keep_alive_max = {sockets, sockets * 3 / 16, sockets / 2},
+	    .idle_timeout_s = {settings->lease_s / 4, 4 * settings->lease_s,
+			       2.5 * settings->heartbeat_s},
+	    .receive_timeout_s = settings->lease_s / 4,
 	};
 }
 
--- a/src/io/server_internal.h
+++ b/src/io/server_internal.h
@@ -101,7 +101,7 @@
 
 /* ---- request_router.c ---- */
 
-/* A request by HTTP; see ws_request_fn. */
+/* A request by HTTP; see ws_http_request_fn. */
 void ws_router_on_request(void *context, uint64_t request_id, const char *method, const char *url,
 			  const char *body, size_t length);
 /* A user's request, from a client or `forwarded` by a peer; `path` begins with WS_USER_PATH. */
@@ -122,7 +122,7 @@
 
 /* ---- forwarding.c ---- */
 
-/* A frame of a peer that asks for something; see ws_peer_ask_fn. */
+/* A frame of a peer that asks for something; see ws_peer_request_fn. */
 void ws_forwarding_on_frame(void *context, uint64_t connection, const Ws__PeerFrame *frame);
 /* Forwards a request to the leader and answers it with the reply. */
 void ws_forwarding_send(struct ws_service *service, const struct ws_effect *effect);
--- a/src/io/sockets.c
+++ b/src/io/sockets.c
@@ -12,11 +12,11 @@
 	int socket_fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
 	if (socket_fd >= 0)
-		ws_socket_no_delay(socket_fd);
+		ws_socket_set_no_delay(socket_fd);
 	return socket_fd;
 }
 
-void ws_socket_no_delay(int socket_fd)
+void ws_socket_set_no_delay(int socket_fd)
 {
 	int one = 1;
 
@@ -73,7 +73,7 @@
 	return accept4(listener_fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 }
 
-bool ws_socket_connected(int socket_fd)
+bool ws_socket_connect_succeeded(int socket_fd)
 {
 	int error = 0;
 	socklen_t length = sizeof(error);
--- a/src/io/sockets.h
+++ b/src/io/sockets.h
@@ -9,7 +9,7 @@
 /* Creates a socket with TCP_NODELAY set. Returns -1 with errno on failure. */
 int ws_socket_open(void);
 /* Sets TCP_NODELAY; for accepted sockets. */
-void ws_socket_no_delay(int socket_fd);
+void ws_socket_set_no_delay(int socket_fd);
 /* Returns the address of a host given as a dotted IPv4 address. */
 struct sockaddr_in ws_socket_address(const char *host, int port);
 /* Starts to connect. On failure it closes the socket and returns false. */
@@ -20,7 +20,7 @@
 /* Accepts a connection. Returns -1 with errno if none is waiting or on failure. */
 int ws_socket_accept(int listener_fd);
 /* Whether a pending connection attempt succeeded; called once the socket is writable. */
-bool ws_socket_connected(int socket_fd);
+bool ws_socket_connect_succeeded(int socket_fd);
 /*
  * Receives up to `size` bytes. Returns false if no data is available yet. `count` is set to the
  * number of bytes, to 0 at the end of the connection, or to -1 with errno on an error.
--- a/src/io/worker_connections.c
+++ b/src/io/worker_connections.c
@@ -54,7 +54,7 @@
 	struct worker_connection *worker, *next;
 
 	HASH_ITER (hh, pool->by_name, worker, next)
-		if (ws_client_idle(worker->client, ws_now(), 0)) {
+		if (ws_client_is_idle(worker->client, ws_now(), 0)) {
 			retire(pool, worker);
 			return true;
 		}
@@ -64,10 +64,10 @@
 static struct worker_connection *add_worker(struct ws_worker_connections *pool, const char *name,
 					    const char *address, int port)
 {
-	struct ws_http_client_options options = {.max_conns = 1,
+	struct ws_http_client_options options = {.max_connections = 1,
 						 .max_queue = WORKER_QUEUE_MAX,
-						 .max_reply = WORKER_REPLY_MAX,
-						 .idle_s = pool->settings->lease_s};
+						 .max_reply_bytes = WORKER_REPLY_MAX,
+						 .idle_timeout_s = pool->settings->lease_s};
 	struct worker_connection *worker = calloc(1, sizeof(*worker));
 
 	if (!worker)
@@ -109,7 +109,7 @@
 	struct worker_connection *worker, *next;
 
 	HASH_ITER (hh, pool->by_name, worker, next)
-		if (ws_client_idle(worker->client, now, idle_s))
+		if (ws_client_is_idle(worker->client, now, idle_s))
 			retire(pool, worker);
 }
 
--- a/src/log.c
+++ b/src/log.c
@@ -10,7 +10,7 @@
 static enum ws_log_level enabled_level = WS_LOG_INFO;
 static char node_name[WS_NAME_MAX];
 
-void ws_log_open(const char *node, const char *level)
+void ws_log_init(const char *node, const char *level)
 {
 	snprintf(node_name, sizeof(node_name), "%s", node);
 	if (level && !strcmp(level, "error"))
--- a/src/log.h
+++ b/src/log.h
@@ -5,7 +5,7 @@
 
 /* Sets the node's name and the level: "error", "info" or "debug". Any other level, also NULL, sets
  * "info". */
-void ws_log_open(const char *node, const char *level);
+void ws_log_init(const char *node, const char *level);
 /* Returns the most detailed level that is enabled. */
 enum ws_log_level ws_log_level(void);
 /* Writes a line if its level is enabled. May be called from any thread. */
--- a/src/main.c
+++ b/src/main.c
@@ -128,7 +128,7 @@
 {
 	char line[ERROR_LINE_MAX];
 
-	ws_startup_error_line(error, line, sizeof(line));
+	ws_startup_error_format(error, line, sizeof(line));
 	fprintf(stderr, "waystep: %s\n", line);
 }
 
@@ -139,9 +139,9 @@
 {
 	ws_policy_defaults(policy);
 	ws_subsystem_defaults(subsystems);
-	if (!ws_config_settings(args->config, settings, error))
+	if (!ws_config_read_settings(args->config, settings, error))
 		return false;
-	if (args->policy && !ws_config_policy(args->policy, policy, error))
+	if (args->policy && !ws_config_read_policy(args->policy, policy, error))
 		return false;
 	return !args->subsystems || (ws_subsystem_read(args->subsystems, subsystems, error) &&
 				     ws_subsystem_attach(NULL, subsystems, settings, error));
@@ -240,7 +240,7 @@
 		status =
 		    ws_failure_domains_command_run(&args.domains_command, &settings, &subsystems);
 	} else {
-		ws_log_open(settings.node, getenv("LOG_LEVEL"));
+		ws_log_init(settings.node, getenv("LOG_LEVEL"));
 		raise_descriptor_limit(settings.max_sockets);
 		status = run_controller(&settings, &policy, &subsystems);
 	}
--- a/src/startup_error.c
+++ b/src/startup_error.c
@@ -1,7 +1,7 @@
 #include "startup_error.h"
 #include <stdio.h>
 
-void ws_startup_error_line(const struct ws_startup_error *error, char *target, size_t size)
+void ws_startup_error_format(const struct ws_startup_error *error, char *target, size_t size)
 {
 	switch (error->code) {
 	case WS_STARTUP_NO_ERROR: target[0] = 0; break;
--- a/src/startup_error.h
+++ b/src/startup_error.h
@@ -34,7 +34,7 @@
 extern "C" {
 #endif
 /* Writes the error as one line for the operator, or "" if there is none. */
-void ws_startup_error_line(const struct ws_startup_error *error, char *target, size_t size);
+void ws_startup_error_format(const struct ws_startup_error *error, char *target, size_t size);
 #ifdef __cplusplus
 }
 #endif
--- a/src/store_client.c
+++ b/src/store_client.c
@@ -18,7 +18,7 @@
 struct ws_store_client *ws_store_client_open(const struct ws_settings *settings)
 {
 	const struct ws_http_client_options options = {
-	    .max_conns = 1, .max_queue = 1, .max_reply = REPLY_BYTES_MAX};
+	    .max_connections = 1, .max_queue = 1, .max_reply_bytes = REPLY_BYTES_MAX};
 	struct ws_store_client *store = calloc(1, sizeof(*store));
 
 	if (!store)
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -35,26 +35,27 @@
 	char path[KEY_PATH_SIZE];
 
 	snprintf(path, sizeof(path), "zones.domains[%zu].networks", domain);
-	declared->network_count = ws_config_count(reader, path, SIZE_MAX, true);
+	declared->network_count = ws_config_array_length(reader, path, SIZE_MAX, true);
 	declared->networks = allocate(declared->network_count, sizeof(*declared->networks));
 	for (size_t i = 0; i < declared->network_count && reader->valid; i++) {
 		snprintf(path, sizeof(path), "zones.domains[%zu].networks[%zu]", domain, i);
-		ws_config_text(reader, path, declared->networks[i], WS_DOMAINS_NETWORK_MAX);
+		ws_config_string(reader, path, declared->networks[i], WS_DOMAINS_NETWORK_MAX);
 	}
 }
 
 static void read_domains(struct ws_config_reader *reader, struct ws_domains_settings *domains)
 {
 	static const char *const known[] = {"name", "networks"};
-	size_t count = ws_config_count(reader, "zones.domains", SIZE_MAX, false);
+	size_t count = ws_config_array_length(reader, "zones.domains", SIZE_MAX, false);
 	char path[KEY_PATH_SIZE];
 
 	domains->declared = allocate(count, sizeof(*domains->declared));
 	for (size_t i = 0; i < count && reader->valid; i++) {
 		snprintf(path, sizeof(path), "zones.domains[%zu]", i);
-		ws_config_known_keys(reader, path, known, sizeof(known) / sizeof(known[0]));
+		ws_config_reject_unknown_keys(reader, path, known,
+					      sizeof(known) / sizeof(known[0]));
 		snprintf(path, sizeof(path), "zones.domains[%zu].name", i);
-		ws_config_text(reader, path, domains->declared[i].name, WS_DOMAINS_NAME_MAX);
+		ws_config_string(reader, path, domains->declared[i].name, WS_DOMAINS_NAME_MAX);
 		domains->declared_count = i + 1;
 		read_networks(reader, &domains->declared[i], i);
 	}
@@ -62,7 +63,7 @@
 
 static void read_class_order(struct ws_config_reader *reader, struct ws_domains_settings *domains)
 {
-	size_t count = ws_config_count(reader, "zones.class_order", SIZE_MAX, false);
+	size_t count = ws_config_array_length(reader, "zones.class_order", SIZE_MAX, false);
 
 	domains->class_order = allocate(count, sizeof(*domains->class_order));
 	domains->class_count = count;
@@ -70,7 +71,7 @@
 		char path[KEY_PATH_SIZE];
 
 		snprintf(path, sizeof(path), "zones.class_order[%zu]", i);
-		ws_config_text(reader, path, domains->class_order[i], WS_DOMAINS_NAME_MAX);
+		ws_config_string(reader, path, domains->class_order[i], WS_DOMAINS_NAME_MAX);
 	}
 }
 
@@ -81,7 +82,7 @@
 					    "half_life_s", "penalty_max", "class_order", "domains"};
 	struct ws_domains_settings *domains = &settings->failure_domains;
 
-	ws_config_known_keys(reader, "zones", known, sizeof(known) / sizeof(known[0]));
+	ws_config_reject_unknown_keys(reader, "zones", known, sizeof(known) / sizeof(known[0]));
 	if (ws_toml_bool(reader->toml, "zones.enabled", &settings->failure_domains_enabled) !=
 	    WS_TOML_OK)
 		ws_config_invalid(reader, "zones.enabled", "must be true or false");
@@ -90,7 +91,8 @@
 		ws_config_invalid(reader, "zones.dark_share", "must be at most 1");
 	ws_config_number(reader, "zones.stable_s", &domains->hold_down_s, 0, false);
 	ws_config_number(reader, "zones.ramp_s", &domains->ramp_s, 0, false);
-	ws_config_above_zero(reader, "zones.half_life_s", &domains->penalty_half_life_s, false);
+	ws_config_positive_number(reader, "zones.half_life_s", &domains->penalty_half_life_s,
+				  false);
 	ws_config_number(reader, "zones.penalty_max", &domains->penalty_max, 1, false);
 	if (domains->penalty_max > 16) /* the hold-down doubles with each penalty point */
 		ws_config_invalid(reader, "zones.penalty_max", "must be at most 16");
@@ -103,7 +105,7 @@
 	static const char *const known[] = {"enabled", "keep_s", "heard_share"};
 	struct ws_cold_start_settings *cold_start = &settings->cold_start;
 
-	ws_config_known_keys(reader, "coldstart", known, sizeof(known) / sizeof(known[0]));
+	ws_config_reject_unknown_keys(reader, "coldstart", known, sizeof(known) / sizeof(known[0]));
 	if (ws_toml_bool(reader->toml, "coldstart.enabled", &settings->cold_start_enabled) !=
 	    WS_TOML_OK)
 		ws_config_invalid(reader, "coldstart.enabled", "must be true or false");
@@ -118,7 +120,7 @@
 		       void (*read)(struct ws_config_reader *, struct ws_subsystem_settings *),
 		       struct ws_subsystem_settings *settings)
 {
-	if (ws_toml_table(reader->toml, name))
+	if (ws_toml_is_table(reader->toml, name))
 		read(reader, settings);
 	else if (ws_toml_has(reader->toml, name))
 		ws_config_invalid(reader, name, "must be a table");
@@ -132,7 +134,7 @@
 
 	if (!ws_config_open(&reader, path, error))
 		return false;
-	ws_config_known_keys(&reader, "", known, sizeof(known) / sizeof(known[0]));
+	ws_config_reject_unknown_keys(&reader, "", known, sizeof(known) / sizeof(known[0]));
 	read_table(&reader, "zones", read_failure_domains, settings);
 	read_table(&reader, "coldstart", read_cold_start, settings);
 	return ws_config_close(&reader);
--- a/src/toml.cpp
+++ b/src/toml.cpp
@@ -36,8 +36,8 @@
 	delete toml;
 }
 
-extern "C" enum ws_toml_got ws_toml_string(struct ws_toml *toml, const char *path, char *target,
-					   size_t size)
+extern "C" enum ws_toml_result ws_toml_string(struct ws_toml *toml, const char *path, char *target,
+					      size_t size)
 {
 	auto value = toml->root.at_path(path);
 	if (!value)
@@ -49,7 +49,8 @@
 	return WS_TOML_OK;
 }
 
-extern "C" enum ws_toml_got ws_toml_number(struct ws_toml *toml, const char *path, double *target)
+extern "C" enum ws_toml_result ws_toml_number(struct ws_toml *toml, const char *path,
+					      double *target)
 {
 	auto value = toml->root.at_path(path);
 	if (!value)
@@ -61,7 +62,7 @@
 	return WS_TOML_OK;
 }
 
-extern "C" bool ws_toml_table(struct ws_toml *toml, const char *path)
+extern "C" bool ws_toml_is_table(struct ws_toml *toml, const char *path)
 {
 	return toml->root.at_path(path).is_table();
 }
@@ -71,7 +72,7 @@
 	return bool(toml->root.at_path(path));
 }
 
-extern "C" long ws_toml_length(struct ws_toml *toml, const char *path)
+extern "C" long ws_toml_array_length(struct ws_toml *toml, const char *path)
 {
 	auto value = toml->root.at_path(path);
 	const toml::array *array = value.as_array();
@@ -92,7 +93,7 @@
 	return false;
 }
 
-extern "C" enum ws_toml_got ws_toml_bool(struct ws_toml *toml, const char *path, bool *target)
+extern "C" enum ws_toml_result ws_toml_bool(struct ws_toml *toml, const char *path, bool *target)
 {
 	auto value = toml->root.at_path(path);
 	if (!value)
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -20,7 +20,7 @@
 {
 	char *text = json_dumps(body, 0);
 
-	ws_server_answer(server, request_id, status, text, strlen(text), 0);
+	ws_server_respond(server, request_id, status, text, strlen(text), 0);
 	free(text);
 	json_decref(body);
 }
@@ -113,10 +113,13 @@
 
 void loopback_start(const char *binary, const char *switches)
 {
-	static const struct ws_http_server_options options = {
-	    .max = 200, .backlog = 64, .keep = {200, 200, 200}, .idle = {60, 60, 60}, .slow = 60};
+	static const struct ws_http_server_options options = {.max_connections = 200,
+							      .backlog = 64,
+							      .keep_alive_max = {200, 200, 200},
+							      .idle_timeout_s = {60, 60, 60},
+							      .receive_timeout_s = 60};
 	struct ws_http_client_options users = {
-	    .max_conns = 4, .max_queue = USER_REQUESTS, .max_reply = 65536};
+	    .max_connections = 4, .max_queue = USER_REQUESTS, .max_reply_bytes = 65536};
 
 	signal(SIGPIPE, SIG_IGN);
 	program = binary;
--- a/tests/loopback_workers.c
+++ b/tests/loopback_workers.c
@@ -257,7 +257,8 @@
 void loopback_worker_open(struct ev_loop *loop, int index,
 			  const struct ws_http_server_options *options)
 {
-	struct ws_http_client_options client = {.max_conns = 1, .max_queue = 2, .max_reply = 65536};
+	struct ws_http_client_options client = {
+	    .max_connections = 1, .max_queue = 2, .max_reply_bytes = 65536};
 	struct loopback_worker *worker = &loopback_workers[index];
 	char error[200];
 
--- a/tests/settings_test.c
+++ b/tests/settings_test.c
@@ -52,8 +52,8 @@
 			fprintf(file, "%s = %s\n", figures[i].name, value);
 	}
 	fclose(file);
-	ok = ws_config_settings(path, &settings, &wrong);
-	ws_startup_error_line(&wrong, error, size);
+	ok = ws_config_read_settings(path, &settings, &wrong);
+	ws_startup_error_format(&wrong, error, size);
 	unlink(path);
 	return ok;
 }
--- a/tests/smoke_test.c
+++ b/tests/smoke_test.c
@@ -316,8 +316,11 @@
 
 static void open_stand_ins(void)
 {
-	static const struct ws_http_server_options options = {
-	    .max = 64, .backlog = 64, .keep = {64, 64, 64}, .idle = {60, 60, 60}, .slow = 60};
+	static const struct ws_http_server_options options = {.max_connections = 64,
+							      .backlog = 64,
+							      .keep_alive_max = {64, 64, 64},
+							      .idle_timeout_s = {60, 60, 60},
+							      .receive_timeout_s = 60};
 	char error[200];
 
 	store_port = ws_server_port(loopback_store_open(loop, &options));
@@ -460,7 +463,7 @@
 int main(int argc, char **argv)
 {
 	static const struct ws_http_client_options options = {
-	    .max_conns = 1, .max_queue = 4, .max_reply = 65536};
+	    .max_connections = 1, .max_queue = 4, .max_reply_bytes = 65536};
 	char path[] = "/tmp/waystep-smoke-XXXXXX";
 	ev_timer tick;
 
--- a/tests/subsystem_text.h
+++ b/tests/subsystem_text.h
@@ -13,7 +13,7 @@
 	struct ws_startup_error wrong = {0};
 	bool ok = ws_subsystem_read(path, settings, &wrong);
 
-	ws_startup_error_line(&wrong, error, size);
+	ws_startup_error_format(&wrong, error, size);
 	return ok;
 }
 
@@ -24,7 +24,7 @@
 	struct ws_startup_error wrong = {0};
 	bool ok = ws_subsystem_attach(NULL, settings, platform, &wrong);
 
-	ws_startup_error_line(&wrong, error, size);
+	ws_startup_error_format(&wrong, error, size);
 	return ok;
 }
 
