--- a/src/cold_start/cold_start.c
+++ b/src/cold_start/cold_start.c
@@ -1,4 +1,4 @@
-/* Hooks of the cold start subsystem, and the phases that a cold start goes through. */
+/* Hooks of the cold start subsystem, and the transitions between the phases of a cold start. */
 #include "cold_start.h"
 #include "../subsystem_support/subsystem_memory.h"
 #include "observation.h"
@@ -9,22 +9,24 @@
 #include <math.h>
 #include <string.h>
 
-/* Proof that a leader was alive is valid for this many leases, less the drift of clocks. */
-#define PROOF_LEASES (0.5 * (1 - 0.001))
-#define HEARD_SHARE 0.9
+/* Proof that a leader was alive is valid for half a lease, less a clock drift of 0.1 %. */
+#define LEADER_PROOF_LEASES (0.5 * (1 - 0.001))
+/* Default share of a zone's expected machines that must answer. */
+#define DEFAULT_ANSWERED_SHARE 0.9
 /* Minimum interval between writes of the account record, in leases. */
-#define ACCOUNT_LEASES 0.25
+#define ACCOUNT_INTERVAL_LEASES 0.25
 /*
- * The cold start ends this long after the end of the observation, in leases, even if some lost work
- * has not started again.
+ * Lost work that has not started again does not prolong the cold start for more than this many
+ * leases after the observation.
  */
-#define RECOVERY_LEASES 4.0
-/* Within this many heartbeat intervals the core has noticed an expired lease. */
-#define SWEEP_HEARTBEATS 0.25
+#define RECOVERY_TIMEOUT_LEASES 4.0
+/* The core handles an expired lease within this many heartbeat intervals. */
+#define EXPIRY_DELAY_HEARTBEATS 0.25
 
 void ws_cold_start_defaults(struct ws_cold_start_settings *settings)
 {
-	*settings = (struct ws_cold_start_settings){.quarantine_s = -1, .heard_share = HEARD_SHARE};
+	*settings = (struct ws_cold_start_settings){.quarantine_s = -1,
+						    .heard_share = DEFAULT_ANSWERED_SHARE};
 }
 
 struct ws_cold_start *ws_cold_start_new(const struct ws_cold_start_settings *settings,
@@ -35,7 +37,7 @@
 
 	cold_start->settings = *settings;
 	cold_start->limits = *limits;
-	cold_start->limits.zones = NULL; /* the caller's */
+	cold_start->limits.zones = NULL; /* owned by the caller */
 	cold_start->limits.node_zone = NULL;
 	cold_start->log = log;
 	if (cold_start->settings.quarantine_s < 0)
@@ -105,7 +107,8 @@
 	cold_start->term = cold_start->began_term = facts->term;
 	cold_start->proven_term = facts->proven_term;
 	cold_start->unproven_s = facts->unproven_s;
-	cold_start->leader_unproven = facts->unproven_s > PROOF_LEASES * cold_start->limits.lease_s;
+	cold_start->leader_unproven =
+	    facts->unproven_s > LEADER_PROOF_LEASES * cold_start->limits.lease_s;
 }
 
 static void set_phase(struct ws_cold_start *cold_start, enum ws_cold_start_phase phase)
@@ -115,35 +118,35 @@
 	cold_start->account_due_at = 0;
 }
 
-static void log_begin(const struct ws_cold_start *cold_start, bool resumed)
+static void log_start(const struct ws_cold_start *cold_start, bool resumed)
 {
-	size_t expected = ws_cold_start_unheard(cold_start);
+	size_t machines = ws_cold_start_unheard(cold_start);
 
 	if (resumed)
 		ws_subsystem_logf(cold_start->log,
 				  "cold start: resumed began_term=%llu machines=%zu",
-				  (unsigned long long)cold_start->began_term, expected);
+				  (unsigned long long)cold_start->began_term, machines);
 	else if (isfinite(cold_start->unproven_s))
 		ws_subsystem_logf(cold_start->log,
-				  "cold start: observing, no live leader known "
+				  "cold start: observing, no recent sign of a live leader "
 				  "without_leader_s=%.1f machines=%zu",
-				  cold_start->unproven_s, expected);
+				  cold_start->unproven_s, machines);
 	else
-		ws_subsystem_logf(cold_start->log,
-				  "cold start: observing, no earlier leader known machines=%zu",
-				  expected);
+		ws_subsystem_logf(
+		    cold_start->log,
+		    "cold start: observing, no sign of an earlier leader machines=%zu", machines);
 }
 
 /*
- * A recorded phase is resumed if there was no other leader since: an earlier leader that is proven
- * to have lived of late must be the one that wrote it.
+ * Resumes a recorded cold start if no other leader was elected after the one that recorded it: if
+ * there is recent proof of a live leader, that leader must be the one that wrote the record.
  */
 static void records_loaded(void *self, double now)
 {
 	struct ws_cold_start *cold_start = self;
-	bool open = phase_is_active(cold_start->recorded_phase);
-	bool resumed = open && (cold_start->leader_unproven ||
-				cold_start->recorded_term == cold_start->proven_term);
+	bool was_active = phase_is_active(cold_start->recorded_phase);
+	bool resumed = was_active && (cold_start->leader_unproven ||
+				      cold_start->recorded_term == cold_start->proven_term);
 
 	(void)now;
 	if (cold_start->later_format)
@@ -153,11 +156,12 @@
 		cold_start->store_lost_records = cold_start->recorded_store_lost_records;
 	}
 	if (cold_start->leader_unproven || resumed) {
-		log_begin(cold_start, resumed);
+		log_start(cold_start, resumed);
 		set_phase(cold_start, WS_COLD_START_OBSERVING);
-	} else if (open) {
+	} else if (was_active) {
 		ws_subsystem_logf(cold_start->log,
-				  "cold start: another leader took over since, nothing deferred");
+				  "cold start: not resumed, another leader was elected since, "
+				  "no actions deferred");
 		cold_start->began_term = cold_start->recorded_began;
 		cold_start->phase = WS_COLD_START_ENDED;
 		cold_start->phase_record_due = true;
@@ -190,7 +194,7 @@
 
 /* ---- deferred actions ---- */
 
-static bool waits_for_zone(const struct ws_cold_start *cold_start, const char *zone)
+static bool zone_is_observing(const struct ws_cold_start *cold_start, const char *zone)
 {
 	return cold_start->phase == WS_COLD_START_OBSERVING &&
 	       ws_cold_start_zone_waits(cold_start, zone);
@@ -199,18 +203,18 @@
 static bool zone_closed(void *self, double now, const char *zone)
 {
 	(void)now;
-	return waits_for_zone(self, zone);
+	return zone_is_observing(self, zone);
 }
 
-static bool action_deferred(void *self, double now, enum ws_deferrable_action kind,
+static bool action_deferred(void *self, double now, enum ws_deferrable_action action,
 			    const char *zone)
 {
 	const struct ws_cold_start *cold_start = self;
 
-	switch (kind) {
+	switch (action) {
 	case WS_DEFER_PREEMPTION:
 	case WS_DEFER_GANG_STOP:
-	case WS_DEFER_SCALE_IN_SILENT: return waits_for_zone(cold_start, zone);
+	case WS_DEFER_SCALE_IN_SILENT: return zone_is_observing(cold_start, zone);
 	case WS_DEFER_SCALE_IN_EMPTY:
 		return cold_start->phase == WS_COLD_START_OBSERVING ||
 		       (ws_cold_start_active(cold_start) && cold_start->lost);
@@ -240,14 +244,13 @@
 			  counts->adopted, counts->unclaimed);
 }
 
-/* Whether a machine not heard may hold a valid lease, or one whose expiry the core has not handled.
- */
-static bool unheard_leases_may_be_valid(const struct ws_cold_start *cold_start, double now)
+/* Returns whether leases of earlier leaders may be valid, or their expiry not yet handled. */
+static bool earlier_leases_may_be_valid(const struct ws_cold_start *cold_start, double now)
 {
-	return now < cold_start->leases_out + SWEEP_HEARTBEATS * cold_start->limits.report_s;
+	return now < cold_start->leases_out + EXPIRY_DELAY_HEARTBEATS * cold_start->limits.report_s;
 }
 
-static void phase_tick(struct ws_cold_start *cold_start, double now, struct ws_request_queue *out)
+static void update_phase(struct ws_cold_start *cold_start, double now, struct ws_request_queue *out)
 {
 	double recovering_s = now - cold_start->recovering_at;
 
@@ -259,8 +262,9 @@
 		return;
 	}
 	if (ws_cold_start_has_quarantined(cold_start) ||
-	    (unheard_leases_may_be_valid(cold_start, now) && ws_cold_start_unheard(cold_start)) ||
-	    (cold_start->lost && recovering_s < RECOVERY_LEASES * cold_start->limits.lease_s))
+	    (earlier_leases_may_be_valid(cold_start, now) && ws_cold_start_unheard(cold_start)) ||
+	    (cold_start->lost &&
+	     recovering_s < RECOVERY_TIMEOUT_LEASES * cold_start->limits.lease_s))
 		return;
 	ws_cold_start_recovery_end(cold_start, out);
 	set_phase(cold_start, WS_COLD_START_ENDED);
@@ -276,7 +280,7 @@
 	if (!cold_start->counts_changed || now < cold_start->account_due_at)
 		return;
 	cold_start->counts_changed = false;
-	cold_start->account_due_at = now + ACCOUNT_LEASES * cold_start->limits.lease_s;
+	cold_start->account_due_at = now + ACCOUNT_INTERVAL_LEASES * cold_start->limits.lease_s;
 	ws_request_write(out, "account", ws_cold_start_account_record(cold_start, now), false);
 }
 
@@ -286,13 +290,14 @@
 
 	if (cold_start->later_format)
 		return;
-	if (ws_cold_start_active(cold_start)) /* in an outage too: a job may be a cancelled one */
+	/* Also in a store outage, because a quarantined job may have been cancelled. */
+	if (ws_cold_start_active(cold_start))
 		ws_cold_start_quarantine_tick(cold_start, facts->now, out);
 	if (!facts->serving)
 		return;
 	if (ws_cold_start_active(cold_start)) {
 		ws_cold_start_recovery_tick(cold_start, facts->now, out);
-		phase_tick(cold_start, facts->now, out);
+		update_phase(cold_start, facts->now, out);
 	} else {
 		ws_cold_start_quarantine_forget(cold_start, out);
 	}
--- a/src/cold_start/observation.c
+++ b/src/cold_start/observation.c
@@ -1,7 +1,7 @@
 /*
- * Observation: which of the expected machines have answered, zone by zone. A zone has answered when
- * the configured share of them has sent this leader's fencing token, or when all their leases have
- * expired.
+ * Counts, for each zone, the expected machines that have answered this leader. The observation of a
+ * zone ends when the configured share of them has echoed this leader's fencing token, or when all
+ * leases of earlier leaders have expired.
  */
 #include "observation.h"
 #include "../subsystem_support/subsystem_memory.h"
@@ -28,7 +28,7 @@
 
 /* ---- machines ---- */
 
-static void count_machine(struct ws_cold_start_machine *machine, bool added)
+static void update_zone_counts(struct ws_cold_start_machine *machine, bool added)
 {
 	if (!machine->expected)
 		return;
@@ -50,13 +50,15 @@
 	cold_start->steps++;
 	machine->zone = find_or_add_zone(cold_start, facts->zone);
 	machine->expected = facts->expected;
-	count_machine(machine, true);
+	update_zone_counts(machine, true);
 	if (facts->unknown && ws_cold_start_active(cold_start)) {
 		cold_start->counts.results[WS_RECONCILED_UNKNOWN_MACHINE]++;
 		cold_start->counts_changed = true;
-		ws_subsystem_logf(cold_start->log,
-				  "cold start: machine neither recorded nor listed machine=%s",
-				  facts->name);
+		ws_subsystem_logf(
+		    cold_start->log,
+		    "cold start: machine is in neither the records nor the cloud's list "
+		    "machine=%s",
+		    facts->name);
 	}
 	return machine;
 }
@@ -65,9 +67,9 @@
 {
 	struct ws_cold_start_machine *machine = handle;
 
-	count_machine(machine, false);
+	update_zone_counts(machine, false);
 	machine->zone = find_or_add_zone(self, facts->zone);
-	count_machine(machine, true);
+	update_zone_counts(machine, true);
 }
 
 void ws_cold_start_machine_removed(void *self, void *handle)
@@ -75,11 +77,11 @@
 	struct ws_cold_start_machine *machine = handle;
 
 	(void)self;
-	count_machine(machine, false);
+	update_zone_counts(machine, false);
 	free(machine);
 }
 
-/* A machine that is gone will not answer: it is not expected any more. */
+/* A failed or returned machine will not answer, so it is no longer expected. */
 void ws_cold_start_machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss)
 {
 	struct ws_cold_start_machine *machine = handle;
@@ -88,7 +90,7 @@
 	(void)now;
 	if (loss == WS_LOSS_LEASE)
 		return;
-	count_machine(machine, false);
+	update_zone_counts(machine, false);
 	machine->expected = false;
 }
 
@@ -101,9 +103,9 @@
 	if (machine->heard)
 		return;
 	cold_start->steps++;
-	count_machine(machine, false);
+	update_zone_counts(machine, false);
 	machine->heard = true;
-	count_machine(machine, true);
+	update_zone_counts(machine, true);
 	cold_start->counts_changed = true;
 }
 
@@ -126,12 +128,12 @@
 	return unheard;
 }
 
-static bool zone_answered(const struct ws_cold_start *cold_start,
-			  const struct ws_cold_start_zone *zone, double now)
+static bool observation_is_complete(const struct ws_cold_start *cold_start,
+				    const struct ws_cold_start_zone *zone, double now)
 {
-	double wanted = cold_start->settings.heard_share * (double)zone->expected;
+	double required = cold_start->settings.heard_share * (double)zone->expected;
 
-	return (double)zone->heard >= wanted - 1e-9 || now >= cold_start->leases_out;
+	return (double)zone->heard >= required - 1e-9 || now >= cold_start->leases_out;
 }
 
 bool ws_cold_start_observe(struct ws_cold_start *cold_start, double now)
@@ -141,7 +143,7 @@
 	for (struct ws_cold_start_zone *zone = cold_start->zones; zone; zone = zone->hh.next) {
 		if (zone->observed)
 			continue;
-		if (!zone_answered(cold_start, zone, now)) {
+		if (!observation_is_complete(cold_start, zone, now)) {
 			all = false;
 			continue;
 		}
--- a/src/cold_start/observation.h
+++ b/src/cold_start/observation.h
@@ -1,6 +1,7 @@
 /*
- * Observation: which of the expected machines have been heard, zone by zone. Owns the zones and the
- * handles of the machines.
+ * Observation phase: counts, for each zone, the expected machines that have answered this leader. A
+ * machine has answered when a heartbeat of it carried this leader's fencing token. This module owns
+ * the zones and the machine handles.
  */
 #ifndef WS_COLD_START_OBSERVATION_H
 #define WS_COLD_START_OBSERVATION_H
@@ -8,31 +9,34 @@
 
 struct ws_cold_start_zone {
 	char name[WS_COLD_START_NAME_MAX];
-	size_t expected; /* machines on record as having been up, without those that are gone */
-	size_t heard;	 /* of these, heard by this leader */
-	bool observed;	 /* its observation has ended */
+	size_t expected; /* machines recorded as running, without those that are gone */
+	size_t heard;	 /* expected machines that have answered this leader */
+	bool observed;	 /* the observation of this zone has ended */
 	UT_hash_handle hh;
 };
 
-/* The handle of a machine; the core returns it with each hook. */
+/* The handle of a machine, which the core passes back to each hook about the machine. */
 struct ws_cold_start_machine {
 	struct ws_cold_start_zone *zone;
-	bool expected; /* counts among those of its zone */
-	bool heard;
+	bool expected; /* counted among the expected machines of its zone */
+	bool heard;    /* has answered this leader */
 };
 
-/* Hooks of the same names: see core/extension/hooks.h. */
+/* Implementations of the hooks of the same names in core/extension/hooks.h. */
 void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_facts *facts);
 void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_facts *facts);
 void ws_cold_start_machine_removed(void *self, void *handle);
 void ws_cold_start_machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss);
 void ws_cold_start_heartbeat_seen(void *self, double now, void *handle);
-/* Whether machines of a zone are expected, and too few of them have been heard. */
+/* Returns whether a zone has expected machines and its observation has not ended. */
 bool ws_cold_start_zone_waits(const struct ws_cold_start *cold_start, const char *name);
-/* The number of expected machines that have not been heard. */
+/* Returns the number of expected machines, in all zones, that have not answered this leader. */
 size_t ws_cold_start_unheard(const struct ws_cold_start *cold_start);
-/* Ends the observation of zones that have answered; returns whether all have. */
+/*
+ * Ends the observation of each zone in which enough machines have answered or all leases of
+ * earlier leaders have expired. Returns whether the observation of all zones has ended.
+ */
 bool ws_cold_start_observe(struct ws_cold_start *cold_start, double now);
-/* Releases the zones. */
+/* Releases the zones, but not the machine handles. */
 void ws_cold_start_zones_free(struct ws_cold_start *cold_start);
 #endif
--- a/src/cold_start/quarantine.c
+++ b/src/cold_start/quarantine.c
@@ -1,7 +1,8 @@
 /*
- * Attempts of jobs that no record names. Each job is looked up; one that is over ends at once. One
- * that the store never heard of is quarantined until its user submits it again or its time is over,
- * and from then on the store is known to have lost records.
+ * Quarantine of attempts whose job is missing from the leader's replica of the live jobs. Each job
+ * is looked up in the store, and a job that is recorded as ended is stopped at once. A job without
+ * any record shows that the store has lost records; it stays quarantined until its user submits it
+ * again or the quarantine times out.
  */
 #include "quarantine.h"
 #include "../subsystem_support/subsystem_memory.h"
@@ -9,14 +10,17 @@
 #include <math.h>
 #include <stdio.h>
 
-/* Interval at which an unanswered look-up is repeated, in leases. */
-#define RETRY_LEASES (1.0 / 48)
-/* After this time without an answer the job may be a cancelled one, and is stopped. */
-#define UNREADABLE_LEASES 0.25
-/* The time in quarantine is written at this interval, in leases. */
-#define RECORD_LEASES 1.0
-/* Look-ups in one tick, so that the leader's own requests are not delayed. */
-#define LOOK_UPS_MAX 4
+/* Interval, in leases, at which a lookup without an answer is repeated. */
+#define LOOKUP_RETRY_LEASES (1.0 / 48)
+/*
+ * A job whose lookup has no answer after this many leases is stopped, since it may have been
+ * cancelled.
+ */
+#define LOOKUP_TIMEOUT_LEASES 0.25
+/* Interval, in leases, at which the time in quarantine is written to the store. */
+#define RECORD_INTERVAL_LEASES 1.0
+/* Maximum lookups in one tick; more could delay other requests of the leader. */
+#define LOOKUPS_PER_TICK_MAX 4
 
 static struct ws_cold_start_quarantined *find_quarantined(const struct ws_cold_start *cold_start,
 							  const char *job)
@@ -47,7 +51,7 @@
 	WS_SUBSYSTEM_FREE_TABLE(cold_start->quarantined);
 }
 
-static double quarantined_for(const struct ws_cold_start_quarantined *quarantined, double now)
+static double time_in_quarantine(const struct ws_cold_start_quarantined *quarantined, double now)
 {
 	return quarantined->earlier_terms_s + (now - quarantined->since);
 }
@@ -67,7 +71,10 @@
 	return !quarantined->released;
 }
 
-/* An earlier leader quarantined it: that time counts, also where no worker reports it any more. */
+/*
+ * The time in quarantine under earlier leaders counts toward the limit, even if no worker reports
+ * the job any more.
+ */
 void ws_cold_start_quarantine_loaded(struct ws_cold_start *cold_start, const char *job,
 				     const json_t *value)
 {
@@ -79,29 +86,30 @@
 	quarantined->written_at = cold_start->elected_at;
 }
 
-void ws_cold_start_looked_up(void *self, double now, const char *job, enum ws_job_standing standing)
+void ws_cold_start_looked_up(void *self, double now, const char *job,
+			     enum ws_job_standing lookup_result)
 {
 	struct ws_cold_start *cold_start = self;
 	struct ws_cold_start_quarantined *quarantined = find_quarantined(cold_start, job);
 
-	if (!quarantined || quarantined->released || standing == WS_STANDING_UNREADABLE)
+	if (!quarantined || quarantined->released || lookup_result == WS_STANDING_UNREADABLE)
 		return;
 	quarantined->looked_up = true;
-	quarantined->standing = standing;
+	quarantined->standing = lookup_result;
 	cold_start->counts_changed = true;
-	if (standing != WS_STANDING_NEVER_HEARD)
+	if (lookup_result != WS_STANDING_NEVER_HEARD)
 		return;
 	cold_start->counts.quarantined++;
 	quarantined->record_due = true;
 	ws_subsystem_logf(
 	    cold_start->log,
-	    "cold start: unrecorded job quarantined job=%s machine=%s quarantine_s=%.0f", job,
+	    "cold start: job without a record quarantined job=%s machine=%s quarantine_s=%.0f", job,
 	    quarantined->machine,
-	    fmax(0, cold_start->settings.quarantine_s - quarantined_for(quarantined, now)));
+	    fmax(0, cold_start->settings.quarantine_s - time_in_quarantine(quarantined, now)));
 	if (!cold_start->store_lost_records)
 		ws_subsystem_logf(cold_start->log,
-				  "cold start: store lost records, first starts wait "
-				  "for all machines or their leases");
+				  "cold start: store has lost records, first starts deferred "
+				  "until all machines answer or their leases expire");
 	cold_start->phase_record_due |= !cold_start->store_lost_records;
 	cold_start->store_lost_records = true;
 }
@@ -119,7 +127,7 @@
 	ws_request_delete(out, name);
 }
 
-/* The job was submitted again, or its record was only found late. */
+/* Releases the job, which was submitted again or whose record was found late. */
 void ws_cold_start_adopted(void *self, double now, const char *job, uint32_t count)
 {
 	struct ws_cold_start *cold_start = self;
@@ -134,33 +142,34 @@
 	ws_subsystem_logf(cold_start->log, "cold start: quarantined job adopted job=%s", job);
 }
 
-static void end_quarantined(struct ws_cold_start *cold_start,
-			    struct ws_cold_start_quarantined *quarantined, double grace_s,
-			    struct ws_request_queue *out)
+static void stop_quarantined(struct ws_cold_start *cold_start,
+			     struct ws_cold_start_quarantined *quarantined, double grace_s,
+			     struct ws_request_queue *out)
 {
 	quarantined->released = true;
 	cold_start->counts_changed = true;
 	ws_request_end_quarantined(out, quarantined->job, grace_s);
 }
 
-/* Whether the job must be stopped: over on record, or unreadable for too long. */
-static bool quarantine_must_end(const struct ws_cold_start *cold_start,
-				const struct ws_cold_start_quarantined *quarantined, double now)
+/* Returns whether the job is recorded as ended or was unreadable for too long. */
+static bool must_be_stopped(const struct ws_cold_start *cold_start,
+			    const struct ws_cold_start_quarantined *quarantined, double now)
 {
 	if (quarantined->looked_up)
 		return quarantined->standing == WS_STANDING_OVER;
 	return quarantined->first_look_up_at >= 0 &&
-	       now - quarantined->first_look_up_at > UNREADABLE_LEASES * cold_start->limits.lease_s;
+	       now - quarantined->first_look_up_at >
+		   LOOKUP_TIMEOUT_LEASES * cold_start->limits.lease_s;
 }
 
-/* Requests a look-up if one is due; returns whether it did. */
-static bool request_look_up(const struct ws_cold_start *cold_start,
-			    struct ws_cold_start_quarantined *quarantined, double now,
-			    struct ws_request_queue *out)
+/* Requests a lookup if one is due. Returns whether it did. */
+static bool request_lookup(const struct ws_cold_start *cold_start,
+			   struct ws_cold_start_quarantined *quarantined, double now,
+			   struct ws_request_queue *out)
 {
 	if (quarantined->looked_up ||
 	    (quarantined->last_look_up_at >= 0 &&
-	     now - quarantined->last_look_up_at < RETRY_LEASES * cold_start->limits.lease_s))
+	     now - quarantined->last_look_up_at < LOOKUP_RETRY_LEASES * cold_start->limits.lease_s))
 		return false;
 	if (quarantined->first_look_up_at < 0)
 		quarantined->first_look_up_at = now;
@@ -181,60 +190,60 @@
 	ws_request_write(out, name, ws_cold_start_quarantine_record(quarantined, now), false);
 }
 
-/* No worker has reported it to this leader, and every lease that one could hold has expired. */
-static bool was_never_reported(const struct ws_cold_start *cold_start,
-			       const struct ws_cold_start_quarantined *quarantined, double now)
+/* Returns whether no worker reported the job until all leases of earlier leaders had expired. */
+static bool reporting_timed_out(const struct ws_cold_start *cold_start,
+				const struct ws_cold_start_quarantined *quarantined, double now)
 {
 	return !quarantined->reported && now >= cold_start->leases_out;
 }
 
-/* Releases or stops a job that must not go on, and writes its record when due. */
-static void tick_quarantined(struct ws_cold_start *cold_start,
-			     struct ws_cold_start_quarantined *quarantined, double now,
-			     struct ws_request_queue *out)
+/* Releases a job that no worker reports, stops one that must not run on, or writes its record. */
+static void update_quarantined(struct ws_cold_start *cold_start,
+			       struct ws_cold_start_quarantined *quarantined, double now,
+			       struct ws_request_queue *out)
 {
 	cold_start->steps++;
-	quarantined->released |= was_never_reported(cold_start, quarantined, now);
+	quarantined->released |= reporting_timed_out(cold_start, quarantined, now);
 	if (quarantined->released) {
 		delete_record(quarantined, out);
 		return;
 	}
-	if (quarantine_must_end(cold_start, quarantined, now)) {
+	if (must_be_stopped(cold_start, quarantined, now)) {
 		cold_start->counts.stopped_over++;
 		ws_subsystem_logf(
 		    cold_start->log, "cold start: quarantined job stopped job=%s reason=\"%s\"",
 		    quarantined->job,
-		    quarantined->looked_up ? "recorded as ended" : "record not readable");
-		end_quarantined(cold_start, quarantined, 0, out);
+		    quarantined->looked_up ? "recorded as ended" : "record could not be read");
+		stop_quarantined(cold_start, quarantined, 0, out);
 		return;
 	}
 	if (quarantined->reported &&
-	    quarantined_for(quarantined, now) >= cold_start->settings.quarantine_s) {
+	    time_in_quarantine(quarantined, now) >= cold_start->settings.quarantine_s) {
 		cold_start->counts.unclaimed++;
 		ws_subsystem_logf(cold_start->log,
 				  "cold start: quarantined job stopped job=%s machine=%s "
 				  "quarantine_s=%.0f reason=\"not submitted again\"",
 				  quarantined->job, quarantined->machine,
 				  cold_start->settings.quarantine_s);
-		end_quarantined(cold_start, quarantined, cold_start->limits.lease_s, out);
+		stop_quarantined(cold_start, quarantined, cold_start->limits.lease_s, out);
 		return;
 	}
 	if (quarantined->record_due ||
 	    (quarantined->on_record &&
-	     now - quarantined->written_at > RECORD_LEASES * cold_start->limits.lease_s))
+	     now - quarantined->written_at > RECORD_INTERVAL_LEASES * cold_start->limits.lease_s))
 		write_record(quarantined, now, out);
 }
 
 void ws_cold_start_quarantine_tick(struct ws_cold_start *cold_start, double now,
 				   struct ws_request_queue *out)
 {
-	unsigned look_ups = LOOK_UPS_MAX;
+	unsigned lookups_left = LOOKUPS_PER_TICK_MAX;
 
 	for (struct ws_cold_start_quarantined *quarantined = cold_start->quarantined; quarantined;
 	     quarantined = quarantined->hh.next) {
-		tick_quarantined(cold_start, quarantined, now, out);
-		if (quarantined->reported && !quarantined->released && look_ups)
-			look_ups -= request_look_up(cold_start, quarantined, now, out);
+		update_quarantined(cold_start, quarantined, now, out);
+		if (quarantined->reported && !quarantined->released && lookups_left)
+			lookups_left -= request_lookup(cold_start, quarantined, now, out);
 	}
 }
 
--- a/src/cold_start/quarantine.h
+++ b/src/cold_start/quarantine.h
@@ -1,46 +1,49 @@
 /*
- * Quarantine of attempts of jobs that no record names. Owns the quarantined jobs and their records
- * "coldstart/kept/JOB".
+ * Quarantine of attempts whose job is missing from the leader's replica of the live jobs. Owns the
+ * quarantined jobs and their records "coldstart/kept/JOB".
  */
 #ifndef WS_COLD_START_QUARANTINE_H
 #define WS_COLD_START_QUARANTINE_H
 #include "state.h"
 
-/* A job that no record names, of which attempts are quarantined. */
+/* A job that is missing from the leader's replica and whose attempts are quarantined. */
 struct ws_cold_start_quarantined {
 	char job[WS_COLD_START_NAME_MAX];
-	char machine[WS_COLD_START_NAME_MAX]; /* that reported it first */
+	char machine[WS_COLD_START_NAME_MAX]; /* the first machine that reported it */
 	enum ws_job_standing standing;
-	bool looked_up; /* the standing is known */
-	bool released;	/* adopted or stopped; remembered so that it is not quarantined again */
-	bool reported;	/* in this term */
+	bool looked_up; /* the store has answered the lookup */
+	bool released;	/* adopted or stopped; kept so that the job is not quarantined again */
+	bool reported;	/* by a worker in this term */
 	bool record_due, on_record;
-	double since;				  /* when this term's quarantine began */
-	double earlier_terms_s;			  /* time in quarantine in terms before */
-	double written_at;			  /* when its record was last written */
-	double first_look_up_at, last_look_up_at; /* below 0: not yet */
+	double since;				  /* start of the quarantine in this term */
+	double earlier_terms_s;			  /* time in quarantine during earlier terms */
+	double written_at;			  /* time of the last write of its record */
+	double first_look_up_at, last_look_up_at; /* negative: no lookup was requested */
 	UT_hash_handle hh;
 };
 
-/* Whether an attempt of a job that no record names is to be quarantined. */
+/*
+ * Adds the job of an attempt whose job is missing from the leader's replica. Returns whether the
+ * attempt is to be quarantined; false if the job was already released from quarantine.
+ */
 bool ws_cold_start_quarantine_attempt(struct ws_cold_start *cold_start, double now,
 				      const struct ws_reconciliation *reconciliation);
-/* Hook job_looked_up: see core/extension/hooks.h. */
+/* Implements the hook job_looked_up of core/extension/hooks.h. */
 void ws_cold_start_looked_up(void *self, double now, const char *job,
-			     enum ws_job_standing standing);
-/* Hook attempts_adopted: see core/extension/hooks.h. */
+			     enum ws_job_standing lookup_result);
+/* Implements the hook attempts_adopted of core/extension/hooks.h. */
 void ws_cold_start_adopted(void *self, double now, const char *job, uint32_t count);
-/* Restores a job that an earlier leader quarantined from its record. */
+/* Restores, from its record, a job that an earlier leader quarantined. */
 void ws_cold_start_quarantine_loaded(struct ws_cold_start *cold_start, const char *job,
 				     const json_t *value);
-/* Looks jobs up, stops those that must not go on, and writes the records that are due. */
+/* Requests lookups, stops jobs that must not run on, and writes the records that are due. */
 void ws_cold_start_quarantine_tick(struct ws_cold_start *cold_start, double now,
 				   struct ws_request_queue *out);
-/* Deletes all records of quarantined jobs, and releases the jobs. */
+/* Requests the deletion of all records of quarantined jobs, and releases the jobs. */
 void ws_cold_start_quarantine_forget(struct ws_cold_start *cold_start,
 				     struct ws_request_queue *out);
-/* Whether some reported job is still in quarantine. */
+/* Returns whether a job that was reported in this term is still in quarantine. */
 bool ws_cold_start_has_quarantined(const struct ws_cold_start *cold_start);
-/* Releases the jobs; their records stay. */
+/* Releases the jobs but does not delete their records. */
 void ws_cold_start_quarantine_free(struct ws_cold_start *cold_start);
 #endif
--- a/src/cold_start/records.c
+++ b/src/cold_start/records.c
@@ -1,4 +1,4 @@
-/* Records of the cold start subsystem: their encoding, and what a new leader restores from them. */
+/* Encodes the cold start records, and restores the state of an earlier leader from them. */
 #include "records.h"
 #include "../subsystem_support/subsystem_records.h"
 #include "observation.h"
@@ -16,8 +16,8 @@
     [WS_COLD_START_RECOVERING] = "recovering",
     [WS_COLD_START_ENDED] = "ended",
 };
-_Static_assert(WS_COLD_START_NONE == 0, "the phase of an unknown name");
-#define PHASES (sizeof(phase_names) / sizeof(phase_names[0]))
+_Static_assert(WS_COLD_START_NONE == 0, "an unknown phase name is read as index 0");
+#define PHASE_COUNT (sizeof(phase_names) / sizeof(phase_names[0]))
 
 static const char *const result_names[] = {
     [WS_RECONCILED_AGREED] = "agreed",
@@ -43,12 +43,12 @@
 	return phase_names[phase];
 }
 
-const char *ws_cold_start_result_name(enum ws_reconciliation_result kind)
+const char *ws_cold_start_result_name(enum ws_reconciliation_result result)
 {
-	return result_names[kind];
+	return result_names[result];
 }
 
-/* ---- written ---- */
+/* ---- encoding ---- */
 
 json_t *ws_cold_start_phase_record(const struct ws_cold_start *cold_start)
 {
@@ -58,20 +58,23 @@
 			 cold_start->store_lost_records);
 }
 
-static json_t *results_record(const struct ws_cold_start *cold_start)
+static json_t *encode_results(const struct ws_cold_start *cold_start)
 {
 	json_t *results = json_object();
 
-	for (int kind = 0; kind < WS_RECONCILIATION_RESULTS; kind++)
-		if (cold_start->counts.results[kind])
+	for (int result = 0; result < WS_RECONCILIATION_RESULTS; result++)
+		if (cold_start->counts.results[result])
 			json_object_set_new(
-			    results, result_names[kind],
-			    json_integer((json_int_t)cold_start->counts.results[kind]));
+			    results, result_names[result],
+			    json_integer((json_int_t)cold_start->counts.results[result]));
 	return results;
 }
 
-/* Machines of each zone: expected, heard, and whether the zone's observation has ended. */
-static json_t *zones_record(const struct ws_cold_start *cold_start)
+/*
+ * Returns, for each zone, the number of expected machines, the number of these that have answered,
+ * and whether the observation has ended.
+ */
+static json_t *encode_zones(const struct ws_cold_start *cold_start)
 {
 	json_t *zones = json_object();
 
@@ -86,16 +89,16 @@
 json_t *ws_cold_start_account_record(const struct ws_cold_start *cold_start, double now)
 {
 	const struct ws_cold_start_counts *counts = &cold_start->counts;
-	double left = cold_start->leases_out - now;
-	json_t *record =
-	    json_pack("{s:i,s:s,s:I,s:I,s:f,s:f,s:f,s:b}", "v", WS_COLD_START_FORMAT, "phase",
-		      phase_name(cold_start->phase), "term", (json_int_t)cold_start->term, "began",
-		      (json_int_t)cold_start->began_term, "unproven_s",
-		      isfinite(cold_start->unproven_s) ? cold_start->unproven_s : -1, "for_s",
-		      now - cold_start->elected_at, "leases_out_s", left > 0 ? left : 0.0,
-		      "doubted", cold_start->store_lost_records);
-
-	json_object_set_new(record, "findings", results_record(cold_start));
+	double remaining_s = cold_start->leases_out - now;
+	json_t *record = json_pack(
+	    "{s:i,s:s,s:I,s:I,s:f,s:f,s:f,s:b}", "v", WS_COLD_START_FORMAT, "phase",
+	    phase_name(cold_start->phase), "term", (json_int_t)cold_start->term, "began",
+	    (json_int_t)cold_start->began_term, "unproven_s",
+	    isfinite(cold_start->unproven_s) ? cold_start->unproven_s : -1, "for_s",
+	    now - cold_start->elected_at, "leases_out_s", remaining_s > 0 ? remaining_s : 0.0,
+	    "doubted", cold_start->store_lost_records);
+
+	json_object_set_new(record, "findings", encode_results(cold_start));
 	json_object_update_new(record, json_pack("{s:I,s:I,s:I,s:I,s:I,s:I}", "lost_jobs",
 						 (json_int_t)counts->lost_jobs, "recovered_jobs",
 						 (json_int_t)counts->recovered_jobs, "kept",
@@ -103,8 +106,8 @@
 						 (json_int_t)counts->adopted, "unclaimed",
 						 (json_int_t)counts->unclaimed, "over",
 						 (json_int_t)counts->stopped_over));
-	json_object_set_new(record, "zones", zones_record(cold_start));
-	/* the core leaves out a record that is too large: better one without its zones */
+	json_object_set_new(record, "zones", encode_zones(cold_start));
+	/* The core does not write a record that is too large, so leave out the zones. */
 	if (json_dumpb(record, NULL, 0, JSON_COMPACT) >= cold_start->limits.value_bytes)
 		json_object_del(record, "zones");
 	return record;
@@ -118,14 +121,14 @@
 			 quarantined->machine);
 }
 
-/* ---- read ---- */
+/* ---- decoding ---- */
 
 static enum ws_cold_start_phase phase_from_name(const char *name)
 {
-	return (enum ws_cold_start_phase)ws_subsystem_name_index(phase_names, PHASES, name);
+	return (enum ws_cold_start_phase)ws_subsystem_name_index(phase_names, PHASE_COUNT, name);
 }
 
-static void phase_loaded(struct ws_cold_start *cold_start, json_t *value)
+static void restore_phase(struct ws_cold_start *cold_start, json_t *value)
 {
 	cold_start->recorded_phase =
 	    phase_from_name(json_string_value(json_object_get(value, "phase")));
@@ -142,7 +145,7 @@
 					   &cold_start->later_format))
 		return;
 	if (!strcmp(name, "phase"))
-		phase_loaded(cold_start, value);
+		restore_phase(cold_start, value);
 	else if (!strncmp(name, "kept/", 5))
 		ws_cold_start_quarantine_loaded(cold_start, name + 5, value);
 }
--- a/src/cold_start/recovery.c
+++ b/src/cold_start/recovery.c
@@ -1,6 +1,6 @@
 /*
- * Paced recovery: jobs that lost attempts in the stop are placed before other jobs of
- * the same priority class, in order, a limited number of them at a time.
+ * Recovery of jobs that lost attempts in the cold start. They are placed before other jobs of the
+ * same priority class, in a fixed order and a limited number at a time.
  */
 #include "recovery.h"
 #include "../subsystem_support/subsystem_memory.h"
@@ -8,8 +8,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Interval between surveys while more work is being lost, in heartbeat intervals. */
-#define NEW_LOSS_SURVEY_HEARTBEATS 0.25
+/* Minimum interval between surveys after new losses, in heartbeat intervals. */
+#define LOSS_SURVEY_HEARTBEATS 0.25
 
 void ws_cold_start_lost_add(struct ws_cold_start *cold_start, const char *job)
 {
@@ -41,7 +41,11 @@
 {
 	(void)self;
 	(void)machine;
-	return false; /* all attempts count as elsewhere: whether any replica may be alive */
+	/*
+	 * Counts all attempts as elsewhere, so that job_surveyed() sees whether any replica may be
+	 * alive.
+	 */
+	return false;
 }
 
 void ws_cold_start_job_surveyed(void *self, const struct ws_job_facts *facts)
@@ -62,9 +66,9 @@
 }
 
 /*
- * The order in which lost jobs start again. Not the order of the evacuation plan
- * (failure_domains/plan.c): here first replicas of services go before all other work, while there
- * they go after recorded positions, job classes, guarantee and priority.
+ * Compares lost jobs by the order in which they start again. It differs from the order of the
+ * evacuation plan (failure_domains/plan.c): here first replicas of services come before all other
+ * work; there they come after recorded positions, job classes, guarantee and priority.
  */
 static int compare_lost(struct ws_cold_start_lost *left, struct ws_cold_start_lost *right)
 {
@@ -107,13 +111,13 @@
 	ws_request_move(out, &move);
 }
 
-/* Runs again or is over, as far as the last survey tells. */
+/* Returns whether, as of the last survey, the job runs again or has ended. */
 static bool lost_recovered(const struct ws_cold_start_lost *lost)
 {
 	return !lost->lost_since_survey && !(lost->surveyed && lost->waiting);
 }
 
-/* Removes recovered jobs from the list; returns them as a list linked by `next_recovered`. */
+/* Removes recovered jobs from the table, and returns them in a list linked by `next_recovered`. */
 static struct ws_cold_start_lost *take_recovered(struct ws_cold_start *cold_start)
 {
 	struct ws_cold_start_lost *lost, *next, *recovered = NULL;
@@ -129,7 +133,7 @@
 	return recovered;
 }
 
-/* Drops the jobs that run again or are over. */
+/* Returns recovered jobs to their ordinary queue position, and releases them. */
 static void finish_recovered(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
 	struct ws_cold_start_lost *lost = take_recovered(cold_start), *next;
@@ -143,7 +147,7 @@
 	}
 }
 
-/* Requests queue positions for the jobs that wait, as of the last survey. */
+/* Requests queue positions for the jobs that had waiting tasks in the last survey. */
 static void request_positions(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
 	const size_t moves_max = ws_subsystem_moves_max(&cold_start->limits);
@@ -170,7 +174,7 @@
 	}
 	if (!cold_start->lost ||
 	    now < cold_start->surveyed_at +
-		      (cold_start->losses_unsurveyed ? NEW_LOSS_SURVEY_HEARTBEATS : 1) *
+		      (cold_start->losses_unsurveyed ? LOSS_SURVEY_HEARTBEATS : 1) *
 			  cold_start->limits.report_s)
 		return;
 	cold_start->surveyed_at = now;
--- a/src/cold_start/recovery.h
+++ b/src/cold_start/recovery.h
@@ -1,37 +1,41 @@
-/* Paced recovery of jobs that lost attempts. Owns the list of these jobs. */
+/* Recovery of jobs that lost attempts, a limited number at a time. Owns the list of these jobs. */
 #ifndef WS_COLD_START_RECOVERY_H
 #define WS_COLD_START_RECOVERY_H
 #include "state.h"
 
-/* A job that lost attempts in the cold start. */
+/* A job that lost attempts in the current cold start. */
 struct ws_cold_start_lost {
 	char job[WS_COLD_START_NAME_MAX];
-	size_t attempts;	/* that it lost */
-	bool lost_since_survey; /* it lost some since the last survey */
-	bool move_requested;	/* since it last lost some */
-	/* as of the last survey */
+	size_t attempts;	/* number of attempts lost */
+	bool lost_since_survey; /* an attempt was lost since the last survey */
+	bool move_requested;	/* since the last loss of an attempt */
+	/* Facts as of the last survey. */
 	bool surveyed;
-	bool guaranteed, first_replica;
+	bool guaranteed;
+	bool first_replica; /* a service of which no replica may be alive */
 	int priority;
 	double latest_start;
-	size_t waiting;
-	uint32_t position; /* as last requested; 0: its ordinary position */
-	bool replicas_apart;
+	size_t waiting;	     /* tasks that are neither complete nor possibly running */
+	uint32_t position;   /* last requested queue position; 0: the ordinary one */
+	bool replicas_apart; /* last requested: place only a first replica ahead of the queue */
 	struct ws_cold_start_lost *next_recovered;
 	UT_hash_handle hh;
 };
 
-/* Counts one lost attempt of a job. */
+/* Records the loss of one attempt of a job. */
 void ws_cold_start_lost_add(struct ws_cold_start *cold_start, const char *job);
-/* Hooks of the same names: see core/extension/hooks.h. */
+/* Implementations of the hooks of the same names in core/extension/hooks.h. */
 bool ws_cold_start_attempt_surveyed(void *self, void *machine);
 void ws_cold_start_job_surveyed(void *self, const struct ws_job_facts *facts);
 void ws_cold_start_survey_done(void *self, double now);
-/* Requests the moves that are due, and a survey each heartbeat interval while jobs are lost. */
+/*
+ * Requests queue positions after each survey. Requests a survey once per heartbeat interval while
+ * lost jobs have not recovered, and sooner after new losses.
+ */
 void ws_cold_start_recovery_tick(struct ws_cold_start *cold_start, double now,
 				 struct ws_request_queue *out);
-/* Returns all jobs to their ordinary queue position. */
+/* Requests the ordinary queue position for all lost jobs, and releases the list. */
 void ws_cold_start_recovery_end(struct ws_cold_start *cold_start, struct ws_request_queue *out);
-/* Releases the list. */
+/* Releases the list of lost jobs. */
 void ws_cold_start_lost_free(struct ws_cold_start *cold_start);
 #endif
--- a/src/cold_start/state.h
+++ b/src/cold_start/state.h
@@ -1,65 +1,65 @@
-/* The state of the cold start subsystem, which its modules share. All times are in seconds. */
+/* The state that the modules of the cold start subsystem share. All times are in seconds. */
 #ifndef WS_COLD_START_STATE_H
 #define WS_COLD_START_STATE_H
 #include "cold_start.h"
 #include <uthash.h>
 
-/* Format of the records; later ones are left alone. */
+/* The format of the records. Records of a later format are neither read nor overwritten. */
 #define WS_COLD_START_FORMAT 1
 #define WS_COLD_START_NAME_MAX 128
 
 enum ws_cold_start_phase {
-	WS_COLD_START_NONE,	  /* an ordinary election */
-	WS_COLD_START_OBSERVING,  /* some zone has not answered yet */
-	WS_COLD_START_RECOVERING, /* lost work has not all started again yet */
+	WS_COLD_START_NONE,	  /* no cold start: an ordinary election */
+	WS_COLD_START_OBSERVING,  /* waiting for expected machines to answer */
+	WS_COLD_START_RECOVERING, /* observation has ended, recovery of lost work has not */
 	WS_COLD_START_ENDED,
 };
 
-/* What the account record of a cold start counts, besides machines. */
+/* Counters in the account record of a cold start, besides those of machines. */
 struct ws_cold_start_counts {
 	size_t results[WS_RECONCILIATION_RESULTS];
 	size_t quarantined;  /* jobs that are not in the store */
-	size_t adopted;	     /* attempts */
-	size_t unclaimed;    /* quarantined jobs stopped when their quarantine time ran out */
-	size_t stopped_over; /* quarantined jobs stopped: over on record, or unreadable */
+	size_t adopted;	     /* quarantined attempts that were adopted */
+	size_t unclaimed;    /* quarantined jobs stopped because their quarantine timed out */
+	size_t stopped_over; /* quarantined jobs stopped: recorded as ended, or unreadable */
 	size_t lost_jobs, recovered_jobs;
 };
 
 struct ws_cold_start {
 	struct ws_cold_start_settings settings;
-	struct ws_cluster_limits limits; /* without its pointers, which are the caller's */
+	struct ws_cluster_limits limits; /* its pointers are NULL: the caller owns their targets */
 	ws_subsystem_log_fn log;
-	uint64_t steps;
+	uint64_t steps; /* operations on single machines and jobs */
 
-	/* of this term */
+	/* State of this term. */
 	enum ws_cold_start_phase phase;
-	bool leader_unproven;	 /* there is no recent proof of a live leader */
-	bool later_format;	 /* a record is of a later format: the subsystem is suspended */
-	bool store_lost_records; /* that it had confirmed */
+	bool leader_unproven;	 /* there is no recent proof that a leader was alive */
+	bool later_format;	 /* a record has a later format: the subsystem is suspended */
+	bool store_lost_records; /* the store lost records that it had confirmed */
 	uint64_t term, proven_term;
-	uint64_t began_term; /* the term that detected the cold start */
-	double unproven_s;
+	uint64_t began_term; /* the term in which the cold start was detected */
+	double unproven_s;   /* time without proof of a live leader; INFINITY: there was none */
 	double elected_at;
-	double leases_out; /* when every lease that an earlier leader may have renewed is out */
+	double leases_out; /* when all leases that earlier leaders may have renewed have expired */
 	double recovering_at;
 	bool phase_record_due;
 	bool counts_changed;
 	double account_due_at;
 	double surveyed_at;
-	bool losses_unsurveyed; /* work was lost since the last survey was requested */
-	bool survey_done;	/* and its moves are not requested yet */
+	bool losses_unsurveyed; /* attempts were lost since the last survey request */
+	bool survey_done;	/* a survey is done but its moves are not requested yet */
 
-	/* as read from the record of an earlier leader */
+	/* Values from the record that an earlier leader wrote. */
 	enum ws_cold_start_phase recorded_phase;
 	uint64_t recorded_term, recorded_began;
 	bool recorded_store_lost_records;
 
-	struct ws_cold_start_zone *zones;	       /* by name; see observation.h */
-	struct ws_cold_start_quarantined *quarantined; /* by job; see quarantine.h */
-	struct ws_cold_start_lost *lost;	       /* by job; see recovery.h */
+	struct ws_cold_start_zone *zones;	       /* hashed by name; see observation.h */
+	struct ws_cold_start_quarantined *quarantined; /* hashed by job; see quarantine.h */
+	struct ws_cold_start_lost *lost;	       /* hashed by job; see recovery.h */
 	struct ws_cold_start_counts counts;
 };
 
-/* Whether a cold start is under way: attempts are reconciled, and may be quarantined. */
+/* Returns whether a cold start is in progress, so that attempts are reconciled. */
 bool ws_cold_start_active(const struct ws_cold_start *cold_start);
 #endif
