--- a/src/cold_start_command.c
+++ b/src/cold_start_command.c
@@ -4,15 +4,15 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Keys of the records. */
-#define PREFIX "coldstart/"
+/* Prefix and names of the record keys. */
+#define KEY_PREFIX "coldstart/"
 #define ACCOUNT_KEY "account"
-#define KEPT_KEY "kept/"
+#define QUARANTINE_KEY "kept/"
 
 static void print_reconciliation(json_t *results)
 {
-	for (int kind = 0; kind < WS_RECONCILIATION_RESULTS; kind++) {
-		const char *name = ws_cold_start_result_name((enum ws_reconciliation_result)kind);
+	for (int result = 0; result < WS_RECONCILIATION_RESULTS; result++) {
+		const char *name = ws_cold_start_result_name((enum ws_reconciliation_result)result);
 		long long count = ws_record_view_count(results, name);
 
 		if (count)
@@ -29,46 +29,48 @@
 		printf("zone %s: %lld of %lld machines answered%s\n", name,
 		       (long long)json_integer_value(json_array_get(zone, 1)),
 		       (long long)json_integer_value(json_array_get(zone, 0)),
-		       json_is_true(json_array_get(zone, 2)) ? "" : ", waited for");
+		       json_is_true(json_array_get(zone, 2)) ? "" : ", still waiting");
 }
 
 static void print_account(json_t *record)
 {
-	double unproven = ws_record_view_number(record, "unproven_s");
-	double left = ws_record_view_number(record, "leases_out_s");
+	double unproven_s = ws_record_view_number(record, "unproven_s");
+	double remaining_s = ws_record_view_number(record, "leases_out_s");
 
-	printf("cold start: %s, %.1f s after the election when written\n",
+	printf("cold start: %s, recorded %.1f s after the election\n",
 	       ws_record_view_text(record, "phase"), ws_record_view_number(record, "for_s"));
-	if (unproven >= 0)
-		printf("no leader was known to have lived for %.1f s\n", unproven);
+	if (unproven_s >= 0)
+		printf("no sign of a live leader for %.1f s before the election\n", unproven_s);
 	else
-		printf("the leader knew of none before it\n");
-	if (left > 0)
-		printf("machines that are silent are waited for at most %.1f s more\n", left);
+		printf("no sign of an earlier leader\n");
+	if (remaining_s > 0)
+		printf("machines that have not answered are waited for at most %.1f s more\n",
+		       remaining_s);
 	if (ws_record_view_is_true(record, "doubted"))
 		printf("the store has lost records\n");
 	print_zones(json_object_get(record, "zones"));
-	printf("attempts found:\n");
+	printf("attempts by reconciliation result:\n");
 	print_reconciliation(json_object_get(record, "findings"));
-	printf("jobs that lost work: %lld, of them running again or over: %lld\n",
+	printf("jobs that lost work: %lld; of these, running again or ended: %lld\n",
 	       ws_record_view_count(record, "lost_jobs"),
 	       ws_record_view_count(record, "recovered_jobs"));
-	printf("jobs the store never heard of: %lld; attempts adopted: %lld; jobs stopped "
-	       "unclaimed: %lld; stopped as over: %lld\n",
-	       ws_record_view_count(record, "kept"), ws_record_view_count(record, "adopted"),
-	       ws_record_view_count(record, "unclaimed"), ws_record_view_count(record, "over"));
+	printf(
+	    "quarantined jobs without a record: %lld; attempts adopted: %lld; jobs stopped because "
+	    "not submitted again: %lld; stopped as ended or unreadable: %lld\n",
+	    ws_record_view_count(record, "kept"), ws_record_view_count(record, "adopted"),
+	    ws_record_view_count(record, "unclaimed"), ws_record_view_count(record, "over"));
 }
 
-/* True: it is the account. */
+/* Returns whether the record is the account record. */
 static bool print_record(const char *name, json_t *record)
 {
 	bool account = !strcmp(name, ACCOUNT_KEY);
 
 	if (account)
 		print_account(record);
-	else if (!strncmp(name, KEPT_KEY, strlen(KEPT_KEY)))
-		printf("kept apart: job %s, first on machine %s, for %.1f s when written\n",
-		       name + strlen(KEPT_KEY), ws_record_view_text(record, "machine"),
+	else if (!strncmp(name, QUARANTINE_KEY, strlen(QUARANTINE_KEY)))
+		printf("quarantined: job %s, first reported by machine %s, recorded after %.1f s\n",
+		       name + strlen(QUARANTINE_KEY), ws_record_view_text(record, "machine"),
 		       ws_record_view_number(record, "kept_s"));
 	return account;
 }
@@ -76,9 +78,9 @@
 int ws_cold_start_command_run(const struct ws_settings *platform)
 {
 	static const struct ws_record_view view = {
-	    .prefix = PREFIX,
+	    .prefix = KEY_PREFIX,
 	    .print = print_record,
-	    .none_text = "no cold start is on record",
+	    .none_text = "no cold start is recorded",
 	};
 	struct ws_store_client *store = ws_store_client_open(platform);
 	int status = ws_record_view_print(&view, store);
--- a/src/failure_domains_command.c
+++ b/src/failure_domains_command.c
@@ -5,17 +5,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Keys of the records. */
-#define PREFIX "zones/"
+/* Prefix and names of the record keys. */
+#define KEY_PREFIX "zones/"
 #define DOMAIN_KEY "domain/"
 #define HOLD_KEY "hold/"
 #define PLAN_KEY "plan/"
 #define PROGRESS_KEY "progress"
 #define HOLD_FORMAT 1
-/* A hold that others change at the same moment is tried so often. */
-#define HOLD_TRIES 3
+/* Maximum attempts to change a hold when other writers conflict. */
+#define HOLD_ATTEMPTS_MAX 3
 
-/* ---- showing ---- */
+/* ---- printing ---- */
 
 static bool starts_with(const char *text, const char *start)
 {
@@ -24,11 +24,11 @@
 
 static void print_domain(const char *name, json_t *record)
 {
-	printf("domain %s: %s for %.0f s when written (%s), penalty %.1f%s\n", name,
+	printf("domain %s: %s, recorded after %.0f s in this state (%s), penalty %.1f%s\n", name,
 	       ws_record_view_text(record, "state"), ws_record_view_number(record, "for_s"),
 	       ws_record_view_text(record, "evidence"), ws_record_view_number(record, "penalty"),
 	       ws_record_view_is_true(record, "held") ? ", held" : "");
-	printf("  machines: %lld live, %lld silent, %lld of them left a command unanswered, "
+	printf("  machines: %lld live, %lld silent (%lld of these with an unanswered command), "
 	       "%lld gone\n",
 	       ws_record_view_count(record, "live"), ws_record_view_count(record, "silent"),
 	       ws_record_view_count(record, "unanswered"), ws_record_view_count(record, "gone"));
@@ -36,11 +36,12 @@
 
 static void print_progress(json_t *record)
 {
-	printf("plan: %lld tasks; %lld moved or over, %lld called off, %lld may be alive still, "
-	       "%lld wait for room, %lld for their zone\n",
-	       ws_record_view_count(record, "planned"), ws_record_view_count(record, "moved"),
-	       ws_record_view_count(record, "called_off"), ws_record_view_count(record, "moving"),
-	       ws_record_view_count(record, "waiting"), ws_record_view_count(record, "pinned"));
+	printf(
+	    "plan: %lld tasks; %lld moved or ended, %lld called off, %lld possibly still running, "
+	    "%lld waiting for capacity, %lld pinned to their zone\n",
+	    ws_record_view_count(record, "planned"), ws_record_view_count(record, "moved"),
+	    ws_record_view_count(record, "called_off"), ws_record_view_count(record, "moving"),
+	    ws_record_view_count(record, "waiting"), ws_record_view_count(record, "pinned"));
 }
 
 static void print_plan_part(json_t *record)
@@ -58,13 +59,13 @@
 	}
 }
 
-/* True: it is a domain. */
+/* Returns whether the record is that of a domain. */
 static bool print_record(const char *name, json_t *record)
 {
 	if (starts_with(name, DOMAIN_KEY))
 		print_domain(name + strlen(DOMAIN_KEY), record);
 	else if (starts_with(name, HOLD_KEY))
-		printf("hold asked for: %s\n", name + strlen(HOLD_KEY));
+		printf("hold requested: %s\n", name + strlen(HOLD_KEY));
 	else if (!strcmp(name, PROGRESS_KEY))
 		print_progress(record);
 	else if (starts_with(name, PLAN_KEY))
@@ -73,12 +74,12 @@
 }
 
 static const struct ws_record_view view = {
-    .prefix = PREFIX,
+    .prefix = KEY_PREFIX,
     .print = print_record,
-    .none_text = "no domain was ever dark",
+    .none_text = "no failure domain is recorded",
 };
 
-/* ---- holding ---- */
+/* ---- holds ---- */
 
 static bool domain_exists(const char *name, const struct ws_settings *platform,
 			  const struct ws_subsystem_settings *subsystems)
@@ -93,10 +94,10 @@
 }
 
 /*
- * Writes or removes a record under the revision at which it was read: what became of it, and the
- * HTTP status that says so.
+ * Reads the record of a hold, and writes or deletes it if it has not changed since. Returns the
+ * outcome of the last call, and its HTTP status in `http_status`.
  */
-static enum ws_outcome hold_write(struct ws_store_client *store, const char *key, bool hold,
+static enum ws_outcome write_hold(struct ws_store_client *store, const char *key, bool hold,
 				  int *http_status)
 {
 	struct ws_call read = {.kind = WS_CALL_GET};
@@ -120,7 +121,7 @@
 	ws_result_free(&result);
 	if (outcome != WS_OUTCOME_OK && outcome != WS_OUTCOME_NOT_FOUND)
 		return outcome;
-	if ((outcome == WS_OUTCOME_OK) == hold) /* it is as it should be */
+	if ((outcome == WS_OUTCOME_OK) == hold) /* already as requested */
 		return WS_OUTCOME_OK;
 	snprintf(condition.key, sizeof(condition.key), "%s", key);
 	snprintf(change.key, sizeof(change.key), "%s", key);
@@ -133,20 +134,23 @@
 	return outcome;
 }
 
-static int hold(struct ws_store_client *store, const char *domain, bool hold)
+static int set_hold(struct ws_store_client *store, const char *domain, bool hold)
 {
 	char key[WS_KEY_MAX];
 	enum ws_outcome outcome = WS_OUTCOME_CONFLICT;
 	int http_status = 0;
 
-	snprintf(key, sizeof(key), PREFIX HOLD_KEY "%s", domain);
-	for (int i = 0; i < HOLD_TRIES && outcome == WS_OUTCOME_CONFLICT; i++)
-		outcome = hold_write(store, key, hold, &http_status);
+	snprintf(key, sizeof(key), KEY_PREFIX HOLD_KEY "%s", domain);
+	for (int i = 0; i < HOLD_ATTEMPTS_MAX && outcome == WS_OUTCOME_CONFLICT; i++)
+		outcome = write_hold(store, key, hold, &http_status);
 	if (outcome != WS_OUTCOME_OK) {
-		fprintf(stderr, "waystep: the state service did not take it (%d)\n", http_status);
+		fprintf(stderr,
+			"waystep: the state service did not accept the change of domain %s (HTTP "
+			"status %d)\n",
+			domain, http_status);
 		return 1;
 	}
-	printf("domain %s is %s; the leader takes it in within lease_s / 4\n", domain,
+	printf("domain %s is %s; the leader applies the change within lease_s / 4\n", domain,
 	       hold ? "held" : "released");
 	return 0;
 }
@@ -160,14 +164,14 @@
 
 	if (command->kind > WS_FAILURE_DOMAINS_SHOW &&
 	    !domain_exists(command->domain, platform, subsystems)) {
-		fprintf(stderr, "waystep: there is no domain %s\n", command->domain);
+		fprintf(stderr, "waystep: failure domain %s does not exist\n", command->domain);
 		return 2;
 	}
 	store = ws_store_client_open(platform);
 	if (command->kind == WS_FAILURE_DOMAINS_SHOW)
 		status = ws_record_view_print(&view, store);
 	else
-		status = hold(store, command->domain, command->kind == WS_FAILURE_DOMAINS_HOLD);
+		status = set_hold(store, command->domain, command->kind == WS_FAILURE_DOMAINS_HOLD);
 	ws_store_client_close(store);
 	return status;
 }
--- a/src/failure_domains_command.h
+++ b/src/failure_domains_command.h
@@ -1,4 +1,4 @@
-/* Operators' commands about failure domains: show them, hold one, release it. */
+/* Operators' commands for failure domains: print all, hold one, release one. */
 #ifndef WS_FAILURE_DOMAINS_COMMAND_H
 #define WS_FAILURE_DOMAINS_COMMAND_H
 #include "subsystem_settings.h"
@@ -12,12 +12,12 @@
 
 struct ws_failure_domains_command {
 	enum ws_failure_domains_command_kind kind;
-	const char *domain; /* to hold or release */
+	const char *domain; /* the domain to hold or release; NULL if all are shown */
 };
 
 /*
- * Carries a command out on the records of the store, and prints what it found. The exit
- * status: 0, 1 if the store did not do it, 2 if there is no such domain.
+ * Runs a command on the records of the store, and prints the result. Returns the exit status: 0, 1
+ * if the store could not be read or did not accept the change, 2 if the domain does not exist.
  */
 int ws_failure_domains_command_run(const struct ws_failure_domains_command *command,
 				   const struct ws_settings *platform,
--- a/src/record_view.c
+++ b/src/record_view.c
@@ -2,30 +2,30 @@
 #include <stdio.h>
 #include <string.h>
 
-struct printing {
+struct print_context {
 	const struct ws_record_view *view;
 	bool found;
 };
 
 static bool print_record(void *context, const struct ws_kv *record)
 {
-	struct printing *printing = context;
-	const struct ws_record_view *view = printing->view;
+	struct print_context *print_context = context;
+	const struct ws_record_view *view = print_context->view;
 
 	if (view->print(record->key + strlen(view->prefix), record->value))
-		printing->found = true;
+		print_context->found = true;
 	return true;
 }
 
 int ws_record_view_print(const struct ws_record_view *view, struct ws_store_client *store)
 {
-	struct printing printing = {.view = view};
+	struct print_context print_context = {.view = view};
 
-	if (!ws_store_client_list(store, view->prefix, print_record, &printing)) {
-		fprintf(stderr, "waystep: the state service could not be read\n");
+	if (!ws_store_client_list(store, view->prefix, print_record, &print_context)) {
+		fprintf(stderr, "waystep: the records could not be read from the state service\n");
 		return 1;
 	}
-	if (!printing.found)
+	if (!print_context.found)
 		printf("%s\n", view->none_text);
 	return 0;
 }
--- a/src/record_view.h
+++ b/src/record_view.h
@@ -1,20 +1,23 @@
-/* Prints records of the store for operators. */
+/* Prints records of the store for the operators' commands. */
 #ifndef WS_RECORD_VIEW_H
 #define WS_RECORD_VIEW_H
 #include "store_client.h"
 
-/* What is printed of the records whose keys begin with `prefix`. */
+/* How to print the records whose keys begin with `prefix`. */
 struct ws_record_view {
 	const char *prefix;
-	/* Prints a record, whose key goes on with `name`; true: it is one of those looked for. */
+	/*
+	 * Prints a record; `name` is the rest of its key after the prefix. Returns whether the
+	 * record counts as found.
+	 */
 	bool (*print)(const char *name, json_t *record);
-	const char *none_text; /* printed if none was among them */
+	const char *none_text; /* printed if no record counts as found */
 };
 
-/* Prints all records, page by page. The exit status: 0, 1 if they could not be read. */
+/* Prints all records. Returns the exit status: 0, or 1 if the store could not be read. */
 int ws_record_view_print(const struct ws_record_view *view, struct ws_store_client *store);
 
-/* Fields of a record, to be printed: "?", 0 and false where it has none. */
+/* Return a field of a record for printing: "?", 0 or false if the field is missing. */
 const char *ws_record_view_text(json_t *record, const char *name);
 long long ws_record_view_count(json_t *record, const char *name);
 double ws_record_view_number(json_t *record, const char *name);
--- a/src/store_client.c
+++ b/src/store_client.c
@@ -11,7 +11,7 @@
 struct ws_store_client {
 	struct ev_loop *loop;
 	struct ws_http_client *client;
-	const struct ws_call *call; /* under way; NULL: none */
+	const struct ws_call *call; /* the call in progress, or NULL */
 	struct ws_result *result;
 };
 
