--- a/src/cold_start/observation.c
+++ b/src/cold_start/observation.c
@@ -121,11 +121,11 @@
 
 size_t ws_cold_start_unheard(const struct ws_cold_start *cold_start)
 {
-	size_t unheard = 0;
+	size_t unanswered = 0;
 
 	for (const struct ws_cold_start_zone *zone = cold_start->zones; zone; zone = zone->hh.next)
-		unheard += zone->expected - zone->heard;
-	return unheard;
+		unanswered += zone->expected - zone->heard;
+	return unanswered;
 }
 
 static bool observation_is_complete(const struct ws_cold_start *cold_start,
@@ -138,13 +138,13 @@
 
 bool ws_cold_start_observe(struct ws_cold_start *cold_start, double now)
 {
-	bool all = true;
+	bool all_observed = true;
 
 	for (struct ws_cold_start_zone *zone = cold_start->zones; zone; zone = zone->hh.next) {
 		if (zone->observed)
 			continue;
 		if (!observation_is_complete(cold_start, zone, now)) {
-			all = false;
+			all_observed = false;
 			continue;
 		}
 		zone->observed = true;
@@ -158,5 +158,5 @@
 			    zone->heard < zone->expected && now >= cold_start->leases_out ? "yes"
 											  : "no");
 	}
-	return all;
+	return all_observed;
 }
--- a/src/cold_start/observation.h
+++ b/src/cold_start/observation.h
@@ -22,7 +22,7 @@
 	bool heard;    /* has answered this leader */
 };
 
-/* Implementations of the hooks of the same names in core/extension/hooks.h. */
+/* Hooks about machines and their heartbeats; see core/extension/hooks.h. */
 void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_facts *facts);
 void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_facts *facts);
 void ws_cold_start_machine_removed(void *self, void *handle);
--- a/src/cold_start/quarantine.h
+++ b/src/cold_start/quarantine.h
@@ -28,10 +28,10 @@
  */
 bool ws_cold_start_quarantine_attempt(struct ws_cold_start *cold_start, double now,
 				      const struct ws_reconciliation *reconciliation);
-/* Implements the hook job_looked_up of core/extension/hooks.h. */
+/* Hook that receives the result of a lookup; see core/extension/hooks.h. */
 void ws_cold_start_looked_up(void *self, double now, const char *job,
 			     enum ws_job_standing lookup_result);
-/* Implements the hook attempts_adopted of core/extension/hooks.h. */
+/* Hook that counts adopted attempts and releases their job; see core/extension/hooks.h. */
 void ws_cold_start_adopted(void *self, double now, const char *job, uint32_t count);
 /* Restores, from its record, a job that an earlier leader quarantined. */
 void ws_cold_start_quarantine_loaded(struct ws_cold_start *cold_start, const char *job,
--- a/src/cold_start/records.h
+++ b/src/cold_start/records.h
@@ -11,6 +11,6 @@
 /* Returns the value of the record "kept/JOB". */
 json_t *ws_cold_start_quarantine_record(const struct ws_cold_start_quarantined *quarantined,
 					double now);
-/* Implements the hook record_loaded of core/extension/hooks.h. */
+/* Hook that restores the state in a record; see core/extension/hooks.h. */
 void ws_cold_start_record_loaded(void *self, const char *name, json_t *value);
 #endif
--- a/src/cold_start/recovery.c
+++ b/src/cold_start/recovery.c
@@ -41,10 +41,7 @@
 {
 	(void)self;
 	(void)machine;
-	/*
-	 * Counts all attempts as elsewhere, so that job_surveyed() sees whether any replica may be
-	 * alive.
-	 */
+	/* Counts all attempts as elsewhere, to show whether any replica may be alive. */
 	return false;
 }
 
@@ -154,12 +151,13 @@
 	uint32_t position = 0;
 
 	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next) {
-		bool within = position < moves_max;
+		bool within_limit = position < moves_max;
 
 		if (lost->lost_since_survey || lost_recovered(lost))
 			continue;
-		position += within;
-		request_move(lost, within ? position : 0, within && lost->first_replica, out);
+		position += within_limit;
+		request_move(lost, within_limit ? position : 0, within_limit && lost->first_replica,
+			     out);
 	}
 }
 
--- a/src/cold_start/recovery.h
+++ b/src/cold_start/recovery.h
@@ -6,7 +6,7 @@
 /* A job that lost attempts in the current cold start. */
 struct ws_cold_start_lost {
 	char job[WS_COLD_START_NAME_MAX];
-	size_t attempts;	/* number of attempts lost */
+	size_t attempts;	/* since the job was added to the list */
 	bool lost_since_survey; /* an attempt was lost since the last survey */
 	bool move_requested;	/* since the last loss of an attempt */
 	/* Facts as of the last survey. */
@@ -16,7 +16,7 @@
 	int priority;
 	double latest_start;
 	size_t waiting;	     /* tasks that are neither complete nor possibly running */
-	uint32_t position;   /* last requested queue position; 0: the ordinary one */
+	uint32_t position;   /* last requested; 0: the ordinary position */
 	bool replicas_apart; /* last requested: place only a first replica ahead of the queue */
 	struct ws_cold_start_lost *next_recovered;
 	UT_hash_handle hh;
@@ -24,7 +24,7 @@
 
 /* Records the loss of one attempt of a job. */
 void ws_cold_start_lost_add(struct ws_cold_start *cold_start, const char *job);
-/* Implementations of the hooks of the same names in core/extension/hooks.h. */
+/* Hooks that receive the results of a survey; see core/extension/hooks.h. */
 bool ws_cold_start_attempt_surveyed(void *self, void *machine);
 void ws_cold_start_job_surveyed(void *self, const struct ws_job_facts *facts);
 void ws_cold_start_survey_done(void *self, double now);
--- a/src/cold_start_command.c
+++ b/src/cold_start_command.c
@@ -69,9 +69,11 @@
 	if (account)
 		print_account(record);
 	else if (!strncmp(name, QUARANTINE_KEY, strlen(QUARANTINE_KEY)))
-		printf("quarantined: job %s, first reported by machine %s, recorded after %.1f s\n",
-		       name + strlen(QUARANTINE_KEY), ws_record_view_text(record, "machine"),
-		       ws_record_view_number(record, "kept_s"));
+		printf(
+		    "quarantined: job %s, first reported by machine %s, recorded after %.1f s in "
+		    "quarantine\n",
+		    name + strlen(QUARANTINE_KEY), ws_record_view_text(record, "machine"),
+		    ws_record_view_number(record, "kept_s"));
 	return account;
 }
 
--- a/src/store_client.c
+++ b/src/store_client.c
@@ -65,7 +65,7 @@
 }
 
 bool ws_store_client_list(struct ws_store_client *store, const char *prefix,
-			  ws_store_record_fn each, void *context)
+			  ws_store_record_fn on_record, void *context)
 {
 	struct ws_call call = {.kind = WS_CALL_LIST};
 	bool more = true;
@@ -79,7 +79,7 @@
 		ok = result.outcome == WS_OUTCOME_OK;
 		more = ok && result.records.has_more && result.records.entry_count > 0;
 		for (size_t i = 0; ok && i < result.records.entry_count; i++)
-			ok = each(context, &result.records.entries[i]);
+			ok = on_record(context, &result.records.entries[i]);
 		if (more)
 			snprintf(call.read.after, sizeof(call.read.after), "%s",
 				 result.records.entries[result.records.entry_count - 1].key);
--- a/src/store_client.h
+++ b/src/store_client.h
@@ -18,10 +18,10 @@
 /* Called for each record of a listing. Returns false to stop the listing. */
 typedef bool (*ws_store_record_fn)(void *context, const struct ws_kv *record);
 /*
- * Calls `each` for all records whose keys begin with `prefix`, page by page. Returns false if a
- * page could not be read or `each` stopped the listing.
+ * Calls `on_record` for all records whose keys begin with `prefix`, page by page. Returns false if
+ * a page could not be read or `on_record` stopped the listing.
  */
 bool ws_store_client_list(struct ws_store_client *store, const char *prefix,
-			  ws_store_record_fn each, void *context);
+			  ws_store_record_fn on_record, void *context);
 
 #endif
