--- a/src/cold_start/cold_start.c
+++ b/src/cold_start/cold_start.c
@@ -26,7 +26,7 @@
 void ws_cold_start_defaults(struct ws_cold_start_settings *settings)
 {
 	*settings = (struct ws_cold_start_settings){.quarantine_s = -1,
-						    .heard_share = DEFAULT_ANSWERED_SHARE};
+						    .answered_share = DEFAULT_ANSWERED_SHARE};
 }
 
 struct ws_cold_start *ws_cold_start_new(const struct ws_cold_start_settings *settings,
@@ -49,17 +49,17 @@
 {
 	ws_cold_start_zones_free(cold_start);
 	ws_cold_start_quarantine_free(cold_start);
-	ws_cold_start_lost_free(cold_start);
+	ws_cold_start_lost_jobs_free(cold_start);
 	memset(&cold_start->counts, 0, sizeof(cold_start->counts));
 	cold_start->phase = cold_start->recorded_phase = WS_COLD_START_NONE;
-	cold_start->recorded_term = cold_start->recorded_began = 0;
+	cold_start->recorded_term = cold_start->recorded_began_term = 0;
 	cold_start->recorded_store_lost_records = false;
-	cold_start->leader_unproven = cold_start->later_format = cold_start->store_lost_records =
+	cold_start->no_recent_leader = cold_start->later_format = cold_start->store_lost_records =
 	    false;
 	cold_start->phase_record_due = cold_start->counts_changed = cold_start->survey_done = false;
 	cold_start->losses_unsurveyed = false;
 	cold_start->account_due_at = 0;
-	cold_start->surveyed_at = -INFINITY;
+	cold_start->survey_requested_at = -INFINITY;
 }
 
 void ws_cold_start_free(struct ws_cold_start *cold_start)
@@ -70,9 +70,9 @@
 	free(cold_start);
 }
 
-uint64_t ws_cold_start_steps(const struct ws_cold_start *cold_start)
+uint64_t ws_cold_start_operations(const struct ws_cold_start *cold_start)
 {
-	return cold_start->steps;
+	return cold_start->operations;
 }
 
 static bool phase_is_active(enum ws_cold_start_phase phase)
@@ -103,11 +103,11 @@
 
 	reset_term(cold_start);
 	cold_start->elected_at = facts->now;
-	cold_start->leases_out = facts->leases_expire_at;
+	cold_start->leases_expire_at = facts->leases_expire_at;
 	cold_start->term = cold_start->began_term = facts->term;
-	cold_start->proven_term = facts->leader_proof_term;
-	cold_start->unproven_s = facts->leader_proof_age_s;
-	cold_start->leader_unproven =
+	cold_start->last_leader_term = facts->leader_proof_term;
+	cold_start->without_leader_s = facts->leader_proof_age_s;
+	cold_start->no_recent_leader =
 	    facts->leader_proof_age_s > LEADER_PROOF_LEASES * cold_start->limits.lease_s;
 }
 
@@ -120,17 +120,17 @@
 
 static void log_start(const struct ws_cold_start *cold_start, bool resumed)
 {
-	size_t machines = ws_cold_start_unheard(cold_start);
+	size_t machines = ws_cold_start_unanswered_machines(cold_start);
 
 	if (resumed)
 		ws_subsystem_logf(cold_start->log,
 				  "cold start: resumed began_term=%llu machines=%zu",
 				  (unsigned long long)cold_start->began_term, machines);
-	else if (isfinite(cold_start->unproven_s))
+	else if (isfinite(cold_start->without_leader_s))
 		ws_subsystem_logf(cold_start->log,
 				  "cold start: observing, no recent sign of a live leader "
 				  "without_leader_s=%.1f machines=%zu",
-				  cold_start->unproven_s, machines);
+				  cold_start->without_leader_s, machines);
 	else
 		ws_subsystem_logf(
 		    cold_start->log,
@@ -145,24 +145,24 @@
 {
 	struct ws_cold_start *cold_start = self;
 	bool was_active = phase_is_active(cold_start->recorded_phase);
-	bool resumed = was_active && (cold_start->leader_unproven ||
-				      cold_start->recorded_term == cold_start->proven_term);
+	bool resumed = was_active && (cold_start->no_recent_leader ||
+				      cold_start->recorded_term == cold_start->last_leader_term);
 
 	(void)now;
 	if (cold_start->later_format)
 		return;
 	if (resumed) {
-		cold_start->began_term = cold_start->recorded_began;
+		cold_start->began_term = cold_start->recorded_began_term;
 		cold_start->store_lost_records = cold_start->recorded_store_lost_records;
 	}
-	if (cold_start->leader_unproven || resumed) {
+	if (cold_start->no_recent_leader || resumed) {
 		log_start(cold_start, resumed);
 		set_phase(cold_start, WS_COLD_START_OBSERVING);
 	} else if (was_active) {
 		ws_subsystem_logf(cold_start->log,
 				  "cold start: not resumed, another leader was elected since, "
 				  "no actions deferred");
-		cold_start->began_term = cold_start->recorded_began;
+		cold_start->began_term = cold_start->recorded_began_term;
 		cold_start->phase = WS_COLD_START_ENDED;
 		cold_start->phase_record_due = true;
 	}
@@ -176,7 +176,7 @@
 
 	if (!ws_cold_start_active(cold_start))
 		return false;
-	cold_start->steps++;
+	cold_start->operations++;
 	cold_start->counts.results[reconciliation->result]++;
 	cold_start->counts_changed = true;
 	if (reconciliation->result == WS_RECONCILED_TWO_MACHINES)
@@ -186,7 +186,7 @@
 				  reconciliation->job, reconciliation->task,
 				  reconciliation->machine);
 	if (ws_reconciliation_loses_work(reconciliation->result))
-		ws_cold_start_lost_add(cold_start, reconciliation->job);
+		ws_cold_start_add_lost_attempt(cold_start, reconciliation->job);
 	if (reconciliation->result == WS_RECONCILED_UNKNOWN_JOB)
 		return ws_cold_start_quarantine_attempt(cold_start, now, reconciliation);
 	return reconciliation->result == WS_RECONCILED_UNRECORDED;
@@ -197,7 +197,7 @@
 static bool zone_is_observing(const struct ws_cold_start *cold_start, const char *zone)
 {
 	return cold_start->phase == WS_COLD_START_OBSERVING &&
-	       ws_cold_start_zone_waits(cold_start, zone);
+	       ws_cold_start_zone_is_observing(cold_start, zone);
 }
 
 static bool zone_closed(void *self, double now, const char *zone)
@@ -217,10 +217,10 @@
 	case WS_DEFER_SCALE_IN_NO_HEARTBEATS: return zone_is_observing(cold_start, zone);
 	case WS_DEFER_SCALE_IN_EMPTY:
 		return cold_start->phase == WS_COLD_START_OBSERVING ||
-		       (ws_cold_start_active(cold_start) && cold_start->lost);
+		       (ws_cold_start_active(cold_start) && cold_start->lost_jobs);
 	case WS_DEFER_FIRST_START:
-		return cold_start->store_lost_records && now < cold_start->leases_out &&
-		       ws_cold_start_unheard(cold_start) > 0;
+		return cold_start->store_lost_records && now < cold_start->leases_expire_at &&
+		       ws_cold_start_unanswered_machines(cold_start) > 0;
 	case WS_DEFER_SECOND_REPLICA: return ws_cold_start_active(cold_start);
 	case WS_DEFERRABLE_ACTIONS: break;
 	}
@@ -247,23 +247,25 @@
 /* Returns whether leases of earlier leaders may be valid, or their expiry not yet handled. */
 static bool earlier_leases_may_be_valid(const struct ws_cold_start *cold_start, double now)
 {
-	return now < cold_start->leases_out + EXPIRY_DELAY_HEARTBEATS * cold_start->limits.report_s;
+	return now <
+	       cold_start->leases_expire_at + EXPIRY_DELAY_HEARTBEATS * cold_start->limits.report_s;
 }
 
 static void update_phase(struct ws_cold_start *cold_start, double now, struct ws_request_queue *out)
 {
-	double recovering_s = now - cold_start->recovering_at;
+	double recovering_s = now - cold_start->recovery_began_at;
 
 	if (cold_start->phase == WS_COLD_START_OBSERVING) {
-		if (!ws_cold_start_observe(cold_start, now))
+		if (!ws_cold_start_update_observation(cold_start, now))
 			return;
-		cold_start->recovering_at = now;
+		cold_start->recovery_began_at = now;
 		set_phase(cold_start, WS_COLD_START_RECOVERING);
 		return;
 	}
 	if (ws_cold_start_has_quarantined(cold_start) ||
-	    (earlier_leases_may_be_valid(cold_start, now) && ws_cold_start_unheard(cold_start)) ||
-	    (cold_start->lost &&
+	    (earlier_leases_may_be_valid(cold_start, now) &&
+	     ws_cold_start_unanswered_machines(cold_start)) ||
+	    (cold_start->lost_jobs &&
 	     recovering_s < RECOVERY_TIMEOUT_LEASES * cold_start->limits.lease_s))
 		return;
 	ws_cold_start_recovery_end(cold_start, out);
@@ -299,7 +301,7 @@
 		ws_cold_start_recovery_tick(cold_start, facts->now, out);
 		update_phase(cold_start, facts->now, out);
 	} else {
-		ws_cold_start_quarantine_forget(cold_start, out);
+		ws_cold_start_quarantine_clear(cold_start, out);
 	}
 	write_records(cold_start, facts->now, out);
 }
@@ -317,8 +319,8 @@
     .heartbeat_seen = ws_cold_start_heartbeat_seen,
     .machine_lost = ws_cold_start_machine_lost,
     .attempt_reconciled = attempt_found,
-    .job_looked_up = ws_cold_start_looked_up,
-    .attempts_adopted = ws_cold_start_adopted,
+    .job_looked_up = ws_cold_start_job_looked_up,
+    .attempts_adopted = ws_cold_start_attempts_adopted,
     .zone_closed = zone_closed,
     .action_deferred = action_deferred,
     .attempt_surveyed = ws_cold_start_attempt_surveyed,
--- a/src/cold_start/cold_start.h
+++ b/src/cold_start/cold_start.h
@@ -21,8 +21,8 @@
 
 /* A negative time means that it is derived from the platform's settings. */
 struct ws_cold_start_settings {
-	double quarantine_s; /* maximum time in quarantine for a job that is not in the store */
-	double heard_share;  /* the share of a zone's expected machines that must answer */
+	double quarantine_s;   /* maximum time in quarantine for a job that is not in the store */
+	double answered_share; /* the share of a zone's expected machines that must answer */
 };
 
 /* The state of the subsystem on one controller. */
@@ -41,10 +41,10 @@
 void ws_cold_start_free(struct ws_cold_start *cold_start);
 
 /* Returns the name of a reconciliation result, as it stands in records. */
-const char *ws_cold_start_result_name(enum ws_reconciliation_result result);
+const char *ws_cold_start_reconciliation_name(enum ws_reconciliation_result result);
 
 /* Returns the number of operations on single machines and jobs, for tests of the complexity. */
-uint64_t ws_cold_start_steps(const struct ws_cold_start *cold_start);
+uint64_t ws_cold_start_operations(const struct ws_cold_start *cold_start);
 
 /* The hooks to pass to ws_core_attach(), with the object as `self`. */
 extern const struct ws_subsystem_ops ws_cold_start_ops;
--- a/src/cold_start/observation.c
+++ b/src/cold_start/observation.c
@@ -34,10 +34,10 @@
 		return;
 	if (added) {
 		machine->zone->expected++;
-		machine->zone->heard += machine->heard;
+		machine->zone->answered += machine->answered;
 	} else {
 		machine->zone->expected--;
-		machine->zone->heard -= machine->heard;
+		machine->zone->answered -= machine->answered;
 	}
 }
 
@@ -47,7 +47,7 @@
 	struct ws_cold_start_machine *machine = ws_subsystem_allocate(sizeof(*machine));
 
 	(void)now;
-	cold_start->steps++;
+	cold_start->operations++;
 	machine->zone = find_or_add_zone(cold_start, facts->zone);
 	machine->expected = facts->expected;
 	update_zone_counts(machine, true);
@@ -100,18 +100,18 @@
 	struct ws_cold_start_machine *machine = handle;
 
 	(void)now;
-	if (machine->heard)
+	if (machine->answered)
 		return;
-	cold_start->steps++;
+	cold_start->operations++;
 	update_zone_counts(machine, false);
-	machine->heard = true;
+	machine->answered = true;
 	update_zone_counts(machine, true);
 	cold_start->counts_changed = true;
 }
 
 /* ---- zones ---- */
 
-bool ws_cold_start_zone_waits(const struct ws_cold_start *cold_start, const char *name)
+bool ws_cold_start_zone_is_observing(const struct ws_cold_start *cold_start, const char *name)
 {
 	const struct ws_cold_start_zone *zone;
 
@@ -119,24 +119,24 @@
 	return zone && !zone->observed && zone->expected;
 }
 
-size_t ws_cold_start_unheard(const struct ws_cold_start *cold_start)
+size_t ws_cold_start_unanswered_machines(const struct ws_cold_start *cold_start)
 {
 	size_t unanswered = 0;
 
 	for (const struct ws_cold_start_zone *zone = cold_start->zones; zone; zone = zone->hh.next)
-		unanswered += zone->expected - zone->heard;
+		unanswered += zone->expected - zone->answered;
 	return unanswered;
 }
 
 static bool observation_is_complete(const struct ws_cold_start *cold_start,
 				    const struct ws_cold_start_zone *zone, double now)
 {
-	double required = cold_start->settings.heard_share * (double)zone->expected;
+	double required = cold_start->settings.answered_share * (double)zone->expected;
 
-	return (double)zone->heard >= required - 1e-9 || now >= cold_start->leases_out;
+	return (double)zone->answered >= required - 1e-9 || now >= cold_start->leases_expire_at;
 }
 
-bool ws_cold_start_observe(struct ws_cold_start *cold_start, double now)
+bool ws_cold_start_update_observation(struct ws_cold_start *cold_start, double now)
 {
 	bool all_observed = true;
 
@@ -154,9 +154,11 @@
 			    cold_start->log,
 			    "cold start: zone observed zone=%s answered=%zu machines=%zu "
 			    "after_s=%.1f leases_expired=%s",
-			    zone->name, zone->heard, zone->expected, now - cold_start->elected_at,
-			    zone->heard < zone->expected && now >= cold_start->leases_out ? "yes"
-											  : "no");
+			    zone->name, zone->answered, zone->expected,
+			    now - cold_start->elected_at,
+			    zone->answered < zone->expected && now >= cold_start->leases_expire_at
+				? "yes"
+				: "no");
 	}
 	return all_observed;
 }
--- a/src/cold_start/observation.h
+++ b/src/cold_start/observation.h
@@ -10,7 +10,7 @@
 struct ws_cold_start_zone {
 	char name[WS_COLD_START_NAME_MAX];
 	size_t expected; /* machines recorded as running, without those that are gone */
-	size_t heard;	 /* expected machines that have answered this leader */
+	size_t answered; /* expected machines that have answered this leader */
 	bool observed;	 /* the observation of this zone has ended */
 	UT_hash_handle hh;
 };
@@ -19,7 +19,7 @@
 struct ws_cold_start_machine {
 	struct ws_cold_start_zone *zone;
 	bool expected; /* counted among the expected machines of its zone */
-	bool heard;    /* has answered this leader */
+	bool answered; /* has answered this leader */
 };
 
 /* Hooks about machines and their heartbeats; see core/extension/hooks.h. */
@@ -29,14 +29,14 @@
 void ws_cold_start_machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss);
 void ws_cold_start_heartbeat_seen(void *self, double now, void *handle);
 /* Returns whether a zone has expected machines and its observation has not ended. */
-bool ws_cold_start_zone_waits(const struct ws_cold_start *cold_start, const char *name);
+bool ws_cold_start_zone_is_observing(const struct ws_cold_start *cold_start, const char *name);
 /* Returns the number of expected machines, in all zones, that have not answered this leader. */
-size_t ws_cold_start_unheard(const struct ws_cold_start *cold_start);
+size_t ws_cold_start_unanswered_machines(const struct ws_cold_start *cold_start);
 /*
  * Ends the observation of each zone in which enough machines have answered or all leases of
  * earlier leaders have expired. Returns whether the observation of all zones has ended.
  */
-bool ws_cold_start_observe(struct ws_cold_start *cold_start, double now);
+bool ws_cold_start_update_observation(struct ws_cold_start *cold_start, double now);
 /* Releases the zones, but not the machine handles. */
 void ws_cold_start_zones_free(struct ws_cold_start *cold_start);
 #endif
--- a/src/cold_start/quarantine.c
+++ b/src/cold_start/quarantine.c
@@ -22,47 +22,48 @@
 /* Maximum lookups in one tick; more could delay other requests of the leader. */
 #define LOOKUPS_PER_TICK_MAX 4
 
-static struct ws_cold_start_quarantined *find_quarantined(const struct ws_cold_start *cold_start,
-							  const char *job)
+static struct ws_cold_start_quarantined_job *
+find_quarantined(const struct ws_cold_start *cold_start, const char *job)
 {
-	struct ws_cold_start_quarantined *quarantined;
+	struct ws_cold_start_quarantined_job *quarantined;
 
-	HASH_FIND_STR(cold_start->quarantined, job, quarantined);
+	HASH_FIND_STR(cold_start->quarantined_jobs, job, quarantined);
 	return quarantined;
 }
 
-static struct ws_cold_start_quarantined *find_or_add_quarantined(struct ws_cold_start *cold_start,
-								 const char *job, double now)
+static struct ws_cold_start_quarantined_job *
+find_or_add_quarantined(struct ws_cold_start *cold_start, const char *job, double now)
 {
-	struct ws_cold_start_quarantined *quarantined = find_quarantined(cold_start, job);
+	struct ws_cold_start_quarantined_job *quarantined = find_quarantined(cold_start, job);
 
 	if (quarantined)
 		return quarantined;
 	quarantined = ws_subsystem_allocate(sizeof(*quarantined));
 	snprintf(quarantined->job, sizeof(quarantined->job), "%s", job);
-	quarantined->since = now;
-	quarantined->first_look_up_at = quarantined->last_look_up_at = -1;
-	HASH_ADD_STR(cold_start->quarantined, job, quarantined);
+	quarantined->quarantined_at = now;
+	quarantined->first_lookup_at = quarantined->last_lookup_at = -1;
+	HASH_ADD_STR(cold_start->quarantined_jobs, job, quarantined);
 	return quarantined;
 }
 
 void ws_cold_start_quarantine_free(struct ws_cold_start *cold_start)
 {
-	WS_SUBSYSTEM_FREE_TABLE(cold_start->quarantined);
+	WS_SUBSYSTEM_FREE_TABLE(cold_start->quarantined_jobs);
 }
 
-static double time_in_quarantine(const struct ws_cold_start_quarantined *quarantined, double now)
+static double time_in_quarantine(const struct ws_cold_start_quarantined_job *quarantined,
+				 double now)
 {
-	return quarantined->earlier_terms_s + (now - quarantined->since);
+	return quarantined->earlier_terms_s + (now - quarantined->quarantined_at);
 }
 
 bool ws_cold_start_quarantine_attempt(struct ws_cold_start *cold_start, double now,
 				      const struct ws_reconciliation *reconciliation)
 {
-	struct ws_cold_start_quarantined *quarantined =
+	struct ws_cold_start_quarantined_job *quarantined =
 	    find_or_add_quarantined(cold_start, reconciliation->job, now);
 
-	cold_start->steps++;
+	cold_start->operations++;
 	if (!quarantined->reported) {
 		quarantined->reported = true;
 		snprintf(quarantined->machine, sizeof(quarantined->machine), "%s",
@@ -75,27 +76,27 @@
  * The time in quarantine under earlier leaders counts toward the limit, even if no worker reports
  * the job any more.
  */
-void ws_cold_start_quarantine_loaded(struct ws_cold_start *cold_start, const char *job,
-				     const json_t *value)
+void ws_cold_start_quarantine_restore(struct ws_cold_start *cold_start, const char *job,
+				      const json_t *value)
 {
-	struct ws_cold_start_quarantined *quarantined =
+	struct ws_cold_start_quarantined_job *quarantined =
 	    find_or_add_quarantined(cold_start, job, cold_start->elected_at);
 
 	quarantined->earlier_terms_s = fmax(0, json_number_value(json_object_get(value, "kept_s")));
-	quarantined->on_record = true;
+	quarantined->has_record = true;
 	quarantined->written_at = cold_start->elected_at;
 }
 
-void ws_cold_start_looked_up(void *self, double now, const char *job,
-			     enum ws_job_lookup_result lookup_result)
+void ws_cold_start_job_looked_up(void *self, double now, const char *job,
+				 enum ws_job_lookup_result lookup_result)
 {
 	struct ws_cold_start *cold_start = self;
-	struct ws_cold_start_quarantined *quarantined = find_quarantined(cold_start, job);
+	struct ws_cold_start_quarantined_job *quarantined = find_quarantined(cold_start, job);
 
 	if (!quarantined || quarantined->released || lookup_result == WS_JOB_LOOKUP_UNAVAILABLE)
 		return;
-	quarantined->looked_up = true;
-	quarantined->standing = lookup_result;
+	quarantined->lookup_done = true;
+	quarantined->lookup_result = lookup_result;
 	cold_start->counts_changed = true;
 	if (lookup_result != WS_JOB_LOOKUP_NOT_FOUND)
 		return;
@@ -114,24 +115,24 @@
 	cold_start->store_lost_records = true;
 }
 
-static void delete_record(struct ws_cold_start_quarantined *quarantined,
+static void delete_record(struct ws_cold_start_quarantined_job *quarantined,
 			  struct ws_request_queue *out)
 {
 	char name[WS_COLD_START_NAME_MAX + 8];
 
 	quarantined->record_due = false;
-	if (!quarantined->on_record)
+	if (!quarantined->has_record)
 		return;
-	quarantined->on_record = false;
+	quarantined->has_record = false;
 	snprintf(name, sizeof(name), "kept/%s", quarantined->job);
 	ws_request_delete(out, name);
 }
 
 /* Releases the job, which was submitted again or whose record was found late. */
-void ws_cold_start_adopted(void *self, double now, const char *job, uint32_t count)
+void ws_cold_start_attempts_adopted(void *self, double now, const char *job, uint32_t count)
 {
 	struct ws_cold_start *cold_start = self;
-	struct ws_cold_start_quarantined *quarantined = find_quarantined(cold_start, job);
+	struct ws_cold_start_quarantined_job *quarantined = find_quarantined(cold_start, job);
 
 	(void)now;
 	cold_start->counts.adopted += count;
@@ -143,7 +144,7 @@
 }
 
 static void stop_quarantined(struct ws_cold_start *cold_start,
-			     struct ws_cold_start_quarantined *quarantined, double grace_s,
+			     struct ws_cold_start_quarantined_job *quarantined, double grace_s,
 			     struct ws_request_queue *out)
 {
 	quarantined->released = true;
@@ -153,38 +154,38 @@
 
 /* Returns whether the job is recorded as ended or was unreadable for too long. */
 static bool must_be_stopped(const struct ws_cold_start *cold_start,
-			    const struct ws_cold_start_quarantined *quarantined, double now)
+			    const struct ws_cold_start_quarantined_job *quarantined, double now)
 {
-	if (quarantined->looked_up)
-		return quarantined->standing == WS_JOB_LOOKUP_ARCHIVED;
-	return quarantined->first_look_up_at >= 0 &&
-	       now - quarantined->first_look_up_at >
+	if (quarantined->lookup_done)
+		return quarantined->lookup_result == WS_JOB_LOOKUP_ARCHIVED;
+	return quarantined->first_lookup_at >= 0 &&
+	       now - quarantined->first_lookup_at >
 		   LOOKUP_TIMEOUT_LEASES * cold_start->limits.lease_s;
 }
 
 /* Requests a lookup if one is due. Returns whether it did. */
 static bool request_lookup(const struct ws_cold_start *cold_start,
-			   struct ws_cold_start_quarantined *quarantined, double now,
+			   struct ws_cold_start_quarantined_job *quarantined, double now,
 			   struct ws_request_queue *out)
 {
-	if (quarantined->looked_up ||
-	    (quarantined->last_look_up_at >= 0 &&
-	     now - quarantined->last_look_up_at < LOOKUP_RETRY_LEASES * cold_start->limits.lease_s))
+	if (quarantined->lookup_done ||
+	    (quarantined->last_lookup_at >= 0 &&
+	     now - quarantined->last_lookup_at < LOOKUP_RETRY_LEASES * cold_start->limits.lease_s))
 		return false;
-	if (quarantined->first_look_up_at < 0)
-		quarantined->first_look_up_at = now;
-	quarantined->last_look_up_at = now;
+	if (quarantined->first_lookup_at < 0)
+		quarantined->first_lookup_at = now;
+	quarantined->last_lookup_at = now;
 	ws_request_look_up(out, quarantined->job);
 	return true;
 }
 
-static void write_record(struct ws_cold_start_quarantined *quarantined, double now,
+static void write_record(struct ws_cold_start_quarantined_job *quarantined, double now,
 			 struct ws_request_queue *out)
 {
 	char name[WS_COLD_START_NAME_MAX + 8];
 
 	quarantined->record_due = false;
-	quarantined->on_record = true;
+	quarantined->has_record = true;
 	quarantined->written_at = now;
 	snprintf(name, sizeof(name), "kept/%s", quarantined->job);
 	ws_request_write(out, name, ws_cold_start_quarantine_record(quarantined, now), false);
@@ -192,28 +193,28 @@
 
 /* Returns whether no worker reported the job until all leases of earlier leaders had expired. */
 static bool reporting_timed_out(const struct ws_cold_start *cold_start,
-				const struct ws_cold_start_quarantined *quarantined, double now)
+				const struct ws_cold_start_quarantined_job *quarantined, double now)
 {
-	return !quarantined->reported && now >= cold_start->leases_out;
+	return !quarantined->reported && now >= cold_start->leases_expire_at;
 }
 
 /* Releases a job that no worker reports, stops one that must not run on, or writes its record. */
 static void update_quarantined(struct ws_cold_start *cold_start,
-			       struct ws_cold_start_quarantined *quarantined, double now,
+			       struct ws_cold_start_quarantined_job *quarantined, double now,
 			       struct ws_request_queue *out)
 {
-	cold_start->steps++;
+	cold_start->operations++;
 	quarantined->released |= reporting_timed_out(cold_start, quarantined, now);
 	if (quarantined->released) {
 		delete_record(quarantined, out);
 		return;
 	}
 	if (must_be_stopped(cold_start, quarantined, now)) {
-		cold_start->counts.stopped_over++;
+		cold_start->counts.stopped_ended++;
 		ws_subsystem_logf(
 		    cold_start->log, "cold start: quarantined job stopped job=%s reason=\"%s\"",
 		    quarantined->job,
-		    quarantined->looked_up ? "recorded as ended" : "record could not be read");
+		    quarantined->lookup_done ? "recorded as ended" : "record could not be read");
 		stop_quarantined(cold_start, quarantined, 0, out);
 		return;
 	}
@@ -229,7 +230,7 @@
 		return;
 	}
 	if (quarantined->record_due ||
-	    (quarantined->on_record &&
+	    (quarantined->has_record &&
 	     now - quarantined->written_at > RECORD_INTERVAL_LEASES * cold_start->limits.lease_s))
 		write_record(quarantined, now, out);
 }
@@ -239,25 +240,25 @@
 {
 	unsigned lookups_left = LOOKUPS_PER_TICK_MAX;
 
-	for (struct ws_cold_start_quarantined *quarantined = cold_start->quarantined; quarantined;
-	     quarantined = quarantined->hh.next) {
+	for (struct ws_cold_start_quarantined_job *quarantined = cold_start->quarantined_jobs;
+	     quarantined; quarantined = quarantined->hh.next) {
 		update_quarantined(cold_start, quarantined, now, out);
 		if (quarantined->reported && !quarantined->released && lookups_left)
 			lookups_left -= request_lookup(cold_start, quarantined, now, out);
 	}
 }
 
-void ws_cold_start_quarantine_forget(struct ws_cold_start *cold_start, struct ws_request_queue *out)
+void ws_cold_start_quarantine_clear(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
-	for (struct ws_cold_start_quarantined *quarantined = cold_start->quarantined; quarantined;
-	     quarantined = quarantined->hh.next)
+	for (struct ws_cold_start_quarantined_job *quarantined = cold_start->quarantined_jobs;
+	     quarantined; quarantined = quarantined->hh.next)
 		delete_record(quarantined, out);
 	ws_cold_start_quarantine_free(cold_start);
 }
 
 bool ws_cold_start_has_quarantined(const struct ws_cold_start *cold_start)
 {
-	for (const struct ws_cold_start_quarantined *quarantined = cold_start->quarantined;
+	for (const struct ws_cold_start_quarantined_job *quarantined = cold_start->quarantined_jobs;
 	     quarantined; quarantined = quarantined->hh.next)
 		if (quarantined->reported && !quarantined->released)
 			return true;
--- a/src/cold_start/records.c
+++ b/src/cold_start/records.c
@@ -43,7 +43,7 @@
 	return phase_names[phase];
 }
 
-const char *ws_cold_start_result_name(enum ws_reconciliation_result result)
+const char *ws_cold_start_reconciliation_name(enum ws_reconciliation_result result)
 {
 	return result_names[result];
 }
@@ -82,19 +82,19 @@
 		if (zone->expected)
 			json_object_set_new(zones, zone->name,
 					    json_pack("[I,I,b]", (json_int_t)zone->expected,
-						      (json_int_t)zone->heard, zone->observed));
+						      (json_int_t)zone->answered, zone->observed));
 	return zones;
 }
 
 json_t *ws_cold_start_account_record(const struct ws_cold_start *cold_start, double now)
 {
 	const struct ws_cold_start_counts *counts = &cold_start->counts;
-	double remaining_s = cold_start->leases_out - now;
+	double remaining_s = cold_start->leases_expire_at - now;
 	json_t *record = json_pack(
 	    "{s:i,s:s,s:I,s:I,s:f,s:f,s:f,s:b}", "v", WS_COLD_START_FORMAT, "phase",
 	    phase_name(cold_start->phase), "term", (json_int_t)cold_start->term, "began",
 	    (json_int_t)cold_start->began_term, "unproven_s",
-	    isfinite(cold_start->unproven_s) ? cold_start->unproven_s : -1, "for_s",
+	    isfinite(cold_start->without_leader_s) ? cold_start->without_leader_s : -1, "for_s",
 	    now - cold_start->elected_at, "leases_out_s", remaining_s > 0 ? remaining_s : 0.0,
 	    "doubted", cold_start->store_lost_records);
 
@@ -105,7 +105,7 @@
 						 (json_int_t)counts->quarantined, "adopted",
 						 (json_int_t)counts->adopted, "unclaimed",
 						 (json_int_t)counts->unclaimed, "over",
-						 (json_int_t)counts->stopped_over));
+						 (json_int_t)counts->stopped_ended));
 	json_object_set_new(record, "zones", encode_zones(cold_start));
 	/* The core does not write a record that is too large, so leave out the zones. */
 	if (json_dumpb(record, NULL, 0, JSON_COMPACT) >= cold_start->limits.value_bytes)
@@ -113,12 +113,12 @@
 	return record;
 }
 
-json_t *ws_cold_start_quarantine_record(const struct ws_cold_start_quarantined *quarantined,
+json_t *ws_cold_start_quarantine_record(const struct ws_cold_start_quarantined_job *quarantined,
 					double now)
 {
 	return json_pack("{s:i,s:f,s:s}", "v", WS_COLD_START_FORMAT, "kept_s",
-			 quarantined->earlier_terms_s + now - quarantined->since, "machine",
-			 quarantined->machine);
+			 quarantined->earlier_terms_s + now - quarantined->quarantined_at,
+			 "machine", quarantined->machine);
 }
 
 /* ---- decoding ---- */
@@ -133,7 +133,8 @@
 	cold_start->recorded_phase =
 	    phase_from_name(json_string_value(json_object_get(value, "phase")));
 	cold_start->recorded_term = (uint64_t)json_integer_value(json_object_get(value, "term"));
-	cold_start->recorded_began = (uint64_t)json_integer_value(json_object_get(value, "began"));
+	cold_start->recorded_began_term =
+	    (uint64_t)json_integer_value(json_object_get(value, "began"));
 	cold_start->recorded_store_lost_records = json_is_true(json_object_get(value, "doubted"));
 }
 
@@ -147,5 +148,5 @@
 	if (!strcmp(name, "phase"))
 		restore_phase(cold_start, value);
 	else if (!strncmp(name, "kept/", 5))
-		ws_cold_start_quarantine_loaded(cold_start, name + 5, value);
+		ws_cold_start_quarantine_restore(cold_start, name + 5, value);
 }
--- a/src/cold_start/recovery.c
+++ b/src/cold_start/recovery.c
@@ -11,28 +11,28 @@
 /* Minimum interval between surveys after new losses, in heartbeat intervals. */
 #define LOSS_SURVEY_HEARTBEATS 0.25
 
-void ws_cold_start_lost_add(struct ws_cold_start *cold_start, const char *job)
+void ws_cold_start_add_lost_attempt(struct ws_cold_start *cold_start, const char *job)
 {
-	struct ws_cold_start_lost *lost;
+	struct ws_cold_start_lost_job *lost;
 
-	cold_start->steps++;
-	HASH_FIND_STR(cold_start->lost, job, lost);
+	cold_start->operations++;
+	HASH_FIND_STR(cold_start->lost_jobs, job, lost);
 	if (!lost) {
 		lost = ws_subsystem_allocate(sizeof(*lost));
 		snprintf(lost->job, sizeof(lost->job), "%s", job);
-		HASH_ADD_STR(cold_start->lost, job, lost);
+		HASH_ADD_STR(cold_start->lost_jobs, job, lost);
 		cold_start->counts.lost_jobs++;
 	}
-	lost->attempts++;
+	lost->lost_attempts++;
 	lost->lost_since_survey = true;
 	lost->move_requested = false;
 	cold_start->losses_unsurveyed = true;
 	cold_start->counts_changed = true;
 }
 
-void ws_cold_start_lost_free(struct ws_cold_start *cold_start)
+void ws_cold_start_lost_jobs_free(struct ws_cold_start *cold_start)
 {
-	WS_SUBSYSTEM_FREE_TABLE(cold_start->lost);
+	WS_SUBSYSTEM_FREE_TABLE(cold_start->lost_jobs);
 }
 
 /* ---- survey ---- */
@@ -48,10 +48,10 @@
 void ws_cold_start_job_surveyed(void *self, const struct ws_job_info *facts)
 {
 	struct ws_cold_start *cold_start = self;
-	struct ws_cold_start_lost *lost;
+	struct ws_cold_start_lost_job *lost;
 
-	cold_start->steps++;
-	HASH_FIND_STR(cold_start->lost, facts->id, lost);
+	cold_start->operations++;
+	HASH_FIND_STR(cold_start->lost_jobs, facts->id, lost);
 	if (!lost)
 		return;
 	lost->surveyed = true;
@@ -59,7 +59,7 @@
 	lost->first_replica = facts->service && !facts->elsewhere;
 	lost->priority = facts->priority;
 	lost->latest_start = facts->latest_start;
-	lost->waiting = facts->waiting;
+	lost->waiting_tasks = facts->waiting;
 }
 
 /*
@@ -67,7 +67,7 @@
  * evacuation plan (failure_domains/plan.c): here first replicas of services come before all other
  * work; there they come after recorded positions, job classes, guarantee and priority.
  */
-static int compare_lost(struct ws_cold_start_lost *left, struct ws_cold_start_lost *right)
+static int compare_lost(struct ws_cold_start_lost_job *left, struct ws_cold_start_lost_job *right)
 {
 	if (left->first_replica != right->first_replica)
 		return left->first_replica ? -1 : 1;
@@ -85,45 +85,46 @@
 	struct ws_cold_start *cold_start = self;
 
 	(void)now;
-	HASH_SORT(cold_start->lost, compare_lost);
-	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next)
+	HASH_SORT(cold_start->lost_jobs, compare_lost);
+	for (struct ws_cold_start_lost_job *lost = cold_start->lost_jobs; lost;
+	     lost = lost->hh.next)
 		lost->lost_since_survey = false;
 	cold_start->survey_done = true;
 }
 
 /* ---- moves ---- */
 
-static void request_move(struct ws_cold_start_lost *lost, uint32_t position, bool replicas_apart,
-			 struct ws_request_queue *out)
+static void request_move(struct ws_cold_start_lost_job *lost, uint32_t position,
+			 bool replicas_apart, struct ws_request_queue *out)
 {
 	const struct ws_move move = {
 	    .job = lost->job, .position = position, .replicas_apart = replicas_apart};
 
-	if (lost->move_requested && lost->position == position &&
+	if (lost->move_requested && lost->queue_position == position &&
 	    lost->replicas_apart == replicas_apart)
 		return;
 	lost->move_requested = true;
-	lost->position = position;
+	lost->queue_position = position;
 	lost->replicas_apart = replicas_apart;
 	ws_request_move(out, &move);
 }
 
 /* Returns whether, as of the last survey, the job runs again or has ended. */
-static bool lost_recovered(const struct ws_cold_start_lost *lost)
+static bool lost_recovered(const struct ws_cold_start_lost_job *lost)
 {
-	return !lost->lost_since_survey && !(lost->surveyed && lost->waiting);
+	return !lost->lost_since_survey && !(lost->surveyed && lost->waiting_tasks);
 }
 
 /* Removes recovered jobs from the table, and returns them in a list linked by `next_recovered`. */
-static struct ws_cold_start_lost *take_recovered(struct ws_cold_start *cold_start)
+static struct ws_cold_start_lost_job *take_recovered(struct ws_cold_start *cold_start)
 {
-	struct ws_cold_start_lost *lost, *next, *recovered = NULL;
+	struct ws_cold_start_lost_job *lost, *next, *recovered = NULL;
 
-	HASH_ITER (hh, cold_start->lost, lost, next) {
-		cold_start->steps++;
+	HASH_ITER (hh, cold_start->lost_jobs, lost, next) {
+		cold_start->operations++;
 		if (!lost_recovered(lost))
 			continue;
-		HASH_DEL(cold_start->lost, lost);
+		HASH_DEL(cold_start->lost_jobs, lost);
 		lost->next_recovered = recovered;
 		recovered = lost;
 	}
@@ -133,7 +134,7 @@
 /* Returns recovered jobs to their ordinary queue position, and releases them. */
 static void finish_recovered(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
-	struct ws_cold_start_lost *lost = take_recovered(cold_start), *next;
+	struct ws_cold_start_lost_job *lost = take_recovered(cold_start), *next;
 
 	for (; lost; lost = next) {
 		next = lost->next_recovered;
@@ -150,7 +151,8 @@
 	const size_t moves_max = ws_subsystem_moves_max(&cold_start->limits);
 	uint32_t position = 0;
 
-	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next) {
+	for (struct ws_cold_start_lost_job *lost = cold_start->lost_jobs; lost;
+	     lost = lost->hh.next) {
 		bool within_limit = position < moves_max;
 
 		if (lost->lost_since_survey || lost_recovered(lost))
@@ -170,21 +172,23 @@
 		finish_recovered(cold_start, out);
 		return;
 	}
-	if (!cold_start->lost ||
-	    now < cold_start->surveyed_at +
+	if (!cold_start->lost_jobs ||
+	    now < cold_start->survey_requested_at +
 		      (cold_start->losses_unsurveyed ? LOSS_SURVEY_HEARTBEATS : 1) *
 			  cold_start->limits.report_s)
 		return;
-	cold_start->surveyed_at = now;
+	cold_start->survey_requested_at = now;
 	cold_start->losses_unsurveyed = false;
-	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next)
+	for (struct ws_cold_start_lost_job *lost = cold_start->lost_jobs; lost;
+	     lost = lost->hh.next)
 		lost->surveyed = false;
 	ws_request_survey(out);
 }
 
 void ws_cold_start_recovery_end(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
-	for (struct ws_cold_start_lost *lost = cold_start->lost; lost; lost = lost->hh.next)
+	for (struct ws_cold_start_lost_job *lost = cold_start->lost_jobs; lost;
+	     lost = lost->hh.next)
 		request_move(lost, 0, false, out);
-	ws_cold_start_lost_free(cold_start);
+	ws_cold_start_lost_jobs_free(cold_start);
 }
--- a/src/cold_start/recovery.h
+++ b/src/cold_start/recovery.h
@@ -4,9 +4,9 @@
 #include "state.h"
 
 /* A job that lost attempts in the current cold start. */
-struct ws_cold_start_lost {
+struct ws_cold_start_lost_job {
 	char job[WS_COLD_START_NAME_MAX];
-	size_t attempts;	/* since the job was added to the list */
+	size_t lost_attempts;	/* since the job was added to the list */
 	bool lost_since_survey; /* an attempt was lost since the last survey */
 	bool move_requested;	/* since the last loss of an attempt */
 	/* Facts as of the last survey. */
@@ -15,15 +15,15 @@
 	bool first_replica; /* a service of which no replica may be alive */
 	int priority;
 	double latest_start;
-	size_t waiting;	     /* tasks that are neither complete nor possibly running */
-	uint32_t position;   /* last requested; 0: the ordinary position */
-	bool replicas_apart; /* last requested: place only a first replica ahead of the queue */
-	struct ws_cold_start_lost *next_recovered;
+	size_t waiting_tasks;	 /* tasks that are neither complete nor possibly running */
+	uint32_t queue_position; /* last requested; 0: the ordinary position */
+	bool replicas_apart;	 /* last requested: place only a first replica ahead of the queue */
+	struct ws_cold_start_lost_job *next_recovered;
 	UT_hash_handle hh;
 };
 
 /* Records the loss of one attempt of a job. */
-void ws_cold_start_lost_add(struct ws_cold_start *cold_start, const char *job);
+void ws_cold_start_add_lost_attempt(struct ws_cold_start *cold_start, const char *job);
 /* Hooks that receive the results of a survey; see core/extension/hooks.h. */
 bool ws_cold_start_attempt_surveyed(void *self, void *machine);
 void ws_cold_start_job_surveyed(void *self, const struct ws_job_info *facts);
@@ -37,5 +37,5 @@
 /* Requests the ordinary queue position for all lost jobs, and releases the list. */
 void ws_cold_start_recovery_end(struct ws_cold_start *cold_start, struct ws_request_queue *out);
 /* Releases the list of lost jobs. */
-void ws_cold_start_lost_free(struct ws_cold_start *cold_start);
+void ws_cold_start_lost_jobs_free(struct ws_cold_start *cold_start);
 #endif
--- a/src/cold_start/state.h
+++ b/src/cold_start/state.h
@@ -18,10 +18,10 @@
 /* Counters in the account record of a cold start, besides those of machines. */
 struct ws_cold_start_counts {
 	size_t results[WS_RECONCILIATION_RESULTS];
-	size_t quarantined;  /* jobs that are not in the store */
-	size_t adopted;	     /* quarantined attempts that were adopted */
-	size_t unclaimed;    /* quarantined jobs stopped because their quarantine timed out */
-	size_t stopped_over; /* quarantined jobs stopped: recorded as ended, or unreadable */
+	size_t quarantined;   /* jobs that are not in the store */
+	size_t adopted;	      /* quarantined attempts that were adopted */
+	size_t unclaimed;     /* quarantined jobs stopped because their quarantine timed out */
+	size_t stopped_ended; /* quarantined jobs stopped: recorded as ended, or unreadable */
 	size_t lost_jobs, recovered_jobs;
 };
 
@@ -29,34 +29,36 @@
 	struct ws_cold_start_settings settings;
 	struct ws_cluster_limits limits; /* its pointers are NULL: the caller owns their targets */
 	ws_subsystem_log_fn log;
-	uint64_t steps; /* operations on single machines and jobs */
+	uint64_t operations; /* operations on single machines and jobs */
 
 	/* State of this term. */
 	enum ws_cold_start_phase phase;
-	bool leader_unproven;	 /* there is no recent proof that a leader was alive */
+	bool no_recent_leader;	 /* there is no recent proof that a leader was alive */
 	bool later_format;	 /* a record has a later format: the subsystem is suspended */
 	bool store_lost_records; /* the store lost records that it had confirmed */
-	uint64_t term, proven_term;
-	uint64_t began_term; /* the term in which the cold start was detected */
-	double unproven_s;   /* time without proof of a live leader; INFINITY: there was none */
+	uint64_t term, last_leader_term;
+	uint64_t began_term;	 /* the term in which the cold start was detected */
+	double without_leader_s; /* time without proof of a live leader; INFINITY: there was none */
 	double elected_at;
-	double leases_out; /* when all leases that earlier leaders may have renewed have expired */
-	double recovering_at;
+	double leases_expire_at; /* when all leases that earlier leaders may have renewed have
+				    expired */
+	double recovery_began_at;
 	bool phase_record_due;
 	bool counts_changed;
 	double account_due_at;
-	double surveyed_at;
+	double survey_requested_at;
 	bool losses_unsurveyed; /* attempts were lost since the last survey request */
 	bool survey_done;	/* a survey is done but its moves are not requested yet */
 
 	/* Values from the record that an earlier leader wrote. */
 	enum ws_cold_start_phase recorded_phase;
-	uint64_t recorded_term, recorded_began;
+	uint64_t recorded_term, recorded_began_term;
 	bool recorded_store_lost_records;
 
-	struct ws_cold_start_zone *zones;	       /* hashed by name; see observation.h */
-	struct ws_cold_start_quarantined *quarantined; /* hashed by job; see quarantine.h */
-	struct ws_cold_start_lost *lost;	       /* hashed by job; see recovery.h */
+	struct ws_cold_start_zone *zones; /* hashed by name; see observation.h */
+	struct ws_cold_start_quarantined_job
+	    *quarantined_jobs;			  /* hashed by job; see quarantine.h */
+	struct ws_cold_start_lost_job *lost_jobs; /* hashed by job; see recovery.h */
 	struct ws_cold_start_counts counts;
 };
 
--- a/src/cold_start_command.c
+++ b/src/cold_start_command.c
@@ -12,7 +12,8 @@
 static void print_reconciliation(json_t *results)
 {
 	for (int result = 0; result < WS_RECONCILIATION_RESULTS; result++) {
-		const char *name = ws_cold_start_result_name((enum ws_reconciliation_result)result);
+		const char *name =
+		    ws_cold_start_reconciliation_name((enum ws_reconciliation_result)result);
 		long long count = ws_record_view_count(results, name);
 
 		if (count)
@@ -81,8 +82,8 @@
 {
 	static const struct ws_record_view view = {
 	    .prefix = KEY_PREFIX,
-	    .print = print_record,
-	    .none_text = "no cold start is recorded",
+	    .print_record = print_record,
+	    .empty_text = "no cold start is recorded",
 	};
 	struct ws_store_client *store = ws_store_client_open(platform);
 	int status = ws_record_view_print(&view, store);
--- a/src/failure_domains_command.c
+++ b/src/failure_domains_command.c
@@ -75,8 +75,8 @@
 
 static const struct ws_record_view view = {
     .prefix = KEY_PREFIX,
-    .print = print_record,
-    .none_text = "no failure domain is recorded",
+    .print_record = print_record,
+    .empty_text = "no failure domain is recorded",
 };
 
 /* ---- holds ---- */
--- a/src/record_view.c
+++ b/src/record_view.c
@@ -12,7 +12,7 @@
 	struct print_context *print_context = context;
 	const struct ws_record_view *view = print_context->view;
 
-	if (view->print(record->key + strlen(view->prefix), record->value))
+	if (view->print_record(record->key + strlen(view->prefix), record->value))
 		print_context->found = true;
 	return true;
 }
@@ -26,7 +26,7 @@
 		return 1;
 	}
 	if (!print_context.found)
-		printf("%s\n", view->none_text);
+		printf("%s\n", view->empty_text);
 	return 0;
 }
 
--- a/src/record_view.h
+++ b/src/record_view.h
@@ -10,8 +10,8 @@
 	 * Prints a record; `name` is the rest of its key after the prefix. Returns whether the
 	 * record counts as found.
 	 */
-	bool (*print)(const char *name, json_t *record);
-	const char *none_text; /* printed if no record counts as found */
+	bool (*print_record)(const char *name, json_t *record);
+	const char *empty_text; /* printed if no record counts as found */
 };
 
 /* Prints all records. Returns the exit status: 0, or 1 if the store could not be read. */
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -110,8 +110,8 @@
 	    WS_TOML_OK)
 		ws_config_invalid(reader, "coldstart.enabled", "must be true or false");
 	ws_config_number(reader, "coldstart.keep_s", &cold_start->quarantine_s, 0, false);
-	ws_config_number(reader, "coldstart.heard_share", &cold_start->heard_share, 0.5, false);
-	if (cold_start->heard_share > 1)
+	ws_config_number(reader, "coldstart.heard_share", &cold_start->answered_share, 0.5, false);
+	if (cold_start->answered_share > 1)
 		ws_config_invalid(reader, "coldstart.heard_share", "must be at most 1");
 }
 
--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -58,7 +58,7 @@
 	      read_text("[coldstart]\nenabled = true\nkeep_s = 9.0\nheard_share = 1.0\n", &settings,
 			error, sizeof(error)) &&
 		  settings.cold_start_enabled && settings.cold_start.quarantine_s == 9 &&
-		  settings.cold_start.heard_share == 1);
+		  settings.cold_start.answered_share == 1);
 	ws_subsystem_free(&settings);
 }
 
@@ -138,7 +138,7 @@
 	ws_cold_start_ops.records_loaded(cold_start, 100);
 	check("an unknown job is kept",
 	      ws_cold_start_ops.attempt_reconciled(cold_start, 101, &reconciliation));
-	value = ws_cold_start_quarantine_record(cold_start->quarantined, 111);
+	value = ws_cold_start_quarantine_record(cold_start->quarantined_jobs, 111);
 	check("and for how long it was kept before counts",
 	      fabs(json_number_value(json_object_get(value, "kept_s")) - 41) < 1e-6);
 	json_decref(value);
--- a/tests/sim_cold_start.c
+++ b/tests/sim_cold_start.c
@@ -29,7 +29,7 @@
 
 	sim->cold_start_on = true;
 	settings->quarantine_s = sim_option(text, "keep", settings->quarantine_s);
-	settings->heard_share = sim_option(text, "share", settings->heard_share);
+	settings->answered_share = sim_option(text, "share", settings->answered_share);
 }
 
 /* ---- what befalls the cluster ---- */
@@ -443,9 +443,10 @@
 static void check_steps(struct sim *sim, const struct sim_expectation *expectation)
 {
 	int leader = sim_leader(sim);
-	double steps = leader < 0 ? INFINITY
-				  : (double)ws_cold_start_steps(sim->nodes[leader].cold_start) /
-					(double)sim->heartbeats;
+	double steps = leader < 0
+			   ? INFINITY
+			   : (double)ws_cold_start_operations(sim->nodes[leader].cold_start) /
+				 (double)sim->heartbeats;
 
 	if (steps > atof(expectation->first))
 		sim_fail(sim, "%.2f steps a heartbeat", steps);
