--- a/src/io/codec.h
+++ b/src/io/codec.h
@@ -1,7 +1,8 @@
 /*
- * The wire: JSON of users, workers, the cloud and the store to the core's terms and back.
+ * JSON codecs, which convert between the messages of users, workers, the cloud and the store and
+ * the types of the core.
  *
- * The names of the protocols stay within the codecs. What they mean:
+ * Only the codecs use the names of the protocols. The table gives the term for each of them:
  *
  *   users     nameId            job id           vcpus, memGb      CPUs, memory
  *             jobclass          job class        accelerators      GPUs
@@ -21,16 +22,16 @@
  *             counter           sequence number  phase: flushing   saving a checkpoint
  *             epoch             fencing token    cause             exit reason
  *             warningS          preemption notice  cause: mates_gone  of a gang: a member is gone
- *             orders, verb      commands, kind   cause: incomplete   of a gang: never whole
- *             verb: reap        forget an exit   windDownS         grace period of a stop
+ *             orders, verb      commands, kind   cause: incomplete   of a gang: not complete
+ *             verb: reap        drop exited task   windDownS         grace period of a stop
  *             supervisor        leader
  *   store     k                 key              holds             store sessions
  *             stamp             revision         permit            id of a store session
  *             ledgerRev         store revision   ttlMs             its time to live
  *             entries, news     records, events  multi             transaction
  *             starts, since     prefix, after    when, then        compares, operations
- *             most, holdMs      limit, wait      failed            keys whose compare failed
- *             hasNext           more follow
+ *             most, holdMs      limit, timeout   failed            keys whose compare failed
+ *             hasNext           more pages follow
  *   cloud     hosts             instances        halls             zones
  *             flavours          machine types    rate, spotPrice   price, preemptible price
  *             booking           idempotency key  startupS          time to boot
@@ -40,25 +41,28 @@
 #define WS_CODEC_H
 #include "../core/core.h"
 
-/* A user's job. 0, or the HTTP status that refuses the body. */
+/* Decodes a user's job. Returns 0, or the HTTP status of the error if the body is invalid. */
 int ws_decode_job(const char *body, size_t length, struct ws_job_spec *spec);
-/* Whether a job may have such an id. */
+/* Returns whether a job id has the form "job-" and digits, and is not too long. */
 bool ws_job_id_ok(const char *id);
-/* A worker's heartbeat; false: malformed. What it allocates is freed by ws_heartbeat_free(). */
-bool ws_decode_heartbeat(const char *body, size_t length, struct ws_heartbeat *report);
+/* Decodes a worker's heartbeat. Returns false if the body is malformed. The caller releases the
+ * memory of the heartbeat with ws_heartbeat_free(). */
+bool ws_decode_heartbeat(const char *body, size_t length, struct ws_heartbeat *heartbeat);
 
-/* Bodies to send; freed by the caller, NULL without memory. */
+/* Encode the body of a message, which the caller frees. Return NULL if memory is exhausted. */
 char *ws_encode_user(const struct ws_effect *answer);
 char *ws_encode_heartbeat_answer(const struct ws_effect *answer);
 char *ws_encode_commands(uint64_t fencing_token, uint64_t incarnation,
 			 const struct ws_command *commands, size_t count);
 
-/* Paths of calls go to buffers of this size. */
+/* Size in bytes of the buffer for the path of a call. */
 #define WS_URL_MAX 900
-/* The request of a call: its body, which the caller frees, or NULL where it has none. */
+/* Encodes the request of a call: sets its method and path, and returns its body, which the caller
+ * frees, or NULL if the request has none. */
 char *ws_encode_call(const struct ws_call *call, const char **method, char *path);
-/* Reads an answer into `result`; what it allocates is freed by ws_result_free(). A body that makes
- * no sense: no answer. */
+/* Decodes the reply to a call into `result`, whose memory the caller releases with
+ * ws_result_free(). A malformed body counts as no reply. A `status` of 0 means that no reply came,
+ * and one below 0 that the call was not sent. */
 void ws_decode_reply(const struct ws_call *call, int status, const char *body, size_t length,
 		     struct ws_result *result);
 #endif
--- a/src/io/decode_cloud.c
+++ b/src/io/decode_cloud.c
@@ -1,4 +1,4 @@
-/* Answers of the cloud. The names of the wire are mapped in codec.h. */
+/* Decodes replies of the cloud. codec.h explains the names of the protocol. */
 #include "codec.h"
 #include "decode_internal.h"
 #include "json_members.h"
--- a/src/io/decode_internal.h
+++ b/src/io/decode_internal.h
@@ -1,6 +1,6 @@
 /*
- * The decoders by peer, for one another. All return false where a body is not what the protocol
- * says; what they had allocated by then is in the result, for ws_result_free().
+ * Declarations that the decode_*.c files share. All decoders return false if the body violates the
+ * protocol; the caller then releases the memory of the result with ws_result_free().
  */
 #ifndef WS_DECODE_INTERNAL_H
 #define WS_DECODE_INTERNAL_H
@@ -9,23 +9,25 @@
 
 /* ---- decode_worker.c ---- */
 
-/* A heartbeat; what it has allocated is freed by ws_heartbeat_free(), on failure already. */
-bool ws_decode_report_object(struct ws_json object, struct ws_heartbeat *report);
+/* Decodes a heartbeat, whose memory the caller releases with ws_heartbeat_free(). On failure the
+ * memory is released already. */
+bool ws_decode_report_object(struct ws_json object, struct ws_heartbeat *heartbeat);
 
 /* ---- decode_state.c ---- */
 
-/* The answer to a read of one record, a list of records or a watch. */
+/* Decodes the reply to a read of one record, a list of records or a watch. */
 bool ws_decode_store_reply(const struct ws_call *call, const char *body, size_t length,
 			   struct ws_result *result);
-/* The keys whose revisions had moved, of a transaction that was not carried out. */
+/* Decodes the keys whose revision compare failed, from the reply to a rejected transaction. */
 void ws_decode_failed_keys(struct ws_json object, struct ws_result *result);
 
 /* ---- decode_cloud.c ---- */
 
-/* Machine types. */
+/* Decodes the list of machine types. */
 bool ws_decode_types(struct ws_json object, struct ws_result *result);
-/* Instances: whole entries, or of a scale-out request their names alone. */
+/* Decodes instances: full entries, or only names in the reply to a scale-out request. */
 bool ws_decode_instances(struct ws_json object, struct ws_result *result, bool names_only);
-/* Whether a 503 says that the cloud has no capacity, rather than that it failed. */
+/* Returns whether a reply of status 503 says that the cloud has no capacity, and not that it
+ * failed. */
 bool ws_decode_no_capacity(struct ws_json object);
 #endif
--- a/src/io/decode_reply.c
+++ b/src/io/decode_reply.c
@@ -1,6 +1,6 @@
 /*
- * Answers to the core's calls: which decoder reads which. A body that is not what the protocol says
- * is a failure, never a fact.
+ * Selects the decoder for the reply to each kind of call. A body that violates the protocol counts
+ * as a failed call, and none of its values are used.
  */
 #include "codec.h"
 #include "decode_internal.h"
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static bool decode_command_answer(struct ws_json object, struct ws_result *result)
+static bool decode_command_reply(struct ws_json object, struct ws_result *result)
 {
 	result->heartbeat = calloc(1, sizeof(*result->heartbeat));
 	if (result->heartbeat && ws_decode_report_object(object, result->heartbeat))
@@ -32,19 +32,19 @@
 			result->instances.has_more = false;
 		return ws_decode_instances(object, result, false);
 	case WS_CALL_SCALE_OUT: return ws_decode_instances(object, result, true);
-	case WS_CALL_COMMANDS: return decode_command_answer(object, result);
+	case WS_CALL_COMMANDS: return decode_command_reply(object, result);
 	default: return true;
 	}
 }
 
-static bool carries_records(const struct ws_call *call)
+static bool returns_records(const struct ws_call *call)
 {
 	return call->kind == WS_CALL_GET || call->kind == WS_CALL_LIST ||
 	       call->kind == WS_CALL_WATCH;
 }
 
-/* Answers whose status says it all. */
-static bool status_says_all(const struct ws_call *call)
+/* Returns whether the status of a successful reply is sufficient, so that its body is ignored. */
+static bool needs_no_body(const struct ws_call *call)
 {
 	return call->kind == WS_CALL_SESSION_RENEW || call->kind == WS_CALL_SESSION_CLOSE ||
 	       call->kind == WS_CALL_SCALE_IN;
@@ -53,27 +53,27 @@
 void ws_decode_reply(const struct ws_call *call, int status, const char *body, size_t length,
 		     struct ws_result *result)
 {
-	bool done = status == 200 || (status == 409 && call->kind == WS_CALL_COMMANDS);
+	bool succeeded = status == 200 || (status == 409 && call->kind == WS_CALL_COMMANDS);
 	struct ws_json object;
 
 	*result = (struct ws_result){.kind = call->kind,
 				     .outcome = ws_outcome_of_http_status(status),
 				     .http_status = status};
-	if (status <= 0 || (done && status_says_all(call)))
+	if (status <= 0 || (succeeded && needs_no_body(call)))
 		return;
-	if (carries_records(call)) {
-		if (done && !ws_decode_store_reply(call, body, length, result))
-			ws_result_free(result); /* answered, but who knows what was done */
+	if (returns_records(call)) {
+		if (succeeded && !ws_decode_store_reply(call, body, length, result))
+			ws_result_free(result); /* the outcome of the call is unknown */
 		return;
 	}
-	bool read = ws_json_read(body, length, &object) && ws_json_is_object(object);
+	bool parsed = ws_json_read(body, length, &object) && ws_json_is_object(object);
 
-	if (done) {
-		if (!read || !decode_success(call, object, result))
-			ws_result_free(result); /* answered, but who knows what was done */
-	} else if (read && status == 409 && call->kind == WS_CALL_TRANSACTION) {
+	if (succeeded) {
+		if (!parsed || !decode_success(call, object, result))
+			ws_result_free(result); /* the outcome of the call is unknown */
+	} else if (parsed && status == 409 && call->kind == WS_CALL_TRANSACTION) {
 		ws_decode_failed_keys(object, result);
-	} else if (read && status == 503 && call->kind == WS_CALL_SCALE_OUT) {
+	} else if (parsed && status == 503 && call->kind == WS_CALL_SCALE_OUT) {
 		result->instances.no_capacity = ws_decode_no_capacity(object);
 	}
 }
--- a/src/io/decode_state.c
+++ b/src/io/decode_state.c
@@ -1,4 +1,4 @@
-/* Answers of the store. The names of the wire are mapped in codec.h. */
+/* Decodes replies of the store. codec.h explains the names of the protocol. */
 #include "codec.h"
 #include "decode_internal.h"
 #include "json_members.h"
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- records: these live on, so they are read with jansson ---- */
+/* ---- records: their values outlive the reply, so they are parsed with jansson ---- */
 
 static bool record_revision(json_t *object, const char *key, uint64_t *target)
 {
@@ -30,7 +30,8 @@
 	return true;
 }
 
-static bool decode_record(json_t *object, const char *name, struct ws_kv *entry, bool need_value)
+static bool decode_record(json_t *object, const char *name, struct ws_kv *entry,
+			  bool value_required)
 {
 	json_t *value;
 
@@ -39,7 +40,7 @@
 	    !record_revision(object, "stamp", &entry->revision))
 		return false;
 	value = json_object_get(object, "value");
-	if (need_value && !value)
+	if (value_required && !value)
 		return false;
 	entry->value = json_incref(value);
 	return true;
@@ -95,7 +96,7 @@
 bool ws_decode_store_reply(const struct ws_call *call, const char *body, size_t length,
 			   struct ws_result *result)
 {
-	/* amounts too large for a double, duplicate keys and deep nesting are malformed too */
+	/* jansson also rejects numbers too large for a double, duplicate keys and deep nesting */
 	json_t *object = json_loadb(body, length, JSON_REJECT_DUPLICATES, NULL);
 	bool ok = json_is_object(object) && decode_records(call, object, result);
 
--- a/src/io/decode_user.c
+++ b/src/io/decode_user.c
@@ -1,4 +1,4 @@
-/* Users' requests. The names of the wire are mapped in codec.h. */
+/* Decodes requests of users. codec.h explains the names of the protocol. */
 #include "codec.h"
 #include "json_members.h"
 #include <ctype.h>
@@ -24,7 +24,7 @@
 	return true;
 }
 
-/* The machine types that a job may run on; no list: any. */
+/* Decodes the machine types that a job may run on. Without a list it may run on any type. */
 static bool decode_allowed_types(struct ws_json object, struct ws_job_spec *spec)
 {
 	struct ws_json_elements elements;
@@ -46,7 +46,7 @@
 {
 	char text[WS_NAME_MAX];
 	uint64_t tasks;
-	int tier;
+	int priority;
 
 	if (!ws_json_is_object(object) ||
 	    !ws_member_string(object, "nameId", spec->id, sizeof(spec->id), false) ||
@@ -62,10 +62,10 @@
 		return false;
 	if (!ws_member_string(object, "tier", text, sizeof(text), false))
 		return false;
-	tier = ws_text_index(priority_classes, PRIORITY_CLASSES, text);
-	if (tier == PRIORITY_CLASSES)
+	priority = ws_text_index(priority_classes, PRIORITY_CLASSES, text);
+	if (priority == PRIORITY_CLASSES)
 		return false;
-	spec->priority = (enum ws_priority_class)tier;
+	spec->priority = (enum ws_priority_class)priority;
 	if (!ws_member_uint(object, "shards", &tasks) || tasks < 1 || tasks > WS_MAX_TASKS)
 		return false;
 	spec->tasks = (uint32_t)tasks;
--- a/src/io/decode_worker.c
+++ b/src/io/decode_worker.c
@@ -1,4 +1,4 @@
-/* Workers' heartbeats. The names of the wire are mapped in codec.h. */
+/* Decodes heartbeats of workers. codec.h explains the names of the protocol. */
 #include "../log.h"
 #include "codec.h"
 #include "decode_internal.h"
@@ -8,28 +8,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Unknown words that are logged, and their length. */
-#define UNKNOWN_WORDS 16
-#define UNKNOWN_WORD_MAX 32
+/* Limits the unknown values that are logged, and the bytes of each with its field name. */
+#define UNKNOWN_VALUES_MAX 16
+#define UNKNOWN_VALUE_SIZE 32
 
-/* A word of a later protocol is named once; the machine is served all the same. */
-static void log_unknown_word(const char *field, const char *word)
+/* Logs an unknown value once. A later version of the protocol may have added it, so the heartbeat
+ * is processed nevertheless. */
+static void log_unknown_value(const char *field, const char *value)
 {
-	static char logged[UNKNOWN_WORDS][UNKNOWN_WORD_MAX];
-	char text[UNKNOWN_WORD_MAX];
+	static char logged[UNKNOWN_VALUES_MAX][UNKNOWN_VALUE_SIZE];
+	char text[UNKNOWN_VALUE_SIZE];
 	size_t i;
 
-	snprintf(text, sizeof(text), "%s %s", field, word);
-	for (i = 0; i < UNKNOWN_WORDS && logged[i][0]; i++)
+	snprintf(text, sizeof(text), "%s %s", field, value);
+	for (i = 0; i < UNKNOWN_VALUES_MAX && logged[i][0]; i++)
 		if (!strcmp(logged[i], text))
 			return;
-	if (i == UNKNOWN_WORDS)
+	if (i == UNKNOWN_VALUES_MAX)
 		return;
 	snprintf(logged[i], sizeof(logged[i]), "%s", text);
-	ws_logf(WS_LOG_ERROR, "unknown value in heartbeat field=\"%s\" value=\"%s\"", field, word);
+	ws_logf(WS_LOG_ERROR, "unknown value in heartbeat field=\"%s\" value=\"%s\"", field, value);
 }
 
-/* "JOB/TASK". */
+/* Decodes the name of a task, which has the form "JOB/TASK". */
 static bool decode_task_name(struct ws_json object, struct ws_task_status *task)
 {
 	char text[WS_NAME_MAX], *slash, *end;
@@ -60,8 +61,8 @@
 		return false;
 	state = ws_text_index(states, count, text);
 	if (state == count) {
-		log_unknown_word("phase", text);
-		state = WS_TASK_FETCHING; /* a state we do not know is at any rate alive */
+		log_unknown_value("phase", text);
+		state = WS_TASK_FETCHING; /* any state but "exited" is that of a live task */
 	}
 	task->state = (enum ws_task_state)state;
 	return true;
@@ -69,7 +70,7 @@
 
 static bool decode_exit_reason(struct ws_json object, struct ws_task_status *task)
 {
-	/* the first stands for a missing one */
+	/* in the order of enum ws_exit_reason; the empty string stands for a missing reason */
 	static const char *const reasons[] = {"",     "done",	 "stopped",    "error",	    "full",
 					      "busy", "no_such", "mates_gone", "incomplete"};
 	const int count = sizeof(reasons) / sizeof(reasons[0]);
@@ -80,8 +81,8 @@
 		return false;
 	reason = ws_text_index(reasons, count, text);
 	if (reason == count)
-		log_unknown_word("cause", text);
-	/* a reason that is missing or that we do not know blames nobody */
+		log_unknown_value("cause", text);
+	/* a missing or unknown reason counts as a stop, not as a failure of the job or machine */
 	task->exit_reason =
 	    reason > 0 && reason < count ? (enum ws_exit_reason)reason : WS_EXIT_STOPPED;
 	return true;
@@ -96,46 +97,48 @@
 	return task->state != WS_TASK_EXITED || decode_exit_reason(object, task);
 }
 
-bool ws_decode_report_object(struct ws_json object, struct ws_heartbeat *report)
+bool ws_decode_report_object(struct ws_json object, struct ws_heartbeat *heartbeat)
 {
 	struct ws_json_elements elements;
 	struct ws_json task;
 	size_t count;
 
-	memset(report, 0, sizeof(*report));
+	memset(heartbeat, 0, sizeof(*heartbeat));
 	if (!ws_json_is_object(object) ||
-	    !ws_member_string(object, "host", report->machine, sizeof(report->machine), false) ||
-	    !ws_member_address(object, "address", report->address, sizeof(report->address),
-			       &report->port) ||
-	    !ws_member_string(object, "flavour", report->type, sizeof(report->type), false) ||
-	    !ws_member_string(object, "hall", report->zone, sizeof(report->zone), false) ||
-	    !ws_member_bool(object, "reclaimable", &report->preemptible) ||
-	    !ws_member_uint(object, "tenure", &report->incarnation) || report->incarnation < 1 ||
-	    !ws_member_uint(object, "counter", &report->sequence) ||
-	    !ws_member_uint(object, "epoch", &report->fencing_token))
+	    !ws_member_string(object, "host", heartbeat->machine, sizeof(heartbeat->machine),
+			      false) ||
+	    !ws_member_address(object, "address", heartbeat->address, sizeof(heartbeat->address),
+			       &heartbeat->port) ||
+	    !ws_member_string(object, "flavour", heartbeat->type, sizeof(heartbeat->type), false) ||
+	    !ws_member_string(object, "hall", heartbeat->zone, sizeof(heartbeat->zone), false) ||
+	    !ws_member_bool(object, "reclaimable", &heartbeat->preemptible) ||
+	    !ws_member_uint(object, "tenure", &heartbeat->incarnation) ||
+	    heartbeat->incarnation < 1 ||
+	    !ws_member_uint(object, "counter", &heartbeat->sequence) ||
+	    !ws_member_uint(object, "epoch", &heartbeat->fencing_token))
 		return false;
-	report->preemption_notice_s = -1;
+	heartbeat->preemption_notice_s = -1;
 	if (ws_member_set(object, "warningS") &&
-	    !ws_member_amount(object, "warningS", &report->preemption_notice_s))
+	    !ws_member_amount(object, "warningS", &heartbeat->preemption_notice_s))
 		return false;
 	if (!ws_member_array(object, "shards", &elements, &count))
 		return false;
-	report->tasks = calloc(count + 1, sizeof(*report->tasks));
-	if (!report->tasks)
+	heartbeat->tasks = calloc(count + 1, sizeof(*heartbeat->tasks));
+	if (!heartbeat->tasks)
 		return false;
 	while (ws_json_next(&elements, &task)) {
-		if (!decode_task(task, &report->tasks[report->task_count])) {
-			ws_heartbeat_free(report);
+		if (!decode_task(task, &heartbeat->tasks[heartbeat->task_count])) {
+			ws_heartbeat_free(heartbeat);
 			return false;
 		}
-		report->task_count++;
+		heartbeat->task_count++;
 	}
 	return true;
 }
 
-bool ws_decode_heartbeat(const char *body, size_t length, struct ws_heartbeat *report)
+bool ws_decode_heartbeat(const char *body, size_t length, struct ws_heartbeat *heartbeat)
 {
 	struct ws_json object;
 
-	return ws_json_read(body, length, &object) && ws_decode_report_object(object, report);
+	return ws_json_read(body, length, &object) && ws_decode_report_object(object, heartbeat);
 }
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -1,6 +1,6 @@
 /*
- * Writing: answers to users and workers, and calls to workers, the cloud and the store. The
- * names of the wire are mapped in codec.h.
+ * Encodes answers to users and workers, and calls to workers, the cloud and the store. codec.h
+ * explains the names of the protocols.
  */
 #include "codec.h"
 #include "pool.h"
@@ -8,20 +8,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Of a task's number and the slash before it. */
+/* Bytes of a task's number with the slash before it and the terminating NUL. */
 #define TASK_NUMBER_MAX 16
 
-/* The text of a document, which is freed; ends the use of the pool. */
+/* Returns the text of a document, which the caller frees, or NULL if memory is exhausted. Frees the
+ * document and ends the use of the pool. */
 static char *to_text(json_t *document)
 {
-	char *pooled = document ? json_dumps(document, JSON_COMPACT) : NULL;
-	char *text = pooled ? strdup(pooled) : NULL;
+	char *pooled_text = document ? json_dumps(document, JSON_COMPACT) : NULL;
+	char *text = pooled_text ? strdup(pooled_text) : NULL;
 
-	if (pooled) { /* it may be the pool's, which ends here; what is part of others is freed */
+	/* The text may lie in the pool, which ends here, so a copy is returned. jansson's free
+	 * function accepts memory of the pool as well as of malloc(). */
+	if (pooled_text) {
 		json_free_t free_pooled;
 
 		json_get_alloc_funcs(NULL, &free_pooled);
-		free_pooled(pooled);
+		free_pooled(pooled_text);
 	}
 	json_decref(document);
 	ws_pool_end();
@@ -141,7 +144,7 @@
 		      call->scale_out.preemptible, "howMany", (int)call->scale_out.count));
 }
 
-/* Reads, which have no body: their path. */
+/* Writes the path of a read, which has no body; it is empty for any other call. */
 static void encode_read(const struct ws_call *call, char *path)
 {
 	switch (call->kind) {
--- a/src/io/http_status.h
+++ b/src/io/http_status.h
@@ -1,18 +1,19 @@
 /*
- * HTTP statuses and the core's terms for them: outcomes of calls, and answers to requests. This is
- * the only place where the two meet.
+ * Converts between HTTP statuses and the core's outcomes of calls and answers to requests. The core
+ * itself uses no HTTP status.
  */
 #ifndef WS_HTTP_STATUS_H
 #define WS_HTTP_STATUS_H
 #include "../core/core.h"
 
-/* The outcome of a call by the status of its answer; 0: there was none; below 0: never sent. */
+/* Returns the outcome of a call with this status: 0 means no reply, below 0 that it was not sent.
+ */
 enum ws_outcome ws_outcome_of_http_status(int status);
-/* The status of an outcome; of WS_OUTCOME_OTHER, which stands for many: 500. */
+/* Returns the status of an outcome. WS_OUTCOME_OTHER, which covers many statuses, gives 500. */
 int ws_http_status_of_outcome(enum ws_outcome outcome);
 
-/* The status of an answer. */
+/* Returns the status of an answer. */
 int ws_http_status_of_answer(enum ws_answer answer);
-/* The answer of a status; WS_ANSWER_UNAVAILABLE where no answer has that status. */
+/* Returns the answer with a status, or WS_ANSWER_UNAVAILABLE if no answer has that status. */
 enum ws_answer ws_answer_of_http_status(int status);
 #endif
--- a/src/io/json_members.c
+++ b/src/io/json_members.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* All amounts are below this. */
+/* Larger numbers are rejected as malformed. */
 #define AMOUNT_MAX 1e12
 #define PORT_MAX 65535
 #define ADDRESS_MAX 80
--- a/src/io/json_reader.cpp
+++ b/src/io/json_reader.cpp
@@ -8,10 +8,12 @@
 
 namespace dom = simdjson::dom;
 
-static_assert(sizeof(dom::element) == sizeof(ws_json), "ws_json holds an element");
-static_assert(sizeof(dom::array::iterator) == sizeof(ws_json), "and an iterator");
-static_assert(std::is_trivially_copyable<dom::element>::value, "by its bytes");
-static_assert(std::is_trivially_copyable<dom::array::iterator>::value, "by its bytes");
+static_assert(sizeof(dom::element) == sizeof(ws_json), "ws_json must have the size of an element");
+static_assert(sizeof(dom::array::iterator) == sizeof(ws_json),
+	      "ws_json_elements must hold two iterators");
+static_assert(std::is_trivially_copyable<dom::element>::value, "elements are copied by memcpy");
+static_assert(std::is_trivially_copyable<dom::array::iterator>::value,
+	      "iterators are copied by memcpy");
 
 static dom::parser &ws_parser()
 {
@@ -36,7 +38,7 @@
 	return value;
 }
 
-static bool ws_plain(std::string_view text)
+static bool ws_has_no_nul(std::string_view text)
 {
 	return text.find('\0') == std::string_view::npos;
 }
@@ -51,8 +53,8 @@
 	return std::adjacent_find(keys.begin(), keys.end()) == keys.end();
 }
 
-/* Objects of a few keys need no list of them. */
-static bool ws_unique_few(const dom::object &object)
+/* Compares all pairs of keys, which for a small object takes no allocation. */
+static bool ws_unique_keys_pairwise(const dom::object &object)
 {
 	for (auto a = object.begin(); a != object.end(); ++a) {
 		auto b = a;
@@ -64,19 +66,20 @@
 	return true;
 }
 
-#define WS_FEW_KEYS 16
+/* Objects with more keys are checked by sorting the keys. */
+#define WS_PAIRWISE_KEYS_MAX 16
 
-/* Room for the values that a usual message has left to be checked. */
-#define WS_UNCHECKED_USUAL 64
+/* Initial capacity of the list of unchecked values; sufficient for usual messages. */
+#define WS_UNCHECKED_RESERVE 64
 
-/* A container's members go to `unchecked`; keys and scalars are checked at once. */
-static bool ws_check_one(dom::element value, std::vector<dom::element> &unchecked)
+/* Checks keys and scalars, and adds the members of a container to `unchecked`. */
+static bool ws_check_value(dom::element value, std::vector<dom::element> &unchecked)
 {
 	dom::object object;
 	dom::array array;
 
 	switch (value.type()) {
-	case dom::element_type::STRING: return ws_plain(value.get_string().value_unsafe());
+	case dom::element_type::STRING: return ws_has_no_nul(value.get_string().value_unsafe());
 	case dom::element_type::UINT64: return false;
 	case dom::element_type::ARRAY:
 		if (value.get(array))
@@ -88,28 +91,28 @@
 		if (value.get(object))
 			return false;
 		for (auto field : object) {
-			if (!ws_plain(field.key))
+			if (!ws_has_no_nul(field.key))
 				return false;
 			unchecked.push_back(field.value);
 		}
-		return object.size() <= WS_FEW_KEYS ? ws_unique_few(object)
-						    : ws_unique_keys(object);
+		return object.size() <= WS_PAIRWISE_KEYS_MAX ? ws_unique_keys_pairwise(object)
+							     : ws_unique_keys(object);
 	default: return true;
 	}
 }
 
-/* False: it has what simdjson takes and jansson does not. */
+/* Returns false if the document has what simdjson accepts and jansson rejects. */
 static bool ws_well_formed(dom::element root)
 {
 	std::vector<dom::element> unchecked;
 
-	unchecked.reserve(WS_UNCHECKED_USUAL);
+	unchecked.reserve(WS_UNCHECKED_RESERVE);
 	unchecked.push_back(root);
 	while (!unchecked.empty()) {
 		dom::element value = unchecked.back();
 
 		unchecked.pop_back();
-		if (!ws_check_one(value, unchecked))
+		if (!ws_check_value(value, unchecked))
 			return false;
 	}
 	return true;
@@ -155,7 +158,7 @@
 
 	if (ws_element(value).get(s))
 		return false;
-	*text = s.data(); /* a NUL follows in the reader's buffer */
+	*text = s.data(); /* simdjson terminates its strings with a NUL */
 	*len = s.size();
 	return true;
 }
@@ -187,7 +190,7 @@
 	memcpy(elements->next, static_cast<const void *>(&from), sizeof(from));
 	memcpy(elements->end, static_cast<const void *>(&to), sizeof(to));
 	*count = 0;
-	for (; from != to; ++from) /* its own count stops at 24 bits */
+	for (; from != to; ++from) /* the array's own count saturates at 24 bits */
 		++*count;
 	return true;
 }
