--- a/src/io/clock.c
+++ b/src/io/clock.c
@@ -1,14 +1,14 @@
 #include "clock.h"
 #include <time.h>
 
-#define NANOSECOND_S 1e-9
+#define SECONDS_PER_NANOSECOND 1e-9
 
 static double read_clock(clockid_t clock)
 {
 	struct timespec time;
 
 	clock_gettime(clock, &time);
-	return (double)time.tv_sec + (double)time.tv_nsec * NANOSECOND_S;
+	return (double)time.tv_sec + (double)time.tv_nsec * SECONDS_PER_NANOSECOND;
 }
 
 double ws_now(void)
--- a/src/io/clock.h
+++ b/src/io/clock.h
@@ -2,8 +2,8 @@
 #ifndef WS_CLOCK_H
 #define WS_CLOCK_H
 
-/* The monotonic clock; all deadlines and durations are measured on it. */
+/* Returns the time of the monotonic clock, which all deadlines and durations use. */
 double ws_now(void);
-/* Time since the fencing token, for what is stored and shown. */
+/* Returns the wall-clock time since the Unix epoch, for times that are stored or displayed. */
 double ws_wall(void);
 #endif
--- a/src/io/effect_executor.c
+++ b/src/io/effect_executor.c
@@ -1,8 +1,9 @@
-/* Carries out what the core wants done: calls to send, requests to answer or to forward. */
+/* Executes the effects of the core: sends calls, and answers or forwards requests. */
 #include "clock.h"
 #include "server_internal.h"
 
-/* Commands, renewed leases and what is asked of the cloud: only the leader may. */
+/* Returns whether only the leader may execute the effect: commands, lease renewals, and requests to
+ * the cloud for more or fewer instances. */
 static bool needs_leadership(const struct ws_effect *effect)
 {
 	if (effect->kind == WS_EFFECT_ANSWER_HEARTBEAT)
@@ -24,8 +25,8 @@
 }
 
 /*
- * An effect that needs leadership, decided while this node had it, but the process stood still
- * since, and another may lead by now.
+ * Handles an effect that needs leadership if the process was suspended after the core queued it, so
+ * that another node may lead by now. A call is dropped, and a heartbeat is answered as unavailable.
  */
 static void execute_without_leadership(struct ws_service *service, struct ws_effect *effect)
 {
@@ -37,7 +38,8 @@
 	execute(service, effect);
 }
 
-/* The next effect, NULL if there is none, and whether it may be carried out as it is. */
+/* Returns the next effect, or NULL if there is none. Sets whether this node leads, and whether it
+ * is entitled to execute the effect. */
 static struct ws_effect *next_effect(struct ws_service *service, bool *leading, bool *entitled)
 {
 	struct ws_effect *effect;
@@ -46,7 +48,7 @@
 	ws_core_pass_ended(service->core, ws_now);
 	effect = ws_core_next_effect(service->core);
 	*leading = ws_core_is_leader(service->core);
-	/* with the clock as it is now, directly before it leaves */
+	/* checked with the current time, directly before the effect is executed */
 	*entitled =
 	    !effect || !needs_leadership(effect) || ws_core_is_entitled(service->core, ws_now());
 	pthread_mutex_unlock(&service->lock);
--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -1,8 +1,9 @@
 /*
- * Requests that this node can't answer go to the leader in a frame; frames of peers come in.
+ * Forwards requests that this node cannot answer to the leader in a frame, and handles frames from
+ * peers.
  *
- * A heartbeat that can't be forwarded is answered 421 with the leader's name, so that the worker
- * goes there itself, unless it was there in vain.
+ * A heartbeat that cannot be forwarded is answered with 421 and the leader's name, so that the
+ * worker connects to the leader itself, unless the worker has already failed to reach it.
  */
 #include "../log.h"
 #include "clock.h"
@@ -13,36 +14,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Forwarded heartbeats under way at once: one for so many sockets. */
-#define SOCKETS_PER_HEARTBEAT 32
-/* Peers that refuse within this part of lease_s are left alone for as long. */
-#define PEERS_BAD_LEASE_PARTS 32
-/* Within what the asker waits: 4 s for workers, 5 s for submissions. */
+/* Limits the forwarded heartbeats in flight: one more is allowed for each so many sockets. */
+#define SOCKETS_PER_FORWARDED_HEARTBEAT 32
+/* If a forwarded heartbeat fails within this fraction of lease_s, forwarding pauses for as long. */
+#define FORWARDING_PAUSES_PER_LEASE 32
+/* Shorter than the timeouts of the clients: 4 s for heartbeats, 5 s for submissions. */
 #define HEARTBEAT_TIMEOUT_S 3
 #define SUBMIT_TIMEOUT_S 2.5
 #define PEER_PATH_MAX 1000
-/* Tells the tokens of peers' requests from those of the HTTP server. */
-#define PEER_TOKEN (1ULL << 63)
+/* Set in the ids of requests from peers, so that they differ from those of the HTTP server. */
+#define PEER_REQUEST_ID_BIT (1ULL << 63)
 
-/* A request that was forwarded. */
+/* A forwarded request that waits for its reply. */
 struct forwarded_request {
 	struct ws_service *service;
-	uint64_t token;
+	uint64_t request_id;
 	bool heartbeat;
-	/* of a heartbeat: */
+	/* set for heartbeats only: */
 	char leader[WS_NAME_MAX];
-	double began;
-	bool pinned; /* its worker was with the leader in vain */
+	double sent_at;
+	bool worker_pinned; /* the worker was redirected to the leader and came back */
 };
 
 /* ---- requests to the leader ---- */
 
-static double peers_bad_s(const struct ws_service *service)
+static double forwarding_pause_s(const struct ws_service *service)
 {
-	return service->settings->lease_s / PEERS_BAD_LEASE_PARTS;
+	return service->settings->lease_s / FORWARDING_PAUSES_PER_LEASE;
 }
 
-static void name_leader(struct ws_service *service, uint64_t request_id, const char *leader)
+static void answer_with_leader(struct ws_service *service, uint64_t request_id, const char *leader)
 {
 	struct ws_effect answer = {.kind = WS_EFFECT_ANSWER_HEARTBEAT,
 				   .request_id = request_id,
@@ -52,7 +53,7 @@
 	ws_router_answer_heartbeat(service, &answer);
 }
 
-/* The reply to a forwarded request; NULL: there is none. */
+/* Answers the client with the reply to a forwarded request; `reply` is NULL if none came. */
 static void on_reply(void *context, const Ws__PeerFrame *reply)
 {
 	struct forwarded_request request = *(struct forwarded_request *)context;
@@ -61,31 +62,32 @@
 	free(context);
 	if (request.heartbeat)
 		service->forwarding.heartbeats--;
-	if (!reply && request.heartbeat && !request.pinned &&
-	    ws_now() - request.began < peers_bad_s(service)) {
-		/* peers refuse each other, the worker may well reach it. Where packets are lost, or
-		 * the worker was there in vain, it must go on to another node instead */
-		service->forwarding.peers_bad_until = ws_now() + peers_bad_s(service);
-		name_leader(service, request.token, request.leader);
+	if (!reply && request.heartbeat && !request.worker_pinned &&
+	    ws_now() - request.sent_at < forwarding_pause_s(service)) {
+		/* The failure came quickly, so this node cannot connect to the leader, but the
+		 * worker may be able to. After a timeout, which lost packets cause, or if the
+		 * worker has already failed to reach the leader, 503 makes it try another node. */
+		service->forwarding.peers_bad_until = ws_now() + forwarding_pause_s(service);
+		answer_with_leader(service, request.request_id, request.leader);
 	} else if (!reply || reply->status < 200 || reply->status > 599) {
-		ws_router_answer_status(service, request.token, 503);
+		ws_router_answer_status(service, request.request_id, 503);
 	} else {
-		ws_router_answer(service, request.token, (int)reply->status,
+		ws_router_answer(service, request.request_id, (int)reply->status,
 				 (const char *)reply->body.data, reply->body.len,
 				 (int)reply->retry_after);
 	}
 }
 
 /*
- * Few heartbeats at a time: when hundreds come at once, naming the leader is quicker, but not for
- * those who can't reach it.
+ * Limits the heartbeats that are forwarded at a time. When hundreds arrive at once, it is faster to
+ * redirect the workers to the leader, except for a worker that cannot reach it.
  */
-static bool heartbeat_may_be_forwarded(const struct ws_service *service, bool pinned)
+static bool heartbeat_may_be_forwarded(const struct ws_service *service, bool worker_pinned)
 {
-	int most = service->settings->sockets / SOCKETS_PER_HEARTBEAT + 1;
+	int limit = service->settings->sockets / SOCKETS_PER_FORWARDED_HEARTBEAT + 1;
 
-	return pinned || (ws_now() >= service->forwarding.peers_bad_until &&
-			  service->forwarding.heartbeats < most);
+	return worker_pinned || (ws_now() >= service->forwarding.peers_bad_until &&
+				 service->forwarding.heartbeats < limit);
 }
 
 static double forward_timeout_s(bool heartbeat, const char *method)
@@ -103,12 +105,12 @@
 	if (!request)
 		return NULL;
 	request->service = service;
-	request->token = effect->request_id;
+	request->request_id = effect->request_id;
 	request->heartbeat = heartbeat;
 	if (heartbeat) {
 		snprintf(request->leader, sizeof(request->leader), "%s", effect->forward.leader);
-		request->began = ws_now();
-		request->pinned = effect->forward.worker_pinned;
+		request->sent_at = ws_now();
+		request->worker_pinned = effect->forward.worker_pinned;
 		service->forwarding.heartbeats++;
 	}
 	return request;
@@ -145,13 +147,13 @@
 	if (!pending)
 		return;
 	if (!ws_server_request(service->server, effect->request_id, &http)) {
-		/* who asked is gone, or it was a peer */
+		/* the client has disconnected, or the request came from a peer */
 		ws_router_answer_status(service, effect->request_id, 503);
 		return;
 	}
 	heartbeat = pending->kind == WS_REQUEST_HEARTBEAT;
 	if (heartbeat && !heartbeat_may_be_forwarded(service, effect->forward.worker_pinned)) {
-		name_leader(service, effect->request_id, effect->forward.leader);
+		answer_with_leader(service, effect->request_id, effect->forward.leader);
 		return;
 	}
 	request = forwarded_request_new(service, effect, heartbeat);
@@ -180,7 +182,8 @@
 	ws_pending_requests_remove(&service->requests, request);
 }
 
-/* A leader asks whether the store refuses us too. */
+/* Handles a leader's question whether the store rejects this node's requests too. A peer of the
+ * previous version sends no `vote` and accepts no list of cancellations. */
 static void handle_vote_request(struct ws_service *service, uint64_t request_id,
 				const Ws__OutageVote *vote)
 {
@@ -194,7 +197,7 @@
 	ws_effects_execute(service);
 }
 
-static enum ws_request_kind kind_of_frame(const Ws__PeerFrame *frame)
+static enum ws_request_kind request_kind_of_frame(const Ws__PeerFrame *frame)
 {
 	switch (frame->kind) {
 	case WS__PEER_FRAME__KIND__HEARTBEAT: return WS_REQUEST_HEARTBEAT;
@@ -216,16 +219,17 @@
 void ws_forwarding_on_frame(void *context, uint64_t connection, const Ws__PeerFrame *frame)
 {
 	struct ws_service *service = context;
-	uint64_t request_id = PEER_TOKEN | ++service->forwarding.last_token;
-	/* a frame without a body has none to point to */
+	uint64_t request_id = PEER_REQUEST_ID_BIT | ++service->forwarding.last_token;
+	/* the data pointer of an empty body is NULL */
 	const char *body = frame->body.len ? (const char *)frame->body.data : "";
 	struct ws_pending_request *request;
 
 	if (frame->body.len > WS_BODY_MAX || strlen(frame->path) > PEER_PATH_MAX) {
-		ws_logf(WS_LOG_ERROR, "oversized request from peer refused peer=%s", frame->node);
+		ws_logf(WS_LOG_ERROR, "oversized request from peer rejected peer=%s", frame->node);
 		return;
 	}
-	request = ws_pending_requests_add(&service->requests, request_id, kind_of_frame(frame));
+	request =
+	    ws_pending_requests_add(&service->requests, request_id, request_kind_of_frame(frame));
 	if (!request)
 		return;
 	request->peer_connection = connection;
--- a/src/io/outage_vote.c
+++ b/src/io/outage_vote.c
@@ -22,7 +22,7 @@
 				     .outcome = ws_outcome_of_http_status((int)frame->status),
 				     .http_status = (int)frame->status};
 	if (result->outcome != WS_OUTCOME_UNAVAILABLE || !vote)
-		return true; /* no list: no vote, whatever the status */
+		return true; /* without a list the vote is not granted, whatever the status */
 	result->vote.cancellations =
 	    calloc(vote->n_cancelled + 1, sizeof(*result->vote.cancellations));
 	if (!result->vote.cancellations)
@@ -59,8 +59,8 @@
 	list = calloc(answer->vote.cancellation_count + 1, sizeof(*list));
 	if (!vote->cancelled || !list)
 		abort();
-	for (size_t i = 0; i <= answer->vote.cancellation_count;
-	     i++) /* the first one owns them all */
+	/* the first pointer owns the list, so it is set even if the list is empty */
+	for (size_t i = 0; i <= answer->vote.cancellation_count; i++)
 		vote->cancelled[i] = &list[i];
 	for (size_t i = 0; i < answer->vote.cancellation_count; i++) {
 		ws__cancellation__init(&list[i]);
--- a/src/io/outage_vote.h
+++ b/src/io/outage_vote.h
@@ -1,18 +1,21 @@
 /*
- * Outage votes in frames: a leader that the store refuses asks a peer whether it is refused
- * too, and which jobs were cancelled that the leader may not know of.
+ * Encodes and decodes outage votes in frames between controllers. A leader whose requests the store
+ * rejects asks a peer whether the store rejects the peer's requests too, and for cancelled jobs
+ * that are missing from the leader's replica.
  */
 #ifndef WS_OUTAGE_VOTE_H
 #define WS_OUTAGE_VOTE_H
 #include "../core/core.h"
 #include "peer.pb-c.h"
 
-/* The frame that asks for a vote; what it points to is the call's and the vote's. */
+/* Sets the frame that requests a vote. It points to memory of the call and to `vote`. */
 void ws_vote_set_question(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_call *call);
-/* A voter's answer to the core's terms; one that is no vote, or makes no sense, is a plain 200.
- * False: it makes no sense. The result's list is freed by ws_result_free(). */
+/* Decodes a peer's reply; only a reply of status 503 with a list of cancellations grants the vote.
+ * Returns false if the list is malformed; the result then has status 200 and grants no vote. The
+ * caller releases the memory of the result with ws_result_free(). */
 bool ws_vote_read(const Ws__PeerFrame *frame, struct ws_result *result);
-/* Our answer, with the list in `vote`, which is good until ws_vote_free(). */
+/* Sets the frame with this node's vote. Its list of cancellations is in `vote`, and is valid until
+ * ws_vote_free(). */
 void ws_vote_set_answer(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_effect *answer);
 void ws_vote_free(Ws__OutageVote *vote);
 #endif
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -1,4 +1,4 @@
-/* Calls of the core to the store, the cloud, workers and voters, and their results. */
+/* Sends the core's calls to the store, the cloud, workers and voters, and returns their results. */
 #include "../log.h"
 #include "clock.h"
 #include "codec.h"
@@ -20,19 +20,20 @@
 #define CLOUD_REPLY_MAX (4 * MEBIBYTE)
 
 #define CLOUD_TIMEOUT_S 5
-/* A watch is answered this long after its time at the latest. */
+/* The reply to a watch may arrive this much later than the watch's own timeout. */
 #define WATCH_GRACE_S 1
 #define STATE_TIMEOUT_MAX_S 1.5
 
-/* Of the store's limit this node's part may be used up to here. */
-#define STATE_SHARE_USED 0.95
-/* Users' part of the changes: at most half, for sure a fair part of three tenths. */
-#define USER_WRITES_LEAST_SHARE 0.3
+/* Fraction that is used of this node's share of the store's request limit. */
+#define STATE_SHARE_UTILIZATION 0.95
+/* Users' requests may cause at most half of the record changes that the store allows. The rate
+ * never falls below this fraction of the store's limit, divided by the number of nodes. */
+#define USER_WRITES_MIN_SHARE 0.3
 #define WRITE_RATE_DECREASE 0.7
-/* Seconds in which an unused write budget grows from nothing to its full rate. */
+/* Seconds in which the rate of the write budget grows from zero to its maximum. */
 #define WRITE_RATE_RECOVERY_S 16
 
-/* A call on its way. */
+/* A call that was sent and has no result yet. */
 struct call_in_flight {
 	struct ws_service *service;
 	struct ws_call *call;
@@ -48,20 +49,21 @@
 	if (!settings->peer_count)
 		share = 1;
 	service->outgoing.leading = leading;
-	ws_client_rate(service->outgoing.state, settings->state_rps * share * STATE_SHARE_USED,
+	ws_client_rate(service->outgoing.state,
+		       settings->state_rps * share * STATE_SHARE_UTILIZATION,
 		       settings->state_rps * share / 2);
 }
 
-/* Takes so many changes of the write budget; false: it is used up, none was taken. */
-static bool take_writes(struct ws_service *service, size_t count)
+/* Takes `count` changes from the write budget. Returns false and takes none if it is exhausted. */
+static bool take_from_write_budget(struct ws_service *service, size_t count)
 {
 	struct ws_write_budget *budget = &service->outgoing.write_budget;
-	double most = service->settings->state_write_rps / 2;
+	double max_rate = service->settings->state_write_rps / 2;
 	double now = ws_now();
-	double passed = now - budget->updated_at;
+	double elapsed_s = now - budget->updated_at;
 
-	budget->rate = fmin(most, budget->rate + passed * most / WRITE_RATE_RECOVERY_S);
-	budget->available = fmin(budget->rate, budget->available + passed * budget->rate);
+	budget->rate = fmin(max_rate, budget->rate + elapsed_s * max_rate / WRITE_RATE_RECOVERY_S);
+	budget->available = fmin(budget->rate, budget->available + elapsed_s * budget->rate);
 	budget->updated_at = now;
 	if (budget->available < 1)
 		return false;
@@ -72,16 +74,16 @@
 static void lower_write_rate(struct ws_service *service)
 {
 	struct ws_write_budget *budget = &service->outgoing.write_budget;
-	double least = service->settings->state_write_rps * USER_WRITES_LEAST_SHARE /
-		       (double)(service->settings->peer_count + 1);
+	double min_rate = service->settings->state_write_rps * USER_WRITES_MIN_SHARE /
+			  (double)(service->settings->peer_count + 1);
 
-	budget->rate = fmax(least, budget->rate * WRITE_RATE_DECREASE);
+	budget->rate = fmax(min_rate, budget->rate * WRITE_RATE_DECREASE);
 	budget->available = 0;
 }
 
 /* ---- results ---- */
 
-/* The result goes to the core, which frees the call; the result's own parts are freed here. */
+/* Passes a result to the core, which frees the call, and releases the memory of the result. */
 static void complete(struct ws_service *service, struct ws_call *call, struct ws_result *result)
 {
 	pthread_mutex_lock(&service->lock);
@@ -90,7 +92,7 @@
 	ws_result_free(result);
 }
 
-/* What a call is about, for the log: its key, peer or address; empty where it has none. */
+/* Returns the key, peer or address of a call for the log, or "" if it has none. */
 static const char *call_target(const struct ws_call *call)
 {
 	switch (call->kind) {
@@ -112,7 +114,7 @@
 	ws_decode_reply(call, status, body, length, &result);
 	if (status > 0 && result.outcome == WS_OUTCOME_NO_ANSWER)
 		ws_logf(WS_LOG_ERROR,
-			"unreadable answer discarded kind=%d target=%s status=%d bytes=%zu",
+			"malformed reply discarded kind=%d target=%s status=%d bytes=%zu",
 			call->kind, call_target(call), status, length);
 	if (result.outcome == WS_OUTCOME_NOT_SENT && call->kind != WS_CALL_COMMANDS) {
 		result.outcome = WS_OUTCOME_NO_ANSWER;
@@ -121,13 +123,13 @@
 	complete(service, call, &result);
 }
 
-static void finish_http_call(struct call_in_flight *flight, int status, const char *body,
+static void finish_http_call(struct call_in_flight *pending, int status, const char *body,
 			     size_t length)
 {
-	struct ws_service *service = flight->service;
-	struct ws_call *call = flight->call;
+	struct ws_service *service = pending->service;
+	struct ws_call *call = pending->call;
 
-	free(flight);
+	free(pending);
 	if (status == 429 && call->kind == WS_CALL_TRANSACTION && !call->transaction.self_paced)
 		lower_write_rate(service);
 	complete_with_reply(service, call, status, body, length);
@@ -135,49 +137,49 @@
 
 static void on_http_reply(void *context, int status, const char *body, size_t length)
 {
-	struct call_in_flight *flight = context;
-	struct ws_service *service = flight->service;
+	struct call_in_flight *pending = context;
+	struct ws_service *service = pending->service;
 
-	finish_http_call(flight, status, body, length);
+	finish_http_call(pending, status, body, length);
 	ws_effects_execute(service);
 }
 
-static void finish_vote_call(struct call_in_flight *flight, const Ws__PeerFrame *reply)
+static void finish_vote_call(struct call_in_flight *pending, const Ws__PeerFrame *reply)
 {
 	struct ws_result result = {.kind = WS_CALL_OUTAGE_VOTE};
 
 	if (reply && !ws_vote_read(reply, &result))
-		ws_logf(WS_LOG_ERROR, "unreadable outage vote discarded peer=%s",
-			flight->call->outage_vote.peer);
-	complete(flight->service, flight->call, &result);
-	free(flight);
+		ws_logf(WS_LOG_ERROR, "malformed outage vote discarded peer=%s",
+			pending->call->outage_vote.peer);
+	complete(pending->service, pending->call, &result);
+	free(pending);
 }
 
 static void on_vote(void *context, const Ws__PeerFrame *reply)
 {
-	struct call_in_flight *flight = context;
-	struct ws_service *service = flight->service;
+	struct call_in_flight *pending = context;
+	struct ws_service *service = pending->service;
 
-	finish_vote_call(flight, reply);
+	finish_vote_call(pending, reply);
 	ws_effects_execute(service);
 }
 
 /* ---- starting ---- */
 
-static void ask_voter(struct call_in_flight *flight)
+static void request_vote(struct call_in_flight *pending)
 {
-	struct ws_service *service = flight->service;
+	struct ws_service *service = pending->service;
 	Ws__PeerFrame frame = WS__PEER_FRAME__INIT;
 	Ws__OutageVote vote = WS__OUTAGE_VOTE__INIT;
 
 	frame.node = (char *)service->settings->node;
-	ws_vote_set_question(&frame, &vote, flight->call);
-	if (!ws_peers_send(service->peers, flight->call->outage_vote.peer, &frame,
-			   service->leader_ttl_s / 2, on_vote, flight))
-		finish_vote_call(flight, NULL);
+	ws_vote_set_question(&frame, &vote, pending->call);
+	if (!ws_peers_send(service->peers, pending->call->outage_vote.peer, &frame,
+			   service->leader_ttl_s / 2, on_vote, pending))
+		finish_vote_call(pending, NULL);
 }
 
-/* The client that a call goes by; NULL: all connections to workers are busy. */
+/* Returns the client that sends a call, or NULL if all clients for workers are busy. */
 static struct ws_http_client *client_for(struct ws_service *service, const struct ws_call *call)
 {
 	struct ws_outgoing_calls *outgoing = &service->outgoing;
@@ -199,36 +201,36 @@
 {
 	const struct ws_settings *settings = service->settings;
 	double timeout = fmin(settings->lease_s / 12, STATE_TIMEOUT_MAX_S);
-	double poll_timeout = fmin(timeout, WS_POLL_STEP_S); /* a peer is asked after it */
+	double poll_timeout = fmin(timeout, WS_POLL_STEP_S); /* leaves time to ask a peer */
 
 	switch (call->kind) {
-	case WS_CALL_WATCH: /* without a time it is answered at once */
+	case WS_CALL_WATCH: /* a watch without a timeout is answered at once */
 		return call->watch.timeout_ms ? call->watch.timeout_ms / 1000.0 + WATCH_GRACE_S
 					      : poll_timeout;
 	case WS_CALL_GET: return poll_timeout;
-	case WS_CALL_SESSION_RENEW: /* others follow meanwhile */
+	case WS_CALL_SESSION_RENEW: /* further renewals are sent meanwhile */
 		return service->leader_ttl_s * 3 / 4;
 	case WS_CALL_MACHINE_TYPES:
 	case WS_CALL_INSTANCES:
 	case WS_CALL_SCALE_OUT:
 	case WS_CALL_SCALE_IN: return CLOUD_TIMEOUT_S;
 	case WS_CALL_COMMANDS:
-		/* one without commands only asks whether the machine is there */
+		/* without commands it is a probe whether the machine is reachable */
 		return call->commands.count ? settings->report_s
 					    : fmin(settings->report_s, settings->lease_s / 16);
 	default: return timeout;
 	}
 }
 
-static bool send_http_call(struct call_in_flight *flight, struct ws_http_client *client)
+static bool send_http_call(struct call_in_flight *pending, struct ws_http_client *client)
 {
-	const struct ws_call *call = flight->call;
+	const struct ws_call *call = pending->call;
 	char path[WS_URL_MAX];
 	const char *method;
 	char *body = ws_encode_call(call, &method, path);
 	bool sent =
 	    ws_client_send(client, method, path, body ? body : "", body ? strlen(body) : 0,
-			   timeout_s(flight->service, call), call->urgent, on_http_reply, flight);
+			   timeout_s(pending->service, call), call->urgent, on_http_reply, pending);
 
 	free(body);
 	return sent;
@@ -241,26 +243,26 @@
 
 void ws_outgoing_call_start(struct ws_service *service, struct ws_call *call)
 {
-	struct call_in_flight *flight;
+	struct call_in_flight *pending;
 	struct ws_http_client *client;
 
 	if (call->kind == WS_CALL_TRANSACTION && !call->transaction.self_paced &&
-	    !take_writes(service, call->transaction.operation_count)) {
+	    !take_from_write_budget(service, call->transaction.operation_count)) {
 		complete_with_reply(service, call, 429, "", 0);
 		return;
 	}
-	flight = calloc(1, sizeof(*flight));
-	if (!flight)
+	pending = calloc(1, sizeof(*pending));
+	if (!pending)
 		abort();
-	flight->service = service;
-	flight->call = call;
+	pending->service = service;
+	pending->call = call;
 	if (call->kind == WS_CALL_OUTAGE_VOTE) {
-		ask_voter(flight);
+		request_vote(pending);
 		return;
 	}
 	client = client_for(service, call);
-	if (!client || !send_http_call(flight, client))
-		finish_http_call(flight, call->kind == WS_CALL_COMMANDS ? -1 : 429, "", 0);
+	if (!client || !send_http_call(pending, client))
+		finish_http_call(pending, call->kind == WS_CALL_COMMANDS ? -1 : 429, "", 0);
 }
 
 /* ---- start and end ---- */
--- a/src/io/pending_requests.c
+++ b/src/io/pending_requests.c
@@ -38,7 +38,7 @@
 {
 	struct ws_pending_request *request = table->by_token;
 
-	HASH_CLEAR(hh, table->by_token); /* the requests stay linked */
+	HASH_CLEAR(hh, table->by_token); /* the requests stay linked to each other */
 	table->user_requests = 0;
 	while (request) {
 		struct ws_pending_request *next = request->hh.next;
--- a/src/io/queue_model_thread.c
+++ b/src/io/queue_model_thread.c
@@ -6,27 +6,27 @@
 struct ws_queue_model_thread {
 	struct ws_queue_model_target target;
 	pthread_t thread;
-	ev_async result_set; /* wakes the event loop */
-	/* `lock` guards all below; it is never held together with the core's */
+	ev_async result_ready; /* wakes the event loop */
+	/* `lock` protects the fields below; it is never held together with the core's lock */
 	pthread_mutex_t lock;
-	pthread_cond_t changed;
-	struct ws_queue_measurement measure;
-	bool due;      /* `measure` was not taken yet */
-	bool stopping; /* the thread is to end */
+	pthread_cond_t state_changed;
+	struct ws_queue_measurement measurement;
+	bool pending;  /* the thread has not started on `measurement` yet */
+	bool stopping; /* the thread must end */
 };
 
 static void run_model(struct ws_queue_model_thread *thread,
-		      const struct ws_queue_measurement *measure)
+		      const struct ws_queue_measurement *measurement)
 {
 	const struct ws_queue_model_target *target = &thread->target;
-	struct ws_queue_solution queue = {0};
-	int count = ws_sizing_run(measure, &queue);
+	struct ws_queue_solution solution = {0};
+	int limit = ws_sizing_run(measurement, &solution);
 
 	pthread_mutex_lock(target->core_lock);
-	ws_core_set_scale_out_limit(target->core, ws_now(), count, queue.mean_scaled_out,
-				    queue.mean_wait_s);
+	ws_core_set_scale_out_limit(target->core, ws_now(), limit, solution.mean_scaled_out,
+				    solution.mean_wait_s);
 	pthread_mutex_unlock(target->core_lock);
-	ev_async_send(target->loop, &thread->result_set);
+	ev_async_send(target->loop, &thread->result_ready);
 }
 
 static void *thread_main(void *context)
@@ -35,23 +35,23 @@
 
 	pthread_mutex_lock(&thread->lock);
 	for (;;) {
-		struct ws_queue_measurement measure;
+		struct ws_queue_measurement measurement;
 
-		while (!thread->due && !thread->stopping)
-			pthread_cond_wait(&thread->changed, &thread->lock);
+		while (!thread->pending && !thread->stopping)
+			pthread_cond_wait(&thread->state_changed, &thread->lock);
 		if (thread->stopping)
 			break;
-		thread->due = false;
-		measure = thread->measure;
+		thread->pending = false;
+		measurement = thread->measurement;
 		pthread_mutex_unlock(&thread->lock);
-		run_model(thread, &measure);
+		run_model(thread, &measurement);
 		pthread_mutex_lock(&thread->lock);
 	}
 	pthread_mutex_unlock(&thread->lock);
 	return NULL;
 }
 
-static void on_result_set(struct ev_loop *loop, ev_async *watcher, int events)
+static void on_result_ready(struct ev_loop *loop, ev_async *watcher, int events)
 {
 	const struct ws_queue_model_thread *thread = watcher->data;
 
@@ -69,12 +69,12 @@
 		return NULL;
 	thread->target = *target;
 	pthread_mutex_init(&thread->lock, NULL);
-	pthread_cond_init(&thread->changed, NULL);
-	ev_async_init(&thread->result_set, on_result_set);
-	thread->result_set.data = thread;
-	ev_async_start(target->loop, &thread->result_set);
+	pthread_cond_init(&thread->state_changed, NULL);
+	ev_async_init(&thread->result_ready, on_result_ready);
+	thread->result_ready.data = thread;
+	ev_async_start(target->loop, &thread->result_ready);
 	if (pthread_create(&thread->thread, NULL, thread_main, thread)) {
-		ev_async_stop(target->loop, &thread->result_set);
+		ev_async_stop(target->loop, &thread->result_ready);
 		free(thread);
 		return NULL;
 	}
@@ -82,12 +82,12 @@
 }
 
 void ws_queue_model_thread_run(struct ws_queue_model_thread *thread,
-			       const struct ws_queue_measurement *measure)
+			       const struct ws_queue_measurement *measurement)
 {
 	pthread_mutex_lock(&thread->lock);
-	thread->measure = *measure;
-	thread->due = true;
-	pthread_cond_signal(&thread->changed);
+	thread->measurement = *measurement;
+	thread->pending = true;
+	pthread_cond_signal(&thread->state_changed);
 	pthread_mutex_unlock(&thread->lock);
 }
 
@@ -97,11 +97,11 @@
 		return;
 	pthread_mutex_lock(&thread->lock);
 	thread->stopping = true;
-	pthread_cond_signal(&thread->changed);
+	pthread_cond_signal(&thread->state_changed);
 	pthread_mutex_unlock(&thread->lock);
 	pthread_join(thread->thread, NULL);
-	ev_async_stop(thread->target.loop, &thread->result_set);
-	pthread_cond_destroy(&thread->changed);
+	ev_async_stop(thread->target.loop, &thread->result_ready);
+	pthread_cond_destroy(&thread->state_changed);
 	pthread_mutex_destroy(&thread->lock);
 	free(thread);
 }
--- a/src/io/queue_model_thread.h
+++ b/src/io/queue_model_thread.h
@@ -1,7 +1,7 @@
 /*
- * The thread that runs Algorithm 1, the queueing model behind scale-out: it may take longer than
- * the event loop can stand still. The loop hands it measurements; it sets the result in the core
- * and wakes the loop.
+ * A thread that runs the queueing model of queue_model.h. The model computes the scale-out limit
+ * and may take longer than the event loop may be blocked. The event loop submits measurements to
+ * the thread, which sets the result in the core and wakes the event loop.
  */
 #ifndef WS_QUEUE_MODEL_THREAD_H
 #define WS_QUEUE_MODEL_THREAD_H
@@ -11,21 +11,21 @@
 
 struct ws_queue_model_thread;
 
-/* What the thread works on. */
+/* The objects that the thread uses; they must outlive it. */
 struct ws_queue_model_target {
 	struct ev_loop *loop;
 	struct ws_core *core;
-	pthread_mutex_t *core_lock;	  /* taken for the moment in which a result is set */
-	void (*on_result)(void *context); /* on the loop's thread, after a result was set */
+	pthread_mutex_t *core_lock;	  /* held only while a result is set */
+	void (*on_result)(void *context); /* called on the loop's thread after a result */
 	void *context;
 };
 
-/* Starts the thread; NULL if that can't be done. */
+/* Starts the thread. Returns NULL if memory is exhausted or the thread cannot be created. */
 struct ws_queue_model_thread *
 ws_queue_model_thread_start(const struct ws_queue_model_target *target);
-/* Has the model run on a measurement; one that was not begun yet is replaced. */
+/* Submits a measurement to the model. It replaces one that the thread has not started on yet. */
 void ws_queue_model_thread_run(struct ws_queue_model_thread *thread,
 			       const struct ws_queue_measurement *measure);
-/* Waits for the thread's end and frees it; a NULL thread is none. */
+/* Waits until the thread has ended and frees it. `thread` may be NULL. */
 void ws_queue_model_thread_stop(struct ws_queue_model_thread *thread);
 #endif
--- a/src/io/request_router.c
+++ b/src/io/request_router.c
@@ -1,4 +1,7 @@
-/* Requests of users, workers and health checks in by HTTP; answers out as the requests came. */
+/*
+ * Handles HTTP requests of users, workers and health checks, and sends the answers by HTTP or, for
+ * a request from a peer, in a frame.
+ */
 #include "../log.h"
 #include "clock.h"
 #include "codec.h"
@@ -54,7 +57,7 @@
 			 retry ? RETRY_AFTER_S : 0);
 }
 
-/* Answers with a body, which is freed; without one, for lack of memory, with 503. */
+/* Answers with a body and frees it. A NULL body means that memory was exhausted, and gives 503. */
 static void answer_encoded(struct ws_service *service, const struct ws_effect *answer, char *body,
 			   int retry_after_s)
 {
@@ -84,10 +87,10 @@
 		       size_t length, bool forwarded)
 {
 	struct ws_job_spec spec;
-	int refusal = ws_decode_job(body, length, &spec);
+	int status = ws_decode_job(body, length, &spec);
 
-	if (refusal) {
-		ws_router_answer_status(service, request_id, refusal);
+	if (status) {
+		ws_router_answer_status(service, request_id, status);
 		return;
 	}
 	pthread_mutex_lock(&service->lock);
@@ -96,7 +99,7 @@
 	ws_effects_execute(service);
 }
 
-/* Splits "ID" or "ID/abort"; false: it is neither. */
+/* Parses "ID" or "ID/abort". Returns false if the path has neither form. */
 static bool parse_job_path(const char *path, char id[WS_ID_MAX], bool *cancel)
 {
 	size_t length = strcspn(path, "/");
@@ -109,7 +112,7 @@
 	return *cancel || !path[length];
 }
 
-/* A poll of a job, or its cancellation. */
+/* Handles a poll of a job or its cancellation. */
 static void handle_job_request(struct ws_service *service, uint64_t request_id, const char *method,
 			       const char *path, bool forwarded)
 {
@@ -124,7 +127,7 @@
 		ws_router_answer_status(service, request_id, 405);
 		return;
 	}
-	if (!ws_job_id_ok(id)) { /* no job has such an id */
+	if (!ws_job_id_ok(id)) { /* a job with a malformed id cannot exist */
 		ws_router_answer_status(service, request_id, 404);
 		return;
 	}
@@ -142,7 +145,7 @@
 {
 	const char *rest = path + USER_PATH_LENGTH;
 
-	/* a small buffer: half a second of what the store can take */
+	/* the requests that wait for the store are limited to half a second of its request rate */
 	if (service->requests.user_requests > (int)(service->settings->state_rps / 2))
 		ws_router_answer_status(service, request_id, 503);
 	else if (rest[0])
@@ -161,7 +164,7 @@
 	struct ws_heartbeat heartbeat;
 
 	if (!ws_decode_heartbeat(body, length, &heartbeat)) {
-		ws_logf(WS_LOG_ERROR, "unreadable heartbeat refused bytes=%zu", length);
+		ws_logf(WS_LOG_ERROR, "malformed heartbeat rejected bytes=%zu", length);
 		ws_router_answer_status(service, request_id, 400);
 		return;
 	}
--- a/src/io/server.c
+++ b/src/io/server.c
@@ -6,10 +6,10 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Ticks between two heartbeats of a worker. */
+/* Ticks of the core per interval between two heartbeats of a worker. */
 #define TICKS_PER_HEARTBEAT 40
 #define FIRST_TICK_S 0.001
-/* Clients to workers that were unused for so many leases are closed. */
+/* An HTTP client for a worker is closed after it was unused for this multiple of lease_s. */
 #define WORKER_IDLE_LEASES 4
 
 static void on_queue_model_result(void *context)
@@ -17,8 +17,9 @@
 	ws_effects_execute(context);
 }
 
-/* Once in lease_s: closes clients to workers that are not used, and logs what is open. */
-static void sweep(struct ws_service *service, double now)
+/* Logs the numbers of connections and closes unused HTTP clients for workers, once per
+ * lease_s. */
+static void run_maintenance(struct ws_service *service, double now)
 {
 	ws_logf(WS_LOG_INFO,
 		"connections from_workers=%d from_users=%d other=%d to_workers=%u "
@@ -51,15 +52,15 @@
 	ws_effects_execute(service);
 	if (now > service->sweep_at) {
 		service->sweep_at = now + service->settings->lease_s;
-		sweep(service, now);
+		run_maintenance(service, now);
 	}
 }
 
 /*
- * How the sockets are shared out: workers half, users three sixteenths, those that are about to be
- * closed and those that wait to be taken one each, and two for commands to workers. Workers send
- * heartbeats so seldom that those above their part may come by a new connection each time: so a
- * fleet larger than max_sockets is served.
+ * Divides the socket limit. Connections of workers get one half, those of users 3/16, those that
+ * are about to be closed and those that wait to be accepted 1/16 each, and those to workers 2/16.
+ * Workers beyond their share open a new connection for each heartbeat, which is affordable because
+ * heartbeats are rare. The server can therefore serve a fleet larger than max_sockets.
  */
 static struct ws_http_server_options http_server_options(const struct ws_settings *settings)
 {
@@ -74,7 +75,7 @@
 	};
 }
 
-/* Opens the sockets to listen on; false with the error. */
+/* Opens the listening sockets. Returns false and sets `error` if that fails. */
 static bool listen_on_sockets(struct ws_service *service, struct ws_startup_error *error)
 {
 	const struct ws_settings *settings = service->settings;
@@ -108,11 +109,11 @@
 	if (service->queue_model)
 		return true;
 	*error = (struct ws_startup_error){.code = WS_STARTUP_THREAD_FAILED,
-					   .text = "can't start the sizing thread"};
+					   .text = "cannot start the thread of the queueing model"};
 	return false;
 }
 
-static void start_ticking(struct ws_service *service)
+static void start_tick_timer(struct ws_service *service)
 {
 	ev_timer_init(&service->tick, on_tick, FIRST_TICK_S,
 		      service->settings->report_s / TICKS_PER_HEARTBEAT);
@@ -120,8 +121,9 @@
 	ev_timer_start(service->loop, &service->tick);
 }
 
-static bool start(struct ws_service *service, const struct ws_policy *policy,
-		  const struct ws_subsystem_settings *subsystems, struct ws_startup_error *error)
+static bool start_service(struct ws_service *service, const struct ws_policy *policy,
+			  const struct ws_subsystem_settings *subsystems,
+			  struct ws_startup_error *error)
 {
 	uint64_t nonce = 0;
 
@@ -133,7 +135,7 @@
 	if (!ws_outgoing_calls_init(service) || !listen_on_sockets(service, error) ||
 	    !ws_subsystem_attach(service->core, subsystems, service->settings, error))
 		return false;
-	start_ticking(service);
+	start_tick_timer(service);
 	return start_queue_model(service, error);
 }
 
@@ -150,7 +152,7 @@
 	service->settings = settings;
 	service->leader_ttl_s = settings->lease_s * policy->leader_ttl_ratio;
 	pthread_mutex_init(&service->lock, NULL);
-	if (start(service, policy, subsystems, error))
+	if (start_service(service, policy, subsystems, error))
 		return service;
 	ws_service_free(service);
 	return NULL;
@@ -169,7 +171,7 @@
 	if (!service)
 		return;
 	ws_queue_model_thread_stop(service->queue_model);
-	service->executing_effects = true; /* nothing more is started */
+	service->executing_effects = true; /* no further effect is executed */
 	ev_timer_stop(service->loop, &service->tick);
 	ws_outgoing_calls_free(service);
 	ws_peers_free(service->peers);
