--- a/src/io/queue_model_thread.c
+++ b/src/io/queue_model_thread.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 
 struct ws_queue_model_thread {
-	struct ws_queue_model_target target;
+	struct ws_queue_model_target config;
 	pthread_t thread;
 	ev_async result_ready; /* wakes the event loop */
 	/* `lock` protects the fields below; it is never held together with the core's lock */
@@ -18,15 +18,15 @@
 static void run_model(struct ws_queue_model_thread *thread,
 		      const struct ws_queue_measurement *measurement)
 {
-	const struct ws_queue_model_target *target = &thread->target;
+	const struct ws_queue_model_target *config = &thread->config;
 	struct ws_queue_solution solution = {0};
 	int limit = ws_sizing_run(measurement, &solution);
 
-	pthread_mutex_lock(target->core_lock);
-	ws_core_set_scale_out_limit(target->core, ws_now(), limit, solution.mean_scaled_out,
+	pthread_mutex_lock(config->core_lock);
+	ws_core_set_scale_out_limit(config->core, ws_now(), limit, solution.mean_scaled_out,
 				    solution.mean_wait_s);
-	pthread_mutex_unlock(target->core_lock);
-	ev_async_send(target->loop, &thread->result_ready);
+	pthread_mutex_unlock(config->core_lock);
+	ev_async_send(config->loop, &thread->result_ready);
 }
 
 static void *thread_main(void *context)
@@ -57,24 +57,24 @@
 
 	(void)loop;
 	(void)events;
-	thread->target.on_result(thread->target.context);
+	thread->config.on_result(thread->config.context);
 }
 
 struct ws_queue_model_thread *
-ws_queue_model_thread_start(const struct ws_queue_model_target *target)
+ws_queue_model_thread_start(const struct ws_queue_model_target *config)
 {
 	struct ws_queue_model_thread *thread = calloc(1, sizeof(*thread));
 
 	if (!thread)
 		return NULL;
-	thread->target = *target;
+	thread->config = *config;
 	pthread_mutex_init(&thread->lock, NULL);
 	pthread_cond_init(&thread->state_changed, NULL);
 	ev_async_init(&thread->result_ready, on_result_ready);
 	thread->result_ready.data = thread;
-	ev_async_start(target->loop, &thread->result_ready);
+	ev_async_start(config->loop, &thread->result_ready);
 	if (pthread_create(&thread->thread, NULL, thread_main, thread)) {
-		ev_async_stop(target->loop, &thread->result_ready);
+		ev_async_stop(config->loop, &thread->result_ready);
 		free(thread);
 		return NULL;
 	}
@@ -100,7 +100,7 @@
 	pthread_cond_signal(&thread->state_changed);
 	pthread_mutex_unlock(&thread->lock);
 	pthread_join(thread->thread, NULL);
-	ev_async_stop(thread->target.loop, &thread->result_ready);
+	ev_async_stop(thread->config.loop, &thread->result_ready);
 	pthread_cond_destroy(&thread->state_changed);
 	pthread_mutex_destroy(&thread->lock);
 	free(thread);
--- a/src/io/queue_model_thread.h
+++ b/src/io/queue_model_thread.h
@@ -11,7 +11,7 @@
 
 struct ws_queue_model_thread;
 
-/* The objects that the thread uses; they must outlive it. */
+/* The objects that the thread uses, which must outlive it. */
 struct ws_queue_model_target {
 	struct ev_loop *loop;
 	struct ws_core *core;
@@ -22,7 +22,7 @@
 
 /* Starts the thread. Returns NULL if memory is exhausted or the thread cannot be created. */
 struct ws_queue_model_thread *
-ws_queue_model_thread_start(const struct ws_queue_model_target *target);
+ws_queue_model_thread_start(const struct ws_queue_model_target *config);
 /* Submits a measurement to the model. It replaces one that the thread has not started on yet. */
 void ws_queue_model_thread_run(struct ws_queue_model_thread *thread,
 			       const struct ws_queue_measurement *measure);
--- a/src/io/server.c
+++ b/src/io/server.c
@@ -97,7 +97,7 @@
 
 static bool start_queue_model(struct ws_service *service, struct ws_startup_error *error)
 {
-	const struct ws_queue_model_target target = {
+	const struct ws_queue_model_target config = {
 	    .loop = service->loop,
 	    .core = service->core,
 	    .core_lock = &service->lock,
@@ -105,7 +105,7 @@
 	    .context = service,
 	};
 
-	service->queue_model = ws_queue_model_thread_start(&target);
+	service->queue_model = ws_queue_model_thread_start(&config);
 	if (service->queue_model)
 		return true;
 	*error = (struct ws_startup_error){.code = WS_STARTUP_THREAD_FAILED,
