--- a/src/io/clock.c
+++ b/src/io/clock.c
@@ -16,7 +16,7 @@
 	return read_clock(CLOCK_MONOTONIC);
 }
 
-double ws_wall(void)
+double ws_wall_time(void)
 {
 	return read_clock(CLOCK_REALTIME);
 }
--- a/src/io/codec.h
+++ b/src/io/codec.h
@@ -44,19 +44,19 @@
 /* Decodes a user's job. Returns 0, or the HTTP status of the error if the body is invalid. */
 int ws_decode_job(const char *body, size_t length, struct ws_job_spec *spec);
 /* Returns whether a job id has the form "job-" and digits, and is not too long. */
-bool ws_job_id_ok(const char *id);
+bool ws_job_id_is_valid(const char *id);
 /* Decodes a worker's heartbeat. Returns false if the body is malformed. The caller releases the
  * memory of the heartbeat with ws_heartbeat_free(). */
 bool ws_decode_heartbeat(const char *body, size_t length, struct ws_heartbeat *heartbeat);
 
 /* Encode the body of a message, which the caller frees. Return NULL if memory is exhausted. */
-char *ws_encode_user(const struct ws_effect *answer);
+char *ws_encode_user_answer(const struct ws_effect *answer);
 char *ws_encode_heartbeat_answer(const struct ws_effect *answer);
 char *ws_encode_commands(uint64_t fencing_token, uint64_t incarnation,
 			 const struct ws_command *commands, size_t count);
 
 /* Size in bytes of the buffer for the path of a call. */
-#define WS_URL_MAX 900
+#define WS_CALL_PATH_SIZE 900
 /* Encodes the request of a call: sets its method and path, and returns its body, which the caller
  * frees, or NULL if the request has none. */
 char *ws_encode_call(const struct ws_call *call, const char **method, char *path);
--- a/src/io/decode_cloud.c
+++ b/src/io/decode_cloud.c
@@ -38,7 +38,7 @@
 	return true;
 }
 
-bool ws_decode_types(struct ws_json object, struct ws_result *result)
+bool ws_decode_machine_types(struct ws_json object, struct ws_result *result)
 {
 	struct ws_json_elements elements;
 	struct ws_json type;
--- a/src/io/decode_internal.h
+++ b/src/io/decode_internal.h
@@ -11,7 +11,7 @@
 
 /* Decodes a heartbeat, whose memory the caller releases with ws_heartbeat_free(). On failure the
  * memory is released already. */
-bool ws_decode_report_object(struct ws_json object, struct ws_heartbeat *heartbeat);
+bool ws_decode_heartbeat_object(struct ws_json object, struct ws_heartbeat *heartbeat);
 
 /* ---- decode_state.c ---- */
 
@@ -24,7 +24,7 @@
 /* ---- decode_cloud.c ---- */
 
 /* Decodes the list of machine types. */
-bool ws_decode_types(struct ws_json object, struct ws_result *result);
+bool ws_decode_machine_types(struct ws_json object, struct ws_result *result);
 /* Decodes instances: full entries, or only names in the reply to a scale-out request. */
 bool ws_decode_instances(struct ws_json object, struct ws_result *result, bool names_only);
 /* Returns whether a reply of status 503 says that the cloud has no capacity, and not that it
--- a/src/io/decode_reply.c
+++ b/src/io/decode_reply.c
@@ -12,7 +12,7 @@
 static bool decode_command_reply(struct ws_json object, struct ws_result *result)
 {
 	result->heartbeat = calloc(1, sizeof(*result->heartbeat));
-	if (result->heartbeat && ws_decode_report_object(object, result->heartbeat))
+	if (result->heartbeat && ws_decode_heartbeat_object(object, result->heartbeat))
 		return true;
 	free(result->heartbeat);
 	result->heartbeat = NULL;
@@ -26,7 +26,7 @@
 	case WS_CALL_TRANSACTION:
 		return ws_member_uint(object, "ledgerRev", &result->transaction.revision);
 	case WS_CALL_SESSION_OPEN: return ws_member_uint(object, "permit", &result->session);
-	case WS_CALL_MACHINE_TYPES: return ws_decode_types(object, result);
+	case WS_CALL_MACHINE_TYPES: return ws_decode_machine_types(object, result);
 	case WS_CALL_INSTANCES:
 		if (!ws_member_bool(object, "hasNext", &result->instances.has_more))
 			result->instances.has_more = false;
@@ -66,7 +66,7 @@
 			ws_result_free(result); /* the outcome of the call is unknown */
 		return;
 	}
-	bool parsed = ws_json_read(body, length, &object) && ws_json_is_object(object);
+	bool parsed = ws_json_parse(body, length, &object) && ws_json_is_object(object);
 
 	if (succeeded) {
 		if (!parsed || !decode_success(call, object, result))
--- a/src/io/decode_user.c
+++ b/src/io/decode_user.c
@@ -11,7 +11,7 @@
 static const char *const priority_classes[PRIORITY_CLASSES] = {"best_effort", "normal", "urgent",
 							       "production"};
 
-bool ws_job_id_ok(const char *id)
+bool ws_job_id_is_valid(const char *id)
 {
 	size_t length = strlen(id);
 
@@ -31,7 +31,7 @@
 	struct ws_json type;
 	size_t count;
 
-	if (!ws_member_set(object, "flavours"))
+	if (!ws_member_is_set(object, "flavours"))
 		return true;
 	if (!ws_member_array(object, "flavours", &elements, &count) || !count ||
 	    count > WS_MAX_ALLOWED)
@@ -50,7 +50,7 @@
 
 	if (!ws_json_is_object(object) ||
 	    !ws_member_string(object, "nameId", spec->id, sizeof(spec->id), false) ||
-	    !ws_job_id_ok(spec->id) ||
+	    !ws_job_id_is_valid(spec->id) ||
 	    !ws_member_string(object, "jobclass", spec->job_class, sizeof(spec->job_class),
 			      false) ||
 	    !ws_member_string(object, "owner", spec->team, sizeof(spec->team), false) ||
@@ -62,7 +62,7 @@
 		return false;
 	if (!ws_member_string(object, "tier", text, sizeof(text), false))
 		return false;
-	priority = ws_text_index(priority_classes, PRIORITY_CLASSES, text);
+	priority = ws_string_index(priority_classes, PRIORITY_CLASSES, text);
 	if (priority == PRIORITY_CLASSES)
 		return false;
 	spec->priority = (enum ws_priority_class)priority;
@@ -85,7 +85,7 @@
 	    !ws_member_amount(object, "snapshotS", &spec->checkpoint_duration_s))
 		return false;
 	spec->deadline_s = -1;
-	return !ws_member_set(object, "dueS") ||
+	return !ws_member_is_set(object, "dueS") ||
 	       ws_member_amount(object, "dueS", &spec->deadline_s);
 }
 
@@ -94,5 +94,5 @@
 	struct ws_json object;
 
 	memset(spec, 0, sizeof(*spec));
-	return ws_json_read(body, length, &object) && decode_spec(object, spec) ? 0 : 400;
+	return ws_json_parse(body, length, &object) && decode_spec(object, spec) ? 0 : 400;
 }
--- a/src/io/decode_worker.c
+++ b/src/io/decode_worker.c
@@ -59,7 +59,7 @@
 
 	if (!ws_member_string(object, "phase", text, sizeof(text), false))
 		return false;
-	state = ws_text_index(states, count, text);
+	state = ws_string_index(states, count, text);
 	if (state == count) {
 		log_unknown_value("phase", text);
 		state = WS_TASK_FETCHING; /* any state but "exited" is that of a live task */
@@ -79,7 +79,7 @@
 
 	if (!ws_member_string(object, "cause", text, sizeof(text), true))
 		return false;
-	reason = ws_text_index(reasons, count, text);
+	reason = ws_string_index(reasons, count, text);
 	if (reason == count)
 		log_unknown_value("cause", text);
 	/* a missing or unknown reason counts as a stop, not as a failure of the job or machine */
@@ -97,7 +97,7 @@
 	return task->state != WS_TASK_EXITED || decode_exit_reason(object, task);
 }
 
-bool ws_decode_report_object(struct ws_json object, struct ws_heartbeat *heartbeat)
+bool ws_decode_heartbeat_object(struct ws_json object, struct ws_heartbeat *heartbeat)
 {
 	struct ws_json_elements elements;
 	struct ws_json task;
@@ -118,7 +118,7 @@
 	    !ws_member_uint(object, "epoch", &heartbeat->fencing_token))
 		return false;
 	heartbeat->preemption_notice_s = -1;
-	if (ws_member_set(object, "warningS") &&
+	if (ws_member_is_set(object, "warningS") &&
 	    !ws_member_amount(object, "warningS", &heartbeat->preemption_notice_s))
 		return false;
 	if (!ws_member_array(object, "shards", &elements, &count))
@@ -140,5 +140,6 @@
 {
 	struct ws_json object;
 
-	return ws_json_read(body, length, &object) && ws_decode_report_object(object, heartbeat);
+	return ws_json_parse(body, length, &object) &&
+	       ws_decode_heartbeat_object(object, heartbeat);
 }
--- a/src/io/effect_executor.c
+++ b/src/io/effect_executor.c
@@ -44,14 +44,14 @@
 {
 	struct ws_effect *effect;
 
-	pthread_mutex_lock(&service->lock);
+	pthread_mutex_lock(&service->core_lock);
 	ws_core_delay_next_pass(service->core, ws_now);
 	effect = ws_core_next_effect(service->core);
 	*leading = ws_core_is_leader(service->core);
 	/* checked with the current time, directly before the effect is executed */
 	*entitled =
 	    !effect || !needs_leadership(effect) || ws_core_is_entitled(service->core, ws_now());
-	pthread_mutex_unlock(&service->lock);
+	pthread_mutex_unlock(&service->core_lock);
 	return effect;
 }
 
--- a/src/io/encode.c
+++ b/src/io/encode.c
@@ -31,7 +31,7 @@
 	return text;
 }
 
-char *ws_encode_user(const struct ws_effect *answer)
+char *ws_encode_user_answer(const struct ws_effect *answer)
 {
 	static const char *const phases[] = {"queued", "running", "done", "withdrawn"};
 	json_t *document;
@@ -148,23 +148,23 @@
 static void encode_read(const struct ws_call *call, char *path)
 {
 	switch (call->kind) {
-	case WS_CALL_GET: snprintf(path, WS_URL_MAX, "/kv/%s", call->read.key); break;
+	case WS_CALL_GET: snprintf(path, WS_CALL_PATH_SIZE, "/kv/%s", call->read.key); break;
 	case WS_CALL_LIST:
-		snprintf(path, WS_URL_MAX, "/kv?starts=%s%s%s&most=1000", call->read.key,
+		snprintf(path, WS_CALL_PATH_SIZE, "/kv?starts=%s%s%s&most=1000", call->read.key,
 			 call->read.after[0] ? "&since=" : "", call->read.after);
 		break;
 	case WS_CALL_WATCH:
-		snprintf(path, WS_URL_MAX, "/watch?starts=%s&since=%llu&holdMs=%u",
+		snprintf(path, WS_CALL_PATH_SIZE, "/watch?starts=%s&since=%llu&holdMs=%u",
 			 call->watch.prefix, (unsigned long long)call->watch.since_revision,
 			 call->watch.timeout_ms);
 		break;
-	case WS_CALL_MACHINE_TYPES: snprintf(path, WS_URL_MAX, "/machine_types"); break;
+	case WS_CALL_MACHINE_TYPES: snprintf(path, WS_CALL_PATH_SIZE, "/machine_types"); break;
 	case WS_CALL_INSTANCES:
 		if (call->instances.after[0])
-			snprintf(path, WS_URL_MAX, "/hosts?since=%s&most=500",
+			snprintf(path, WS_CALL_PATH_SIZE, "/hosts?since=%s&most=500",
 				 call->instances.after);
 		else
-			snprintf(path, WS_URL_MAX, "/hosts?most=500");
+			snprintf(path, WS_CALL_PATH_SIZE, "/hosts?most=500");
 		break;
 	default: path[0] = 0; break;
 	}
@@ -175,25 +175,28 @@
 	*method = "POST";
 	switch (call->kind) {
 	case WS_CALL_TRANSACTION:
-		snprintf(path, WS_URL_MAX, "/multi");
+		snprintf(path, WS_CALL_PATH_SIZE, "/multi");
 		return encode_transaction(call);
 	case WS_CALL_SESSION_OPEN:
-		snprintf(path, WS_URL_MAX, "/holds");
+		snprintf(path, WS_CALL_PATH_SIZE, "/holds");
 		return to_text(json_pack("{s:i}", "ttlMs", (int)call->session.ttl_ms));
 	case WS_CALL_SESSION_RENEW:
-		snprintf(path, WS_URL_MAX, "/holds/%llu/extend",
+		snprintf(path, WS_CALL_PATH_SIZE, "/holds/%llu/extend",
 			 (unsigned long long)call->session.id);
 		return NULL;
 	case WS_CALL_SESSION_CLOSE:
 		*method = "DELETE";
-		snprintf(path, WS_URL_MAX, "/holds/%llu", (unsigned long long)call->session.id);
+		snprintf(path, WS_CALL_PATH_SIZE, "/holds/%llu",
+			 (unsigned long long)call->session.id);
 		return NULL;
-	case WS_CALL_SCALE_OUT: snprintf(path, WS_URL_MAX, "/hosts"); return encode_scale_out(call);
+	case WS_CALL_SCALE_OUT:
+		snprintf(path, WS_CALL_PATH_SIZE, "/hosts");
+		return encode_scale_out(call);
 	case WS_CALL_SCALE_IN:
-		snprintf(path, WS_URL_MAX, "/hosts/return");
+		snprintf(path, WS_CALL_PATH_SIZE, "/hosts/return");
 		return encode_scale_in(call);
 	case WS_CALL_COMMANDS:
-		snprintf(path, WS_URL_MAX, "/commands");
+		snprintf(path, WS_CALL_PATH_SIZE, "/commands");
 		return ws_encode_commands(call->commands.fencing_token, call->commands.incarnation,
 					  call->commands.list, call->commands.count);
 	default:
--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -61,13 +61,14 @@
 
 	free(context);
 	if (request.heartbeat)
-		service->forwarding.heartbeats--;
+		service->forwarding.heartbeats_in_flight--;
 	if (!reply && request.heartbeat && !request.worker_pinned &&
 	    ws_now() - request.sent_at < forwarding_pause_s(service)) {
 		/* The failure came quickly, so this node cannot connect to the leader, but the
 		 * worker may be able to. After a timeout, which lost packets cause, or if the
 		 * worker has already failed to reach the leader, 503 makes it try another node. */
-		service->forwarding.peers_bad_until = ws_now() + forwarding_pause_s(service);
+		service->forwarding.forwarding_paused_until =
+		    ws_now() + forwarding_pause_s(service);
 		answer_with_leader(service, request.request_id, request.leader);
 	} else if (!reply || reply->status < 200 || reply->status > 599) {
 		ws_router_answer_status(service, request.request_id, 503);
@@ -86,15 +87,15 @@
 {
 	int limit = service->settings->client_sockets / SOCKETS_PER_FORWARDED_HEARTBEAT + 1;
 
-	return worker_pinned || (ws_now() >= service->forwarding.peers_bad_until &&
-				 service->forwarding.heartbeats < limit);
+	return worker_pinned || (ws_now() >= service->forwarding.forwarding_paused_until &&
+				 service->forwarding.heartbeats_in_flight < limit);
 }
 
 static double forward_timeout_s(bool heartbeat, const char *method)
 {
 	if (heartbeat)
 		return HEARTBEAT_TIMEOUT_S;
-	return strcmp(method, "GET") ? SUBMIT_TIMEOUT_S : WS_POLL_STEP_S;
+	return strcmp(method, "GET") ? SUBMIT_TIMEOUT_S : WS_POLL_STEP_TIMEOUT_S;
 }
 
 static struct forwarded_request *
@@ -111,7 +112,7 @@
 		snprintf(request->leader, sizeof(request->leader), "%s", effect->forward.leader);
 		request->sent_at = ws_now();
 		request->worker_pinned = effect->forward.redirect_failed;
-		service->forwarding.heartbeats++;
+		service->forwarding.heartbeats_in_flight++;
 	}
 	return request;
 }
@@ -121,9 +122,9 @@
 {
 	struct ws_service *service = request->service;
 	Ws__PeerFrame frame = WS__PEER_FRAME__INIT;
-	char path[WS_LOCAL_PATH_SIZE];
+	char path[WS_URL_PATH_SIZE];
 
-	ws_router_local_path(http->url, path);
+	ws_router_url_path(http->url, path);
 	frame.kind =
 	    request->heartbeat ? WS__PEER_FRAME__KIND__HEARTBEAT : WS__PEER_FRAME__KIND__USER;
 	frame.node = (char *)service->settings->node;
@@ -176,7 +177,7 @@
 		return;
 	frame.id = request->frame_id;
 	frame.node = (char *)service->settings->node;
-	ws_vote_set_answer(&frame, &vote, answer);
+	ws_vote_encode_reply(&frame, &vote, answer);
 	ws_peers_reply(service->peers, request->peer_connection, &frame);
 	ws_vote_free(&vote);
 	ws_pending_requests_remove(&service->requests, request);
@@ -187,13 +188,13 @@
 static void handle_vote_request(struct ws_service *service, uint64_t request_id,
 				const Ws__OutageVote *vote)
 {
-	pthread_mutex_lock(&service->lock);
+	pthread_mutex_lock(&service->core_lock);
 	if (vote)
 		ws_core_outage_vote(service->core, ws_now(), request_id, vote->leader_revision,
 				    vote->since_revision, vote->after_job);
 	else
 		ws_core_outage_vote_legacy(service->core, ws_now(), request_id);
-	pthread_mutex_unlock(&service->lock);
+	pthread_mutex_unlock(&service->core_lock);
 	ws_effects_execute(service);
 }
 
@@ -219,7 +220,7 @@
 void ws_forwarding_on_frame(void *context, uint64_t connection, const Ws__PeerFrame *frame)
 {
 	struct ws_service *service = context;
-	uint64_t request_id = PEER_REQUEST_ID_BIT | ++service->forwarding.last_token;
+	uint64_t request_id = PEER_REQUEST_ID_BIT | ++service->forwarding.last_peer_request;
 	/* the data pointer of an empty body is NULL */
 	const char *body = frame->body.len ? (const char *)frame->body.data : "";
 	struct ws_pending_request *request;
--- a/src/io/json_members.c
+++ b/src/io/json_members.c
@@ -53,7 +53,7 @@
 	return true;
 }
 
-bool ws_member_set(struct ws_json object, const char *key)
+bool ws_member_is_set(struct ws_json object, const char *key)
 {
 	struct ws_json value;
 
@@ -101,7 +101,7 @@
 	return true;
 }
 
-int ws_text_index(const char *const *texts, int count, const char *text)
+int ws_string_index(const char *const *texts, int count, const char *text)
 {
 	int index = 0;
 
--- a/src/io/json_members.h
+++ b/src/io/json_members.h
@@ -16,7 +16,7 @@
 /* Reads an integer that is not negative. */
 bool ws_member_uint(struct ws_json object, const char *key, uint64_t *target);
 /* Returns whether the member exists and is not null. */
-bool ws_member_set(struct ws_json object, const char *key);
+bool ws_member_is_set(struct ws_json object, const char *key);
 /* Reads an array and its length. */
 bool ws_member_array(struct ws_json object, const char *key, struct ws_json_elements *elements,
 		     size_t *count);
@@ -27,5 +27,5 @@
 /* Reads an array element that is a name of fewer than WS_NAME_MAX bytes. */
 bool ws_element_name(struct ws_json value, char *target);
 /* Returns the index of a text in a list of `count` texts, or `count` if it is not in the list. */
-int ws_text_index(const char *const *texts, int count, const char *text);
+int ws_string_index(const char *const *texts, int count, const char *text);
 #endif
--- a/src/io/json_reader.cpp
+++ b/src/io/json_reader.cpp
@@ -17,7 +17,7 @@
 
 static dom::parser &ws_parser()
 {
-	static dom::parser parser(WS_JSON_MAX);
+	static dom::parser parser(WS_JSON_MAX_BYTES);
 
 	return parser;
 }
@@ -118,13 +118,13 @@
 	return true;
 }
 
-extern "C" bool ws_json_read(const char *text, size_t len, struct ws_json *root)
+extern "C" bool ws_json_parse(const char *text, size_t len, struct ws_json *root)
 {
 	dom::parser &parser = ws_parser();
 	dom::element e;
 
-	if (parser.capacity() > WS_JSON_KEPT && len <= WS_JSON_KEPT)
-		parser = dom::parser(WS_JSON_MAX);
+	if (parser.capacity() > WS_JSON_KEPT_BYTES && len <= WS_JSON_KEPT_BYTES)
+		parser = dom::parser(WS_JSON_MAX_BYTES);
 	if (parser.parse(text, len, true).get(e) || !ws_well_formed(e))
 		return false;
 	*root = ws_json_of(e);
--- a/src/io/json_reader.h
+++ b/src/io/json_reader.h
@@ -20,10 +20,10 @@
 
 /* Longer documents are rejected. The parser takes about 15 bytes of memory for each byte of the
  * document. */
-#define WS_JSON_MAX ((size_t)1024 * 1024)
+#define WS_JSON_MAX_BYTES ((size_t)1024 * 1024)
 /* The parser keeps the memory for documents of up to this many bytes. Memory for a longer one is
  * freed when the next document of at most this length is parsed. */
-#define WS_JSON_KEPT ((size_t)64 * 1024)
+#define WS_JSON_KEPT_BYTES ((size_t)64 * 1024)
 
 /* A reference to a value of the document. */
 struct ws_json {
@@ -36,7 +36,7 @@
 };
 
 /* Parses a document. Returns false if it is malformed or too long. */
-bool ws_json_read(const char *text, size_t len, struct ws_json *root);
+bool ws_json_parse(const char *text, size_t len, struct ws_json *root);
 
 bool ws_json_is_object(struct ws_json value);
 bool ws_json_is_null(struct ws_json value);
--- a/src/io/outage_vote.c
+++ b/src/io/outage_vote.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-void ws_vote_set_question(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_call *call)
+void ws_vote_encode_request(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_call *call)
 {
 	frame->kind = WS__PEER_FRAME__KIND__OUTAGE_VOTE;
 	frame->vote = vote;
@@ -14,7 +14,7 @@
 	vote->after_job = call->outage_vote.after_job;
 }
 
-bool ws_vote_read(const Ws__PeerFrame *frame, struct ws_result *result)
+bool ws_vote_decode_reply(const Ws__PeerFrame *frame, struct ws_result *result)
 {
 	const Ws__OutageVote *vote = frame->vote;
 
@@ -28,7 +28,7 @@
 	if (!result->vote.cancellations)
 		abort();
 	for (size_t i = 0; i < vote->n_cancelled; i++) {
-		if (!ws_job_id_ok(vote->cancelled[i]->job)) {
+		if (!ws_job_id_is_valid(vote->cancelled[i]->job)) {
 			free(result->vote.cancellations);
 			*result = (struct ws_result){.kind = WS_CALL_OUTAGE_VOTE,
 						     .outcome = WS_OUTCOME_OK};
@@ -44,7 +44,7 @@
 	return true;
 }
 
-void ws_vote_set_answer(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_effect *answer)
+void ws_vote_encode_reply(Ws__PeerFrame *frame, Ws__OutageVote *vote, struct ws_effect *answer)
 {
 	Ws__Cancellation *list;
 
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -49,7 +49,7 @@
 	if (!settings->peer_count)
 		share = 1;
 	service->outgoing.leading = leading;
-	ws_client_set_rate(service->outgoing.state,
+	ws_client_set_rate(service->outgoing.store,
 			   settings->store_rps * share * STATE_SHARE_UTILIZATION,
 			   settings->store_rps * share / 2);
 }
@@ -86,9 +86,9 @@
 /* Passes a result to the core, which frees the call, and releases the memory of the result. */
 static void complete(struct ws_service *service, struct ws_call *call, struct ws_result *result)
 {
-	pthread_mutex_lock(&service->lock);
+	pthread_mutex_lock(&service->core_lock);
 	ws_core_complete(service->core, ws_now(), call, result);
-	pthread_mutex_unlock(&service->lock);
+	pthread_mutex_unlock(&service->core_lock);
 	ws_result_free(result);
 }
 
@@ -148,7 +148,7 @@
 {
 	struct ws_result result = {.kind = WS_CALL_OUTAGE_VOTE};
 
-	if (reply && !ws_vote_read(reply, &result))
+	if (reply && !ws_vote_decode_reply(reply, &result))
 		ws_logf(WS_LOG_ERROR, "malformed outage vote discarded peer=%s",
 			pending->call->outage_vote.peer);
 	complete(pending->service, pending->call, &result);
@@ -173,7 +173,7 @@
 	Ws__OutageVote vote = WS__OUTAGE_VOTE__INIT;
 
 	frame.node = (char *)service->settings->node;
-	ws_vote_set_question(&frame, &vote, pending->call);
+	ws_vote_encode_request(&frame, &vote, pending->call);
 	if (!ws_peers_send(service->peers, pending->call->outage_vote.peer, &frame,
 			   service->leader_ttl_s / 2, on_vote, pending))
 		finish_vote_call(pending, NULL);
@@ -185,7 +185,7 @@
 	struct ws_outgoing_calls *outgoing = &service->outgoing;
 
 	switch (call->kind) {
-	case WS_CALL_WATCH: return call->watch.timeout_ms ? outgoing->watch : outgoing->state;
+	case WS_CALL_WATCH: return call->watch.timeout_ms ? outgoing->watch : outgoing->store;
 	case WS_CALL_MACHINE_TYPES:
 	case WS_CALL_INSTANCES:
 	case WS_CALL_SCALE_OUT:
@@ -193,7 +193,7 @@
 	case WS_CALL_COMMANDS:
 		return ws_worker_connections_get(outgoing->workers, call->commands.address,
 						 call->commands.port);
-	default: return outgoing->state;
+	default: return outgoing->store;
 	}
 }
 
@@ -201,7 +201,7 @@
 {
 	const struct ws_settings *settings = service->settings;
 	double timeout = fmin(settings->lease_s / 12, STATE_TIMEOUT_MAX_S);
-	double poll_timeout = fmin(timeout, WS_POLL_STEP_S); /* leaves time to ask a peer */
+	double poll_timeout = fmin(timeout, WS_POLL_STEP_TIMEOUT_S); /* leaves time to ask a peer */
 
 	switch (call->kind) {
 	case WS_CALL_WATCH: /* a watch without a timeout is answered at once */
@@ -225,7 +225,7 @@
 static bool send_http_call(struct call_in_flight *pending, struct ws_http_client *client)
 {
 	const struct ws_call *call = pending->call;
-	char path[WS_URL_MAX];
+	char path[WS_CALL_PATH_SIZE];
 	const char *method;
 	char *body = ws_encode_call(call, &method, path);
 	bool sent =
@@ -283,7 +283,7 @@
 						     .requests_per_s = settings->cloud_rps,
 						     .burst = fmax(1, settings->cloud_rps)};
 
-	outgoing->state =
+	outgoing->store =
 	    ws_client_new(service->loop, settings->store.host, settings->store.port, &state);
 	outgoing->watch =
 	    ws_client_new(service->loop, settings->store.host, settings->store.port, &watch);
@@ -293,7 +293,7 @@
 	outgoing->write_budget.rate = settings->store_write_rps / 2;
 	outgoing->write_budget.available = outgoing->write_budget.rate;
 	outgoing->write_budget.updated_at = ws_now();
-	if (!outgoing->state || !outgoing->watch || !outgoing->cloud || !outgoing->workers)
+	if (!outgoing->store || !outgoing->watch || !outgoing->cloud || !outgoing->workers)
 		return false;
 	ws_outgoing_calls_set_share(service, false);
 	return true;
@@ -301,7 +301,7 @@
 
 void ws_outgoing_calls_free(struct ws_service *service)
 {
-	ws_client_free(service->outgoing.state);
+	ws_client_free(service->outgoing.store);
 	ws_client_free(service->outgoing.watch);
 	ws_client_free(service->outgoing.cloud);
 	ws_worker_connections_free(service->outgoing.workers);
--- a/src/io/pending_requests.c
+++ b/src/io/pending_requests.c
@@ -8,9 +8,9 @@
 
 	if (!request)
 		return NULL;
-	request->token = request_id;
+	request->request_id = request_id;
 	request->kind = kind;
-	HASH_ADD(hh, table->by_token, token, sizeof(request->token), request);
+	HASH_ADD(hh, table->by_request_id, request_id, sizeof(request->request_id), request);
 	if (kind == WS_REQUEST_USER)
 		table->user_requests++;
 	return request;
@@ -21,14 +21,14 @@
 {
 	struct ws_pending_request *request;
 
-	HASH_FIND(hh, table->by_token, &request_id, sizeof(request_id), request);
+	HASH_FIND(hh, table->by_request_id, &request_id, sizeof(request_id), request);
 	return request;
 }
 
 void ws_pending_requests_remove(struct ws_pending_requests *table,
 				struct ws_pending_request *request)
 {
-	HASH_DEL(table->by_token, request);
+	HASH_DEL(table->by_request_id, request);
 	if (request->kind == WS_REQUEST_USER)
 		table->user_requests--;
 	free(request);
@@ -36,9 +36,9 @@
 
 void ws_pending_requests_clear(struct ws_pending_requests *table)
 {
-	struct ws_pending_request *request = table->by_token;
+	struct ws_pending_request *request = table->by_request_id;
 
-	HASH_CLEAR(hh, table->by_token); /* the requests stay linked to each other */
+	HASH_CLEAR(hh, table->by_request_id); /* the requests stay linked to each other */
 	table->user_requests = 0;
 	while (request) {
 		struct ws_pending_request *next = request->hh.next;
--- a/src/io/pending_requests.h
+++ b/src/io/pending_requests.h
@@ -12,7 +12,7 @@
 enum ws_request_kind { WS_REQUEST_USER, WS_REQUEST_HEARTBEAT, WS_REQUEST_OUTAGE_VOTE };
 
 struct ws_pending_request {
-	uint64_t token;
+	uint64_t request_id;
 	enum ws_request_kind kind;
 	uint64_t peer_connection; /* that received its frame; 0: received by HTTP */
 	uint64_t frame_id;
@@ -20,7 +20,7 @@
 };
 
 struct ws_pending_requests {
-	struct ws_pending_request *by_token;
+	struct ws_pending_request *by_request_id;
 	int user_requests; /* number of requests of kind WS_REQUEST_USER */
 };
 
--- a/src/io/queue_model_thread.c
+++ b/src/io/queue_model_thread.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 
 struct ws_queue_model_thread {
-	struct ws_queue_model_target config;
+	struct ws_queue_model_thread_config config;
 	pthread_t thread;
 	ev_async result_ready; /* wakes the event loop */
 	/* `lock` protects the fields below; it is never held together with the core's lock */
@@ -18,7 +18,7 @@
 static void run_model(struct ws_queue_model_thread *thread,
 		      const struct ws_queue_measurement *measurement)
 {
-	const struct ws_queue_model_target *config = &thread->config;
+	const struct ws_queue_model_thread_config *config = &thread->config;
 	struct ws_queue_solution solution = {0};
 	int limit = ws_queue_find_limit(measurement, &solution);
 
@@ -61,7 +61,7 @@
 }
 
 struct ws_queue_model_thread *
-ws_queue_model_thread_start(const struct ws_queue_model_target *config)
+ws_queue_model_thread_start(const struct ws_queue_model_thread_config *config)
 {
 	struct ws_queue_model_thread *thread = calloc(1, sizeof(*thread));
 
@@ -81,8 +81,8 @@
 	return thread;
 }
 
-void ws_queue_model_thread_run(struct ws_queue_model_thread *thread,
-			       const struct ws_queue_measurement *measurement)
+void ws_queue_model_thread_submit(struct ws_queue_model_thread *thread,
+				  const struct ws_queue_measurement *measurement)
 {
 	pthread_mutex_lock(&thread->lock);
 	thread->measurement = *measurement;
--- a/src/io/queue_model_thread.h
+++ b/src/io/queue_model_thread.h
@@ -12,7 +12,7 @@
 struct ws_queue_model_thread;
 
 /* The objects that the thread uses, which must outlive it. */
-struct ws_queue_model_target {
+struct ws_queue_model_thread_config {
 	struct ev_loop *loop;
 	struct ws_core *core;
 	pthread_mutex_t *core_lock;	  /* held only while a result is set */
@@ -22,10 +22,10 @@
 
 /* Starts the thread. Returns NULL if memory is exhausted or the thread cannot be created. */
 struct ws_queue_model_thread *
-ws_queue_model_thread_start(const struct ws_queue_model_target *config);
+ws_queue_model_thread_start(const struct ws_queue_model_thread_config *config);
 /* Submits a measurement to the model. It replaces one that the thread has not started on yet. */
-void ws_queue_model_thread_run(struct ws_queue_model_thread *thread,
-			       const struct ws_queue_measurement *measure);
+void ws_queue_model_thread_submit(struct ws_queue_model_thread *thread,
+				  const struct ws_queue_measurement *measure);
 /* Waits until the thread has ended and frees it. `thread` may be NULL. */
 void ws_queue_model_thread_stop(struct ws_queue_model_thread *thread);
 #endif
--- a/src/io/request_router.c
+++ b/src/io/request_router.c
@@ -73,7 +73,7 @@
 
 void ws_router_answer_user(struct ws_service *service, const struct ws_effect *answer)
 {
-	answer_encoded(service, answer, ws_encode_user(answer), answer->user.retry_after_s);
+	answer_encoded(service, answer, ws_encode_user_answer(answer), answer->user.retry_after_s);
 }
 
 void ws_router_answer_heartbeat(struct ws_service *service, const struct ws_effect *answer)
@@ -93,9 +93,9 @@
 		ws_router_answer_status(service, request_id, status);
 		return;
 	}
-	pthread_mutex_lock(&service->lock);
-	ws_core_submit(service->core, ws_now(), ws_wall(), request_id, &spec, forwarded);
-	pthread_mutex_unlock(&service->lock);
+	pthread_mutex_lock(&service->core_lock);
+	ws_core_submit(service->core, ws_now(), ws_wall_time(), request_id, &spec, forwarded);
+	pthread_mutex_unlock(&service->core_lock);
 	ws_effects_execute(service);
 }
 
@@ -127,16 +127,16 @@
 		ws_router_answer_status(service, request_id, 405);
 		return;
 	}
-	if (!ws_job_id_ok(id)) { /* a job with a malformed id cannot exist */
+	if (!ws_job_id_is_valid(id)) { /* a job with a malformed id cannot exist */
 		ws_router_answer_status(service, request_id, 404);
 		return;
 	}
-	pthread_mutex_lock(&service->lock);
+	pthread_mutex_lock(&service->core_lock);
 	if (cancel)
 		ws_core_cancel(service->core, ws_now(), request_id, id, forwarded);
 	else
 		ws_core_query_status(service->core, ws_now(), request_id, id, forwarded);
-	pthread_mutex_unlock(&service->lock);
+	pthread_mutex_unlock(&service->core_lock);
 	ws_effects_execute(service);
 }
 
@@ -168,9 +168,9 @@
 		ws_router_answer_status(service, request_id, 400);
 		return;
 	}
-	pthread_mutex_lock(&service->lock);
+	pthread_mutex_lock(&service->core_lock);
 	ws_core_heartbeat(service->core, ws_now(), request_id, &heartbeat, forwarded);
-	pthread_mutex_unlock(&service->lock);
+	pthread_mutex_unlock(&service->core_lock);
 	ws_heartbeat_free(&heartbeat);
 	ws_effects_execute(service);
 }
@@ -181,9 +181,9 @@
 {
 	bool ready;
 
-	pthread_mutex_lock(&service->lock);
+	pthread_mutex_lock(&service->core_lock);
 	ready = ws_core_is_ready(service->core);
-	pthread_mutex_unlock(&service->lock);
+	pthread_mutex_unlock(&service->core_lock);
 	if (strcmp(method, "GET"))
 		ws_router_answer_status(service, request_id, 405);
 	else
@@ -196,9 +196,9 @@
 	       (!path[USER_PATH_LENGTH] || path[USER_PATH_LENGTH] == '/');
 }
 
-void ws_router_local_path(const char *url, char *path)
+void ws_router_url_path(const char *url, char *path)
 {
-	snprintf(path, WS_LOCAL_PATH_SIZE, "%.*s", (int)strcspn(url, "?#"), url);
+	snprintf(path, WS_URL_PATH_SIZE, "%.*s", (int)strcspn(url, "?#"), url);
 }
 
 static void route_heartbeat(struct ws_service *service, uint64_t request_id, const char *method,
@@ -215,10 +215,10 @@
 			  const char *body, size_t length)
 {
 	struct ws_service *service = context;
-	char path[WS_LOCAL_PATH_SIZE];
+	char path[WS_URL_PATH_SIZE];
 	bool heartbeat;
 
-	ws_router_local_path(url, path);
+	ws_router_url_path(url, path);
 	heartbeat = !strcmp(path, HEARTBEAT_PATH);
 	if (!ws_pending_requests_add(&service->requests, request_id,
 				     heartbeat ? WS_REQUEST_HEARTBEAT : WS_REQUEST_USER)) {
--- a/src/io/server.c
+++ b/src/io/server.c
@@ -28,7 +28,7 @@
 		ws_server_connection_count(service->server, WS_CONN_USER),
 		ws_server_connection_count(service->server, WS_CONN_UNCLASSIFIED),
 		ws_worker_connections_count(service->outgoing.workers),
-		service->requests.user_requests, service->forwarding.heartbeats);
+		service->requests.user_requests, service->forwarding.heartbeats_in_flight);
 	ws_worker_connections_retire_idle(service->outgoing.workers, now,
 					  WORKER_IDLE_LEASES * service->settings->lease_s);
 }
@@ -43,15 +43,15 @@
 	(void)loop;
 	(void)events;
 	ws_worker_connections_free_retired(service->outgoing.workers);
-	pthread_mutex_lock(&service->lock);
+	pthread_mutex_lock(&service->core_lock);
 	ws_core_tick(service->core, now);
 	measured = ws_core_take_measurement(service->core, now, &measure);
-	pthread_mutex_unlock(&service->lock);
+	pthread_mutex_unlock(&service->core_lock);
 	if (measured)
-		ws_queue_model_thread_run(service->queue_model, &measure);
+		ws_queue_model_thread_submit(service->queue_model, &measure);
 	ws_effects_execute(service);
-	if (now > service->sweep_at) {
-		service->sweep_at = now + service->settings->lease_s;
+	if (now > service->next_maintenance_at) {
+		service->next_maintenance_at = now + service->settings->lease_s;
 		run_maintenance(service, now);
 	}
 }
@@ -98,10 +98,10 @@
 
 static bool start_queue_model(struct ws_service *service, struct ws_startup_error *error)
 {
-	const struct ws_queue_model_target config = {
+	const struct ws_queue_model_thread_config config = {
 	    .loop = service->loop,
 	    .core = service->core,
-	    .core_lock = &service->lock,
+	    .core_lock = &service->core_lock,
 	    .on_result = on_queue_model_result,
 	    .context = service,
 	};
@@ -116,10 +116,10 @@
 
 static void start_tick_timer(struct ws_service *service)
 {
-	ev_timer_init(&service->tick, on_tick, FIRST_TICK_S,
+	ev_timer_init(&service->tick_timer, on_tick, FIRST_TICK_S,
 		      service->settings->heartbeat_s / TICKS_PER_HEARTBEAT);
-	service->tick.data = service;
-	ev_timer_start(service->loop, &service->tick);
+	service->tick_timer.data = service;
+	ev_timer_start(service->loop, &service->tick_timer);
 }
 
 static bool start_service(struct ws_service *service, const struct ws_policy *policy,
@@ -152,7 +152,7 @@
 	service->loop = loop;
 	service->settings = settings;
 	service->leader_ttl_s = settings->lease_s * policy->leader_ttl_ratio;
-	pthread_mutex_init(&service->lock, NULL);
+	pthread_mutex_init(&service->core_lock, NULL);
 	if (start_service(service, policy, subsystems, error))
 		return service;
 	ws_service_free(service);
@@ -161,9 +161,9 @@
 
 void ws_service_resign(struct ws_service *service)
 {
-	pthread_mutex_lock(&service->lock);
+	pthread_mutex_lock(&service->core_lock);
 	ws_core_resign(service->core, ws_now());
-	pthread_mutex_unlock(&service->lock);
+	pthread_mutex_unlock(&service->core_lock);
 	ws_effects_execute(service);
 }
 
@@ -173,7 +173,7 @@
 		return;
 	ws_queue_model_thread_stop(service->queue_model);
 	service->executing_effects = true; /* no further effect is executed */
-	ev_timer_stop(service->loop, &service->tick);
+	ev_timer_stop(service->loop, &service->tick_timer);
 	ws_outgoing_calls_free(service);
 	ws_peers_free(service->peers);
 	ws_pending_requests_clear(&service->requests);
--- a/src/io/server_internal.h
+++ b/src/io/server_internal.h
@@ -26,19 +26,19 @@
 
 /* The protocol gives a poll of a job two seconds for its answer. A request to the store, and after
  * it one to a peer, each gets this part of that time. */
-#define WS_POLL_STEP_S (2 * 0.4)
+#define WS_POLL_STEP_TIMEOUT_S (2 * 0.4)
 
 /* The prefix of the paths of users' requests. */
 #define WS_USER_PATH "/v2/runs"
 
 /* Size in bytes of a buffer for any path that the HTTP server accepts (WS_PATH_MAX). */
-#define WS_LOCAL_PATH_SIZE 1100
+#define WS_URL_PATH_SIZE 1100
 
 /* Owned by forwarding.c. */
 struct ws_forwarding {
-	double peers_bad_until; /* heartbeats are forwarded again after this time */
-	int heartbeats;		/* forwarded heartbeats that are not answered yet */
-	uint64_t last_token;	/* number of the last request from a peer */
+	double forwarding_paused_until; /* heartbeats are forwarded again after this time */
+	int heartbeats_in_flight;	/* forwarded heartbeats that are not answered yet */
+	uint64_t last_peer_request;	/* number of the last request from a peer */
 };
 
 /*
@@ -53,7 +53,7 @@
 
 /* Owned by outgoing_calls.c. */
 struct ws_outgoing_calls {
-	struct ws_http_client *state, *watch, *cloud;
+	struct ws_http_client *store, *watch, *cloud;
 	struct ws_worker_connections *workers;
 	struct ws_write_budget write_budget;
 	bool leading; /* `state` has the leader's share of the store's request rate */
@@ -65,15 +65,15 @@
 	struct ws_core *core;
 	/* Protects the core, which the queue model's thread calls as well. Held during each call of
 	 * the core and never during input or output. */
-	pthread_mutex_t lock;
+	pthread_mutex_t core_lock;
 	struct ws_http_server *server;
 	struct ws_peers *peers;
 	struct ws_pending_requests requests;
 	struct ws_forwarding forwarding;
 	struct ws_outgoing_calls outgoing;
 	struct ws_queue_model_thread *queue_model;
-	ev_timer tick;
-	double sweep_at;
+	ev_timer tick_timer;
+	double next_maintenance_at;
 	double leader_ttl_s;	/* time to live of the leader's store session */
 	bool executing_effects; /* or no further effect may be executed */
 };
@@ -125,9 +125,9 @@
 void ws_router_answer_status(struct ws_service *service, uint64_t request_id, int status);
 void ws_router_answer_user(struct ws_service *service, const struct ws_effect *answer);
 void ws_router_answer_heartbeat(struct ws_service *service, const struct ws_effect *answer);
-/* Copies the path of a URL, without query and fragment, to `path`, which has WS_LOCAL_PATH_SIZE
+/* Copies the path of a URL, without query and fragment, to `path`, which has WS_URL_PATH_SIZE
  * bytes. */
-void ws_router_local_path(const char *url, char *path);
+void ws_router_url_path(const char *url, char *path);
 
 /* ---- forwarding.c ---- */
 
--- a/src/store_client.c
+++ b/src/store_client.c
@@ -50,7 +50,7 @@
 void ws_store_client_call(struct ws_store_client *store, const struct ws_call *call,
 			  struct ws_result *result)
 {
-	char path[WS_URL_MAX];
+	char path[WS_CALL_PATH_SIZE];
 	const char *method;
 	char *body = ws_encode_call(call, &method, path);
 
--- a/tests/codec_digest.h
+++ b/tests/codec_digest.h
@@ -211,7 +211,7 @@
 	const struct ws_effect to_worker = {.kind = WS_EFFECT_ANSWER_HEARTBEAT,
 					    .answer = answer,
 					    .heartbeat = {.leader = "job-000412"}};
-	char *text = ws_encode_user(&to_user);
+	char *text = ws_encode_user_answer(&to_user);
 
 	encoded.messages++;
 	digest_text(&encoded, text);
@@ -293,7 +293,7 @@
 	lists.operations[0].value = json_pack("{s:i}", "v", 1);
 	for (int kind = 0; kind <= WS_CALL_COMMANDS; kind++) {
 		struct ws_call call = sample_call((enum ws_call_kind)kind, &lists);
-		char path[WS_URL_MAX] = "";
+		char path[WS_CALL_PATH_SIZE] = "";
 		const char *method = NULL;
 		char *body = ws_encode_call(&call, &method, path);
 
--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -145,16 +145,16 @@
 					      heartbeat.task_count == 1000);
 	ws_heartbeat_free(&heartbeat);
 	free(text);
-	check("in memory that is kept for the next", ws_json_capacity() <= WS_JSON_KEPT);
+	check("in memory that is kept for the next", ws_json_capacity() <= WS_JSON_KEPT_BYTES);
 	text = long_report(6000);
 	check("one that takes more reads all the same",
 	      decode_report(text, strlen(text), &heartbeat) && heartbeat.task_count == 6000 &&
-		  ws_json_capacity() > WS_JSON_KEPT);
+		  ws_json_capacity() > WS_JSON_KEPT_BYTES);
 	ws_heartbeat_free(&heartbeat);
 	free(text);
 	check("and what it took is given back with the next",
 	      decode_report(report, strlen(report), &heartbeat) &&
-		  ws_json_capacity() <= WS_JSON_KEPT);
+		  ws_json_capacity() <= WS_JSON_KEPT_BYTES);
 	ws_heartbeat_free(&heartbeat);
 	check("reports take nothing of jansson's", ws_pool_misses() == before);
 	effect.heartbeat.commands = calloc(6000, sizeof(*effect.heartbeat.commands));
@@ -331,7 +331,7 @@
 	struct ws_job_spec spec;
 
 	if (!decode_job(text, length, &spec) && (spec.tasks < 1 || spec.tasks > WS_MAX_TASKS ||
-						 !(spec.cpus >= 0) || !ws_job_id_ok(spec.id)))
+						 !(spec.cpus >= 0) || !ws_job_id_is_valid(spec.id)))
 		check("a mangled job out of bounds is accepted", false);
 }
 
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -286,7 +286,7 @@
 	uint8_t out[256];
 	size_t length;
 
-	ws_vote_set_question(&frame, &vote, &call);
+	ws_vote_encode_request(&frame, &vote, &call);
 	length = ws__peer_frame__pack(&frame, out);
 	got = ws__peer_frame__unpack(NULL, length, out);
 	check("a question", got && got->kind == WS__PEER_FRAME__KIND__OUTAGE_VOTE &&
@@ -298,11 +298,11 @@
 	effect.vote.cancellations = list;
 	ws__peer_frame__init(&frame);
 	ws__outage_vote__init(&vote);
-	ws_vote_set_answer(&frame, &vote, &effect);
+	ws_vote_encode_reply(&frame, &vote, &effect);
 	length = ws__peer_frame__pack(&frame, out);
 	ws_vote_free(&vote);
 	got = ws__peer_frame__unpack(NULL, length, out);
-	check("an answer", got && ws_vote_read(got, &result) &&
+	check("an answer", got && ws_vote_decode_reply(got, &result) &&
 			       result.outcome == WS_OUTCOME_UNAVAILABLE && result.vote.granted &&
 			       result.vote.has_more && result.vote.cancellation_count == 2 &&
 			       result.vote.cancellations[1].revision == 43 &&
@@ -313,17 +313,17 @@
 	snprintf(list[1].job, sizeof(list[1].job), "no/job");
 	ws__peer_frame__init(&frame);
 	ws__outage_vote__init(&vote);
-	ws_vote_set_answer(&frame, &vote, &effect);
+	ws_vote_encode_reply(&frame, &vote, &effect);
 	check("an answer with a name that no job has",
-	      !ws_vote_read(&frame, &result) && result.outcome != WS_OUTCOME_UNAVAILABLE &&
+	      !ws_vote_decode_reply(&frame, &result) && result.outcome != WS_OUTCOME_UNAVAILABLE &&
 		  !result.vote.granted && !result.vote.cancellations);
 	ws_vote_free(&vote);
 
 	effect.vote.granted = false;
 	ws__peer_frame__init(&frame);
-	ws_vote_set_answer(&frame, &vote, &effect);
+	ws_vote_encode_reply(&frame, &vote, &effect);
 	check("production's answer, and of one that can't vouch, has no list",
-	      !frame.vote && ws_vote_read(&frame, &result) &&
+	      !frame.vote && ws_vote_decode_reply(&frame, &result) &&
 		  result.outcome == WS_OUTCOME_UNAVAILABLE && !result.vote.granted);
 }
 
