--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -1,6 +1,7 @@
 /*
- * Calls in flight, in the order in which they are due. A call is executed when it arrives, and its
- * answer goes back as the same struct; faults delay it, lose its answer, or crash its sender.
+ * Calls in flight, sorted by the time at which they are due. A call is executed when it arrives,
+ * and the same struct then carries its answer back. Faults delay a call, drop its answer or crash
+ * its sender.
  */
 #include "sim_calls.h"
 #include "../src/io/http_status.h"
@@ -9,11 +10,11 @@
 #include "sim_store.h"
 #include "sim_workers.h"
 
-#define CALL_S 0.004
-#define CLOUD_CALL_S 0.2
-#define VOTE_ANSWER_S 0.002
-#define VOTE_TIMEOUT_S 0.5     /* for a peer that got the question and does not answer */
-#define VOTE_UNREACHABLE_S 0.3 /* until a peer turns out to be out of reach */
+#define CALL_LATENCY_S 0.004 /* one way */
+#define CLOUD_CALL_LATENCY_S 0.2
+#define VOTE_ANSWER_LATENCY_S 0.002
+#define VOTE_TIMEOUT_S 0.5     /* if a peer received the request and does not answer */
+#define VOTE_UNREACHABLE_S 0.3 /* until a peer is reported as unreachable */
 #define STORE_TIMEOUT_S 1
 #define CLOUD_TIMEOUT_S 2
 #define LATE_WRITE_MIN_S 2
@@ -28,7 +29,7 @@
 	return kind >= WS_CALL_MACHINE_TYPES && kind <= WS_CALL_SCALE_IN;
 }
 
-/* Puts it behind all that are due at the same time. */
+/* Inserts the call behind all calls that are due at the same time. */
 static void schedule(struct sim *sim, struct sim_call_in_flight *flight)
 {
 	struct sim_call_in_flight **link = &sim->calls_in_flight;
@@ -46,15 +47,18 @@
 	schedule(sim, flight);
 }
 
-/* It was executed, but its answer is lost: its sender gives up at this time. */
-static void lose_answer(struct sim *sim, struct sim_call_in_flight *flight, double time)
+/* Drops the answer of an executed call. Its sender times out at `time`. */
+static void drop_answer(struct sim *sim, struct sim_call_in_flight *flight, double time)
 {
 	ws_result_free(&flight->result);
 	schedule_answer(sim, flight, time);
 }
 
-/* Whether the sender is to crash on this call; each call that it could be counts. */
-static bool crashes_sender(struct sim *sim, int node, const struct ws_call *call)
+/*
+ * Returns whether the scenario crashes the sender on this call. Each matching call of the leader
+ * counts towards the number of calls to skip first.
+ */
+static bool should_crash_sender(struct sim *sim, int node, const struct ws_call *call)
 {
 	if (sim->crash == SIM_CRASH_NONE || call->kind != sim->crash_kind ||
 	    sim_leader(sim) != node)
@@ -79,11 +83,12 @@
 	flight->call = call;
 	flight->result.kind = call->kind;
 	flight->call_version = sim->nodes[node].version;
-	flight->due_at = sim->now + (is_cloud_call(call->kind) ? CLOUD_CALL_S : CALL_S);
+	flight->due_at =
+	    sim->now + (is_cloud_call(call->kind) ? CLOUD_CALL_LATENCY_S : CALL_LATENCY_S);
 	return flight;
 }
 
-/* A transaction of its own that no core knows of, and that shares the values. */
+/* Copies a transaction for execution after its sender's timeout; the values are shared. */
 static struct ws_call *transaction_copy(const struct ws_call *call)
 {
 	struct ws_call *copy = calloc(1, sizeof(*copy));
@@ -105,7 +110,7 @@
 	return copy;
 }
 
-/* The sender gives up on a transaction, which is executed all the same some time later. */
+/* Lets the sender time out on a transaction that is still executed some time later. */
 static void abandon_transaction(struct sim *sim, struct sim_call_in_flight *flight,
 				bool is_late_by_share)
 {
@@ -119,14 +124,14 @@
 		sim->late_txns--;
 		flight->due_at = sim->now + sim->late_txns_by_s;
 	} else if (sim->late_writes_at_once) {
-		flight->due_at = sim->now + CALL_S;
+		flight->due_at = sim->now + CALL_LATENCY_S;
 	} else {
 		flight->due_at = sim->now + LATE_WRITE_MIN_S +
 				 (sim->late_writes_max_s - LATE_WRITE_MIN_S) * sim_random(sim);
 	}
 }
 
-/* What befalls a call to the store on its way there. */
+/* Applies the store's and the network's faults to a call before it is executed. */
 static void apply_store_faults(struct sim *sim, struct sim_call_in_flight *flight,
 			       bool is_late_by_share)
 {
@@ -150,7 +155,7 @@
 
 void sim_call_start(struct sim *sim, int node, struct ws_call *call)
 {
-	bool crashes = crashes_sender(sim, node, call);
+	bool crashes = should_crash_sender(sim, node, call);
 	bool is_late_by_share = is_late_write(sim, call);
 	struct sim_call_in_flight *flight;
 
@@ -164,13 +169,13 @@
 	if (is_store_call(call->kind))
 		apply_store_faults(sim, flight, is_late_by_share);
 	schedule(sim, flight);
-	if (crashes) { /* it is executed, but its sender is gone */
+	if (crashes) { /* the call is executed, but its sender has crashed */
 		sim->crash = SIM_CRASH_NONE;
 		sim_node_crash(sim, node, sim->crash_down_s);
 	}
 }
 
-/* The answer arrives, if the node that asked still runs. */
+/* Delivers the answer if the calling node has not restarted since it made the call. */
 static void deliver_answer(struct sim *sim, struct sim_call_in_flight *flight)
 {
 	struct sim_node *node = &sim->nodes[flight->node];
@@ -195,7 +200,7 @@
 
 static void execute_abandoned(struct sim *sim, struct sim_call_in_flight *flight)
 {
-	if (sim->now < sim->store_down_until) { /* waits for the service to be back */
+	if (sim->now < sim->store_down_until) { /* retried once the store is available again */
 		flight->due_at = sim->store_down_until + 0.1;
 		schedule(sim, flight);
 		return;
@@ -206,8 +211,8 @@
 	free(flight);
 }
 
-/* What the leader has to read of what a watch brings. */
-static void count_watched(struct sim *sim, const struct ws_result *result)
+/* Counts the records, and the bytes of their values, that a watch delivers to the leader. */
+static void count_watched_records(struct sim *sim, const struct ws_result *result)
 {
 	sim->watched_records += result->records.entry_count;
 	for (size_t i = 0; i < result->records.entry_count; i++)
@@ -216,17 +221,17 @@
 			    json_dumpb(result->records.entries[i].value, NULL, 0, JSON_COMPACT);
 }
 
-/* A watch stays open until there is something to tell, or its time is over. */
+/* Keeps a watch open until there is a change to deliver or its timeout has passed. */
 static void execute_watch(struct sim *sim, struct sim_call_in_flight *flight)
 {
 	struct ws_call *call = flight->call;
 	const struct sim_node *node = &sim->nodes[flight->node];
-	bool is_blind = sim->now < sim->store_down_until || sim->now < node->refused_until ||
-			sim->now < node->cut_store_until ||
-			(call->watch.timeout_ms && sim->now < node->blind_until);
+	bool sees_no_changes = sim->now < sim->store_down_until || sim->now < node->refused_until ||
+			       sim->now < node->cut_store_until ||
+			       (call->watch.timeout_ms && sim->now < node->blind_until);
 
 	sim->store_requests += !call->watch.timeout_ms;
-	if ((is_blind || !sim_store_watch(sim, call, &flight->result)) &&
+	if ((sees_no_changes || !sim_store_watch(sim, call, &flight->result)) &&
 	    sim->now < call->created_at / (1 + node->skew) + call->watch.timeout_ms / 1000.0 &&
 	    node->restarts == flight->restarts) {
 		ws_result_free(&flight->result);
@@ -234,18 +239,18 @@
 		schedule(sim, flight);
 		return;
 	}
-	if (is_blind) {
+	if (sees_no_changes) {
 		ws_result_free(&flight->result);
 		flight->result.outcome = sim->now < node->cut_store_until ? WS_OUTCOME_NO_ANSWER
 									  : WS_OUTCOME_UNAVAILABLE;
 	}
 	if (flight->node == sim_leader(sim))
-		count_watched(sim, &flight->result);
+		count_watched_records(sim, &flight->result);
 	if (call->watch.timeout_ms && sim->now < sim->late_watches_until)
-		/* one that is not left open overtakes it */
+		/* a watch without a timeout is not delayed and can overtake this one */
 		schedule_answer(sim, flight, sim->now + sim->late_watches_max_s * sim_random(sim));
 	else
-		schedule_answer(sim, flight, sim->now + CALL_S);
+		schedule_answer(sim, flight, sim->now + CALL_LATENCY_S);
 }
 
 static void execute_store_call(struct sim *sim, struct sim_call_in_flight *flight)
@@ -254,10 +259,10 @@
 	if (flight->call->kind == WS_CALL_TRANSACTION && sim->lost_txns > 0 &&
 	    sim_leader(sim) == flight->node) {
 		sim->lost_txns--;
-		lose_answer(sim, flight, sim->now + STORE_TIMEOUT_S);
+		drop_answer(sim, flight, sim->now + STORE_TIMEOUT_S);
 		return;
 	}
-	schedule_answer(sim, flight, sim->now + CALL_S);
+	schedule_answer(sim, flight, sim->now + CALL_LATENCY_S);
 }
 
 static void execute_cloud_call(struct sim *sim, struct sim_call_in_flight *flight)
@@ -265,13 +270,13 @@
 	sim_cloud_execute(sim, flight->call, &flight->result);
 	if (flight->call->kind == WS_CALL_SCALE_OUT && sim->lost_scale_outs > 0) {
 		sim->lost_scale_outs--;
-		lose_answer(sim, flight, sim->now + CLOUD_TIMEOUT_S);
+		drop_answer(sim, flight, sim->now + CLOUD_TIMEOUT_S);
 		return;
 	}
-	schedule_answer(sim, flight, sim->now + CALL_S);
+	schedule_answer(sim, flight, sim->now + CALL_LATENCY_S);
 }
 
-/* When commands that can't reach the worker now will; 0: they can. */
+/* Returns when commands reach the worker if they can't reach it now, or 0 if they can. */
 static double commands_delayed_until(struct sim *sim, const struct sim_worker *worker,
 				     const struct sim_node *node)
 {
@@ -313,13 +318,13 @@
 	double delayed_until;
 
 	sim->commands++;
-	if (worker->dead || worker->deleted) { /* nobody answers the attempt to connect */
+	if (worker->dead || worker->deleted) { /* the connection attempt fails */
 		flight->result.outcome = WS_OUTCOME_NOT_SENT;
 		flight->result.http_status = ws_http_status_of_outcome(WS_OUTCOME_NOT_SENT);
 		schedule_answer(sim, flight, sim->now + fmin(sim->heartbeat_s, sim->lease_s / 16));
 		return;
 	}
-	if (sim->now < worker->deaf_until) { /* never arrives */
+	if (sim->now < worker->deaf_until) { /* the commands are dropped */
 		schedule_answer(sim, flight, sim->now + sim->heartbeat_s);
 		return;
 	}
@@ -338,13 +343,13 @@
 		schedule_answer(sim, flight, sim->now + sim->slow_commands_s);
 	} else if (sim->lost_commands > 0) {
 		sim->lost_commands--;
-		lose_answer(sim, flight, sim->now + sim->heartbeat_s);
+		drop_answer(sim, flight, sim->now + sim->heartbeat_s);
 	} else {
-		schedule_answer(sim, flight, sim->now + CALL_S);
+		schedule_answer(sim, flight, sim->now + CALL_LATENCY_S);
 	}
 }
 
-/* The node of this name, if it can be reached from another one. */
+/* Returns the node of this name, or NULL if it is unreachable from node `from`. */
 static struct sim_node *reachable_peer(struct sim *sim, const struct sim_node *from,
 				       const char *name)
 {
@@ -361,7 +366,7 @@
 	return NULL;
 }
 
-/* The answer comes back by its request id, see sim_call_vote_answered(). */
+/* The peer's answer is matched to this call by its request id. */
 static void execute_outage_vote(struct sim *sim, struct sim_call_in_flight *flight)
 {
 	const struct ws_call *call = flight->call;
@@ -375,7 +380,7 @@
 	flight->request_id =
 	    ++sim->last_request_id << SIM_TOKEN_SHIFT | (uint64_t)flight->node | SIM_ID_OUTAGE_VOTE;
 	schedule_answer(sim, flight, sim->now + VOTE_TIMEOUT_S);
-	/* the version in production knows of no lists of cancellations */
+	/* only two nodes of this version exchange lists of cancellations */
 	if (peer->version == &sim_this_version && node->version == &sim_this_version)
 		ws_core_outage_vote(peer->core, sim_node_time(sim, peer), flight->request_id,
 				    call->outage_vote.leader_revision,
@@ -395,7 +400,7 @@
 	if (!flight)
 		return;
 	*link = flight->next;
-	flight->due_at = sim->now + VOTE_ANSWER_S;
+	flight->due_at = sim->now + VOTE_ANSWER_LATENCY_S;
 	schedule(sim, flight);
 	flight->result.outcome =
 	    effect->answer == WS_ANSWER_UNAVAILABLE ? WS_OUTCOME_UNAVAILABLE : WS_OUTCOME_OK;
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -1,15 +1,15 @@
-/* The cloud: instances that come and go. */
+/* Simulated cloud: machine types and instances, scale-out and scale-in. */
 #include "sim_cloud.h"
 
-/* A dead machine is listed as running for so much longer, as the protocol has it. */
-#define DEAD_LISTED_S 30
+/* The cloud's protocol lists a failed machine as running for this long after its failure. */
+#define FAILED_LISTED_S 30
 
 int sim_add_worker(struct sim *sim, int type, const char *zone, bool preemptible, bool owned)
 {
 	struct sim_worker *worker;
 
 	if (sim->worker_count == SIM_WORKERS) {
-		sim_fail(sim, "too many machines");
+		sim_fail(sim, "the scenario needs more than %d machines", SIM_WORKERS);
 		return 0;
 	}
 	worker = &sim->workers[sim->worker_count];
@@ -46,7 +46,7 @@
 		result->types.list[result->types.count++] = sim->types[i];
 }
 
-/* The list lags: what is new is not in it yet, and what is gone still is. */
+/* New machines appear in the list, and deleted ones disappear from it, only after its lag. */
 static bool is_listed(const struct sim *sim, const struct sim_worker *worker)
 {
 	if (worker->deleted && sim->now > worker->deleted_at + sim->list_lag_s)
@@ -56,7 +56,7 @@
 
 static enum ws_instance_phase instance_phase(const struct sim *sim, const struct sim_worker *worker)
 {
-	if (worker->dead && sim->now > worker->died_at + DEAD_LISTED_S)
+	if (worker->dead && sim->now > worker->died_at + FAILED_LISTED_S)
 		return WS_INSTANCE_FAILED;
 	return worker->is_up ? WS_INSTANCE_RUNNING : WS_INSTANCE_STARTING;
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-static struct sim_scale_out *scale_out_find(struct sim *sim, const char *key)
+static struct sim_scale_out *find_scale_out(struct sim *sim, const char *key)
 {
 	for (int i = 0; i < sim->scale_out_count; i++)
 		if (!strcmp(sim->scale_outs[i].key, key))
@@ -91,8 +91,8 @@
 	return NULL;
 }
 
-/* Adds as many instances as there is capacity for; NULL: there is none at all. */
-static struct sim_scale_out *scale_out_grant(struct sim *sim, const struct ws_call *call)
+/* Adds as many instances as there is capacity for. Returns NULL if there is no capacity at all. */
+static struct sim_scale_out *grant_scale_out(struct sim *sim, const struct ws_call *call)
 {
 	struct sim_scale_out *scale_out;
 	int type = sim_type_index(sim, call->scale_out.type), instances = 0;
@@ -116,10 +116,10 @@
 
 static void scale_out(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
-	const struct sim_scale_out *granted = scale_out_find(sim, call->scale_out.idempotency_key);
+	const struct sim_scale_out *granted = find_scale_out(sim, call->scale_out.idempotency_key);
 
 	if (!granted)
-		granted = scale_out_grant(sim, call);
+		granted = grant_scale_out(sim, call);
 	if (!granted) {
 		result->outcome = WS_OUTCOME_UNAVAILABLE;
 		result->instances.no_capacity = true;
@@ -135,7 +135,7 @@
 static void delete_instance(struct sim *sim, struct sim_worker *worker)
 {
 	if (worker->owned)
-		sim_fail(sim, "owned machine %s returned", worker->name);
+		sim_fail(sim, "owned machine %s was scaled in", worker->name);
 	if (!sim->scaled_in_at)
 		sim->scaled_in_at = sim->now;
 	if (worker->deleted)
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -1,4 +1,4 @@
-/* Controller nodes: how they start and end, and what becomes of the effects of their cores. */
+/* Controller nodes: starts, crashes and upgrades, and the execution of their cores' effects. */
 #include "sim_calls.h"
 #include "sim_digest.h"
 #include "sim_nodes.h"
@@ -9,14 +9,14 @@
 #define STORE_REQUESTS_PER_S 250
 #define STORE_WRITES_PER_S 50
 #define CLOUD_REQUESTS_PER_S 2
-#define CLOCK_SKEW 0.0005 /* of one node, as a share */
+#define CLOCK_SKEW_RATIO 0.0005 /* node-1's clock runs fast by this ratio */
 
 double sim_node_time(const struct sim *sim, const struct sim_node *node)
 {
 	return sim->now * (1 + node->skew);
 }
 
-/* ---- starts and ends ---- */
+/* ---- starts and crashes ---- */
 
 static void node_start(struct sim *sim, int index)
 {
@@ -27,7 +27,7 @@
 	    node->version->create(&node->settings, &sim->policy, sim_log, sim_node_time(sim, node),
 				  node->restarts * 977 + (uint64_t)index + 1);
 	if (node->version == &sim_this_version && !sim_verbose)
-		ws_core_set_log_level(node->core, WS_LOG_INFO); /* as in operation */
+		ws_core_set_log_level(node->core, WS_LOG_INFO); /* the level used in operation */
 	sim_domains_attach(sim, node);
 	sim_cold_start_attach(sim, node);
 }
@@ -38,7 +38,7 @@
 
 	if (!node->is_up)
 		return;
-	sim_log(WS_LOG_INFO, "---- a node crashes");
+	sim_log(WS_LOG_INFO, "---- controller node crashes");
 	node->is_up = false;
 	node->restarts++;
 	node->up_at = sim->now + down_s;
@@ -56,7 +56,7 @@
 	    sim->txn_ops < sim->next_txn_ops ? sim->txn_ops : sim->next_txn_ops;
 }
 
-/* Names and zones of a node and of the cluster. */
+/* Sets the node's name and zone, its peers and the zones of the cluster. */
 static void set_topology(const struct sim *sim, int index, struct ws_settings *settings)
 {
 	snprintf(settings->node, sizeof(settings->node), "node-%d", index);
@@ -100,14 +100,17 @@
 			node->version = sim_production_version();
 		else if (sim->next_value_kb > 0)
 			sim_node_upgrade(sim, i);
-		node->skew = i == 1 ? CLOCK_SKEW : 0;
+		node->skew = i == 1 ? CLOCK_SKEW_RATIO : 0;
 		node_start(sim, i);
 	}
 }
 
 /* ---- effects ---- */
 
-/* The peer that a request is forwarded to: the one named, else the first; NULL: out of reach. */
+/*
+ * Returns the peer that a request is forwarded to: the one named, or the first reachable one if the
+ * name is empty. Returns NULL if no such peer is reachable.
+ */
 static struct sim_node *forward_target(struct sim *sim, int from, const char *name)
 {
 	struct sim_node *target = NULL;
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -1,9 +1,9 @@
-/* The store: keys, sessions and watches. */
+/* Simulated key-value store: records, transactions, sessions and watches. */
 #include "sim_store.h"
 
-/* Small pages, so that paging is at work. */
-#define LIST_PAGE 7
-/* Sessions end a little after their time is over. */
+/* Pages are small so that lists need several of them. */
+#define LIST_PAGE_RECORDS 7
+/* Sessions end this long after their TTL has expired. */
 #define SESSION_GRACE_S 0.05
 
 /* ---- keys ---- */
@@ -53,12 +53,13 @@
 	history_add(sim, key, entry->value);
 }
 
-static int by_key(const struct sim_entry *entry, const struct sim_entry *other_entry)
+static int compare_keys(const struct sim_entry *entry, const struct sim_entry *other_entry)
 {
 	return strcmp(entry->key, other_entry->key);
 }
 
-static void copy_entry(struct ws_result *result, const char *key, json_t *value, uint64_t revision)
+static void append_record(struct ws_result *result, const char *key, json_t *value,
+			  uint64_t revision)
 {
 	result->records.entries =
 	    realloc(result->records.entries,
@@ -75,7 +76,7 @@
 
 	HASH_FIND_STR(sim->entries, call->read.key, entry);
 	if (entry)
-		copy_entry(result, entry->key, entry->value, entry->revision);
+		append_record(result, entry->key, entry->value, entry->revision);
 	else
 		result->outcome = WS_OUTCOME_NOT_FOUND;
 }
@@ -84,17 +85,17 @@
 {
 	struct sim_entry *entry, *next_entry;
 
-	HASH_SORT(sim->entries, by_key);
+	HASH_SORT(sim->entries, compare_keys);
 	result->records.revision = sim->revision;
 	HASH_ITER (hh, sim->entries, entry, next_entry) {
 		if (strncmp(entry->key, call->read.key, strlen(call->read.key)) != 0 ||
 		    strcmp(entry->key, call->read.after) <= 0)
 			continue;
-		if (result->records.entry_count == LIST_PAGE) {
+		if (result->records.entry_count == LIST_PAGE_RECORDS) {
 			result->records.has_more = true;
 			return;
 		}
-		copy_entry(result, entry->key, entry->value, entry->revision);
+		append_record(result, entry->key, entry->value, entry->revision);
 	}
 }
 
@@ -106,7 +107,7 @@
 
 		if (change->revision > call->watch.since_revision &&
 		    !strncmp(change->key, call->watch.prefix, strlen(call->watch.prefix)))
-			copy_entry(result, change->key, change->value, change->revision);
+			append_record(result, change->key, change->value, change->revision);
 	}
 	result->outcome = WS_OUTCOME_OK;
 	return result->records.entry_count > 0;
@@ -138,7 +139,7 @@
 	struct sim_session *session = &sim->sessions[sim->session_count];
 
 	if (sim->session_count == (int)(sizeof(sim->sessions) / sizeof(sim->sessions[0]))) {
-		sim_fail(sim, "too many sessions");
+		sim_fail(sim, "the store is out of session slots (%d)", sim->session_count);
 		return;
 	}
 	session->id = (uint64_t)++sim->session_count;
@@ -187,8 +188,8 @@
 
 /* ---- transactions ---- */
 
-/* Counts the bytes that an operation writes, and whether it is within the limits. */
-static bool operation_fits(struct sim *sim, const struct ws_call *call, size_t index)
+/* Counts the bytes that an operation writes. Returns whether it is within the store's limits. */
+static bool is_operation_within_limits(struct sim *sim, const struct ws_call *call, size_t index)
 {
 	const struct ws_operation *operation = &call->transaction.operations[index];
 	size_t bytes = operation->value ? json_dumpb(operation->value, NULL, 0, JSON_COMPACT) : 0;
@@ -199,20 +200,20 @@
 		return true;
 	sim->refused_writes++;
 	if (!sim->limits_lowered)
-		sim_fail(sim, "a transaction of %zu changes, %zu bytes under %s",
+		sim_fail(sim, "transaction over the limits: %zu operations, %zu bytes at key %s",
 			 call->transaction.operation_count, bytes, operation->key);
 	return false;
 }
 
-static bool transaction_fits(struct sim *sim, const struct ws_call *call)
+static bool is_transaction_within_limits(struct sim *sim, const struct ws_call *call)
 {
 	for (size_t i = 0; i < call->transaction.operation_count; i++)
-		if (!operation_fits(sim, call, i))
+		if (!is_operation_within_limits(sim, call, i))
 			return false;
 	return true;
 }
 
-static void compare(struct sim *sim, const struct ws_call *call, struct ws_result *result)
+static void check_compares(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
 	result->transaction.failed_keys =
 	    calloc(call->transaction.compare_count + 1, sizeof(*result->transaction.failed_keys));
@@ -227,7 +228,7 @@
 	}
 }
 
-static bool has_ended_session(struct sim *sim, const struct ws_call *call)
+static bool refers_to_ended_session(struct sim *sim, const struct ws_call *call)
 {
 	for (size_t i = 0; i < call->transaction.operation_count; i++)
 		if (call->transaction.operations[i].session &&
@@ -239,12 +240,12 @@
 static void transact(struct sim *sim, const struct ws_call *call, struct ws_result *result)
 {
 	sim->changes += call->transaction.self_paced ? call->transaction.operation_count : 0;
-	if (!transaction_fits(sim, call)) {
+	if (!is_transaction_within_limits(sim, call)) {
 		result->outcome = WS_OUTCOME_REJECTED;
 		return;
 	}
-	compare(sim, call, result);
-	if (has_ended_session(sim, call)) {
+	check_compares(sim, call, result);
+	if (refers_to_ended_session(sim, call)) {
 		result->outcome = WS_OUTCOME_REJECTED;
 		return;
 	}
@@ -280,7 +281,7 @@
 {
 	struct sim_entry *entry = sim->entries, *next_entry;
 
-	HASH_CLEAR(hh, sim->entries); /* leaves the entries and their order as they are */
+	HASH_CLEAR(hh, sim->entries); /* does not change the entries or their order */
 	for (; entry; entry = next_entry) {
 		next_entry = entry->hh.next;
 		json_decref(entry->value);
--- a/tests/sim_store.h
+++ b/tests/sim_store.h
@@ -1,17 +1,17 @@
-/* The store: keys, sessions and watches. */
+/* Simulated key-value store: records, transactions, sessions and watches. */
 #ifndef WS_SIM_STORE_H
 #define WS_SIM_STORE_H
 #include "sim_parts.h"
 
-/* Writes a key at the current revision, or deletes it when the value is NULL. */
+/* Writes a key at the current revision, or deletes it if the value is NULL. */
 void sim_store_put(struct sim *sim, const char *key, json_t *value, uint64_t session);
-/* Executes any call but a watch. */
+/* Executes a call of any kind except a watch. */
 void sim_store_execute(struct sim *sim, const struct ws_call *call, struct ws_result *result);
-/* What a watch brings now; false: nothing yet. */
+/* Collects the changes that a watch delivers now. Returns false if there are none yet. */
 bool sim_store_watch(const struct sim *sim, const struct ws_call *call, struct ws_result *result);
-/* Sessions get their whole time anew when an outage has ended. */
+/* Restarts the TTL of every live session when an outage of the store has ended. */
 void sim_sessions_extend_after_outage(struct sim *sim);
-/* Ends sessions that were not renewed, and deletes their keys. */
+/* Ends sessions whose TTL has expired, and deletes their keys. */
 void sim_sessions_expire(struct sim *sim);
 void sim_store_free(struct sim *sim);
 #endif
