--- a/tests/sim_gangs.c
+++ b/tests/sim_gangs.c
@@ -1,24 +1,24 @@
 /*
- * Gangs, after the operators' page: the tasks of an attempt wait for each other, run together, save
- * together when all are told in time, and end when one is gone.
+ * Gangs, as the operators specify them: the tasks of an attempt wait for each other, run together,
+ * write a checkpoint together if all receive the stop command in time, and exit when one is lost.
  */
 #include "sim_workers.h"
 
-/* Workers notice the loss of a member after this share of the time that they are allowed. */
-#define LOSS_NOTICED_SHARE 0.8
+/* Workers detect the loss of a member after this ratio of the permitted time gang_peer_s. */
+#define LOSS_DETECTION_RATIO 0.8
 
 struct member {
 	struct sim_worker *worker;
 	struct sim_task *task;
 };
 
-/* The tasks of an attempt that have not exited. */
+/* The tasks of an attempt that have not exited, and counts of their states. */
 struct gang_members {
 	struct member members[SIM_TASKS];
 	uint32_t count;
-	uint32_t waiting, running, saving; /* running: saving ones too */
+	uint32_t waiting, running, checkpointing; /* `running` includes `checkpointing` */
 	double first_stopped_at, last_stopped_at;
-	bool is_hung; /* the machine of one hangs */
+	bool is_hung; /* the machine of at least one task hangs */
 };
 
 static void add_member(const struct sim *sim, struct gang_members *gang_members,
@@ -31,7 +31,7 @@
 	    task->state == WS_TASK_RUNNING || task->state == WS_TASK_CHECKPOINTING;
 	if (task->state != WS_TASK_CHECKPOINTING)
 		return;
-	gang_members->saving++;
+	gang_members->checkpointing++;
 	gang_members->first_stopped_at = fmin(gang_members->first_stopped_at, task->stopped_at);
 	gang_members->last_stopped_at = fmax(gang_members->last_stopped_at, task->stopped_at);
 }
@@ -40,7 +40,7 @@
 			 struct gang_members *found)
 {
 	found->count = 0;
-	found->waiting = found->running = found->saving = 0;
+	found->waiting = found->running = found->checkpointing = 0;
 	found->first_stopped_at = INFINITY;
 	found->last_stopped_at = 0;
 	found->is_hung = false;
@@ -80,7 +80,7 @@
 	}
 }
 
-/* Tasks wait only so long for the others. */
+/* Tasks exit if the other members have not arrived within gang_wait_s. */
 static void exit_incomplete(struct sim *sim, const struct gang_members *found)
 {
 	for (uint32_t i = 0; i < found->count; i++) {
@@ -93,42 +93,43 @@
 	}
 }
 
-/* Progress stops with the first stop, with a loss and with a hang. */
-static void gang_progress(const struct sim *sim, const struct sim_job *job, struct sim_gang *gang,
-			  const struct gang_members *found)
+/* Progress pauses from the first stop command on, after a loss, and during a hang. */
+static void update_gang_progress(const struct sim *sim, const struct sim_job *job,
+				 struct sim_gang *gang, const struct gang_members *found)
 {
 	if (found->running >= job->spec.tasks && !found->is_hung)
 		gang->lost_at = 0;
 	else if (!gang->lost_at)
 		gang->lost_at = sim->now;
-	if (!found->saving && !gang->lost_at)
+	if (!found->checkpointing && !gang->lost_at)
 		gang->progress += SIM_STEP_S;
 }
 
-/* How the attempt ends in this step; WS_EXIT_NONE: it goes on. */
-static enum ws_exit_reason gang_end(const struct sim *sim, const struct sim_job *job,
-				    const struct sim_gang *gang, const struct gang_members *found)
+/* Returns the reason why the attempt ends in this step, or WS_EXIT_NONE if it continues. */
+static enum ws_exit_reason gang_end_reason(const struct sim *sim, const struct sim_job *job,
+					   const struct sim_gang *gang,
+					   const struct gang_members *found)
 {
-	if (!found->saving && !gang->lost_at && gang->progress >= job->run_s)
+	if (!found->checkpointing && !gang->lost_at && gang->progress >= job->run_s)
 		return WS_EXIT_DONE;
-	if (found->saving == job->spec.tasks && !found->is_hung &&
+	if (found->checkpointing == job->spec.tasks && !found->is_hung &&
 	    sim->now >= found->last_stopped_at + job->spec.checkpoint_duration_s)
 		return WS_EXIT_STOPPED;
-	if (gang->lost_at && sim->now > gang->lost_at + sim->gang_peer_s * LOSS_NOTICED_SHARE)
+	if (gang->lost_at && sim->now > gang->lost_at + sim->gang_peer_s * LOSS_DETECTION_RATIO)
 		return WS_EXIT_MEMBER_LOST;
-	if (found->saving && found->saving < found->running &&
+	if (found->checkpointing && found->checkpointing < found->running &&
 	    sim->now > found->first_stopped_at + sim->gang_peer_s)
 		return WS_EXIT_MEMBER_LOST;
 	return WS_EXIT_NONE;
 }
 
-/* What the next attempt begins with. */
+/* Saves the progress that the next attempt starts from. */
 static void save_progress(struct sim *sim, struct sim_job *job, const struct sim_gang *gang,
 			  enum ws_exit_reason reason)
 {
 	double interval = job->spec.checkpoint_interval_s;
 
-	if (reason == WS_EXIT_STOPPED) { /* safe with the first that exits */
+	if (reason == WS_EXIT_STOPPED) { /* the checkpoint is complete when the first task exits */
 		job->progress_saved = gang->progress;
 		sim->saved_attempts++;
 	} else if (interval > 0) {
@@ -166,8 +167,8 @@
 	exit_incomplete(sim, &found);
 	if (!gang->running || !found.running)
 		return;
-	gang_progress(sim, job, gang, &found);
-	reason = gang_end(sim, job, gang, &found);
+	update_gang_progress(sim, job, gang, &found);
+	reason = gang_end_reason(sim, job, gang, &found);
 	if (reason == WS_EXIT_NONE)
 		return;
 	save_progress(sim, job, gang, reason);
@@ -187,7 +188,7 @@
 		if (job->gangs[i].attempt == attempt)
 			return;
 	if (job->gang_count == SIM_GANGS)
-		sim_fail(sim, "%s began too often", job->spec.id);
+		sim_fail(sim, "job %s has more than %d gang attempts", job->spec.id, SIM_GANGS);
 	else
 		job->gangs[job->gang_count++].attempt = attempt;
 }
--- a/tests/sim_worker_tasks.c
+++ b/tests/sim_worker_tasks.c
@@ -1,4 +1,4 @@
-/* Tasks of a worker: the commands that start and end them, and how they go on. */
+/* Tasks of simulated workers: RUN, STOP and REAP commands, image fetches and runs. */
 #include "sim_checks.h"
 #include "sim_subsystems.h"
 #include "sim_users.h"
@@ -7,15 +7,16 @@
 #define FETCH_GB_PER_S 0.5
 #define CAPACITY_TOLERANCE 1e-9
 
-/* What a worker has of the task that a command names. */
-struct named_tasks {
-	struct sim_task *task;	/* the attempt itself; NULL: it has none */
-	bool has_other_attempt; /* that has not exited */
+/* The attempts that a worker has of the task that a command names. */
+struct task_attempts {
+	struct sim_task *task;	/* the named attempt; NULL if the worker does not have it */
+	bool has_other_attempt; /* another attempt has not exited yet */
 };
 
-static struct named_tasks find_named(struct sim_worker *worker, const struct ws_command *command)
+static struct task_attempts find_attempts(struct sim_worker *worker,
+					  const struct ws_command *command)
 {
-	struct named_tasks found = {NULL, false};
+	struct task_attempts found = {NULL, false};
 
 	for (int i = 0; i < worker->task_count; i++) {
 		struct sim_task *task = &worker->tasks[i];
@@ -30,8 +31,8 @@
 	return found;
 }
 
-static bool has_room(struct sim *sim, const struct sim_worker *worker,
-		     const struct ws_job_spec *spec)
+static bool has_capacity(struct sim *sim, const struct sim_worker *worker,
+			 const struct ws_job_spec *spec)
 {
 	const struct ws_machine_type *type = &sim->types[worker->type];
 	double cpus = spec->cpus, mem_gb = spec->mem_gb, used_cpus = 0, used_mem_gb = 0;
@@ -56,29 +57,33 @@
 	return false;
 }
 
-/* Why a task can't be started; WS_EXIT_NONE: it can. */
-static enum ws_exit_reason start_refusal(struct sim *sim, const struct sim_worker *worker,
-					 const struct sim_job *job, bool has_other_attempt)
+/* Returns the reason why a task can't be started, or WS_EXIT_NONE if it can. */
+static enum ws_exit_reason start_failure_reason(struct sim *sim, const struct sim_worker *worker,
+						const struct sim_job *job, bool has_other_attempt)
 {
 	if (!job || !job->submitted)
 		return WS_EXIT_UNKNOWN_JOB;
 	if (has_other_attempt)
 		return WS_EXIT_ATTEMPT_EXISTS;
-	if (!has_room(sim, worker, &job->spec))
+	if (!has_capacity(sim, worker, &job->spec))
 		return WS_EXIT_NO_CAPACITY;
 	return WS_EXIT_NONE;
 }
 
-/* Starts a task, which exits at once if it can't be; false: the play has failed. */
+/*
+ * Adds a task in state fetching, or exited if it can't be started. Returns false if the simulation
+ * has failed.
+ */
 static bool start_task(struct sim *sim, struct sim_worker *worker, const struct ws_command *command,
 		       bool has_other_attempt)
 {
 	const struct sim_job *job = sim_job_of(sim, command->job);
-	enum ws_exit_reason refusal = start_refusal(sim, worker, job, has_other_attempt);
+	enum ws_exit_reason failure_reason =
+	    start_failure_reason(sim, worker, job, has_other_attempt);
 	struct sim_task *task;
 
 	if (worker->task_count == SIM_TASKS) {
-		sim_fail(sim, "%s has too many tasks", worker->name);
+		sim_fail(sim, "machine %s has more than %d tasks", worker->name, SIM_TASKS);
 		return false;
 	}
 	task = &worker->tasks[worker->task_count++];
@@ -86,18 +91,18 @@
 	snprintf(task->job, sizeof(task->job), "%s", command->job);
 	task->task = command->task;
 	task->attempt = command->attempt;
-	task->exit_reason = refusal;
-	task->state = refusal == WS_EXIT_NONE ? WS_TASK_FETCHING : WS_TASK_EXITED;
-	if (job && refusal == WS_EXIT_NONE)
+	task->exit_reason = failure_reason;
+	task->state = failure_reason == WS_EXIT_NONE ? WS_TASK_FETCHING : WS_TASK_EXITED;
+	if (job && failure_reason == WS_EXIT_NONE)
 		task->seconds_left =
 		    has_image(worker, job->spec.image) ? 0 : job->spec.image_gb / FETCH_GB_PER_S;
 	sim_worker_changed(worker, sim->now);
 	return true;
 }
 
-/* Whether a task is to save its state before it stops, and has the time to. */
-static bool saves_before_stop(const struct sim_job *job, const struct sim_task *task,
-			      const struct ws_command *command)
+/* Returns whether a task writes a checkpoint before it stops; the grace period must suffice. */
+static bool checkpoints_before_stop(const struct sim_job *job, const struct sim_task *task,
+				    const struct ws_command *command)
 {
 	return job && job->spec.gang &&
 	       (task->state == WS_TASK_RUNNING || task->state == WS_TASK_CHECKPOINTING) &&
@@ -108,7 +113,7 @@
 static void stop_task(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
 		      const struct ws_command *command)
 {
-	if (saves_before_stop(sim_job_of(sim, task->job), task, command)) {
+	if (checkpoints_before_stop(sim_job_of(sim, task->job), task, command)) {
 		if (task->state == WS_TASK_RUNNING)
 			task->stopped_at = sim->now;
 		task->state = WS_TASK_CHECKPOINTING;
@@ -129,11 +134,11 @@
 	sim_worker_changed(worker, sim->now);
 }
 
-/* False: the play has failed. */
-static bool take_command(struct sim *sim, struct sim_worker *worker,
-			 const struct ws_command *command)
+/* Executes one command. Returns false if the simulation has failed. */
+static bool execute_command(struct sim *sim, struct sim_worker *worker,
+			    const struct ws_command *command)
 {
-	struct named_tasks found = find_named(worker, command);
+	struct task_attempts found = find_attempts(worker, command);
 
 	sim_cold_start_command(sim, worker, command, found.task);
 	switch (command->kind) {
@@ -155,7 +160,7 @@
 			      const struct ws_command *commands, size_t count)
 {
 	for (size_t i = 0; i < count; i++)
-		if (!take_command(sim, worker, &commands[i]))
+		if (!execute_command(sim, worker, &commands[i]))
 			return;
 }
 
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -1,4 +1,4 @@
-/* Workers: heartbeats, direct commands, leases. */
+/* Simulated workers: heartbeats, direct commands and leases. */
 #include "sim_workers.h"
 #include "sim_nodes.h"
 #include "sim_subsystems.h"
@@ -8,7 +8,7 @@
 #define HEARTBEAT_AFTER_CHANGE_S 0.5
 #define HEARTBEAT_AFTER_REDIRECT_S 0.2
 #define HEARTBEAT_RETRY_S 1
-#define ANSWER_TIMEOUT_S 4
+#define HEARTBEAT_TIMEOUT_S 4
 
 void sim_worker_changed(struct sim_worker *worker, double now)
 {
@@ -79,7 +79,7 @@
 	add_task_statuses(sim, worker, heartbeat);
 }
 
-/* It turns to the next node. */
+/* Gives up on the pending heartbeat; the next one is sent to the next node. */
 static void try_next_node(const struct sim *sim, struct sim_worker *worker)
 {
 	worker->heartbeat_pending = false;
@@ -87,7 +87,10 @@
 	worker->next_heartbeat_at = sim->now + HEARTBEAT_RETRY_S;
 }
 
-/* It arrives when the last of the cuts between machine and node has ended. Takes it over. */
+/*
+ * Holds a heartbeat back until the last partition between machine and node has ended. Takes
+ * ownership of the heartbeat's tasks.
+ */
 static void delay_heartbeat(struct sim *sim, const struct sim_worker *worker,
 			    const struct sim_node *node, const struct ws_heartbeat *heartbeat)
 {
@@ -99,12 +102,15 @@
 	delayed->due_at = fmax(fmax(machine_until, node_until), sim->zone_cut_until) + SIM_STEP_S;
 	delayed->node = worker->node;
 	delayed->heartbeat = *heartbeat;
-	while (*link) /* delivered in order */
+	while (*link) /* delivered in the order of sending */
 		link = &(*link)->next;
 	*link = delayed;
 }
 
-/* It arrives once more: later, at any node; or at all nodes, when one begins to lead. */
+/*
+ * Schedules a second delivery of a heartbeat: later at a random node, or at all nodes when a new
+ * leader takes over.
+ */
 static void duplicate_heartbeat(struct sim *sim, const struct ws_heartbeat *heartbeat)
 {
 	struct sim_delayed_heartbeat *delayed = calloc(1, sizeof(*delayed));
@@ -154,8 +160,8 @@
 	free(heartbeat.tasks);
 }
 
-/* Whether another node has begun to lead since this was last asked. */
-static bool new_leader_began(struct sim *sim)
+/* Returns whether a new leader has taken over since the last call that returned true. */
+static bool has_new_leader(struct sim *sim)
 {
 	struct sim_entry *entry;
 	const char *leader;
@@ -176,7 +182,7 @@
 	return false;
 }
 
-/* Its sender gave up long ago: nobody hears the answer. */
+/* Delivers a delayed heartbeat. Its sender has timed out, so that the answer is dropped. */
 static void deliver_heartbeat(struct sim *sim, const struct sim_delayed_heartbeat *delayed)
 {
 	for (int i = 0; i < sim->node_count; i++) {
@@ -188,7 +194,7 @@
 	}
 }
 
-static void delayed_heartbeat_free(struct sim_delayed_heartbeat *delayed)
+static void free_delayed_heartbeat(struct sim_delayed_heartbeat *delayed)
 {
 	free(delayed->heartbeat.tasks);
 	free(delayed);
@@ -196,7 +202,7 @@
 
 void sim_workers_deliver_delayed_heartbeats(struct sim *sim)
 {
-	bool new_leader = new_leader_began(sim);
+	bool new_leader = has_new_leader(sim);
 	struct sim_delayed_heartbeat **link = &sim->delayed_heartbeats, *delayed;
 
 	while ((delayed = *link)) {
@@ -206,7 +212,7 @@
 		}
 		*link = delayed->next;
 		deliver_heartbeat(sim, delayed);
-		delayed_heartbeat_free(delayed);
+		free_delayed_heartbeat(delayed);
 	}
 }
 
@@ -233,9 +239,9 @@
 	return outcome;
 }
 
-/* The leader's answer renews the lease. */
-static void take_leader_answer(struct sim *sim, struct sim_worker *worker,
-			       const struct ws_effect *answer)
+/* Handles the leader's answer to a heartbeat, which renews the lease. */
+static void handle_leader_answer(struct sim *sim, struct sim_worker *worker,
+				 const struct ws_effect *answer)
 {
 	if (answer->heartbeat.fencing_token < worker->fencing_token)
 		return;
@@ -250,7 +256,10 @@
 				 answer->heartbeat.command_count);
 }
 
-/* Another node is said to lead; false: it is none that the worker could turn to. */
+/*
+ * Switches the worker to the node that was named as the leader. Returns false if no other node has
+ * that name.
+ */
 static bool follow_redirect(const struct sim *sim, struct sim_worker *worker, const char *leader)
 {
 	for (int i = 0; i < sim->node_count; i++) {
@@ -280,13 +289,13 @@
 		return;
 	worker->heartbeat_pending = false;
 	if (effect->answer == WS_ANSWER_OK)
-		take_leader_answer(sim, worker, effect);
+		handle_leader_answer(sim, worker, effect);
 	else if (effect->answer != WS_ANSWER_OTHER_LEADER || !effect->heartbeat.leader[0] ||
 		 !follow_redirect(sim, worker, effect->heartbeat.leader))
 		try_next_node(sim, worker);
 }
 
-/* ---- the course of time ---- */
+/* ---- simulation steps ---- */
 
 static void boot_step(struct sim *sim, struct sim_worker *worker)
 {
@@ -300,8 +309,8 @@
 }
 
 /*
- * Past its lease a worker kills its tasks and goes on with a new incarnation. While its machine
- * hangs it can't, but the tasks are not counted as running any more either.
+ * When its lease has expired, a worker kills its tasks and continues with a new incarnation. While
+ * its machine hangs the tasks are removed as well, but the incarnation changes only afterwards.
  */
 static void lease_step(struct sim *sim, struct sim_worker *worker)
 {
@@ -319,7 +328,7 @@
 
 static void heartbeat_step(struct sim *sim, struct sim_worker *worker)
 {
-	if (worker->heartbeat_pending && sim->now - worker->sent_at > ANSWER_TIMEOUT_S)
+	if (worker->heartbeat_pending && sim->now - worker->sent_at > HEARTBEAT_TIMEOUT_S)
 		try_next_node(sim, worker);
 	if (!worker->heartbeat_pending && sim->now >= worker->next_heartbeat_at)
 		send_heartbeat(sim, worker);
@@ -352,7 +361,7 @@
 		struct sim_delayed_heartbeat *delayed = sim->delayed_heartbeats;
 
 		sim->delayed_heartbeats = delayed->next;
-		delayed_heartbeat_free(delayed);
+		free_delayed_heartbeat(delayed);
 	}
 	free(sim->workers);
 }
--- a/tests/sim_workers.h
+++ b/tests/sim_workers.h
@@ -1,50 +1,56 @@
-/* Workers: heartbeats, commands and leases. */
+/* Simulated workers: heartbeats, commands and leases. */
 #ifndef WS_SIM_WORKERS_H
 #define WS_SIM_WORKERS_H
 #include "sim_parts.h"
 
-/* Its next heartbeat comes soon, for its tasks have changed. */
+/* Brings the worker's next heartbeat forward after a change. */
 void sim_worker_changed(struct sim_worker *worker, double now);
-/* Makes its next heartbeat; the caller frees `heartbeat->tasks`. */
+/* Builds the worker's next heartbeat. The caller frees `heartbeat->tasks`. */
 void sim_worker_heartbeat(const struct sim *sim, struct sim_worker *worker,
 			  struct ws_heartbeat *heartbeat);
-/* The number of the worker at an address. */
+/* Returns the index of the worker at an address. */
 int sim_worker_at(const char *address);
-/* Whether it runs now and does not hang. */
+/* Returns whether the worker runs and does not hang. */
 bool sim_worker_live(const struct sim *sim, const struct sim_worker *worker);
-/* Direct commands reach it: their outcome, and in `heartbeat` its answer, unless that is NULL. */
+/*
+ * Delivers direct commands to the worker and returns their outcome. Stores the heartbeat that the
+ * worker answers with in `heartbeat` unless that is NULL.
+ */
 enum ws_outcome sim_worker_command(struct sim *sim, struct sim_worker *worker,
 				   uint64_t fencing_token, uint64_t incarnation,
 				   const struct ws_command *commands, size_t count,
 				   struct ws_heartbeat *heartbeat);
-/* A node's answer to its heartbeat, which may be slow on its way. */
+/* Sends a node's answer to a heartbeat to the worker, possibly with a delay. */
 void sim_worker_answer(struct sim *sim, const struct ws_effect *effect);
-/* An answer has arrived: the worker takes it unless it no longer waits for it. */
+/* Delivers an answer. The worker ignores it if it no longer waits for it. */
 void sim_worker_take_answer(struct sim *sim, const struct ws_effect *effect);
-/* Whether node and machine can't reach each other now. */
+/* Returns whether node and machine can't reach each other now. */
 bool sim_is_partitioned(const struct sim *sim, const struct sim_worker *worker,
 			const struct sim_node *node);
 void sim_worker_step(struct sim *sim, struct sim_worker *worker);
-/* Heartbeats that were held back and are due arrive. */
+/* Delivers delayed heartbeats that are due. */
 void sim_workers_deliver_delayed_heartbeats(struct sim *sim);
 void sim_workers_free(struct sim *sim);
 
-/* Whether an answer is slow; if so, it is taken over and arrives later. sim_slow_answers.c */
+/*
+ * Returns whether an answer is to be delayed; if so, a copy of it is delivered later. Defined in
+ * sim_slow_answers.c.
+ */
 bool sim_slow_answer_add(struct sim *sim, const struct ws_effect *answer);
-/* Slow answers that are due arrive. */
+/* Delivers slow answers that are due. */
 void sim_slow_answers_deliver(struct sim *sim);
 void sim_slow_answers_free(struct sim *sim);
 
-/* Takes commands one after another. sim_worker_tasks.c */
+/* Executes commands in order. Defined in sim_worker_tasks.c. */
 void sim_worker_take_commands(struct sim *sim, struct sim_worker *worker,
 			      const struct ws_command *commands, size_t count);
-/* Its tasks go on by one step. */
+/* Advances the worker's tasks by one step. */
 void sim_worker_tasks_step(struct sim *sim, struct sim_worker *worker);
-/* A run of a task has ended well. */
+/* Records that a run of a task has succeeded. */
 void sim_task_finished(struct sim *sim, struct sim_job *job, const struct sim_task *task);
 
-/* All gangs go on by one step. sim_gangs.c */
+/* Advances all gangs by one step. Defined in sim_gangs.c. */
 void sim_gangs_step(struct sim *sim);
-/* A run of a gang's task began: its attempt is followed from now on. */
+/* Starts tracking a gang's attempt, unless it is tracked already. */
 void sim_gang_follow(struct sim *sim, struct sim_job *job, uint64_t attempt);
 #endif
