--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -1,4 +1,4 @@
-/* Users: what they ask of the nodes, and the rules for the answers. */
+/* Simulated users: their requests to the nodes, and the checks of the answers. */
 #include "sim_users.h"
 #include "../src/io/http_status.h"
 #include "sim_nodes.h"
@@ -6,10 +6,10 @@
 #define ANSWER_TIMEOUT_S 5
 #define RETRY_S 1
 #define POLL_S 2
-#define SUBMIT_PATIENCE_S 1e9
+#define WALL_CLOCK_OFFSET_S 1e9 /* added to the simulation time */
 
-/* What a user had been told of a job before a request. */
-struct knowledge {
+/* The job state that answers had reported to the user before a request was sent. */
+struct reported_state {
 	int kind; /* of the request */
 	bool accepted, done, cancelled;
 };
@@ -23,8 +23,8 @@
 	double now = sim_node_time(sim, target);
 
 	if (kind == SIM_REQUEST_SUBMIT)
-		target->version->submit(target->core, now, sim->now + SUBMIT_PATIENCE_S, request_id,
-					&job->spec, forwarded);
+		target->version->submit(target->core, now, sim->now + WALL_CLOCK_OFFSET_S,
+					request_id, &job->spec, forwarded);
 	else if (kind == SIM_REQUEST_POLL)
 		target->version->query_status(target->core, now, request_id, job->spec.id,
 					      forwarded);
@@ -49,8 +49,11 @@
 	return (++sim->last_request_id << SIM_TOKEN_SHIFT) | (uint64_t)(job - sim->jobs);
 }
 
-/* Asks one node: the answer must not be older than what was told before it was asked. */
-static void check_node(struct sim *sim, int node, struct sim_job *job, int kind)
+/*
+ * Sends a consistency check to one node. The answer must not contradict what earlier answers had
+ * reported when the check was sent.
+ */
+static void send_consistency_check(struct sim *sim, int node, struct sim_job *job, int kind)
 {
 	struct sim_consistency_check *check =
 	    &sim->checks[sim->check_count++ % SIM_CONSISTENCY_CHECKS];
@@ -73,12 +76,12 @@
 {
 	for (int i = 0; i < sim->node_count; i++)
 		if (is_reachable(sim, &sim->nodes[i])) {
-			check_node(sim, i, job, SIM_REQUEST_POLL);
-			check_node(sim, i, job, SIM_REQUEST_SUBMIT);
+			send_consistency_check(sim, i, job, SIM_REQUEST_POLL);
+			send_consistency_check(sim, i, job, SIM_REQUEST_SUBMIT);
 		}
 }
 
-/* Sends a request to the next node in turn that can be reached. */
+/* Sends a request to the next reachable node in round-robin order. */
 static void send_request(struct sim *sim, struct sim_job *job, int kind)
 {
 	int tries = 0;
@@ -99,13 +102,16 @@
 
 /* ---- answers ---- */
 
-/* Takes the request off the list of those that wait; false: nobody waits for its answer. */
-static bool take_pending(struct sim *sim, struct sim_job *job, uint64_t request_id,
-			 struct knowledge *known)
+/*
+ * Removes a pending request and stores in `known` what had been reported when it was sent. Returns
+ * false if no such request is pending.
+ */
+static bool remove_pending(struct sim *sim, struct sim_job *job, uint64_t request_id,
+			   struct reported_state *known)
 {
 	if (request_id == job->pending_request) {
-		*known =
-		    (struct knowledge){job->pending_kind, job->accepted, job->done, job->cancelled};
+		*known = (struct reported_state){job->pending_kind, job->accepted, job->done,
+						 job->cancelled};
 		job->pending_request = 0;
 		return true;
 	}
@@ -114,8 +120,8 @@
 
 		if (check->request_id != request_id)
 			continue;
-		*known =
-		    (struct knowledge){check->kind, check->accepted, check->done, check->cancelled};
+		*known = (struct reported_state){check->kind, check->accepted, check->done,
+						 check->cancelled};
 		check->request_id = 0;
 		return true;
 	}
@@ -132,60 +138,64 @@
 	return answer->answer == WS_ANSWER_NEVER_RUNNABLE;
 }
 
-/* Takes down what a submission was answered; whether it was accepted only now. */
-static bool take_submit_answer(struct sim *sim, struct sim_job *job, const struct ws_effect *answer)
+/* Records the answer to a submission. Returns whether it is the first to accept the job. */
+static bool record_submit_answer(struct sim *sim, struct sim_job *job,
+				 const struct ws_effect *answer)
 {
-	bool is_news;
+	bool is_state_change;
 
 	if (job->refused && is_success(answer))
-		sim_fail(sim, "%s was refused, and is accepted", job->spec.id);
+		sim_fail(sim, "contradiction: job %s was refused earlier, and is accepted now",
+			 job->spec.id);
 	job->refused |= is_refusal(answer);
 	job->status = ws_http_status_of_answer(answer->answer);
 	if (!is_success(answer))
 		return false;
-	is_news = !job->accepted;
+	is_state_change = !job->accepted;
 	job->accepted = true;
-	return is_news;
+	return is_state_change;
 }
 
-/* The rules for all answers. */
+/* Checks the rules that hold for all answers. */
 static void check_answer(struct sim *sim, const struct sim_job *job, const struct ws_effect *answer,
-			 const struct knowledge *known)
+			 const struct reported_state *known)
 {
 	if (answer->answer == WS_ANSWER_NOT_FOUND && known->accepted)
-		sim_fail(sim, "forgotten: %s", job->spec.id);
+		sim_fail(sim, "lost job: %s was accepted, and is not found now", job->spec.id);
 	if (is_refusal(answer) && job->accepted)
-		sim_fail(sim, "forgotten: %s submitted again gets %d", job->spec.id,
-			 ws_http_status_of_answer(answer->answer));
+		sim_fail(sim, "lost job: %s was accepted, and its resubmission gets status %d",
+			 job->spec.id, ws_http_status_of_answer(answer->answer));
 	if (answer->answer == WS_ANSWER_OK && !job->submitted)
-		sim_fail(sim, "invented: %s", job->spec.id);
+		sim_fail(sim, "unknown job: %s was never submitted, but is reported", job->spec.id);
 }
 
-/* The rules for the phase that a job is said to be in. */
+/* Checks the rules for the phase that an answer reports. */
 static void check_phase(struct sim *sim, const struct sim_job *job, const struct ws_effect *answer,
-			const struct knowledge *known)
+			const struct reported_state *known)
 {
 	bool is_done = answer->user.phase == WS_JOB_DONE;
 	bool is_cancelled = answer->user.phase == WS_JOB_CANCELLED;
 
 	if (strcmp(answer->user.job, job->spec.id) != 0)
-		sim_fail(sim, "%s is answered for %s", answer->user.job, job->spec.id);
+		sim_fail(sim, "the answer names job %s instead of %s", answer->user.job,
+			 job->spec.id);
 	if (is_done && job->completed < job->spec.tasks)
-		sim_fail(sim, "not_done: %s is called done with %u of %u", job->spec.id,
-			 job->completed, job->spec.tasks);
+		sim_fail(sim, "too early: job %s is reported done with %u of %u tasks",
+			 job->spec.id, job->completed, job->spec.tasks);
 	if (known->done && !is_done)
-		sim_fail(sim, "went_back: %s was done", job->spec.id);
+		sim_fail(sim, "contradiction: job %s was done earlier", job->spec.id);
 	if (known->cancelled && !is_cancelled)
-		sim_fail(sim, "went_back: %s was cancelled, now %d", job->spec.id,
-			 answer->user.phase);
+		sim_fail(sim, "contradiction: job %s was cancelled earlier, its phase is %d now",
+			 job->spec.id, answer->user.phase);
 	if ((is_done && job->cancelled) || (is_cancelled && job->done))
-		sim_fail(sim, "went_back: %s is called done and cancelled", job->spec.id);
+		sim_fail(sim, "contradiction: job %s is reported both done and cancelled",
+			 job->spec.id);
 	if (is_cancelled && !job->cancel_sent)
-		sim_fail(sim, "went_back: nobody cancelled %s", job->spec.id);
+		sim_fail(sim, "contradiction: job %s is cancelled without a request", job->spec.id);
 }
 
-/* Takes down that a job is done or cancelled; whether that is news. */
-static bool take_phase(struct sim *sim, struct sim_job *job, const struct ws_effect *answer)
+/* Records that a job is done or cancelled. Returns whether this is reported for the first time. */
+static bool record_phase(struct sim *sim, struct sim_job *job, const struct ws_effect *answer)
 {
 	if (answer->user.phase == WS_JOB_DONE && !job->done) {
 		job->done = true;
@@ -200,8 +210,8 @@
 	return false;
 }
 
-/* After news a user asks all nodes, and some cancel at once. */
-static void react_to_news(struct sim *sim, struct sim_job *job)
+/* After a state change a user queries all nodes, and a share of the users cancel at once. */
+static void react_to_state_change(struct sim *sim, struct sim_job *job)
 {
 	if (sim->now >= sim->checks_until)
 		return;
@@ -213,23 +223,23 @@
 void sim_user_answer(struct sim *sim, const struct ws_effect *effect)
 {
 	struct sim_job *job = &sim->jobs[effect->request_id & (SIM_JOBS - 1)];
-	struct knowledge known;
-	bool is_news = false;
+	struct reported_state known;
+	bool is_state_change = false;
 
-	if (!take_pending(sim, job, effect->request_id, &known))
+	if (!remove_pending(sim, job, effect->request_id, &known))
 		return;
 	if (effect->answer == WS_ANSWER_UNAVAILABLE && effect->user.retry_after_s < 1)
-		sim_fail(sim, "%s: a 503 without Retry-After", job->spec.id);
+		sim_fail(sim, "job %s: an answer of status 503 has no Retry-After", job->spec.id);
 	if (known.kind == SIM_REQUEST_SUBMIT)
-		is_news = take_submit_answer(sim, job, effect);
+		is_state_change = record_submit_answer(sim, job, effect);
 	check_answer(sim, job, effect, &known);
 	if (!is_success(effect))
 		return;
 	job->answered_at = sim->now;
 	check_phase(sim, job, effect, &known);
-	is_news |= take_phase(sim, job, effect);
-	if (is_news)
-		react_to_news(sim, job);
+	is_state_change |= record_phase(sim, job, effect);
+	if (is_state_change)
+		react_to_state_change(sim, job);
 }
 
 void sim_user_job_ended(struct sim *sim, struct sim_job *job)
@@ -241,7 +251,7 @@
 	}
 }
 
-/* ---- the course of time ---- */
+/* ---- simulation steps ---- */
 
 static void user_step(struct sim *sim, struct sim_job *job)
 {
--- a/tests/sim_users.h
+++ b/tests/sim_users.h
@@ -1,17 +1,17 @@
-/* Users: what they ask of the nodes, and the rules for the answers. */
+/* Simulated users: their requests to the nodes, and the checks of the answers. */
 #ifndef WS_SIM_USERS_H
 #define WS_SIM_USERS_H
 #include "sim_parts.h"
 
-/* Puts a request to a node, directly or as another node forwards it. */
+/* Sends a request to a node, either directly or as forwarded by another node. */
 void sim_user_request(struct sim *sim, int node, const struct sim_job *job, int kind,
 		      uint64_t request_id, bool forwarded);
-/* What a user still waits for under this id; 0: nothing. */
+/* Returns the kind of the pending request with this id, or 0 if no user waits for its answer. */
 int sim_user_pending_kind(const struct sim *sim, uint64_t request_id);
 void sim_user_answer(struct sim *sim, const struct ws_effect *effect);
-/* Asks all nodes for the job, and sends it to them again. */
+/* Queries the job's status at all reachable nodes, and submits the job to each of them again. */
 void sim_user_check_all_nodes(struct sim *sim, struct sim_job *job);
-/* The last task of a job has just ended: a share of the users cancel it in that moment. */
+/* Handles the end of a job's last task: a share of the users cancel the job at that moment. */
 void sim_user_job_ended(struct sim *sim, struct sim_job *job);
 void sim_users_step(struct sim *sim);
 void sim_jobs_free(struct sim *sim);
