--- a/tests/sim_cold_start.c
+++ b/tests/sim_cold_start.c
@@ -1,10 +1,10 @@
-/* Stops of all controllers, records that the store loses, and what scenarios expect of a start. */
+/* Cold starts: stops of all controllers, lost records, power losses, and their expectations. */
 #include "sim_nodes.h"
 #include "sim_store.h"
 #include "sim_subsystems.h"
 #include "sim_workers.h"
 
-#define UNBOUNDED_S 1e6
+#define UNBOUNDED_S 1e6 /* longer than any scenario */
 
 static void log_line(const char *text)
 {
@@ -32,7 +32,7 @@
 	settings->heard_share = sim_option(text, "share", settings->heard_share);
 }
 
-/* ---- what befalls the cluster ---- */
+/* ---- faults of the cluster ---- */
 
 void sim_cold_start_all_stopped(struct sim *sim)
 {
@@ -45,7 +45,6 @@
 	};
 }
 
-/* When the first controller is back after a stop, and when one leads. */
 void sim_cold_start_step(struct sim *sim)
 {
 	if (sim->stop.stopped_at <= 0)
@@ -57,7 +56,7 @@
 		sim->stop.led_at = sim->now;
 }
 
-/* crash-in-turn [first=S] [every=S]: all end, and come back one by one */
+/* crash-in-turn [first=S] [every=S]: all controllers stop, and restart one after another */
 static void run_crash_in_turn(struct sim *sim, const struct sim_action *action)
 {
 	double down_s = sim_option(action->text, "first", 5);
@@ -69,15 +68,15 @@
 	}
 }
 
-/* A machine loses what it runs, and is back after a while with a new incarnation. */
-static void lose_power(struct sim *sim, struct sim_worker *worker, double span)
+/* Kills the tasks of a machine, which restarts after `down_s` seconds with a new incarnation. */
+static void lose_power(struct sim *sim, struct sim_worker *worker, double down_s)
 {
 	sim_cold_start_killed(sim, worker);
 	worker->task_count = 0;
 	worker->image_count = 0;
 	worker->incarnation++;
 	worker->heartbeat_pending = false;
-	worker->hang_until = sim->now + span;
+	worker->hang_until = sim->now + down_s;
 	worker->answered_sent = worker->hang_until;
 	worker->next_heartbeat_at = worker->hang_until;
 }
@@ -85,7 +84,7 @@
 /* power-loss [for=S] [share=X] [zone=Z] */
 static void run_power_loss(struct sim *sim, const struct sim_action *action)
 {
-	double share = sim_option(action->text, "share", 1), part = 0;
+	double share = sim_option(action->text, "share", 1), accumulated_share = 0;
 	char zone[32] = "";
 
 	sim_option_text(action->text, "zone", zone, sizeof(zone));
@@ -95,15 +94,15 @@
 		if (worker->dead || worker->deleted || !worker->is_up ||
 		    (zone[0] && strcmp(zone, worker->zone) != 0))
 			continue;
-		part += share;
-		if (part < 1 - 1e-9)
+		accumulated_share += share;
+		if (accumulated_share < 1 - 1e-9)
 			continue;
-		part -= 1;
+		accumulated_share -= 1;
 		lose_power(sim, worker, action->span);
 	}
 }
 
-/* old-record KEY [back=N]: as it was so many versions ago; without one, it is gone */
+/* old-record KEY [back=N]: restores the value N versions ago; deletes the key if there is none */
 static void run_old_record(struct sim *sim, const struct sim_action *action)
 {
 	int skip = (int)sim_option(action->text, "back", 1);
@@ -117,7 +116,7 @@
 	json_decref(value);
 }
 
-/* lose-record KEY: of a job, its user waits for nothing until it is sent again */
+/* lose-record KEY: deletes it; if it is a job's, the user is idle until the job is resubmitted */
 static void run_lose_record(struct sim *sim, const struct sim_action *action)
 {
 	static const char prefix[] = "job/";
@@ -144,7 +143,10 @@
 		job->next_try_at = sim->now;
 }
 
-/* The worker of this name, or the "busiest" one, the first of equals. */
+/*
+ * Returns the worker of this name, or NULL if there is none. The name "busiest" stands for the
+ * first of the workers with the most tasks.
+ */
 static struct sim_worker *worker_named(struct sim *sim, const char *name)
 {
 	bool is_busiest = !strcmp(name, "busiest");
@@ -161,10 +163,10 @@
 }
 
 /*
- * twin FROM to=MACHINE [by=N]: the first task that a worker has, as if another one had it too; the
- * number of its attempt differs by N
+ * twin FROM to=MACHINE [by=N]: copies the first task of worker FROM to another worker, and adds N
+ * to the copy's attempt number
  */
-static void run_twin(struct sim *sim, const struct sim_action *action)
+static void run_copy_task(struct sim *sim, const struct sim_action *action)
 {
 	char target_name[WS_NAME_MAX] = "";
 	struct sim_worker *from = worker_named(sim, action->name), *target;
@@ -173,7 +175,8 @@
 	sim_option_text(action->text, "to", target_name, sizeof(target_name));
 	target = from ? worker_named(sim, target_name) : NULL;
 	if (!target || !from->task_count || target->task_count == SIM_TASKS) {
-		sim_fail(sim, "no task of %s for %s", action->name, target_name);
+		sim_fail(sim, "can't copy a task from worker %s to worker '%s'", action->name,
+			 target_name);
 		return;
 	}
 	task = &target->tasks[target->task_count++];
@@ -184,7 +187,7 @@
 	sim_worker_changed(target, sim->now);
 }
 
-/* coldstart-format KEY: a record of a later version */
+/* coldstart-format KEY: replaces the record by one in a later format */
 static void run_later_format(struct sim *sim, const struct sim_action *action)
 {
 	json_t *value = json_pack("{s:i,s:s}", "v", 9, "phase", "observing");
@@ -201,36 +204,35 @@
     {"old-record", run_old_record},
     {"power-loss", run_power_loss},
     {"resubmit", run_resubmit},
-    {"twin", run_twin},
+    {"twin", run_copy_task},
     {NULL, NULL},
 };
 
-/* ---- commands, and what they do to healthy work ---- */
+/* ---- commands, and healthy tasks that they stop or restart ---- */
 
-/* Whether a worker has a task that would go on by itself: its lease runs and its machine is there.
- */
-static bool task_alive(const struct sim *sim, const struct sim_worker *worker,
-		       const struct sim_task *task)
+/* Returns whether a task is alive: it has not exited, its machine is up and its lease runs. */
+static bool is_task_alive(const struct sim *sim, const struct sim_worker *worker,
+			  const struct sim_task *task)
 {
 	return task->state != WS_TASK_EXITED && !worker->dead && !worker->deleted &&
 	       worker->is_up && sim->now - worker->answered_sent <= sim->lease_s;
 }
 
-/* Tasks of a job on machines, fetching ones included. */
-static double count_alive(struct sim *sim, const char *job)
+/* Counts the live tasks of a job, including those that fetch their image. */
+static double count_live_tasks(struct sim *sim, const char *job)
 {
 	int count = 0;
 
 	for (int i = 0; i < sim->worker_count; i++)
 		for (int k = 0; k < sim->workers[i].task_count; k++)
 			count += !strcmp(sim->workers[i].tasks[k].job, job) &&
-				 task_alive(sim, &sim->workers[i], &sim->workers[i].tasks[k]);
+				 is_task_alive(sim, &sim->workers[i], &sim->workers[i].tasks[k]);
 	return count;
 }
 
-/* The rule of every scenario: no command starts anew what is alive somewhere. */
-static void check_restart(struct sim *sim, const struct sim_worker *taker,
-			  const struct ws_command *command)
+/* Checks, in every scenario, that no command starts a task that is alive on some machine. */
+static void check_duplicate_start(struct sim *sim, const struct sim_worker *receiver,
+				  const struct ws_command *command)
 {
 	for (int i = 0; i < sim->worker_count; i++) {
 		const struct sim_worker *worker = &sim->workers[i];
@@ -239,9 +241,9 @@
 			const struct sim_task *task = &worker->tasks[k];
 
 			if (task->task == command->task && !strcmp(task->job, command->job) &&
-			    task_alive(sim, worker, task))
-				sim_fail(sim, "restarted: %s/%u is to run on %s while on %s",
-					 command->job, command->task, taker->name, worker->name);
+			    is_task_alive(sim, worker, task))
+				sim_fail(sim, "duplicate: %s/%u is sent to %s while alive on %s",
+					 command->job, command->task, receiver->name, worker->name);
 		}
 	}
 }
@@ -255,7 +257,7 @@
 	case WS_COMMAND_RUN:
 		sim->run_commands++;
 		if (!task)
-			check_restart(sim, worker, command);
+			check_duplicate_start(sim, worker, command);
 		break;
 	case WS_COMMAND_STOP:
 		sim->stop_commands++;
@@ -291,7 +293,7 @@
 	job->killed_at[task] = 0;
 }
 
-/* ---- what scenarios expect ---- */
+/* ---- expectations of scenarios ---- */
 
 static json_t *record_field(struct sim *sim, const char *key, const char *field)
 {
@@ -301,14 +303,14 @@
 	return entry ? json_object_get(entry->value, field) : NULL;
 }
 
-static const char *phase(struct sim *sim)
+static const char *recorded_phase(struct sim *sim)
 {
 	const char *text = json_string_value(record_field(sim, "coldstart/phase", "phase"));
 
 	return text ? text : "none";
 }
 
-/* A count of the account: of a reconciliation result, or one of its own. */
+/* Returns a count of the account record: a field of `findings`, or else one of the record. */
 static double count_account(struct sim *sim, const char *name)
 {
 	json_t *findings = record_field(sim, "coldstart/account", "findings");
@@ -317,7 +319,7 @@
 	return json_number_value(count ? count : record_field(sim, "coldstart/account", name));
 }
 
-/* How many cold starts were begun, each by a leader of its own. */
+/* Counts the cold starts, which differ in the field `began` of the phase record. */
 static double count_cold_starts(struct sim *sim)
 {
 	json_int_t last = 0;
@@ -335,10 +337,10 @@
 	return count;
 }
 
-/* Workers that are there, and those of them that were answered since the last stop. */
+/* Live workers, and those of them whose heartbeats were answered since the last stop. */
 struct answered_workers {
 	int live, answered;
-	double first, last; /* when the first and the last one were */
+	double first, last; /* times of the first and the last worker's first answer */
 };
 
 static struct answered_workers find_answered(const struct sim *sim)
@@ -380,37 +382,37 @@
 	return (double)((uint64_t)sim->scaled_out - sim->stop.scaled_out);
 }
 
-/* Seconds after the stop: when the last task that had been killed ran again. */
-static double last_restart(struct sim *sim)
+/* Returns how many seconds after the stop the last killed task ran again. */
+static double last_restart_s(struct sim *sim)
 {
 	return sim->restart_last - sim->stop.stopped_at;
 }
 
-/* What a measurement by hand takes down, with -v: see docs/measurements.md. */
+/* Prints the figures for manual measurements, described in docs/measurements.md. */
 static void print_measured(struct sim *sim)
 {
 	struct answered_workers found = find_answered(sim);
 
 	fprintf(stderr,
-		"measured: stopped at %.1f, first back after %.1f s, leading %.2f s later; %d of "
-		"%d workers answered since\n",
+		"measured: stopped at %.1f s, first node up after %.1f s, a leader %.2f s later; "
+		"%d of %d workers answered since\n",
 		sim->stop.stopped_at, sim->stop.up_at - sim->stop.stopped_at,
 		sim->stop.led_at - sim->stop.up_at, found.answered, found.live);
 	fprintf(stderr,
 		"measured: since the stop %.0f run commands, %llu stop commands, %llu changes, "
-		"%.0f scaled out\n",
+		"%.0f instances scaled out\n",
 		count_run_commands_since(sim),
 		(unsigned long long)(sim->stop_commands - sim->stop.stop_commands),
 		(unsigned long long)(sim->changes - sim->stop.changes),
 		count_scaled_out_since(sim));
 	fprintf(stderr,
-		"measured: %d killed by their lease, %d of them ran again after %.2f s on average, "
-		"the last %.1f s after the stop; %llu stops of healthy work\n",
+		"measured: %d tasks killed, %d of them ran again after %.2f s on average, the last "
+		"%.1f s after the stop; %llu stop commands to healthy tasks\n",
 		sim->killed, sim->restarted, sim->restarted ? sim->restart_sum / sim->restarted : 0,
-		last_restart(sim), (unsigned long long)sim->healthy_stops);
+		last_restart_s(sim), (unsigned long long)sim->healthy_stops);
 }
 
-/* cold-measured: prints what a measurement takes down */
+/* cold-measured: with -v, prints the figures for manual measurements */
 static void check_measured(struct sim *sim, const struct sim_expectation *expectation)
 {
 	(void)expectation;
@@ -421,25 +423,25 @@
 /* phase NAME */
 static void check_phase(struct sim *sim, const struct sim_expectation *expectation)
 {
-	if (strcmp(phase(sim), expectation->first) != 0)
-		sim_fail(sim, "the phase is %s", phase(sim));
+	if (strcmp(recorded_phase(sim), expectation->first) != 0)
+		sim_fail(sim, "the phase is %s, not %s", recorded_phase(sim), expectation->first);
 }
 
-/* answered-within S: every worker that is there, so long after the first controller was back */
+/* answered-within S: all live workers are answered within S after the first controller is up */
 static void check_answered(struct sim *sim, const struct sim_expectation *expectation)
 {
 	struct answered_workers found = find_answered(sim);
 	double last = found.last - sim->stop.up_at;
 
 	if (sim_verbose)
-		fprintf(stderr, "answered: %d of %d, first %.2f, last %.2f s\n", found.answered,
-			found.live, found.first - sim->stop.up_at, last);
+		fprintf(stderr, "answered: %d of %d workers, first after %.2f, last after %.2f s\n",
+			found.answered, found.live, found.first - sim->stop.up_at, last);
 	if (found.answered < found.live || last > atof(expectation->first))
 		sim_fail(sim, "%d of %d workers were answered, the last after %.2f s",
 			 found.answered, found.live, last);
 }
 
-/* coldstart-steps NUMBER: of the leader, for each heartbeat that was sent */
+/* coldstart-steps NUMBER: at most so many steps of the leader per heartbeat sent */
 static void check_steps(struct sim *sim, const struct sim_expectation *expectation)
 {
 	int leader = sim_leader(sim);
@@ -448,12 +450,12 @@
 					(double)sim->heartbeats;
 
 	if (steps > atof(expectation->first))
-		sim_fail(sim, "%.2f steps a heartbeat", steps);
+		sim_fail(sim, "%.2f steps per heartbeat", steps);
 }
 
 const struct sim_expect_word sim_cold_start_expectations[] = {
     {"account", 3, .count_of = count_account},
-    {"alive", 3, .count_of = count_alive},
+    {"alive", 3, .count_of = count_live_tasks},
     {"answered-within", 1, .check = check_answered},
     {"cold-measured", 0, .check = check_measured},
     {"cold-starts", 2, .count = count_cold_starts},
@@ -462,7 +464,7 @@
     {"killed", 2, .count = count_killed},
     {"phase", 1, .check = check_phase},
     {"rented-since", 2, .count = count_scaled_out_since},
-    {"restarts-within", 2, .count = last_restart},
+    {"restarts-within", 2, .count = last_restart_s},
     {"run-orders-since", 2, .count = count_run_commands_since},
     {NULL},
 };
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -1,10 +1,10 @@
-/* Zones that go dark, the subsystem that deals with them, and what scenarios expect of it. */
+/* Failure domains: zone failures, the subsystem that handles them, and its expectations. */
 #include "sim_checks.h"
 #include "sim_nodes.h"
 #include "sim_store.h"
 #include "sim_subsystems.h"
 
-/* Nodes that must not lead stay down for so long. */
+/* Downtime of the nodes whose version must not lead. */
 #define OTHER_VERSION_DOWN_S 8
 
 static void log_line(const char *text)
@@ -41,7 +41,7 @@
 	sim_cluster_limits(sim, node, names, &limits);
 	domains = ws_domains_new(&sim->domains_settings, &limits, log_line, &error);
 	if (!domains) {
-		sim_fail(sim, "domain %s, %s: %s", error.domain, error.network,
+		sim_fail(sim, "domain %s, network %s: %s", error.domain, error.network,
 			 ws_domains_error_text(error.code));
 		return;
 	}
@@ -49,8 +49,8 @@
 	ws_core_attach(node->core, &ws_domains_ops, domains);
 }
 
-static struct ws_declared_domain *declared_get(struct ws_domains_settings *settings,
-					       const char *name)
+static struct ws_declared_domain *find_or_add_domain(struct ws_domains_settings *settings,
+						     const char *name)
 {
 	struct ws_declared_domain *declared;
 
@@ -77,10 +77,10 @@
 }
 
 /* network NAME CIDR */
-static const char *take_network(struct sim *sim, struct sim_setting *setting)
+static const char *parse_network(struct sim *sim, struct sim_setting *setting)
 {
 	struct ws_declared_domain *declared =
-	    declared_get(&sim->domains_settings, sim_next_word(&setting->rest));
+	    find_or_add_domain(&sim->domains_settings, sim_next_word(&setting->rest));
 	size_t count = ++declared->network_count;
 
 	declared->networks = realloc(declared->networks, count * sizeof(*declared->networks));
@@ -90,7 +90,7 @@
 }
 
 /* move-first CLASS */
-static const char *take_move_first(struct sim *sim, struct sim_setting *setting)
+static const char *parse_move_first(struct sim *sim, struct sim_setting *setting)
 {
 	struct ws_domains_settings *settings = &sim->domains_settings;
 	size_t count = ++settings->class_count;
@@ -103,15 +103,15 @@
 }
 
 const struct sim_setting_word sim_domains_settings_words[] = {
-    {"move-first", 1, take_move_first},
-    {"network", 2, take_network},
+    {"move-first", 1, parse_move_first},
+    {"network", 2, parse_network},
     {NULL, 0, NULL},
 };
 
-/* ---- what befalls zones ---- */
+/* ---- zone failures ---- */
 
-/* What was on a machine that went dark, or died, is to run elsewhere: measured from now on. */
-static void displace(struct sim *sim, const struct sim_worker *worker)
+/* Starts to measure how long the tasks of a failed or unreachable machine take to run again. */
+static void mark_displaced(struct sim *sim, const struct sim_worker *worker)
 {
 	for (int i = 0; i < worker->task_count; i++) {
 		struct sim_job *job = sim_job_of(sim, worker->tasks[i].job);
@@ -127,11 +127,11 @@
 void sim_domains_started(struct sim *sim, struct sim_job *job, uint32_t task)
 {
 	struct sim_moves *moves = NULL;
-	double span;
+	double duration_s;
 
 	if (!job->displaced_at || job->displaced_at[task] <= 0)
 		return;
-	span = sim->now - job->displaced_at[task];
+	duration_s = sim->now - job->displaced_at[task];
 	job->displaced_at[task] = 0;
 	for (int i = 0; i < sim->move_count; i++)
 		if (!strcmp(sim->moves[i].job_class, job->spec.job_class))
@@ -139,17 +139,17 @@
 	if (!moves && sim->move_count < SIM_CLASSES) {
 		moves = &sim->moves[sim->move_count++];
 		snprintf(moves->job_class, sizeof(moves->job_class), "%s", job->spec.job_class);
-		moves->first = span;
+		moves->first = duration_s;
 	}
 	if (!moves)
 		return;
 	moves->count++;
-	moves->first = fmin(moves->first, span);
-	moves->last = fmax(moves->last, span);
-	moves->sum += span;
+	moves->first = fmin(moves->first, duration_s);
+	moves->last = fmax(moves->last, duration_s);
+	moves->sum += duration_s;
 }
 
-/* What a zone's fault does to one of its machines. */
+/* Applies a zone failure to one of the zone's machines. */
 static void apply_zone_fault(struct sim *sim, struct sim_worker *worker,
 			     const struct sim_action *action)
 {
@@ -171,8 +171,8 @@
 	}
 }
 
-/* Whether a fault concerns machines in this zone. */
-static bool concerns_zone(struct sim *sim, const struct sim_action *action, const char *zone)
+/* Returns whether a fault affects the machines of this zone. */
+static bool affects_zone(struct sim *sim, const struct sim_action *action, const char *zone)
 {
 	int leader = sim_leader(sim);
 
@@ -183,28 +183,29 @@
 
 /*
  * dark ZONE for=S [only=reports|answers] [share=X] | kill-zone ZONE | take-zone ZONE
- * | dark-but-leader for=S: to that share of the machines
+ * | dark-but-leader for=S
+ * The fault affects the given share of the machines in these zones.
  */
 static void run_zone_fault(struct sim *sim, const struct sim_action *action)
 {
-	double share = sim_option(action->text, "share", 1), part = 0;
+	double share = sim_option(action->text, "share", 1), accumulated_share = 0;
 
 	for (int i = 0; i < sim->worker_count; i++) {
 		struct sim_worker *worker = &sim->workers[i];
 
-		if (!concerns_zone(sim, action, worker->zone) || worker->deleted || worker->dead ||
+		if (!affects_zone(sim, action, worker->zone) || worker->deleted || worker->dead ||
 		    !worker->is_up)
 			continue;
-		part += share;
-		if (part < 1 - 1e-9)
+		accumulated_share += share;
+		if (accumulated_share < 1 - 1e-9)
 			continue;
-		part -= 1;
-		displace(sim, worker);
+		accumulated_share -= 1;
+		mark_displaced(sim, worker);
 		apply_zone_fault(sim, worker, action);
 	}
 }
 
-/* Writes a record of the subsystem, or deletes it when the value is NULL. Drops the value. */
+/* Writes a record of the subsystem, or deletes it if the value is NULL. Releases the value. */
 static void put_record(struct sim *sim, const char *prefix, const char *name, json_t *value)
 {
 	char key[WS_KEY_MAX];
@@ -215,7 +216,7 @@
 	json_decref(value);
 }
 
-/* hold-domain NAME: an operator keeps it in use */
+/* hold-domain NAME: an operator keeps the domain in use */
 static void run_hold_domain(struct sim *sim, const struct sim_action *action)
 {
 	put_record(sim, "zones/hold/", action->name, json_pack("{s:i}", "v", 1));
@@ -227,14 +228,14 @@
 	put_record(sim, "zones/hold/", action->name, NULL);
 }
 
-/* later-format NAME: the domain's record is of a later version */
+/* later-format NAME: replaces the domain's record by one in a later format */
 static void run_later_format(struct sim *sim, const struct sim_action *action)
 {
 	put_record(sim, "zones/domain/", action->name,
 		   json_pack("{s:i,s:s}", "v", 9, "state", "dark"));
 }
 
-/* lead-by old|new: nodes of the other version end, so that one of this version leads */
+/* lead-by old|new: stops the nodes of the other version, so that one of the named version leads */
 static void run_lead_by(struct sim *sim, const struct sim_action *action)
 {
 	bool is_new = !strcmp(action->name, "new");
@@ -256,7 +257,7 @@
     {NULL, NULL},
 };
 
-/* ---- what scenarios expect ---- */
+/* ---- expectations of scenarios ---- */
 
 static const char *domain_state(struct sim *sim, const char *name)
 {
@@ -271,7 +272,7 @@
 	return state ? state : "healthy";
 }
 
-/* Keys that begin with this. */
+/* Counts the keys of the store that begin with a prefix. */
 static double count_keys(struct sim *sim, const char *prefix)
 {
 	struct sim_entry *entry, *next_entry;
@@ -282,7 +283,7 @@
 	return count;
 }
 
-/* Tasks that run in a zone. */
+/* Counts the tasks that run in a zone. */
 static double count_running_in(struct sim *sim, const char *zone)
 {
 	int count = 0;
@@ -300,26 +301,26 @@
 
 static void print_moves(const struct sim_moves *moves)
 {
-	fprintf(stderr, "measured: %s: %d moved, first %.1f, mean %.1f, last %.1f s\n",
+	fprintf(stderr, "measured: class %s: %d tasks moved, first %.1f, mean %.1f, last %.1f s\n",
 		moves->job_class, moves->count, moves->first, moves->sum / moves->count,
 		moves->last);
 }
 
-/* What a measurement by hand takes down, with -v: see docs/measurements.md. */
+/* Prints the figures for manual measurements, described in docs/measurements.md. */
 static void print_measured(const struct sim *sim)
 {
-	int finishes = 0, done = 0, due = 0, kept = 0;
+	int finishes = 0, done = 0, deadlines = 0, deadlines_met = 0;
 	double price = 0;
 
 	for (int i = 0; i < sim->job_count; i++) {
 		const struct sim_job *job = &sim->jobs[i];
-		bool has = job->spec.deadline_s >= 0;
+		bool has_deadline = job->spec.deadline_s >= 0;
 
 		finishes += job->finishes;
 		done += job->done;
-		due += has;
-		kept +=
-		    has && job->done && job->told_done_at <= job->submit_at + job->spec.deadline_s;
+		deadlines += has_deadline;
+		deadlines_met += has_deadline && job->done &&
+				 job->told_done_at <= job->submit_at + job->spec.deadline_s;
 	}
 	for (int i = 0; i < sim->worker_count; i++) {
 		const struct sim_worker *worker = &sim->workers[i];
@@ -330,7 +331,8 @@
 		if (!worker->owned)
 			price += hours * sim->types[worker->type].price;
 	}
-	fprintf(stderr, "measured: %d of %d deadlines kept, rentals cost %.2f\n", kept, due, price);
+	fprintf(stderr, "measured: %d of %d deadlines met, rentals cost %.2f\n", deadlines_met,
+		deadlines, price);
 	fprintf(stderr,
 		"measured: %llu starts, %d finishes, %d jobs done, %d rented, %d returned, "
 		"%llu changes\n",
@@ -340,7 +342,7 @@
 		print_moves(&sim->moves[i]);
 }
 
-/* measured: prints what a measurement takes down */
+/* measured: with -v, prints the figures for manual measurements */
 static void check_measured(struct sim *sim, const struct sim_expectation *expectation)
 {
 	(void)expectation;
@@ -348,7 +350,7 @@
 		print_measured(sim);
 }
 
-static const struct sim_moves *moves_of(const struct sim *sim, const char *job_class)
+static const struct sim_moves *find_moves(const struct sim *sim, const char *job_class)
 {
 	for (int i = 0; i < sim->move_count; i++)
 		if (!strcmp(sim->moves[i].job_class, job_class))
@@ -356,22 +358,25 @@
 	return NULL;
 }
 
-/* moved CLASS COUNT SECONDS: so many displaced tasks of a class run elsewhere, the last within */
+/*
+ * moved CLASS COUNT SECONDS: at least COUNT displaced tasks of the class run again, the last one
+ * within SECONDS
+ */
 static void check_moved(struct sim *sim, const struct sim_expectation *expectation)
 {
-	const struct sim_moves *moves = moves_of(sim, expectation->first);
+	const struct sim_moves *moves = find_moves(sim, expectation->first);
 	int count = atoi(expectation->second);
 
 	if (!moves) {
 		if (count > 0)
-			sim_fail(sim, "%s: none moved", expectation->first);
+			sim_fail(sim, "class %s: no task moved", expectation->first);
 		return;
 	}
 	if (sim_verbose)
 		print_moves(moves);
 	if (moves->count < count || moves->last > atof(expectation->third))
-		sim_fail(sim, "%s: %d moved, the last after %.1f s", moves->job_class, moves->count,
-			 moves->last);
+		sim_fail(sim, "class %s: %d tasks moved, the last after %.1f s", moves->job_class,
+			 moves->count, moves->last);
 }
 
 /* domain NAME STATE */
@@ -386,35 +391,39 @@
 /* dark-domains COUNT */
 static void check_dark_domains(struct sim *sim, const struct sim_expectation *expectation)
 {
-	int dark = 0;
+	int dark_count = 0;
 
 	for (int i = 0; i < sim->zone_count; i++)
-		dark += !strcmp(domain_state(sim, sim->zones[i]), "dark");
-	if (dark != atoi(expectation->first))
-		sim_fail(sim, "%d domains are dark", dark);
+		dark_count += !strcmp(domain_state(sim, sim->zones[i]), "dark");
+	if (dark_count != atoi(expectation->first))
+		sim_fail(sim, "%d domains are in state dark", dark_count);
 }
 
-/* zone-steps NUMBER: of the leader, for each heartbeat that was sent */
-static void check_steps(struct sim *sim, const struct sim_expectation *expectation)
+/* zone-steps NUMBER: at most so many machine operations of the leader per heartbeat sent */
+static void check_machine_operations(struct sim *sim, const struct sim_expectation *expectation)
 {
 	int leader = sim_leader(sim);
-	double steps;
+	double operations;
 
 	if (leader < 0) {
-		sim_fail(sim, "nobody leads");
+		sim_fail(sim, "no node leads");
 		return;
 	}
-	steps = (double)ws_domains_machine_operations(sim->nodes[leader].domains) /
-		(double)sim->heartbeats;
+	operations = (double)ws_domains_machine_operations(sim->nodes[leader].domains) /
+		     (double)sim->heartbeats;
 	if (sim_verbose)
-		fprintf(stderr, "%.2f steps a heartbeat\n", steps);
-	if (steps > atof(expectation->first))
-		sim_fail(sim, "%.2f steps a heartbeat", steps);
+		fprintf(stderr, "%.2f machine operations per heartbeat\n", operations);
+	if (operations > atof(expectation->first))
+		sim_fail(sim, "%.2f machine operations per heartbeat", operations);
 }
 
 const struct sim_expect_word sim_domains_expectations[] = {
-    {"dark-domains", 1, .check = check_dark_domains}, {"domain", 2, .check = check_domain},
-    {"in-zone", 3, .count_of = count_running_in},     {"keys", 3, .count_of = count_keys},
-    {"measured", 0, .check = check_measured},	      {"moved", 3, .check = check_moved},
-    {"zone-steps", 1, .check = check_steps},	      {NULL},
+    {"dark-domains", 1, .check = check_dark_domains},
+    {"domain", 2, .check = check_domain},
+    {"in-zone", 3, .count_of = count_running_in},
+    {"keys", 3, .count_of = count_keys},
+    {"measured", 0, .check = check_measured},
+    {"moved", 3, .check = check_moved},
+    {"zone-steps", 1, .check = check_machine_operations},
+    {NULL},
 };
--- a/tests/sim_subsystems.h
+++ b/tests/sim_subsystems.h
@@ -3,27 +3,35 @@
 #define WS_SIM_SUBSYSTEMS_H
 #include "sim_scenario.h"
 
-/* What a subsystem is told of the cluster; `names` has room for all zones. */
+/*
+ * Fills in the cluster's limits for a subsystem. They refer to `names`, which needs space for
+ * SIM_ZONES entries.
+ */
 void sim_cluster_limits(const struct sim *sim, const struct sim_node *node, const char **names,
 			struct ws_cluster_limits *limits);
 
-/* Gives a core that was just made the subsystem, if the scenario has it. */
+/* Attaches the subsystem to a new core if the scenario has it switched on. */
 void sim_domains_attach(struct sim *sim, struct sim_node *node);
-/* subsystem zones [stable=S] [ramp=S] [half-life=S] */
+/* Switches the subsystem on: subsystem zones [stable=S] [ramp=S] [half-life=S] */
 void sim_domains_configure(struct sim *sim, const char *text);
-/* A task starts: how long after its machine went dark. */
+/* Records how long after the loss of its machine a displaced task starts again. */
 void sim_domains_started(struct sim *sim, struct sim_job *job, uint32_t task);
 
 void sim_cold_start_attach(struct sim *sim, struct sim_node *node);
-/* subsystem coldstart [keep=S] [share=X] */
+/* Switches the subsystem on: subsystem coldstart [keep=S] [share=X] */
 void sim_cold_start_configure(struct sim *sim, const char *text);
-/* All controllers end now. */
+/* Records the time and the counters when all controllers stop. */
 void sim_cold_start_all_stopped(struct sim *sim);
+/* Records when the first controller is up after a stop, and when one leads. */
 void sim_cold_start_step(struct sim *sim);
-/* A worker takes a command, of a task that it has or NULL. */
+/*
+ * Counts and checks a command that a worker receives. `task` is NULL if the worker does not have
+ * the named attempt.
+ */
 void sim_cold_start_command(struct sim *sim, const struct sim_worker *worker,
 			    const struct ws_command *command, const struct sim_task *task);
-/* A lease ran out over all that a worker has. */
+/* Records that all tasks of a worker are killed: by an expired lease or a power loss. */
 void sim_cold_start_killed(struct sim *sim, const struct sim_worker *worker);
+/* Records how long after it was killed a task runs again. */
 void sim_cold_start_started(struct sim *sim, struct sim_job *job, uint32_t task);
 #endif
