--- a/tests/production_adapter.c
+++ b/tests/production_adapter.c
@@ -1,16 +1,19 @@
 /*
- * The core of the version in production behind the neutral interface of production_abi.h. Compiled
- * with that version's own headers, into the library production_core alone.
+ * Adapter that exports the core of the version in production through the version-neutral interface
+ * of production_abi.h. It is compiled with that version's own headers, only into the library
+ * production_core.
  */
 #include "production_abi.h"
 #include "core.h"
 
-/* What a worker of a later version says of a gang's tasks is, to this version, a state and an exit
- * reason behind the last that it knows. */
+/*
+ * Workers of later versions report states and exit reasons for gangs that this version does not
+ * have. They are passed in as values beyond its last enumerator.
+ */
 #define UNKNOWN_TASK_STATE (WS_TASK_EXITED + 1)
 #define UNKNOWN_EXIT_REASON (WS_WHY_UNKNOWN + 1)
 
-/* Declared in the version's internal header, which is not needed otherwise. */
+/* Declared in an internal header of that version, of which nothing else is needed. */
 void ws_call_free(struct ws_call *call);
 
 struct production_core {
@@ -21,15 +24,15 @@
 /* ---- enumerators ---- */
 
 static const int priorities[] = {
-    [PRODUCTION_BEST_EFFORT] = WS_BEST_EFFORT,
-    [PRODUCTION_NORMAL] = WS_NORMAL,
-    [PRODUCTION_URGENT] = WS_URGENT,
-    [PRODUCTION_HIGHEST] = WS_PRODUCTION,
+    [PRODUCTION_PRIORITY_BEST_EFFORT] = WS_BEST_EFFORT,
+    [PRODUCTION_PRIORITY_NORMAL] = WS_NORMAL,
+    [PRODUCTION_PRIORITY_URGENT] = WS_URGENT,
+    [PRODUCTION_PRIORITY_PRODUCTION] = WS_PRODUCTION,
 };
 
 static const int task_states[] = {
-    [PRODUCTION_TASK_FETCHING] = WS_TASK_FETCHING,  [PRODUCTION_TASK_RUNNING] = WS_TASK_RUNNING,
-    [PRODUCTION_TASK_SAVING] = WS_TASK_SAVING,	    [PRODUCTION_TASK_EXITED] = WS_TASK_EXITED,
+    [PRODUCTION_TASK_FETCHING] = WS_TASK_FETCHING,    [PRODUCTION_TASK_RUNNING] = WS_TASK_RUNNING,
+    [PRODUCTION_TASK_CHECKPOINTING] = WS_TASK_SAVING, [PRODUCTION_TASK_EXITED] = WS_TASK_EXITED,
     [PRODUCTION_TASK_WAITING] = UNKNOWN_TASK_STATE,
 };
 
@@ -38,10 +41,10 @@
     [PRODUCTION_EXIT_DONE] = WS_WHY_DONE,
     [PRODUCTION_EXIT_STOPPED] = WS_WHY_STOPPED,
     [PRODUCTION_EXIT_ERROR] = WS_WHY_ERROR,
-    [PRODUCTION_EXIT_FULL] = WS_WHY_FULL,
-    [PRODUCTION_EXIT_BUSY] = WS_WHY_BUSY,
-    [PRODUCTION_EXIT_UNKNOWN] = WS_WHY_UNKNOWN,
-    [PRODUCTION_EXIT_GANG_MEMBER_LOST] = UNKNOWN_EXIT_REASON,
+    [PRODUCTION_EXIT_NO_CAPACITY] = WS_WHY_FULL,
+    [PRODUCTION_EXIT_ATTEMPT_EXISTS] = WS_WHY_BUSY,
+    [PRODUCTION_EXIT_UNKNOWN_JOB] = WS_WHY_UNKNOWN,
+    [PRODUCTION_EXIT_MEMBER_LOST] = UNKNOWN_EXIT_REASON,
     [PRODUCTION_EXIT_GANG_INCOMPLETE] = UNKNOWN_EXIT_REASON + 1,
 };
 
@@ -62,10 +65,10 @@
     [WS_CALL_LIST] = PRODUCTION_CALL_LIST,
     [WS_CALL_TXN] = PRODUCTION_CALL_TRANSACTION,
     [WS_CALL_WATCH] = PRODUCTION_CALL_WATCH,
-    [WS_CALL_HOLD_NEW] = PRODUCTION_CALL_SESSION_NEW,
-    [WS_CALL_HOLD_EXTEND] = PRODUCTION_CALL_SESSION_EXTEND,
-    [WS_CALL_HOLD_DROP] = PRODUCTION_CALL_SESSION_DROP,
-    [WS_CALL_TYPES] = PRODUCTION_CALL_TYPES,
+    [WS_CALL_HOLD_NEW] = PRODUCTION_CALL_SESSION_OPEN,
+    [WS_CALL_HOLD_EXTEND] = PRODUCTION_CALL_SESSION_RENEW,
+    [WS_CALL_HOLD_DROP] = PRODUCTION_CALL_SESSION_CLOSE,
+    [WS_CALL_TYPES] = PRODUCTION_CALL_MACHINE_TYPES,
     [WS_CALL_HOSTS] = PRODUCTION_CALL_INSTANCES,
     [WS_CALL_RENT] = PRODUCTION_CALL_SCALE_OUT,
     [WS_CALL_RETURN] = PRODUCTION_CALL_SCALE_IN,
@@ -94,7 +97,7 @@
     [WS_LOG_DEBUG] = PRODUCTION_LOG_DEBUG,
 };
 
-/* ---- into the core ---- */
+/* ---- conversion of the core's input ---- */
 
 static void convert_endpoint(struct ws_endpoint *target, const struct production_endpoint *from)
 {
@@ -150,10 +153,10 @@
 	target->txn_ops = from->transaction_operations;
 	target->cloud_rps = from->cloud_requests_per_s;
 	target->list_lag_s = from->list_lag_s;
-	target->core_share = from->core_share;
+	target->core_share = from->cpu_share;
 	target->ram_mb = from->ram_mb;
 	target->max_sockets = from->max_sockets;
-	target->sockets = from->sockets;
+	target->sockets = from->client_sockets;
 }
 
 static void convert_settings(struct ws_settings *target, const struct production_settings *from)
@@ -175,12 +178,12 @@
 	target->wait_max_s = from->wait_max_s;
 	target->latency_bound_s = from->latency_bound_s;
 	target->rental_ceiling = from->instance_ceiling;
-	target->waiting_loads = from->waiting_demand_units;
-	target->empty_wait_s = from->empty_wait_s;
+	target->waiting_loads = from->waiting_units_max;
+	target->empty_wait_s = from->idle_timeout_s;
 	target->sizing_period_s = from->sizing_period_s;
 	target->leader_ttl_ratio = from->leader_ttl_ratio;
-	target->silent_ratio = from->silent_ratio;
-	target->boot_patience = from->boot_patience;
+	target->silent_ratio = from->unreachable_ratio;
+	target->boot_patience = from->boot_timeout_ratio;
 }
 
 static void convert_job_spec(struct ws_spec *target, const struct production_job_spec *from)
@@ -194,7 +197,7 @@
 	target->tasks = from->tasks;
 	target->cpus = from->cpus;
 	target->gpus = from->gpus;
-	target->mem = from->memory;
+	target->mem = from->memory_gb;
 	PRODUCTION_COPY_TEXT(target->image, from->image);
 	target->image_gb = from->image_gb;
 	target->ntypes = from->type_count;
@@ -203,10 +206,10 @@
 	PRODUCTION_COPY_TEXT(target->zone, from->zone);
 	target->one_zone = from->one_zone;
 	target->spread = from->spread;
-	target->spot = from->preemptible;
+	target->spot = from->allows_preemptible;
 	target->estimate_s = from->estimate_s;
-	target->checkpoint_s = from->checkpoint_s;
-	target->save_s = from->save_s;
+	target->checkpoint_s = from->checkpoint_interval_s;
+	target->save_s = from->checkpoint_duration_s;
 	target->deadline_s = from->deadline_s;
 }
 
@@ -215,7 +218,7 @@
 	PRODUCTION_COPY_TEXT(target->name, from->name);
 	target->cpus = from->cpus;
 	target->gpus = from->gpus;
-	target->mem = from->memory;
+	target->mem = from->memory_gb;
 	target->local_gb = from->local_gb;
 	target->fetch_gb_s = from->fetch_gb_s;
 	target->price = from->price;
@@ -278,7 +281,7 @@
 	target->status = from->status;
 	target->rev = from->revision;
 	target->hold = from->session;
-	target->more = from->more;
+	target->more = from->has_more;
 	target->no_capacity = from->no_capacity;
 	target->nkvs = from->record_count;
 	target->kvs = production_allocate(from->record_count, sizeof(*target->kvs));
@@ -314,7 +317,7 @@
 	free(result->report);
 }
 
-/* ---- out of the core ---- */
+/* ---- conversion of the core's output ---- */
 
 static void convert_command(struct production_command *target, const struct ws_order *from)
 {
@@ -363,7 +366,7 @@
 	target->kind = PRODUCTION_ENUMERATOR(call_kinds, from->kind);
 	PRODUCTION_COPY_TEXT(target->key, from->key);
 	PRODUCTION_COPY_TEXT(target->after, from->after);
-	target->since = from->since;
+	target->since_revision = from->since;
 	target->duration_ms = from->ms;
 	target->session = from->hold;
 	PRODUCTION_COPY_TEXT(target->type, from->type);
@@ -375,24 +378,24 @@
 	target->fencing_token = from->epoch;
 	target->incarnation = from->tenure;
 	target->urgent = from->urgent;
-	target->paced = from->paced;
-	target->made_at = from->made;
+	target->self_paced = from->paced;
+	target->created_at = from->made;
 	convert_call_lists(target, from);
-	target->origin = from;
+	target->call_object = from;
 }
 
 static void convert_effect(struct production_effect *target, const struct ws_action *from)
 {
 	target->kind = PRODUCTION_ENUMERATOR(effect_kinds, from->kind);
-	target->token = from->token;
+	target->request_id = from->token;
 	target->status = from->status;
-	target->retry_after = from->retry_after;
+	target->retry_after_s = from->retry_after;
 	PRODUCTION_COPY_TEXT(target->name, from->name);
 	target->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
 	target->done = from->done;
 	target->running = from->running;
 	target->has_counts = from->counts;
-	target->pinned = from->pinned;
+	target->redirect_failed = from->pinned;
 	target->fencing_token = from->epoch;
 	target->command_count = from->norders;
 	target->commands = production_allocate(from->norders, sizeof(*target->commands));
@@ -404,7 +407,7 @@
 	}
 }
 
-/* ---- the functions of the interface ---- */
+/* ---- functions of the interface ---- */
 
 static production_log_fn log_sink;
 
@@ -449,17 +452,17 @@
 		return NULL;
 	effect = production_allocate(1, sizeof(*effect));
 	convert_effect(effect, action);
-	ws_action_free(action); /* its call is the caller's from now on */
+	ws_action_free(action); /* the caller owns its call from now on */
 	return effect;
 }
 
-static void complete(struct production_core *production, double now, void *origin,
+static void complete(struct production_core *production, double now, void *call_object,
 		     const struct production_result *result)
 {
 	struct ws_result converted = {0};
 
 	convert_result(&converted, result);
-	ws_core_complete(production->core, now, origin, &converted);
+	ws_core_complete(production->core, now, call_object, &converted);
 	clear_result(&converted);
 }
 
@@ -468,50 +471,50 @@
 	ws_core_resign(production->core, now);
 }
 
-static bool ready(const struct production_core *production)
+static bool is_ready(const struct production_core *production)
 {
 	return ws_core_ready(production->core);
 }
 
-static bool leading(const struct production_core *production)
+static bool is_leader(const struct production_core *production)
 {
 	return ws_core_leading(production->core);
 }
 
-static void submit(struct production_core *production, double now, double wall, uint64_t token,
+static void submit(struct production_core *production, double now, double wall, uint64_t request_id,
 		   const struct production_job_spec *spec, bool forwarded)
 {
 	struct ws_spec converted = {0};
 
 	convert_job_spec(&converted, spec);
-	ws_core_submit(production->core, now, wall, token, &converted, forwarded);
+	ws_core_submit(production->core, now, wall, request_id, &converted, forwarded);
 }
 
-static void poll_job(struct production_core *production, double now, uint64_t token,
-		     const char *job, bool forwarded)
+static void query_status(struct production_core *production, double now, uint64_t request_id,
+			 const char *job, bool forwarded)
 {
-	ws_core_poll(production->core, now, token, job, forwarded);
+	ws_core_poll(production->core, now, request_id, job, forwarded);
 }
 
-static void abort_job(struct production_core *production, double now, uint64_t token,
-		      const char *job, bool forwarded)
+static void cancel_job(struct production_core *production, double now, uint64_t request_id,
+		       const char *job, bool forwarded)
 {
-	ws_core_abort(production->core, now, token, job, forwarded);
+	ws_core_abort(production->core, now, request_id, job, forwarded);
 }
 
-static void take_heartbeat(struct production_core *production, double now, uint64_t token,
+static void take_heartbeat(struct production_core *production, double now, uint64_t request_id,
 			   const struct production_heartbeat *heartbeat, bool forwarded)
 {
 	struct ws_report converted = {0};
 
 	convert_heartbeat(&converted, heartbeat);
-	ws_core_report(production->core, now, token, &converted, forwarded);
+	ws_core_report(production->core, now, request_id, &converted, forwarded);
 	free(converted.tasks);
 }
 
-static void outage_vote(struct production_core *production, double now, uint64_t token)
+static void outage_vote(struct production_core *production, double now, uint64_t request_id)
 {
-	ws_core_testify(production->core, now, token);
+	ws_core_testify(production->core, now, request_id);
 }
 
 static void free_effect(struct production_effect *effect)
@@ -527,9 +530,9 @@
 	free(effect);
 }
 
-static void free_call(void *origin)
+static void free_call(void *call_object)
 {
-	ws_call_free(origin);
+	ws_call_free(call_object);
 }
 
 __attribute__((visibility("default"))) const struct production_core_api *production_core_api(void);
@@ -543,11 +546,11 @@
 	    .next_effect = next_effect,
 	    .complete = complete,
 	    .resign = resign,
-	    .ready = ready,
-	    .leading = leading,
+	    .is_ready = is_ready,
+	    .is_leader = is_leader,
 	    .submit = submit,
-	    .poll = poll_job,
-	    .abort = abort_job,
+	    .query_status = query_status,
+	    .cancel = cancel_job,
 	    .heartbeat = take_heartbeat,
 	    .outage_vote = outage_vote,
 	    .free_effect = free_effect,
--- a/tests/sim_production.c
+++ b/tests/sim_production.c
@@ -1,8 +1,8 @@
 /*
- * Nodes of the version in production in the simulator: its core is a library of its own, built
- * from the repository's history (production_adapter.c), and spoken to through production_abi.h. A
- * call that it makes is held as a call of this version; the context of that is the core's own call
- * object, which goes back to the core when the call is completed.
+ * Simulated nodes that run the version in production. Its core is built from the repository's
+ * history as a library with production_adapter.c, and is used through production_abi.h. Its calls
+ * are converted to calls of this version, whose context is the core's own call object; completing
+ * the call returns that object to the core.
  */
 #include "sim_production.h"
 #include "../src/io/http_status.h"
@@ -13,15 +13,17 @@
 /* ---- enumerators ---- */
 
 static const int priorities[] = {
-    [WS_PRIORITY_BEST_EFFORT] = PRODUCTION_BEST_EFFORT,
-    [WS_PRIORITY_NORMAL] = PRODUCTION_NORMAL,
-    [WS_PRIORITY_URGENT] = PRODUCTION_URGENT,
-    [WS_PRIORITY_PRODUCTION] = PRODUCTION_HIGHEST,
+    [WS_PRIORITY_BEST_EFFORT] = PRODUCTION_PRIORITY_BEST_EFFORT,
+    [WS_PRIORITY_NORMAL] = PRODUCTION_PRIORITY_NORMAL,
+    [WS_PRIORITY_URGENT] = PRODUCTION_PRIORITY_URGENT,
+    [WS_PRIORITY_PRODUCTION] = PRODUCTION_PRIORITY_PRODUCTION,
 };
 
 static const int task_states[] = {
-    [WS_TASK_FETCHING] = PRODUCTION_TASK_FETCHING,    [WS_TASK_RUNNING] = PRODUCTION_TASK_RUNNING,
-    [WS_TASK_CHECKPOINTING] = PRODUCTION_TASK_SAVING, [WS_TASK_EXITED] = PRODUCTION_TASK_EXITED,
+    [WS_TASK_FETCHING] = PRODUCTION_TASK_FETCHING,
+    [WS_TASK_RUNNING] = PRODUCTION_TASK_RUNNING,
+    [WS_TASK_CHECKPOINTING] = PRODUCTION_TASK_CHECKPOINTING,
+    [WS_TASK_EXITED] = PRODUCTION_TASK_EXITED,
     [WS_TASK_WAITING] = PRODUCTION_TASK_WAITING,
 };
 
@@ -30,10 +32,10 @@
     [WS_EXIT_DONE] = PRODUCTION_EXIT_DONE,
     [WS_EXIT_STOPPED] = PRODUCTION_EXIT_STOPPED,
     [WS_EXIT_ERROR] = PRODUCTION_EXIT_ERROR,
-    [WS_EXIT_NO_CAPACITY] = PRODUCTION_EXIT_FULL,
-    [WS_EXIT_ATTEMPT_EXISTS] = PRODUCTION_EXIT_BUSY,
-    [WS_EXIT_UNKNOWN_JOB] = PRODUCTION_EXIT_UNKNOWN,
-    [WS_EXIT_MEMBER_LOST] = PRODUCTION_EXIT_GANG_MEMBER_LOST,
+    [WS_EXIT_NO_CAPACITY] = PRODUCTION_EXIT_NO_CAPACITY,
+    [WS_EXIT_ATTEMPT_EXISTS] = PRODUCTION_EXIT_ATTEMPT_EXISTS,
+    [WS_EXIT_UNKNOWN_JOB] = PRODUCTION_EXIT_UNKNOWN_JOB,
+    [WS_EXIT_MEMBER_LOST] = PRODUCTION_EXIT_MEMBER_LOST,
     [WS_EXIT_GANG_INCOMPLETE] = PRODUCTION_EXIT_GANG_INCOMPLETE,
 };
 
@@ -49,7 +51,7 @@
     [PRODUCTION_LOG_DEBUG] = WS_LOG_DEBUG,
 };
 
-/* ---- into the core ---- */
+/* ---- conversion of the core's input ---- */
 
 static void convert_endpoint(struct production_endpoint *target, const struct ws_endpoint *from)
 {
@@ -105,10 +107,10 @@
 	target->transaction_operations = from->transaction_ops;
 	target->cloud_requests_per_s = from->cloud_rps;
 	target->list_lag_s = from->list_lag_s;
-	target->core_share = from->cpu_share;
+	target->cpu_share = from->cpu_share;
 	target->ram_mb = from->ram_mb;
 	target->max_sockets = from->max_sockets;
-	target->sockets = from->client_sockets;
+	target->client_sockets = from->client_sockets;
 }
 
 static void convert_settings(struct production_settings *target, const struct ws_settings *from)
@@ -130,12 +132,12 @@
 	target->wait_max_s = from->wait_max_s;
 	target->latency_bound_s = from->latency_bound_s;
 	target->instance_ceiling = from->rental_ceiling;
-	target->waiting_demand_units = from->waiting_units_max;
-	target->empty_wait_s = from->idle_timeout_s;
+	target->waiting_units_max = from->waiting_units_max;
+	target->idle_timeout_s = from->idle_timeout_s;
 	target->sizing_period_s = from->sizing_period_s;
 	target->leader_ttl_ratio = from->leader_ttl_ratio;
-	target->silent_ratio = from->unreachable_ratio;
-	target->boot_patience = from->boot_timeout_ratio;
+	target->unreachable_ratio = from->unreachable_ratio;
+	target->boot_timeout_ratio = from->boot_timeout_ratio;
 }
 
 static void convert_job_spec(struct production_job_spec *target, const struct ws_job_spec *from)
@@ -149,7 +151,7 @@
 	target->tasks = from->tasks;
 	target->cpus = from->cpus;
 	target->gpus = from->gpus;
-	target->memory = from->mem_gb;
+	target->memory_gb = from->mem_gb;
 	PRODUCTION_COPY_TEXT(target->image, from->image);
 	target->image_gb = from->image_gb;
 	target->type_count = from->type_count;
@@ -158,10 +160,10 @@
 	PRODUCTION_COPY_TEXT(target->zone, from->zone);
 	target->one_zone = from->one_zone;
 	target->spread = from->spread;
-	target->preemptible = from->allows_preemptible;
+	target->allows_preemptible = from->allows_preemptible;
 	target->estimate_s = from->estimate_s;
-	target->checkpoint_s = from->checkpoint_interval_s;
-	target->save_s = from->checkpoint_duration_s;
+	target->checkpoint_interval_s = from->checkpoint_interval_s;
+	target->checkpoint_duration_s = from->checkpoint_duration_s;
 	target->deadline_s = from->deadline_s;
 }
 
@@ -171,7 +173,7 @@
 	PRODUCTION_COPY_TEXT(target->name, from->name);
 	target->cpus = from->cpus;
 	target->gpus = from->gpus;
-	target->memory = from->mem_gb;
+	target->memory_gb = from->mem_gb;
 	target->local_gb = from->local_gb;
 	target->fetch_gb_s = from->fetch_gb_s;
 	target->price = from->price;
@@ -231,7 +233,7 @@
 static void convert_records(struct production_result *target, const struct ws_records_result *from)
 {
 	target->revision = from->revision;
-	target->more = from->has_more;
+	target->has_more = from->has_more;
 	target->record_count = from->entry_count;
 	target->records = production_allocate(from->entry_count, sizeof(*target->records));
 	for (size_t i = 0; i < from->entry_count; i++)
@@ -259,7 +261,7 @@
 static void convert_instances(struct production_result *target,
 			      const struct ws_instances_result *from)
 {
-	target->more = from->has_more;
+	target->has_more = from->has_more;
 	target->no_capacity = from->no_capacity;
 	target->instance_count = from->count;
 	target->instances = production_allocate(from->count, sizeof(*target->instances));
@@ -289,7 +291,7 @@
 	case WS_CALL_SESSION_RENEW:
 	case WS_CALL_SESSION_CLOSE:
 	case WS_CALL_SCALE_IN:
-	case WS_CALL_OUTAGE_VOTE: break; /* the status says it all */
+	case WS_CALL_OUTAGE_VOTE: break; /* the result has only a status */
 	}
 }
 
@@ -304,18 +306,18 @@
 	free(result->heartbeat);
 }
 
-/* ---- what the simulator asks of a core ---- */
+/* ---- functions of struct sim_version ---- */
 
 static const struct production_core_api *api;
 static ws_log_fn log_sink;
 
-/* The simulator holds the cores of both versions under one type, which it does not look into. */
-static struct production_core *production_of(struct ws_core *core)
+/* The simulator holds the cores of both versions as struct ws_core, an opaque type. */
+static struct production_core *to_production_core(struct ws_core *core)
 {
 	return (struct production_core *)(void *)core;
 }
 
-static const struct production_core *production_of_const(const struct ws_core *core)
+static const struct production_core *to_const_production_core(const struct ws_core *core)
 {
 	return (const struct production_core *)(const void *)core;
 }
@@ -342,17 +344,17 @@
 
 static void destroy(struct ws_core *core)
 {
-	api->destroy(production_of(core));
+	api->destroy(to_production_core(core));
 }
 
 static void tick(struct ws_core *core, double now)
 {
-	api->tick(production_of(core), now);
+	api->tick(to_production_core(core), now);
 }
 
 static struct ws_effect *next_effect(struct ws_core *core)
 {
-	struct production_effect *neutral = api->next_effect(production_of(core));
+	struct production_effect *neutral = api->next_effect(to_production_core(core));
 	struct ws_effect *effect;
 
 	if (!neutral)
@@ -363,7 +365,7 @@
 	return effect;
 }
 
-/* Frees the simulator's copy of a call, whose origin has gone back to its core or is freed. */
+/* Frees the simulator's copy of a call; the core's call object is returned or freed already. */
 static void free_copy(struct ws_call *call)
 {
 	call->context = NULL;
@@ -376,7 +378,7 @@
 	struct production_result neutral = {0};
 
 	convert_result(&neutral, result);
-	api->complete(production_of(core), now, call->context, &neutral);
+	api->complete(to_production_core(core), now, call->context, &neutral);
 	clear_result(&neutral);
 	free_copy(call);
 }
@@ -389,17 +391,17 @@
 
 static void resign(struct ws_core *core, double now)
 {
-	api->resign(production_of(core), now);
+	api->resign(to_production_core(core), now);
 }
 
 static bool is_ready(const struct ws_core *core)
 {
-	return api->ready(production_of_const(core));
+	return api->is_ready(to_const_production_core(core));
 }
 
 static bool is_leader(const struct ws_core *core)
 {
-	return api->leading(production_of_const(core));
+	return api->is_leader(to_const_production_core(core));
 }
 
 static void submit(struct ws_core *core, double now, double wall, uint64_t request_id,
@@ -408,19 +410,19 @@
 	struct production_job_spec neutral = {0};
 
 	convert_job_spec(&neutral, spec);
-	api->submit(production_of(core), now, wall, request_id, &neutral, forwarded);
+	api->submit(to_production_core(core), now, wall, request_id, &neutral, forwarded);
 }
 
 static void query_status(struct ws_core *core, double now, uint64_t request_id, const char *job,
 			 bool forwarded)
 {
-	api->poll(production_of(core), now, request_id, job, forwarded);
+	api->query_status(to_production_core(core), now, request_id, job, forwarded);
 }
 
 static void cancel(struct ws_core *core, double now, uint64_t request_id, const char *job,
 		   bool forwarded)
 {
-	api->abort(production_of(core), now, request_id, job, forwarded);
+	api->cancel(to_production_core(core), now, request_id, job, forwarded);
 }
 
 static void take_heartbeat(struct ws_core *core, double now, uint64_t request_id,
@@ -429,16 +431,16 @@
 	struct production_heartbeat neutral = {0};
 
 	convert_heartbeat(&neutral, heartbeat);
-	api->heartbeat(production_of(core), now, request_id, &neutral, forwarded);
+	api->heartbeat(to_production_core(core), now, request_id, &neutral, forwarded);
 	free(neutral.tasks);
 }
 
 static void outage_vote(struct ws_core *core, double now, uint64_t request_id)
 {
-	api->outage_vote(production_of(core), now, request_id);
+	api->outage_vote(to_production_core(core), now, request_id);
 }
 
-/* The library's functions, loaded once and kept; NULL where it can't be loaded. */
+/* Loads the library and returns its functions. Returns NULL if it can't be loaded. */
 static const struct production_core_api *load(void)
 {
 	void *library = dlopen(WS_PRODUCTION_CORE, RTLD_NOW | RTLD_LOCAL);
@@ -447,7 +449,7 @@
 	if (library)
 		*(void **)&get_api = dlsym(library, PRODUCTION_CORE_API_SYMBOL);
 	if (!get_api) {
-		fprintf(stderr, "the production core can't be loaded: %s\n", dlerror());
+		fprintf(stderr, "loading the production core failed: %s\n", dlerror());
 		return NULL;
 	}
 	return get_api();
--- a/tests/sim_production.h
+++ b/tests/sim_production.h
@@ -1,12 +1,12 @@
-/* What the modules of the nodes of the version in production share. */
+/* Conversion of effects for nodes that run the version in production. */
 #ifndef WS_SIM_PRODUCTION_H
 #define WS_SIM_PRODUCTION_H
 #include "production_abi.h"
 #include "sim_parts.h"
 
 /*
- * An effect of a core of the version in production as one of this version. What it allocates is
- * freed with the effect and its call; the context of the call is the core's own call object.
+ * Converts an effect of the version in production into one of this version. Freeing the effect and
+ * its call frees all that this allocates. The context of the call is the core's own call object.
  */
 void sim_production_convert_effect(struct ws_effect *effect, const struct production_effect *from);
 #endif
--- a/tests/sim_production_effects.c
+++ b/tests/sim_production_effects.c
@@ -1,5 +1,5 @@
 /*
- * Effects of the version in production, and the calls in them, in the terms of this version: see
+ * Converts effects and calls of the version in production to those of this version; see
  * sim_production.c.
  */
 #include "sim_production.h"
@@ -20,10 +20,10 @@
     [PRODUCTION_CALL_LIST] = WS_CALL_LIST,
     [PRODUCTION_CALL_TRANSACTION] = WS_CALL_TRANSACTION,
     [PRODUCTION_CALL_WATCH] = WS_CALL_WATCH,
-    [PRODUCTION_CALL_SESSION_NEW] = WS_CALL_SESSION_OPEN,
-    [PRODUCTION_CALL_SESSION_EXTEND] = WS_CALL_SESSION_RENEW,
-    [PRODUCTION_CALL_SESSION_DROP] = WS_CALL_SESSION_CLOSE,
-    [PRODUCTION_CALL_TYPES] = WS_CALL_MACHINE_TYPES,
+    [PRODUCTION_CALL_SESSION_OPEN] = WS_CALL_SESSION_OPEN,
+    [PRODUCTION_CALL_SESSION_RENEW] = WS_CALL_SESSION_RENEW,
+    [PRODUCTION_CALL_SESSION_CLOSE] = WS_CALL_SESSION_CLOSE,
+    [PRODUCTION_CALL_MACHINE_TYPES] = WS_CALL_MACHINE_TYPES,
     [PRODUCTION_CALL_INSTANCES] = WS_CALL_INSTANCES,
     [PRODUCTION_CALL_SCALE_OUT] = WS_CALL_SCALE_OUT,
     [PRODUCTION_CALL_SCALE_IN] = WS_CALL_SCALE_IN,
@@ -84,7 +84,7 @@
 	    production_allocate(from->operation_count, sizeof(*transaction->operations));
 	for (size_t i = 0; i < from->operation_count; i++)
 		convert_operation(&transaction->operations[i], &from->operations[i]);
-	transaction->self_paced = from->paced;
+	transaction->self_paced = from->self_paced;
 }
 
 static void convert_scale_out(struct ws_scale_out_call *scale_out,
@@ -123,12 +123,12 @@
 {
 	PRODUCTION_COPY_TEXT(vote->peer, from->key);
 	PRODUCTION_COPY_TEXT(vote->after_job, from->after);
-	vote->since_revision = from->since;
+	vote->since_revision = from->since_revision;
 	vote->leader_revision = from->fencing_token;
 }
 
-/* What a call of its kind asks. */
-static void convert_question(struct ws_call *call, const struct production_call *from)
+/* Converts the parameters that belong to the call's kind. */
+static void convert_parameters(struct ws_call *call, const struct production_call *from)
 {
 	switch (call->kind) {
 	case WS_CALL_GET:
@@ -138,7 +138,7 @@
 		break;
 	case WS_CALL_WATCH:
 		PRODUCTION_COPY_TEXT(call->watch.prefix, from->key);
-		call->watch.since_revision = from->since;
+		call->watch.since_revision = from->since_revision;
 		call->watch.timeout_ms = from->duration_ms;
 		break;
 	case WS_CALL_TRANSACTION: convert_transaction(&call->transaction, from); break;
@@ -160,10 +160,10 @@
 static void convert_call(struct ws_call *call, const struct production_call *from)
 {
 	call->kind = PRODUCTION_ENUMERATOR(call_kinds, from->kind);
-	convert_question(call, from);
+	convert_parameters(call, from);
 	call->urgent = from->urgent;
-	call->created_at = from->made_at;
-	call->context = from->origin;
+	call->created_at = from->created_at;
+	call->context = from->call_object;
 }
 
 /* ---- effects ---- */
@@ -173,7 +173,7 @@
 	enum ws_answer answer = ws_answer_of_http_status(status);
 
 	if (ws_http_status_of_answer(answer) != status) {
-		fprintf(stderr, "production core: an answer of status %d\n", status);
+		fprintf(stderr, "production core: unexpected answer with HTTP status %d\n", status);
 		abort();
 	}
 	return answer;
@@ -186,7 +186,7 @@
 	reply->done = from->done;
 	reply->running = from->running;
 	reply->carries_counts = from->has_counts;
-	reply->retry_after_s = from->retry_after;
+	reply->retry_after_s = from->retry_after_s;
 }
 
 static void convert_heartbeat_reply(struct ws_heartbeat_reply *reply,
@@ -203,7 +203,7 @@
 void sim_production_convert_effect(struct ws_effect *effect, const struct production_effect *from)
 {
 	effect->kind = PRODUCTION_ENUMERATOR(effect_kinds, from->kind);
-	effect->request_id = from->token;
+	effect->request_id = from->request_id;
 	switch (effect->kind) {
 	case WS_EFFECT_CALL:
 		effect->call = production_allocate(1, sizeof(*effect->call));
@@ -219,9 +219,9 @@
 		break;
 	case WS_EFFECT_FORWARD:
 		PRODUCTION_COPY_TEXT(effect->forward.leader, from->name);
-		effect->forward.redirect_failed = from->pinned;
+		effect->forward.redirect_failed = from->redirect_failed;
 		break;
-	case WS_EFFECT_ANSWER_VOTE: /* that version gives no list of cancellations */
+	case WS_EFFECT_ANSWER_VOTE: /* that version sends no list of cancellations */
 		effect->answer = convert_answer(from->status);
 		break;
 	}
