--- a/tests/subsystem_text.h
+++ b/tests/subsystem_text.h
@@ -1,4 +1,4 @@
-/* A file of switches, given as its text. */
+/* Reads and checks subsystem settings (deploy/subsystems.toml) from a text, for tests. */
 #ifndef WS_TEST_SUBSYSTEM_TEXT_H
 #define WS_TEST_SUBSYSTEM_TEXT_H
 #include "../src/subsystem_settings.h"
@@ -6,32 +6,33 @@
 #include <stdlib.h>
 #include <unistd.h>
 
-/* Reads a file; the error's line goes to `error`. */
+/* Reads a settings file. Writes the error as one line to `error`. */
 static inline bool read_file(const char *path, struct ws_subsystem_settings *settings, char *error,
 			     size_t size)
 {
-	struct ws_startup_error wrong = {0};
-	bool ok = ws_subsystem_read(path, settings, &wrong);
+	struct ws_startup_error startup_error = {0};
+	bool ok = ws_subsystem_read(path, settings, &startup_error);
 
-	ws_startup_error_line(&wrong, error, size);
+	ws_startup_error_line(&startup_error, error, size);
 	return ok;
 }
 
-/* Checks settings against the platform's; the error's line goes to `error`. */
+/* Checks the settings against the platform's settings. Writes the error as one line to `error`. */
 static inline bool check_against(const struct ws_subsystem_settings *settings,
 				 const struct ws_settings *platform, char *error, size_t size)
 {
-	struct ws_startup_error wrong = {0};
-	bool ok = ws_subsystem_attach(NULL, settings, platform, &wrong);
+	struct ws_startup_error startup_error = {0};
+	bool ok = ws_subsystem_attach(NULL, settings, platform, &startup_error);
 
-	ws_startup_error_line(&wrong, error, size);
+	ws_startup_error_line(&startup_error, error, size);
 	return ok;
 }
 
+/* Reads settings from a text, by way of a temporary file. */
 static bool read_text(const char *text, struct ws_subsystem_settings *settings, char *error,
 		      size_t size)
 {
-	char path[] = "/tmp/waystep-switches-XXXXXX";
+	char path[] = "/tmp/waystep-settings-XXXXXX";
 	FILE *file = fdopen(mkstemp(path), "w");
 	bool ok;
 
