--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -45,18 +45,18 @@
 	char error[512], what[128];
 
 	for (size_t i = 0; i < sizeof(refusals) / sizeof(refusals[0]); i++) {
-		bool ok = read_text(refusals[i].text, &settings, error, sizeof(error));
+		bool ok = read_subsystem_text(refusals[i].text, &settings, error, sizeof(error));
 
 		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].names);
 		check(what, !ok && strstr(error, refusals[i].names));
 		ws_subsystem_free(&settings);
 	}
-	check("off without its table",
-	      read_text("", &settings, error, sizeof(error)) && !settings.cold_start_enabled);
+	check("off without its table", read_subsystem_text("", &settings, error, sizeof(error)) &&
+					   !settings.cold_start_enabled);
 	ws_subsystem_free(&settings);
 	check("all is read",
-	      read_text("[coldstart]\nenabled = true\nkeep_s = 9.0\nheard_share = 1.0\n", &settings,
-			error, sizeof(error)) &&
+	      read_subsystem_text("[coldstart]\nenabled = true\nkeep_s = 9.0\nheard_share = 1.0\n",
+				  &settings, error, sizeof(error)) &&
 		  settings.cold_start_enabled && settings.cold_start.quarantine_s == 9 &&
 		  settings.cold_start.answered_share == 1);
 	ws_subsystem_free(&settings);
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -51,8 +51,8 @@
 	for (size_t i = 0; i < sizeof(refusals) / sizeof(refusals[0]); i++) {
 		struct ws_subsystem_settings settings;
 		char error[512], what[128];
-		bool ok = read_text(refusals[i].text, &settings, error, sizeof(error)) &&
-			  check_against(&settings, &platform, error, sizeof(error));
+		bool ok = read_subsystem_text(refusals[i].text, &settings, error, sizeof(error)) &&
+			  check_subsystem_settings(&settings, &platform, error, sizeof(error));
 
 		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].names);
 		check(what, !ok && strstr(error, refusals[i].names));
@@ -101,10 +101,11 @@
 	struct ws_failure_domains *domains;
 	char error[512];
 
-	check("declared domains are read", read_text(declared, &settings, error, sizeof(error)) &&
-					       settings.failure_domains_enabled &&
-					       settings.failure_domains.declared_count == 4 &&
-					       settings.failure_domains.class_count == 2);
+	check("declared domains are read",
+	      read_subsystem_text(declared, &settings, error, sizeof(error)) &&
+		  settings.failure_domains_enabled &&
+		  settings.failure_domains.declared_count == 4 &&
+		  settings.failure_domains.class_count == 2);
 	domains = ws_domains_new(&settings.failure_domains, &limits, log_text, &wrong);
 	check("and taken", domains != NULL);
 	for (size_t i = 0; domains && i < sizeof(lookups) / sizeof(lookups[0]); i++) {
@@ -159,9 +160,10 @@
 	char error[512];
 
 	check("an empty file leaves all off",
-	      read_text("", &settings, error, sizeof(error)) && !settings.failure_domains_enabled);
+	      read_subsystem_text("", &settings, error, sizeof(error)) &&
+		  !settings.failure_domains_enabled);
 	check("a missing file is refused by name",
-	      !read_file("/nowhere.toml", &settings, error, sizeof(error)) &&
+	      !read_subsystem_file("/nowhere.toml", &settings, error, sizeof(error)) &&
 		  strstr(error, "/nowhere.toml"));
 	check_refusals();
 	check_lookups();
--- a/tests/sim_actions.c
+++ b/tests/sim_actions.c
@@ -166,7 +166,7 @@
 	bool all = !strcmp(action->name, "all");
 
 	if (all)
-		sim_cold_start_all_stopped(sim);
+		sim_cold_start_controllers_stopped(sim);
 	/* "leader" is looked up each time: without the first, another one may think it leads */
 	for (int i = 0; i < sim->node_count; i++)
 		if (all || i == sim_node_named(sim, action->name))
--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -288,7 +288,7 @@
 		sim->late_command_count--;
 		return sim->now + sim->late_commands_by_s;
 	}
-	if (sim_worker_live(sim, worker) && !sim_is_partitioned(sim, worker, node))
+	if (sim_worker_is_live(sim, worker) && !sim_is_partitioned(sim, worker, node))
 		return 0;
 	return fmax(machine_until, network_until) + 0.05;
 }
@@ -313,7 +313,7 @@
 static void execute_commands(struct sim *sim, struct sim_call_in_flight *flight)
 {
 	const struct ws_call *call = flight->call;
-	int index = sim_worker_at(call->commands.address);
+	int index = sim_worker_by_address(call->commands.address);
 	struct sim_worker *worker = &sim->workers[index];
 	double delayed_until;
 
@@ -335,9 +335,9 @@
 		return;
 	}
 	flight->result.heartbeat = calloc(1, sizeof(*flight->result.heartbeat));
-	flight->result.outcome = sim_worker_command(sim, worker, call->commands.fencing_token,
-						    call->commands.incarnation, call->commands.list,
-						    call->commands.count, flight->result.heartbeat);
+	flight->result.outcome = sim_worker_deliver_commands(
+	    sim, worker, call->commands.fencing_token, call->commands.incarnation,
+	    call->commands.list, call->commands.count, flight->result.heartbeat);
 	flight->result.http_status = ws_http_status_of_outcome(flight->result.outcome);
 	if (sim->slow_commands_s > 0) {
 		schedule_answer(sim, flight, sim->now + sim->slow_commands_s);
@@ -390,7 +390,7 @@
 					   flight->request_id);
 }
 
-void sim_call_vote_answered(struct sim *sim, const struct sim_node *node, struct ws_effect *effect)
+void sim_call_deliver_vote(struct sim *sim, const struct sim_node *node, struct ws_effect *effect)
 {
 	struct sim_call_in_flight **link = &sim->calls_in_flight, *flight;
 
@@ -454,9 +454,10 @@
 			continue;
 		}
 		*link = late->next;
-		if (sim_worker_live(sim, worker))
-			sim_worker_command(sim, worker, late->fencing_token, late->incarnation,
-					   late->commands, late->command_count, NULL);
+		if (sim_worker_is_live(sim, worker))
+			sim_worker_deliver_commands(sim, worker, late->fencing_token,
+						    late->incarnation, late->commands,
+						    late->command_count, NULL);
 		late_command_free(late);
 	}
 }
--- a/tests/sim_calls.h
+++ b/tests/sim_calls.h
@@ -11,7 +11,7 @@
  * Delivers a node's answer to an outage vote request. Takes ownership of the effect's list of
  * cancellations if both nodes run this version.
  */
-void sim_call_vote_answered(struct sim *sim, const struct sim_node *node, struct ws_effect *effect);
+void sim_call_deliver_vote(struct sim *sim, const struct sim_node *node, struct ws_effect *effect);
 /* Delivers delayed direct commands that are due to their workers. */
 void sim_calls_deliver_late_commands(struct sim *sim);
 /* Frees all calls and direct commands in flight. */
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -173,8 +173,8 @@
 			 worker->name);
 	check_quota_at_start(sim, job);
 	sim->starts++;
-	sim_domains_started(sim, job, task->task);
-	sim_cold_start_started(sim, job, task->task);
+	sim_domains_task_started(sim, job, task->task);
+	sim_cold_start_task_started(sim, job, task->task);
 	if (!job->started_at)
 		job->started_at = sim->now;
 }
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -4,7 +4,7 @@
 /* The cloud's protocol lists a failed machine as running for this long after its failure. */
 #define FAILED_LISTED_S 30
 
-int sim_add_worker(struct sim *sim, int type, const char *zone, bool preemptible, bool owned)
+int sim_cloud_add_worker(struct sim *sim, int type, const char *zone, bool preemptible, bool owned)
 {
 	struct sim_worker *worker;
 
@@ -106,7 +106,8 @@
 		 call->scale_out.idempotency_key);
 	scale_out->first_worker = sim->worker_count;
 	for (uint32_t i = 0; i < call->scale_out.count && instances < sim->instance_limit; i++) {
-		sim_add_worker(sim, type, call->scale_out.zone, call->scale_out.preemptible, false);
+		sim_cloud_add_worker(sim, type, call->scale_out.zone, call->scale_out.preemptible,
+				     false);
 		scale_out->count++;
 		sim->scaled_out++;
 		instances++;
--- a/tests/sim_cold_start.c
+++ b/tests/sim_cold_start.c
@@ -18,7 +18,7 @@
 
 	if (!sim->cold_start_on || node->version != &sim_this_version)
 		return;
-	sim_cluster_limits(sim, node, names, &limits);
+	sim_fill_cluster_limits(sim, node, names, &limits);
 	node->cold_start = ws_cold_start_new(&sim->cold_start_settings, &limits, log_line);
 	ws_core_attach(node->core, &ws_cold_start_ops, node->cold_start);
 }
@@ -34,7 +34,7 @@
 
 /* ---- faults of the cluster ---- */
 
-void sim_cold_start_all_stopped(struct sim *sim)
+void sim_cold_start_controllers_stopped(struct sim *sim)
 {
 	sim->stop = (struct sim_stop){
 	    .stopped_at = sim->now,
@@ -61,7 +61,7 @@
 {
 	double down_s = sim_option(action->text, "first", 5);
 
-	sim_cold_start_all_stopped(sim);
+	sim_cold_start_controllers_stopped(sim);
 	for (int i = 0; i < sim->node_count; i++) {
 		sim_node_crash(sim, i, down_s);
 		down_s += sim_option(action->text, "every", 5);
@@ -71,7 +71,7 @@
 /* Kills the tasks of a machine, which restarts after `down_s` seconds with a new incarnation. */
 static void lose_power(struct sim *sim, struct sim_worker *worker, double down_s)
 {
-	sim_cold_start_killed(sim, worker);
+	sim_cold_start_tasks_killed(sim, worker);
 	worker->task_count = 0;
 	worker->image_count = 0;
 	worker->incarnation++;
@@ -184,7 +184,7 @@
 	task->attempt += (uint64_t)(int64_t)sim_option(action->text, "by", 0);
 	task->state = WS_TASK_FETCHING;
 	task->seconds_left = UNBOUNDED_S;
-	sim_worker_changed(target, sim->now);
+	sim_worker_expedite_heartbeat(target, sim->now);
 }
 
 /* coldstart-format KEY: replaces the record by one in a later format */
@@ -248,8 +248,8 @@
 	}
 }
 
-void sim_cold_start_command(struct sim *sim, const struct sim_worker *worker,
-			    const struct ws_command *command, const struct sim_task *task)
+void sim_cold_start_command_received(struct sim *sim, const struct sim_worker *worker,
+				     const struct ws_command *command, const struct sim_task *task)
 {
 	const struct sim_job *job = sim_job_of(sim, command->job);
 
@@ -269,7 +269,7 @@
 	}
 }
 
-void sim_cold_start_killed(struct sim *sim, const struct sim_worker *worker)
+void sim_cold_start_tasks_killed(struct sim *sim, const struct sim_worker *worker)
 {
 	for (int i = 0; i < worker->task_count; i++) {
 		struct sim_job *job = sim_job_of(sim, worker->tasks[i].job);
@@ -283,7 +283,7 @@
 	}
 }
 
-void sim_cold_start_started(struct sim *sim, struct sim_job *job, uint32_t task)
+void sim_cold_start_task_started(struct sim *sim, struct sim_job *job, uint32_t task)
 {
 	if (!job->killed_at || job->killed_at[task] <= 0)
 		return;
@@ -350,7 +350,7 @@
 	for (int i = 0; i < sim->worker_count; i++) {
 		const struct sim_worker *worker = &sim->workers[i];
 
-		if (!sim_worker_live(sim, worker))
+		if (!sim_worker_is_live(sim, worker))
 			continue;
 		found.live++;
 		if (worker->answered_since <= sim->stop.stopped_at)
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -12,8 +12,8 @@
 	sim_log(WS_LOG_INFO, text);
 }
 
-void sim_cluster_limits(const struct sim *sim, const struct sim_node *node, const char **names,
-			struct ws_cluster_limits *limits)
+void sim_fill_cluster_limits(const struct sim *sim, const struct sim_node *node, const char **names,
+			     struct ws_cluster_limits *limits)
 {
 	*limits = (struct ws_cluster_limits){
 	    .report_s = sim->heartbeat_s,
@@ -38,7 +38,7 @@
 
 	if (!sim->domains_on || node->version != &sim_this_version)
 		return;
-	sim_cluster_limits(sim, node, names, &limits);
+	sim_fill_cluster_limits(sim, node, names, &limits);
 	domains = ws_domains_new(&sim->domains_settings, &limits, log_line, &error);
 	if (!domains) {
 		sim_fail(sim, "domain %s, network %s: %s", error.domain, error.network,
@@ -124,7 +124,7 @@
 	}
 }
 
-void sim_domains_started(struct sim *sim, struct sim_job *job, uint32_t task)
+void sim_domains_task_started(struct sim *sim, struct sim_job *job, uint32_t task)
 {
 	struct sim_moves *moves = NULL;
 	double duration_s;
--- a/tests/sim_gangs.c
+++ b/tests/sim_gangs.c
@@ -65,7 +65,7 @@
 	member->task->exit_reason = reason;
 	sim->incomplete_exits += reason == WS_EXIT_GANG_INCOMPLETE;
 	sim->member_lost_exits += reason == WS_EXIT_MEMBER_LOST;
-	sim_worker_changed(member->worker, sim->now);
+	sim_worker_expedite_heartbeat(member->worker, sim->now);
 }
 
 static void gang_run(struct sim *sim, const struct sim_job *job, struct sim_gang *gang,
@@ -76,7 +76,7 @@
 	sim->gang_runs++;
 	for (uint32_t i = 0; i < found->count; i++) {
 		found->members[i].task->state = WS_TASK_RUNNING;
-		sim_worker_changed(found->members[i].worker, sim->now);
+		sim_worker_expedite_heartbeat(found->members[i].worker, sim->now);
 	}
 }
 
@@ -182,7 +182,7 @@
 			gang_step(sim, &sim->jobs[i], &sim->jobs[i].gangs[k]);
 }
 
-void sim_gang_follow(struct sim *sim, struct sim_job *job, uint64_t attempt)
+void sim_gang_track_attempt(struct sim *sim, struct sim_job *job, uint64_t attempt)
 {
 	for (int i = 0; i < job->gang_count; i++)
 		if (job->gangs[i].attempt == attempt)
--- a/tests/sim_machine_actions.c
+++ b/tests/sim_machine_actions.c
@@ -119,7 +119,7 @@
 {
 	worker->preemption_notice_at = sim->now;
 	worker->preempted_at = sim->now + span;
-	sim_worker_changed(worker, sim->now);
+	sim_worker_expedite_heartbeat(worker, sim->now);
 }
 
 /* ---- actions: WORD MACHINE|rental|owned|any [times=N] [for=S] ---- */
@@ -202,7 +202,7 @@
 	task->attempt = UNRECORDED_ATTEMPT;
 	task->state = WS_TASK_FETCHING;
 	task->seconds_left = NEVER_S;
-	sim_worker_changed(worker, sim->now);
+	sim_worker_expedite_heartbeat(worker, sim->now);
 }
 
 /* no-boot COUNT: so many instances never boot */
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -134,7 +134,7 @@
 
 	if (request_id != worker->heartbeat_id)
 		return;
-	sim_worker_heartbeat(sim, worker, &heartbeat);
+	sim_worker_build_heartbeat(sim, worker, &heartbeat);
 	target->version->heartbeat(target->core, sim_node_time(sim, target), request_id, &heartbeat,
 				   true);
 	free(heartbeat.tasks);
@@ -152,12 +152,12 @@
 						.answer = WS_ANSWER_UNAVAILABLE};
 
 		if (is_heartbeat) {
-			sim_worker_answer(sim, &unavailable);
+			sim_worker_send_answer(sim, &unavailable);
 			return;
 		}
 		unavailable.kind = WS_EFFECT_ANSWER_USER;
 		unavailable.user.retry_after_s = 1;
-		sim_user_answer(sim, &unavailable);
+		sim_user_receive_answer(sim, &unavailable);
 		return;
 	}
 	if (is_heartbeat) {
@@ -166,19 +166,19 @@
 	}
 	kind = sim_user_pending_kind(sim, effect->request_id);
 	if (kind)
-		sim_user_request(sim, (int)(target - sim->nodes),
-				 &sim->jobs[effect->request_id & (SIM_JOBS - 1)], kind,
-				 effect->request_id, true);
+		sim_user_send_request(sim, (int)(target - sim->nodes),
+				      &sim->jobs[effect->request_id & (SIM_JOBS - 1)], kind,
+				      effect->request_id, true);
 }
 
 static void execute_effect(struct sim *sim, int index, struct ws_effect *effect)
 {
 	switch (effect->kind) {
 	case WS_EFFECT_CALL: sim_call_start(sim, index, effect->call); break;
-	case WS_EFFECT_ANSWER_USER: sim_user_answer(sim, effect); break;
-	case WS_EFFECT_ANSWER_HEARTBEAT: sim_worker_answer(sim, effect); break;
+	case WS_EFFECT_ANSWER_USER: sim_user_receive_answer(sim, effect); break;
+	case WS_EFFECT_ANSWER_HEARTBEAT: sim_worker_send_answer(sim, effect); break;
 	case WS_EFFECT_FORWARD: forward(sim, index, effect); break;
-	case WS_EFFECT_ANSWER_VOTE: sim_call_vote_answered(sim, &sim->nodes[index], effect); break;
+	case WS_EFFECT_ANSWER_VOTE: sim_call_deliver_vote(sim, &sim->nodes[index], effect); break;
 	}
 }
 
--- a/tests/sim_scenario.c
+++ b/tests/sim_scenario.c
@@ -237,7 +237,7 @@
 	int count = sim_count_words(setting->rest) ? next_integer(setting) : 1;
 
 	for (int i = 0; i < count && type < sim->type_count; i++)
-		sim_add_worker(sim, type, zone, false, true);
+		sim_cloud_add_worker(sim, type, zone, false, true);
 	return NULL;
 }
 
--- a/tests/sim_slow_answers.c
+++ b/tests/sim_slow_answers.c
@@ -52,7 +52,7 @@
 			continue;
 		}
 		*link = slow->next;
-		sim_worker_take_answer(sim, &slow->answer);
+		sim_worker_receive_answer(sim, &slow->answer);
 		slow_answer_free(slow);
 	}
 }
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -16,8 +16,8 @@
 
 /* ---- requests ---- */
 
-void sim_user_request(struct sim *sim, int node, const struct sim_job *job, int kind,
-		      uint64_t request_id, bool forwarded)
+void sim_user_send_request(struct sim *sim, int node, const struct sim_job *job, int kind,
+			   uint64_t request_id, bool forwarded)
 {
 	struct sim_node *target = &sim->nodes[node];
 	double now = sim_node_time(sim, target);
@@ -64,7 +64,7 @@
 	check->done = job->done;
 	check->cancelled = job->cancelled;
 	sim->status_queries += kind == SIM_REQUEST_POLL;
-	sim_user_request(sim, node, job, kind, check->request_id, false);
+	sim_user_send_request(sim, node, job, kind, check->request_id, false);
 }
 
 static bool is_reachable(const struct sim *sim, const struct sim_node *node)
@@ -97,7 +97,7 @@
 	if (kind == SIM_REQUEST_SUBMIT)
 		job->submitted = true;
 	sim->status_queries += kind == SIM_REQUEST_POLL;
-	sim_user_request(sim, job->node, job, kind, job->pending_request, false);
+	sim_user_send_request(sim, job->node, job, kind, job->pending_request, false);
 }
 
 /* ---- answers ---- */
@@ -220,7 +220,7 @@
 		job->cancel_at = sim->now;
 }
 
-void sim_user_answer(struct sim *sim, const struct ws_effect *effect)
+void sim_user_receive_answer(struct sim *sim, const struct ws_effect *effect)
 {
 	struct sim_job *job = &sim->jobs[effect->request_id & (SIM_JOBS - 1)];
 	struct reported_state known;
--- a/tests/sim_worker_tasks.c
+++ b/tests/sim_worker_tasks.c
@@ -96,7 +96,7 @@
 	if (job && failure_reason == WS_EXIT_NONE)
 		task->seconds_left =
 		    has_image(worker, job->spec.image) ? 0 : job->spec.image_gb / FETCH_GB_PER_S;
-	sim_worker_changed(worker, sim->now);
+	sim_worker_expedite_heartbeat(worker, sim->now);
 	return true;
 }
 
@@ -123,7 +123,7 @@
 	} else {
 		return;
 	}
-	sim_worker_changed(worker, sim->now);
+	sim_worker_expedite_heartbeat(worker, sim->now);
 }
 
 static void reap_task(struct sim *sim, struct sim_worker *worker, struct sim_task *task)
@@ -131,7 +131,7 @@
 	if (task->state != WS_TASK_EXITED)
 		return;
 	*task = worker->tasks[--worker->task_count];
-	sim_worker_changed(worker, sim->now);
+	sim_worker_expedite_heartbeat(worker, sim->now);
 }
 
 /* Executes one command. Returns false if the simulation has failed. */
@@ -140,7 +140,7 @@
 {
 	struct task_attempts found = find_attempts(worker, command);
 
-	sim_cold_start_command(sim, worker, command, found.task);
+	sim_cold_start_command_received(sim, worker, command, found.task);
 	switch (command->kind) {
 	case WS_COMMAND_RUN:
 		return found.task || start_task(sim, worker, command, found.has_other_attempt);
@@ -156,8 +156,8 @@
 	return true;
 }
 
-void sim_worker_take_commands(struct sim *sim, struct sim_worker *worker,
-			      const struct ws_command *commands, size_t count)
+void sim_worker_execute_commands(struct sim *sim, struct sim_worker *worker,
+				 const struct ws_command *commands, size_t count)
 {
 	for (size_t i = 0; i < count; i++)
 		if (!execute_command(sim, worker, &commands[i]))
@@ -183,13 +183,13 @@
 	task->state = job->spec.gang ? WS_TASK_WAITING : WS_TASK_RUNNING;
 	task->waiting_since = sim->now;
 	if (job->spec.gang)
-		sim_gang_follow(sim, job, task->attempt);
+		sim_gang_track_attempt(sim, job, task->attempt);
 	task->seconds_left = job->run_s;
 	if (worker->image_count < SIM_IMAGES)
 		snprintf(worker->images[worker->image_count++], sizeof(worker->images[0]), "%s",
 			 job->spec.image);
 	sim_check_start(sim, worker, task);
-	sim_worker_changed(worker, sim->now);
+	sim_worker_expedite_heartbeat(worker, sim->now);
 }
 
 static void run_step(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
@@ -204,12 +204,12 @@
 		task->state = WS_TASK_EXITED;
 		task->exit_reason = WS_EXIT_ERROR;
 		sim->failures++;
-		sim_worker_changed(worker, sim->now);
+		sim_worker_expedite_heartbeat(worker, sim->now);
 	} else if (!job->spec.service && task->seconds_left <= 0) {
 		task->state = WS_TASK_EXITED;
 		task->exit_reason = WS_EXIT_DONE;
 		sim_task_finished(sim, job, task);
-		sim_worker_changed(worker, sim->now);
+		sim_worker_expedite_heartbeat(worker, sim->now);
 	}
 }
 
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -10,12 +10,12 @@
 #define HEARTBEAT_RETRY_S 1
 #define HEARTBEAT_TIMEOUT_S 4
 
-void sim_worker_changed(struct sim_worker *worker, double now)
+void sim_worker_expedite_heartbeat(struct sim_worker *worker, double now)
 {
 	worker->next_heartbeat_at = fmin(worker->next_heartbeat_at, now + HEARTBEAT_AFTER_CHANGE_S);
 }
 
-bool sim_worker_live(const struct sim *sim, const struct sim_worker *worker)
+bool sim_worker_is_live(const struct sim *sim, const struct sim_worker *worker)
 {
 	return worker->is_up && !worker->dead && !worker->deleted && sim->now >= worker->hang_until;
 }
@@ -31,7 +31,7 @@
 
 /* ---- heartbeats ---- */
 
-int sim_worker_at(const char *address)
+int sim_worker_by_address(const char *address)
 {
 	int network = 0, number = 0;
 
@@ -57,8 +57,8 @@
 	}
 }
 
-void sim_worker_heartbeat(const struct sim *sim, struct sim_worker *worker,
-			  struct ws_heartbeat *heartbeat)
+void sim_worker_build_heartbeat(const struct sim *sim, struct sim_worker *worker,
+				struct ws_heartbeat *heartbeat)
 {
 	int index = (int)(worker - sim->workers);
 	bool has_notice =
@@ -140,7 +140,7 @@
 	worker->sent_at = sim->now;
 	sim->heartbeats++;
 	worker->heartbeat_pending = true;
-	sim_worker_heartbeat(sim, worker, &heartbeat);
+	sim_worker_build_heartbeat(sim, worker, &heartbeat);
 	worker->next_heartbeat_at = sim->now + sim->heartbeat_s * (0.75 + 0.5 * sim_random(sim));
 	worker->heartbeat_id = (++sim->last_request_id << SIM_TOKEN_SHIFT) |
 			       (uint64_t)(worker - sim->workers) | SIM_ID_HEARTBEAT;
@@ -218,10 +218,10 @@
 
 /* ---- answers and commands ---- */
 
-enum ws_outcome sim_worker_command(struct sim *sim, struct sim_worker *worker,
-				   uint64_t fencing_token, uint64_t incarnation,
-				   const struct ws_command *commands, size_t count,
-				   struct ws_heartbeat *heartbeat)
+enum ws_outcome sim_worker_deliver_commands(struct sim *sim, struct sim_worker *worker,
+					    uint64_t fencing_token, uint64_t incarnation,
+					    const struct ws_command *commands, size_t count,
+					    struct ws_heartbeat *heartbeat)
 {
 	enum ws_outcome outcome = WS_OUTCOME_OK;
 
@@ -230,12 +230,12 @@
 	} else {
 		if (fencing_token > worker->fencing_token) {
 			worker->fencing_token = fencing_token;
-			sim_worker_changed(worker, sim->now);
+			sim_worker_expedite_heartbeat(worker, sim->now);
 		}
-		sim_worker_take_commands(sim, worker, commands, count);
+		sim_worker_execute_commands(sim, worker, commands, count);
 	}
 	if (heartbeat)
-		sim_worker_heartbeat(sim, worker, heartbeat);
+		sim_worker_build_heartbeat(sim, worker, heartbeat);
 	return outcome;
 }
 
@@ -247,13 +247,13 @@
 		return;
 	if (answer->heartbeat.fencing_token > worker->fencing_token) {
 		worker->fencing_token = answer->heartbeat.fencing_token;
-		sim_worker_changed(worker, sim->now);
+		sim_worker_expedite_heartbeat(worker, sim->now);
 	}
 	worker->answered_sent = worker->sent_at;
 	if (worker->answered_since <= sim->stop.stopped_at)
 		worker->answered_since = sim->now;
-	sim_worker_take_commands(sim, worker, answer->heartbeat.commands,
-				 answer->heartbeat.command_count);
+	sim_worker_execute_commands(sim, worker, answer->heartbeat.commands,
+				    answer->heartbeat.command_count);
 }
 
 /*
@@ -272,18 +272,18 @@
 	return false;
 }
 
-void sim_worker_answer(struct sim *sim, const struct ws_effect *effect)
+void sim_worker_send_answer(struct sim *sim, const struct ws_effect *effect)
 {
 	if (!sim_slow_answer_add(sim, effect))
-		sim_worker_take_answer(sim, effect);
+		sim_worker_receive_answer(sim, effect);
 }
 
-void sim_worker_take_answer(struct sim *sim, const struct ws_effect *effect)
+void sim_worker_receive_answer(struct sim *sim, const struct ws_effect *effect)
 {
 	struct sim_worker *worker = &sim->workers[effect->request_id & (SIM_WORKERS - 1)];
 
 	if (effect->request_id & SIM_ID_UNHEARD || effect->request_id != worker->heartbeat_id ||
-	    !worker->heartbeat_pending || !sim_worker_live(sim, worker) ||
+	    !worker->heartbeat_pending || !sim_worker_is_live(sim, worker) ||
 	    sim->now < worker->deaf_until ||
 	    sim_is_partitioned(sim, worker, &sim->nodes[worker->node]))
 		return;
@@ -316,7 +316,7 @@
 {
 	if (sim->now - worker->answered_sent <= sim->lease_s)
 		return;
-	sim_cold_start_killed(sim, worker);
+	sim_cold_start_tasks_killed(sim, worker);
 	worker->task_count = 0;
 	if (sim->now < worker->hang_until)
 		return;
--- a/tests/sim_workers.h
+++ b/tests/sim_workers.h
@@ -4,26 +4,26 @@
 #include "sim_parts.h"
 
 /* Brings the worker's next heartbeat forward after a change. */
-void sim_worker_changed(struct sim_worker *worker, double now);
+void sim_worker_expedite_heartbeat(struct sim_worker *worker, double now);
 /* Builds the worker's next heartbeat. The caller frees `heartbeat->tasks`. */
-void sim_worker_heartbeat(const struct sim *sim, struct sim_worker *worker,
-			  struct ws_heartbeat *heartbeat);
+void sim_worker_build_heartbeat(const struct sim *sim, struct sim_worker *worker,
+				struct ws_heartbeat *heartbeat);
 /* Returns the index of the worker at an address. */
-int sim_worker_at(const char *address);
+int sim_worker_by_address(const char *address);
 /* Returns whether the worker runs and does not hang. */
-bool sim_worker_live(const struct sim *sim, const struct sim_worker *worker);
+bool sim_worker_is_live(const struct sim *sim, const struct sim_worker *worker);
 /*
  * Delivers direct commands to the worker and returns their outcome. Stores the heartbeat that the
  * worker answers with in `heartbeat` unless that is NULL.
  */
-enum ws_outcome sim_worker_command(struct sim *sim, struct sim_worker *worker,
-				   uint64_t fencing_token, uint64_t incarnation,
-				   const struct ws_command *commands, size_t count,
-				   struct ws_heartbeat *heartbeat);
+enum ws_outcome sim_worker_deliver_commands(struct sim *sim, struct sim_worker *worker,
+					    uint64_t fencing_token, uint64_t incarnation,
+					    const struct ws_command *commands, size_t count,
+					    struct ws_heartbeat *heartbeat);
 /* Sends a node's answer to a heartbeat to the worker, possibly with a delay. */
-void sim_worker_answer(struct sim *sim, const struct ws_effect *effect);
+void sim_worker_send_answer(struct sim *sim, const struct ws_effect *effect);
 /* Delivers an answer. The worker ignores it if it no longer waits for it. */
-void sim_worker_take_answer(struct sim *sim, const struct ws_effect *effect);
+void sim_worker_receive_answer(struct sim *sim, const struct ws_effect *effect);
 /* Returns whether node and machine can't reach each other now. */
 bool sim_is_partitioned(const struct sim *sim, const struct sim_worker *worker,
 			const struct sim_node *node);
@@ -42,8 +42,8 @@
 void sim_slow_answers_free(struct sim *sim);
 
 /* Executes commands in order. Defined in sim_worker_tasks.c. */
-void sim_worker_take_commands(struct sim *sim, struct sim_worker *worker,
-			      const struct ws_command *commands, size_t count);
+void sim_worker_execute_commands(struct sim *sim, struct sim_worker *worker,
+				 const struct ws_command *commands, size_t count);
 /* Advances the worker's tasks by one step. */
 void sim_worker_tasks_step(struct sim *sim, struct sim_worker *worker);
 /* Records that a run of a task has succeeded. */
@@ -52,5 +52,5 @@
 /* Advances all gangs by one step. Defined in sim_gangs.c. */
 void sim_gangs_step(struct sim *sim);
 /* Starts tracking a gang's attempt, unless it is tracked already. */
-void sim_gang_follow(struct sim *sim, struct sim_job *job, uint64_t attempt);
+void sim_gang_track_attempt(struct sim *sim, struct sim_job *job, uint64_t attempt);
 #endif
--- a/tests/subsystem_text.h
+++ b/tests/subsystem_text.h
@@ -7,8 +7,8 @@
 #include <unistd.h>
 
 /* Reads a settings file. Writes the error as one line to `error`. */
-static inline bool read_file(const char *path, struct ws_subsystem_settings *settings, char *error,
-			     size_t size)
+static inline bool read_subsystem_file(const char *path, struct ws_subsystem_settings *settings,
+				       char *error, size_t size)
 {
 	struct ws_startup_error startup_error = {0};
 	bool ok = ws_subsystem_read(path, settings, &startup_error);
@@ -18,8 +18,9 @@
 }
 
 /* Checks the settings against the platform's settings. Writes the error as one line to `error`. */
-static inline bool check_against(const struct ws_subsystem_settings *settings,
-				 const struct ws_settings *platform, char *error, size_t size)
+static inline bool check_subsystem_settings(const struct ws_subsystem_settings *settings,
+					    const struct ws_settings *platform, char *error,
+					    size_t size)
 {
 	struct ws_startup_error startup_error = {0};
 	bool ok = ws_subsystem_attach(NULL, settings, platform, &startup_error);
@@ -29,8 +30,8 @@
 }
 
 /* Reads settings from a text, by way of a temporary file. */
-static bool read_text(const char *text, struct ws_subsystem_settings *settings, char *error,
-		      size_t size)
+static bool read_subsystem_text(const char *text, struct ws_subsystem_settings *settings,
+				char *error, size_t size)
 {
 	char path[] = "/tmp/waystep-settings-XXXXXX";
 	FILE *file = fdopen(mkstemp(path), "w");
@@ -39,7 +40,7 @@
 	fputs(text, file);
 	fclose(file);
 	ws_subsystem_defaults(settings);
-	ok = read_file(path, settings, error, size);
+	ok = read_subsystem_file(path, settings, error, size);
 	unlink(path);
 	return ok;
 }
