--- a/tests/check.h
+++ b/tests/check.h
@@ -1,18 +1,18 @@
-/* Counts what holds and names what does not. */
+/* Counts passed and failed checks and prints the name of each failed one. */
 #ifndef WS_TEST_CHECK_H
 #define WS_TEST_CHECK_H
 #include <stdbool.h>
 #include <stdio.h>
 
-static int good, bad;
+static int passed_checks, failed_checks;
 
-static void check(const char *what, bool passed)
+static void check(const char *name, bool passed)
 {
 	if (passed) {
-		good++;
+		passed_checks++;
 	} else {
-		bad++;
-		printf("FAIL %s\n", what);
+		failed_checks++;
+		printf("FAIL %s\n", name);
 	}
 }
 #endif
--- a/tests/codec_digest.h
+++ b/tests/codec_digest.h
@@ -1,7 +1,8 @@
 /*
- * A 64-bit FNV-1a digest of what the codecs write and read, for codec_test -d: the checks call the
- * codecs through the functions below, which fold each message and each decoded value in. Two
- * versions whose digests agree wrote the same bytes and read the same values.
+ * A 64-bit FNV-1a digest of everything that the codecs encode and decode, for codec_test -d. The
+ * checks call the codecs through the functions below, which add each message and each decoded
+ * value to a digest. Two versions with equal digests encoded the same bytes and decoded the same
+ * values.
  */
 #ifndef CODEC_DIGEST_H
 #define CODEC_DIGEST_H
@@ -22,31 +23,32 @@
 
 static struct digest encoded = {"encoded", FNV_OFFSET, 0};
 static struct digest jobs = {"jobs", FNV_OFFSET, 0};
-static struct digest reports = {"heartbeats", FNV_OFFSET, 0};
+static struct digest heartbeats = {"heartbeats", FNV_OFFSET, 0};
 static struct digest replies = {"replies", FNV_OFFSET, 0};
 
 static void digest_bytes(struct digest *digest, const void *bytes, size_t length)
 {
-	const unsigned char *next = bytes;
+	const unsigned char *data = bytes;
 
 	for (size_t i = 0; i < length; i++)
-		digest->hash = (digest->hash ^ next[i]) * FNV_PRIME;
+		digest->hash = (digest->hash ^ data[i]) * FNV_PRIME;
 }
 
-/* A text and its end; NULL counts as a text of its own. */
+/* Adds a string with its terminating NUL; NULL differs from every string. */
 static void digest_text(struct digest *digest, const char *text)
 {
 	digest_bytes(digest, text ? text : "\xff", text ? strlen(text) + 1 : 2);
 }
 
-static void digest_report_value(struct digest *digest, const struct ws_heartbeat *report)
+static void digest_heartbeat(struct digest *digest, const struct ws_heartbeat *heartbeat)
 {
-	struct ws_heartbeat plain = *report;
+	struct ws_heartbeat copy = *heartbeat;
 
-	plain.tasks = NULL; /* an address, which differs from run to run */
-	digest_bytes(digest, &plain, sizeof(plain));
-	if (report->task_count)
-		digest_bytes(digest, report->tasks, report->task_count * sizeof(*report->tasks));
+	copy.tasks = NULL; /* the address differs from run to run */
+	digest_bytes(digest, &copy, sizeof(copy));
+	if (heartbeat->task_count)
+		digest_bytes(digest, heartbeat->tasks,
+			     heartbeat->task_count * sizeof(*heartbeat->tasks));
 }
 
 static void digest_records(struct digest *digest, const struct ws_result *result)
@@ -63,11 +65,11 @@
 	}
 }
 
-/* The numbers of a result, of which each kind has some; the others are 0. */
+/* The numeric fields of a result; those that its kind does not have are 0. */
 struct result_numbers {
 	uint64_t http_status, revision, session;
 	uint64_t records, record_count;
-	uint64_t flags; /* 1: has more; 256: no capacity */
+	uint64_t flags; /* 1: has_more; 256: no_capacity */
 	uint64_t failed_keys, failed_key_count;
 	uint64_t types, type_count;
 	uint64_t instances, instance_count;
@@ -75,7 +77,7 @@
 	uint64_t cancellations, cancellation_count;
 };
 
-/* Lists are folded in by themselves: their fields stay 0 here. */
+/* The fields of lists stay 0, because digest_result() adds lists itself. */
 static struct result_numbers result_numbers(const struct ws_result *result)
 {
 	struct result_numbers numbers = {.http_status = (uint32_t)result->http_status};
@@ -113,7 +115,7 @@
 	return numbers;
 }
 
-/* Elements that lie one behind the other. */
+/* Adds the elements of an array. */
 static void digest_list(struct digest *digest, const void *list, size_t count, size_t size)
 {
 	if (count)
@@ -144,18 +146,18 @@
 		break;
 	case WS_CALL_COMMANDS:
 		if (result->heartbeat)
-			digest_report_value(digest, result->heartbeat);
+			digest_heartbeat(digest, result->heartbeat);
 		break;
-	default: break; /* numbers alone */
+	default: break; /* the numeric fields are all */
 	}
 }
 
-/* ws_decode_job(), with its outcome in the digest. */
+/* Calls ws_decode_job() and adds its result to the digest. */
 static int decode_job(const char *body, size_t length, struct ws_job_spec *spec)
 {
 	int status;
 
-	memset(spec, 0, sizeof(*spec)); /* bytes that the decoder does not set are not its result */
+	memset(spec, 0, sizeof(*spec)); /* clears bytes that the decoder leaves unset */
 	status = ws_decode_job(body, length, spec);
 
 	jobs.messages++;
@@ -165,22 +167,22 @@
 	return status;
 }
 
-/* ws_decode_heartbeat(), with its outcome in the digest. */
-static bool decode_report(const char *body, size_t length, struct ws_heartbeat *report)
+/* Calls ws_decode_heartbeat() and adds its result to the digest. */
+static bool decode_heartbeat(const char *body, size_t length, struct ws_heartbeat *heartbeat)
 {
 	bool ok;
 
-	memset(report, 0, sizeof(*report));
-	ok = ws_decode_heartbeat(body, length, report);
+	memset(heartbeat, 0, sizeof(*heartbeat));
+	ok = ws_decode_heartbeat(body, length, heartbeat);
 
-	reports.messages++;
-	digest_bytes(&reports, &ok, sizeof(ok));
+	heartbeats.messages++;
+	digest_bytes(&heartbeats, &ok, sizeof(ok));
 	if (ok)
-		digest_report_value(&reports, report);
+		digest_heartbeat(&heartbeats, heartbeat);
 	return ok;
 }
 
-/* ws_decode_reply(), with its outcome in the digest. */
+/* Calls ws_decode_reply() and adds its result to the digest. */
 static void decode_reply(const struct ws_call *call, int status, const char *body, size_t length,
 			 struct ws_result *result)
 {
@@ -189,8 +191,8 @@
 	digest_result(&replies, result);
 }
 
-/* ws_encode_heartbeat_answer(), with the message in the digest. */
-static char *encode_report_answer(const struct ws_effect *answer)
+/* Calls ws_encode_heartbeat_answer() and adds the message to the digest. */
+static char *encode_heartbeat_answer(const struct ws_effect *answer)
 {
 	char *text = ws_encode_heartbeat_answer(answer);
 
@@ -199,7 +201,7 @@
 	return text;
 }
 
-static void digest_of_answer(enum ws_answer answer, int phase)
+static void digest_answer(enum ws_answer answer, int phase)
 {
 	const struct ws_effect to_user = {.kind = WS_EFFECT_ANSWER_USER,
 					  .answer = answer,
@@ -216,27 +218,27 @@
 	encoded.messages++;
 	digest_text(&encoded, text);
 	free(text);
-	free(encode_report_answer(&to_worker));
+	free(encode_heartbeat_answer(&to_worker));
 }
 
-static void digest_of_answers(void)
+static void digest_answers(void)
 {
 	const enum ws_answer answers[] = {WS_ANSWER_OK, WS_ANSWER_ACCEPTED, WS_ANSWER_NOT_FOUND,
 					  WS_ANSWER_OTHER_LEADER, WS_ANSWER_UNAVAILABLE};
 
 	for (size_t i = 0; i < sizeof(answers) / sizeof(answers[0]); i++)
 		for (int phase = 0; phase < 4; phase++)
-			digest_of_answer(answers[i], phase);
+			digest_answer(answers[i], phase);
 }
 
-/* Lists for sample calls, which the calls share. */
+/* Arrays that the sample calls share. */
 struct sample_lists {
 	struct ws_command commands[3];
 	struct ws_compare compares[2];
 	struct ws_operation operations[2];
 };
 
-/* A call of this kind. */
+/* Returns a sample call of this kind; it refers to `lists`. */
 static struct ws_call sample_call(enum ws_call_kind kind, struct sample_lists *lists)
 {
 	struct ws_call call = {.kind = kind};
@@ -279,8 +281,8 @@
 	return call;
 }
 
-/* Messages of every kind that leaves by ws_encode_call(), whatever the checks cover. */
-static void digest_of_calls(void)
+/* Adds one message of every kind that ws_encode_call() encodes, whatever the checks cover. */
+static void digest_calls(void)
 {
 	struct sample_lists lists = {
 	    .commands = {{.kind = WS_COMMAND_RUN, .job = "job-1", .task = 3, .attempt = 9},
@@ -306,16 +308,16 @@
 	json_decref(lists.operations[0].value);
 }
 
-/* Messages of each kind besides those that the checks encode. */
-static void digest_of_samples(void)
+/* Adds messages of each kind, in addition to those that the checks encode. */
+static void digest_samples(void)
 {
-	digest_of_answers();
-	digest_of_calls();
+	digest_answers();
+	digest_calls();
 }
 
 static void digest_print(void)
 {
-	const struct digest *const all[] = {&encoded, &jobs, &reports, &replies};
+	const struct digest *const all[] = {&encoded, &jobs, &heartbeats, &replies};
 
 	for (size_t i = 0; i < sizeof(all) / sizeof(all[0]); i++)
 		printf("digest %s: %016" PRIx64 " of %lu\n", all[i]->name, all[i]->hash,
--- a/tests/cold_start_loopback_test.c
+++ b/tests/cold_start_loopback_test.c
@@ -1,8 +1,9 @@
 /*
- * Three controllers, as processes, and stand-in workers. All controllers are killed while jobs run,
- * and started again: within the lease, with a store that has lost a record, and after all leases
- * are out. Every order is counted by kind: none starts or stops work that is healthy.
- * cold_start_loopback_test WAYSTEP SUBSYSTEMS.
+ * Cold starts of three controller processes with simulated workers. All controllers are killed
+ * while jobs run and started again: within the lease, with a store that has lost a job record, and
+ * after all leases have expired. Commands are counted by kind: none may start or stop a task that
+ * is alive.
+ * Usage: cold_start_loopback_test WAYSTEP SUBSYSTEMS.
  */
 #include "check.h"
 #include "loopback.h"
@@ -12,10 +13,10 @@
 #define JOBS 6
 #define TASKS 2
 #define REPLICAS 3
-#define ALL (JOBS * TASKS + REPLICAS)
+#define ALL_TASKS (JOBS * TASKS + REPLICAS)
 #define RUN_S 26.0
 
-static struct loopback_counts before; /* the last stop */
+static struct loopback_counts before; /* at the last stop */
 
 static unsigned running(void)
 {
@@ -24,27 +25,29 @@
 
 static bool all_run(void)
 {
-	return running() == ALL;
+	return running() == ALL_TASKS;
 }
 
-static long long began; /* the term that began the cold start before the last stop */
+/* The term of the cold start recorded before the last stop. */
+static long long previous_cold_start_term;
 
-static bool found_cold(void)
+static bool cold_start_detected(void)
 {
-	return loopback_record_count("coldstart/phase", "began") != began;
+	return loopback_record_count("coldstart/phase", "began") != previous_cold_start_term;
 }
 
-static bool ended(void)
+static bool cold_start_ended(void)
 {
-	return found_cold() && !strcmp(loopback_record_text("coldstart/phase", "phase"), "ended");
+	return cold_start_detected() &&
+	       !strcmp(loopback_record_text("coldstart/phase", "phase"), "ended");
 }
 
-static bool one_is_kept(void)
+static bool one_job_quarantined(void)
 {
 	return loopback_keys("coldstart/kept/") == 1;
 }
 
-static bool none_is_kept(void)
+static bool no_job_quarantined(void)
 {
 	return loopback_keys("coldstart/kept/") == 0;
 }
@@ -52,7 +55,7 @@
 static void stop_all(double seconds)
 {
 	before = *loopback_counts();
-	began = loopback_record_count("coldstart/phase", "began");
+	previous_cold_start_term = loopback_record_count("coldstart/phase", "began");
 	loopback_kill_all();
 	loopback_run(seconds);
 }
@@ -60,48 +63,49 @@
 static void start_all(void)
 {
 	loopback_start_all();
-	check("a leader finds the start cold", loopback_until(found_cold, LOOPBACK_LEASE_S / 2));
-	check("its phase ends", loopback_until(ended, 2 * LOOPBACK_LEASE_S));
+	check("a leader detects a cold start",
+	      loopback_until(cold_start_detected, LOOPBACK_LEASE_S / 2));
+	check("the cold start ends", loopback_until(cold_start_ended, 2 * LOOPBACK_LEASE_S));
 }
 
-static void check_untouched(const char *when)
+static void check_tasks_undisturbed(const char *when)
 {
 	const struct loopback_counts *now = loopback_counts();
 	char what[100];
 
-	snprintf(what, sizeof(what), "%s: no order to run", when);
+	snprintf(what, sizeof(what), "%s: no command to run", when);
 	check(what, now->run_commands == before.run_commands);
-	snprintf(what, sizeof(what), "%s: no order to stop", when);
+	snprintf(what, sizeof(what), "%s: no command to stop", when);
 	check(what, now->stop_commands == before.stop_commands);
-	snprintf(what, sizeof(what), "%s: nothing is lost", when);
+	snprintf(what, sizeof(what), "%s: no task is lost", when);
 	check(what, now->lost == before.lost);
-	snprintf(what, sizeof(what), "%s: all work runs", when);
-	check(what, running() == ALL);
+	snprintf(what, sizeof(what), "%s: all tasks run", when);
+	check(what, running() == ALL_TASKS);
 }
 
 static void check_command(void)
 {
 	char line[2000];
 
-	check("the account is shown",
+	check("--cold-start prints the account",
 	      loopback_command("--cold-start", NULL, line, sizeof(line)) == 0 &&
 		  strstr(line, "cold start: ended"));
-	check("with its findings", strstr(line, "agreed: 15"));
-	check("and its zones", strstr(line, "zone a: 2 of 2 machines answered"));
+	check("the account has the findings", strstr(line, "agreed: 15"));
+	check("the account has the zones", strstr(line, "zone a: 2 of 2 machines answered"));
 }
 
-/* The controllers are back within the lease. */
-static void within_lease(void)
+/* The controllers restart within the lease. */
+static void test_restart_within_lease(void)
 {
 	stop_all(LOOPBACK_LEASE_S / 3);
 	start_all();
 	loopback_run(1);
-	check_untouched("within the lease");
+	check_tasks_undisturbed("restart within the lease");
 	check_command();
 }
 
-/* The store has lost the record of a job that runs; its user submits it again. */
-static void record_lost(struct loopback_job *job)
+/* The store loses the record of a running job, and its user submits it again. */
+static void test_lost_record(struct loopback_job *job)
 {
 	char key[64];
 
@@ -109,39 +113,43 @@
 	stop_all(LOOPBACK_LEASE_S / 3);
 	loopback_lose_record(key);
 	loopback_start_all();
-	check("the job that the store lost is kept apart",
-	      loopback_until(one_is_kept, LOOPBACK_LEASE_S));
+	check("the job without a record is quarantined",
+	      loopback_until(one_job_quarantined, LOOPBACK_LEASE_S));
 	loopback_run(LOOPBACK_LEASE_S / 3);
-	check_untouched("kept apart");
+	check_tasks_undisturbed("job in quarantine");
 	loopback_resubmit(job);
-	check("it is adopted", loopback_until(none_is_kept, LOOPBACK_LEASE_S));
-	check("the phase ends", loopback_until(ended, LOOPBACK_LEASE_S));
-	check_untouched("adopted");
+	check("the job submitted again is adopted",
+	      loopback_until(no_job_quarantined, LOOPBACK_LEASE_S));
+	check("the cold start ends after the adoption",
+	      loopback_until(cold_start_ended, LOOPBACK_LEASE_S));
+	check_tasks_undisturbed("job adopted");
 }
 
-/* The controllers are back when all leases are out. */
-static void beyond_lease(void)
+/* The controllers restart after all leases have expired. */
+static void test_restart_after_leases(void)
 {
 	stop_all(LOOPBACK_LEASE_S * 1.5);
-	check("all is lost", running() == 0);
+	check("all tasks are lost after their leases", running() == 0);
 	loopback_start_all();
-	check("all runs again", loopback_until(all_run, 2 * LOOPBACK_LEASE_S));
-	check("with one order a task",
-	      loopback_counts()->run_commands == before.run_commands + ALL);
-	check("and none to stop", loopback_counts()->stop_commands == before.stop_commands);
-	check("its phase ends", loopback_until(ended, 2 * LOOPBACK_LEASE_S));
+	check("all tasks run again", loopback_until(all_run, 2 * LOOPBACK_LEASE_S));
+	check("one command to run is sent for each task",
+	      loopback_counts()->run_commands == before.run_commands + ALL_TASKS);
+	check("no command to stop is sent after all leases expired",
+	      loopback_counts()->stop_commands == before.stop_commands);
+	check("the cold start after all leases expired ends",
+	      loopback_until(cold_start_ended, 2 * LOOPBACK_LEASE_S));
 }
 
 static void check_answers(void)
 {
-	unsigned count, back = 0;
+	unsigned count, contradictions = 0;
 	const struct loopback_job *jobs = loopback_jobs(&count);
 
 	for (unsigned i = 0; i < count; i++)
-		back += jobs[i].went_back;
-	check("no answer after done said otherwise", back == 0);
-	check("nothing ran twice", loopback_counts()->twice == 0);
-	check("each task ended once", loopback_counts()->finishes == JOBS * TASKS);
+		contradictions += jobs[i].went_back;
+	check("no answer contradicts an earlier one", contradictions == 0);
+	check("no task ran twice at the same time", loopback_counts()->twice == 0);
+	check("each task finished once", loopback_counts()->finishes == JOBS * TASKS);
 }
 
 int main(int argc, char **argv)
@@ -154,14 +162,14 @@
 	loopback_submit("portal", REPLICAS, true, 0);
 	for (int i = 0; i < JOBS; i++)
 		job = loopback_submit(i % 2 ? "accrual" : "matching", TASKS, false, RUN_S);
-	check("all work runs", loopback_until(all_run, 20));
+	check("all tasks run", loopback_until(all_run, 20));
 	loopback_run(1);
-	within_lease();
-	record_lost(job);
-	beyond_lease();
-	check("all is done", loopback_until(loopback_all_done, 2 * RUN_S));
+	test_restart_within_lease();
+	test_lost_record(job);
+	test_restart_after_leases();
+	check("all jobs are done", loopback_until(loopback_all_done, 2 * RUN_S));
 	check_answers();
 	loopback_stop();
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -1,7 +1,8 @@
 /*
- * The cold start subsystem by itself: its settings are refused by name, the rule that tells a cold
- * start has its bounds where the note says, its records read back; and the core merges what several
- * subsystems ask of one job.
+ * Unit tests of the cold start subsystem: the message about an invalid setting names it, a start
+ * counts as cold when the proof of the previous leader is at least half a lease old, and records
+ * are restored. Also tests that the core merges the moves that several subsystems request for one
+ * job.
  */
 #include "../src/cold_start/quarantine.h"
 #include "../src/cold_start/records.h"
@@ -26,7 +27,7 @@
 /* ---- settings ---- */
 
 struct refusal {
-	const char *text, *names; /* what the message must name */
+	const char *text, *setting; /* the setting that the message must name */
 };
 
 static const struct refusal refusals[] = {
@@ -47,14 +48,14 @@
 	for (size_t i = 0; i < sizeof(refusals) / sizeof(refusals[0]); i++) {
 		bool ok = read_text(refusals[i].text, &settings, error, sizeof(error));
 
-		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].names);
-		check(what, !ok && strstr(error, refusals[i].names));
+		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].setting);
+		check(what, !ok && strstr(error, refusals[i].setting));
 		ws_subsystem_free(&settings);
 	}
-	check("off without its table",
+	check("the subsystem is disabled without its table",
 	      read_text("", &settings, error, sizeof(error)) && !settings.cold_start_enabled);
 	ws_subsystem_free(&settings);
-	check("all is read",
+	check("all settings are read",
 	      read_text("[coldstart]\nenabled = true\nkeep_s = 9.0\nheard_share = 1.0\n", &settings,
 			error, sizeof(error)) &&
 		  settings.cold_start_enabled && settings.cold_start.quarantine_s == 9 &&
@@ -62,9 +63,9 @@
 	ws_subsystem_free(&settings);
 }
 
-/* ---- the rule ---- */
+/* ---- detection of a cold start ---- */
 
-static struct ws_cold_start *package(void)
+static struct ws_cold_start *new_cold_start(void)
 {
 	struct ws_cold_start_settings settings;
 	const struct ws_cluster_limits limits = {.report_s = 2,
@@ -77,19 +78,20 @@
 	return ws_cold_start_new(&settings, &limits, NULL);
 }
 
-/* The phase of a leader that has no proof of another for so long, with a phase on record. */
+/* Returns the phase of a new leader whose newest proof of an earlier leader has this age and term;
+ * `recorded` is the stored phase, NULL for none. */
 static enum ws_cold_start_phase phase_after(double unproven_s, const char *recorded,
 					    uint64_t recorded_term, uint64_t proven_term)
 {
-	struct ws_cold_start *cold_start = package();
-	const struct ws_election_info facts = {.now = 100,
-					       .term = 50,
-					       .leader_proof_age_s = unproven_s,
-					       .leader_proof_term = proven_term,
-					       .leases_expire_at = 117};
+	struct ws_cold_start *cold_start = new_cold_start();
+	const struct ws_election_info info = {.now = 100,
+					      .term = 50,
+					      .leader_proof_age_s = unproven_s,
+					      .leader_proof_term = proven_term,
+					      .leases_expire_at = 117};
 	enum ws_cold_start_phase phase;
 
-	ws_cold_start_ops.elected(cold_start, &facts);
+	ws_cold_start_ops.elected(cold_start, &info);
 	if (recorded) {
 		json_t *value =
 		    json_pack("{s:i,s:s,s:I,s:I}", "v", 1, "phase", recorded, "term",
@@ -104,19 +106,21 @@
 	return phase;
 }
 
-static void check_rule(void)
+static void check_detection(void)
 {
-	check("a proof younger than half a lease is warm",
+	check("a proof younger than half a lease means a warm start",
 	      phase_after(0.49 * LEASE_S, NULL, 0, 40) == WS_COLD_START_NONE);
-	check("an older one is cold",
+	check("an older proof means a cold start",
 	      phase_after(0.5 * LEASE_S, NULL, 0, 40) == WS_COLD_START_OBSERVING);
-	check("none is cold", phase_after(INFINITY, NULL, 0, 0) == WS_COLD_START_OBSERVING);
-	check("a warm leader goes on with the phase of the one before it",
+	check("no proof means a cold start",
+	      phase_after(INFINITY, NULL, 0, 0) == WS_COLD_START_OBSERVING);
+	check("a warm start continues the phase of the previous leader",
 	      phase_after(1, "recovering", 40, 40) == WS_COLD_START_OBSERVING);
-	check("but not where another led in between",
+	check("a warm start ends a phase if another leader was elected in between",
 	      phase_after(1, "observing", 40, 45) == WS_COLD_START_ENDED);
-	check("nor with one that is ended", phase_after(1, "ended", 40, 40) == WS_COLD_START_NONE);
-	check("a cold one goes on with any that is open",
+	check("a warm start does not continue a phase that has ended",
+	      phase_after(1, "ended", 40, 40) == WS_COLD_START_NONE);
+	check("a cold start continues any phase that has not ended",
 	      phase_after(INFINITY, "observing", 40, 0) == WS_COLD_START_OBSERVING);
 }
 
@@ -124,32 +128,32 @@
 
 static void check_records(void)
 {
-	struct ws_cold_start *cold_start = package();
-	const struct ws_election_info facts = {
+	struct ws_cold_start *cold_start = new_cold_start();
+	const struct ws_election_info info = {
 	    .now = 100, .term = 50, .leader_proof_age_s = INFINITY, .leases_expire_at = 117};
 	const struct ws_reconciliation reconciliation = {
 	    .result = WS_RECONCILED_UNKNOWN_JOB, .machine = "m", .job = "job-000001"};
 	json_t *value;
 
-	ws_cold_start_ops.elected(cold_start, &facts);
+	ws_cold_start_ops.elected(cold_start, &info);
 	value = json_pack("{s:i,s:f,s:s}", "v", 1, "kept_s", 30.0, "machine", "m");
 	ws_cold_start_ops.record_loaded(cold_start, "kept/job-000001", value);
 	json_decref(value);
 	ws_cold_start_ops.records_loaded(cold_start, 100);
-	check("an unknown job is kept",
+	check("a job without a record is quarantined",
 	      ws_cold_start_ops.attempt_reconciled(cold_start, 101, &reconciliation));
 	value = ws_cold_start_quarantine_record(cold_start->quarantined, 111);
-	check("and for how long it was kept before counts",
+	check("the recorded time in quarantine is included",
 	      fabs(json_number_value(json_object_get(value, "kept_s")) - 41) < 1e-6);
 	json_decref(value);
 	value = ws_cold_start_account_record(cold_start, 110);
-	check("the account counts it",
+	check("the account counts the job",
 	      json_integer_value(
 		  json_object_get(json_object_get(value, "findings"), "unknown_job")) == 1);
 	json_decref(value);
 	cold_start->limits.value_bytes = 100;
 	value = ws_cold_start_account_record(cold_start, 110);
-	check("one that is too large goes without its zones",
+	check("an account over the size limit omits its zones",
 	      !json_object_get(value, "zones") && json_object_get(value, "findings"));
 	json_decref(value);
 	ws_cold_start_free(cold_start);
@@ -161,9 +165,9 @@
 	struct ws_move move;
 };
 
-static void mover_tick(void *self, const struct ws_tick_info *facts, struct ws_request_queue *out)
+static void mover_tick(void *self, const struct ws_tick_info *info, struct ws_request_queue *out)
 {
-	(void)facts;
+	(void)info;
 	ws_request_move(out, &((struct mover *)self)->move);
 }
 
@@ -190,12 +194,12 @@
 	json_decref(record);
 	job = ws_job_find(core, "job-000001");
 	ws_subsystems_tick(core);
-	check("of two places the smaller one counts",
+	check("the lower of two requested positions applies",
 	      job->move_position == 3 && job->reserve_ahead == 2 && job->replicas_apart);
 	first.move = (struct ws_move){.job = "job-000001"};
 	core->now += 1;
 	ws_subsystems_tick(core);
-	check("and the other one when that is given up",
+	check("the other position applies once the first request is withdrawn",
 	      job->move_position == 5 && job->reserve_ahead == 1 && job->replicas_apart);
 	ws_core_free(core);
 }
@@ -203,9 +207,9 @@
 int main(void)
 {
 	check_settings();
-	check_rule();
+	check_detection();
 	check_records();
 	check_moves();
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/core_test.c
+++ b/tests/core_test.c
@@ -1,4 +1,4 @@
-/* The queue of effects: what nobody took when a core ends is freed with it. */
+/* Tests that requests are answered by effects, and that ws_core_free() frees pending effects. */
 #include "../src/core/core.h"
 #include "check.h"
 #include <stdlib.h>
@@ -19,12 +19,13 @@
 	return ws_core_new(settings, &policy, ignore_log, 0, 1);
 }
 
-/* A core that knows no machine types yet answers that it is unavailable. */
+/* A core without machine types answers that it is unavailable. */
 static void submit(struct ws_core *core)
 {
 	struct ws_job_spec spec = {.tasks = 1};
 
-	memset(spec.id, 'j', sizeof(spec.id) - 1); /* fills the place of an address */
+	memset(spec.id, 'j',
+	       sizeof(spec.id) - 1); /* the longest name: it overlaps the pointers in the effect */
 	ws_core_submit(core, 0, 0, REQUEST_ID, &spec, false);
 }
 
@@ -35,7 +36,7 @@
 	ws_core_heartbeat(core, 0, REQUEST_ID, &heartbeat, false);
 }
 
-static void effects_taken(const struct ws_settings *settings)
+static void check_answers(const struct ws_settings *settings)
 {
 	struct ws_core *core = core_new(settings);
 	struct ws_effect *effect;
@@ -53,19 +54,19 @@
 					     effect->answer == WS_ANSWER_UNAVAILABLE &&
 					     !effect->heartbeat.commands);
 	ws_effect_free(effect);
-	check("and no more", !ws_core_next_effect(core));
+	check("no further effect is pending", !ws_core_next_effect(core));
 	ws_core_free(core);
 }
 
-static void effects_left(const struct ws_settings *settings)
+static void check_pending_effects_freed(const struct ws_settings *settings)
 {
 	struct ws_core *core = core_new(settings);
 
 	submit(core);
 	heartbeat(core);
-	ws_core_tick(core, 1); /* and calls */
+	ws_core_tick(core, 1); /* adds calls to the store and the cloud */
 	ws_core_free(core);
-	check("effects that nobody took are freed", true);
+	check("pending effects are freed with the core", true);
 }
 
 int main(void)
@@ -82,9 +83,9 @@
 	settings->cloud_rps = 1;
 	settings->value_kb = 100;
 	settings->transaction_ops = 64;
-	effects_taken(settings);
-	effects_left(settings);
+	check_answers(settings);
+	check_pending_effects_freed(settings);
 	free(settings);
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/failure_domains_loopback_test.c
+++ b/tests/failure_domains_loopback_test.c
@@ -1,7 +1,8 @@
 /*
- * Three controllers, as processes, and stand-in workers in three zones: accrual and stock matching
- * run, one zone goes dark, both land on the others, the zone comes back. The history is checked:
- * one final answer a job, nothing runs twice. failure_domains_loopback_test WAYSTEP SUBSYSTEMS.
+ * Outage of a zone with three controller processes and simulated workers in three zones: jobs run,
+ * one zone becomes unreachable, its tasks move to the others, and the zone recovers. No
+ * answer to a user may contradict an earlier one, and no task may run twice at the same time.
+ * Usage: failure_domains_loopback_test WAYSTEP SUBSYSTEMS.
  */
 #include "check.h"
 #include "loopback.h"
@@ -16,58 +17,60 @@
 	return loopback_running(0) + loopback_running(1) + loopback_running(2) == JOBS * TASKS + 3;
 }
 
-static bool a_is_dark(void)
+static bool zone_a_unreachable(void)
 {
 	return !strcmp(loopback_domain("a"), "dark");
 }
 
-static bool a_is_recovering(void)
+static bool zone_a_recovering(void)
 {
 	return !strcmp(loopback_domain("a"), "recovering");
 }
 
-static bool a_is_healthy(void)
+static bool zone_a_healthy(void)
 {
 	return !strcmp(loopback_domain("a"), "healthy");
 }
 
-static bool all_run_elsewhere(void)
+static bool all_run_in_other_zones(void)
 {
 	return loopback_running(0) == 0 && all_run();
 }
 
 static void check_answers(void)
 {
-	unsigned count, back = 0, unknown = 0;
+	unsigned count, contradictions = 0, not_accepted = 0;
 	const struct loopback_job *jobs = loopback_jobs(&count);
 
 	for (unsigned i = 0; i < count; i++) {
-		back += jobs[i].went_back;
-		unknown += !jobs[i].accepted;
+		contradictions += jobs[i].went_back;
+		not_accepted += !jobs[i].accepted;
 	}
-	check("every job was accepted", unknown == 0);
-	check("no answer after done said otherwise", back == 0);
+	check("every job was accepted", not_accepted == 0);
+	check("no answer contradicts an earlier one", contradictions == 0);
 }
 
 static void check_commands(void)
 {
 	char line[2000];
 
-	check("the domains are shown",
+	check("--domains prints the domains",
 	      loopback_command("--domains", NULL, line, sizeof(line)) == 0 &&
 		  strstr(line, "domain a: dark"));
-	check("and the plan's order", strstr(line, "job-00000"));
-	check("a domain that is none is refused",
+	check("--domains prints the jobs of the plan", strstr(line, "job-00000"));
+	check("--hold-domain refuses an unknown domain",
 	      loopback_command("--hold-domain", "x", line, sizeof(line)) == 2);
-	check("one is held", loopback_command("--hold-domain", "b", line, sizeof(line)) == 0 &&
-				 loopback_keys("zones/hold/b") == 1);
-	check("held twice is held",
+	check("--hold-domain records the hold",
+	      loopback_command("--hold-domain", "b", line, sizeof(line)) == 0 &&
+		  loopback_keys("zones/hold/b") == 1);
+	check("a repeated --hold-domain succeeds",
 	      loopback_command("--hold-domain", "b", line, sizeof(line)) == 0);
 	loopback_run(LOOPBACK_LEASE_S / 2);
 	loopback_command("--domains", NULL, line, sizeof(line));
-	check("the leader knows", strstr(line, ", held"));
-	check("and released", loopback_command("--release-domain", "b", line, sizeof(line)) == 0 &&
-				  loopback_keys("zones/hold/b") == 0);
+	check("the leader applies the hold", strstr(line, ", held"));
+	check("--release-domain removes the hold",
+	      loopback_command("--release-domain", "b", line, sizeof(line)) == 0 &&
+		  loopback_keys("zones/hold/b") == 0);
 }
 
 int main(int argc, char **argv)
@@ -80,30 +83,31 @@
 	loopback_submit("portal", 3, true, 0);
 	for (int i = 0; i < JOBS; i++)
 		loopback_submit(i % 2 ? "accrual" : "matching", TASKS, false, RUN_S);
-	check("all work runs", loopback_until(all_run, 20));
+	check("all tasks run", loopback_until(all_run, 20));
 	loopback_run(1);
 	before = loopback_running(0);
-	check("some of it in zone a", before > 0);
+	check("some tasks run in zone a", before > 0);
 	loopback_dark(0, true);
-	check("zone a is dark on record", loopback_until(a_is_dark, LOOPBACK_LEASE_S));
-	check("before its leases are out", loopback_running(0) == before);
-	check("all of it lands on the other zones",
-	      loopback_until(all_run_elsewhere, 2 * LOOPBACK_LEASE_S));
-	check("the plan is on record", loopback_keys("zones/plan/") > 0);
+	check("zone a is recorded as dark", loopback_until(zone_a_unreachable, LOOPBACK_LEASE_S));
+	check("that is recorded before the leases of the zone expire",
+	      loopback_running(0) == before);
+	check("all tasks run in the other zones",
+	      loopback_until(all_run_in_other_zones, 2 * LOOPBACK_LEASE_S));
+	check("the plan is recorded", loopback_keys("zones/plan/") > 0);
 	check_commands();
 	loopback_dark(0, false);
-	check("zone a recovers", loopback_until(a_is_recovering, 5));
+	check("zone a recovers", loopback_until(zone_a_recovering, 5));
 	loopback_submit("late", 2, false, 1);
 	loopback_run(2);
-	check("and is not used yet", loopback_running(0) == 0);
-	check("all is done", loopback_until(loopback_all_done, 4 * RUN_S));
-	check("zone a is healthy again", loopback_until(a_is_healthy, 4 * LOOPBACK_LEASE_S));
+	check("a recovering zone gets no tasks", loopback_running(0) == 0);
+	check("all jobs are done", loopback_until(loopback_all_done, 4 * RUN_S));
+	check("zone a is healthy again", loopback_until(zone_a_healthy, 4 * LOOPBACK_LEASE_S));
 	check_answers();
-	check("nothing ran twice", loopback_counts()->twice == 0);
-	check("each task ended once", loopback_counts()->finishes == JOBS * TASKS + 2);
-	check("nothing but what was in the zone was lost", loopback_counts()->lost == before);
-	check("the plan is off the record", loopback_keys("zones/plan/") == 0);
+	check("no task ran twice at the same time", loopback_counts()->twice == 0);
+	check("each task finished once", loopback_counts()->finishes == JOBS * TASKS + 2);
+	check("only the tasks in zone a were lost", loopback_counts()->lost == before);
+	check("the record of the plan is removed", loopback_keys("zones/plan/") == 0);
 	loopback_stop();
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -1,6 +1,7 @@
 /*
- * The file of switches, and which domain an address belongs to: wrong fields are refused by name,
- * the longest prefix wins, for IPv4 and IPv6.
+ * Unit tests of failure domains: the message about an invalid setting names it, an address belongs
+ * to the declared domain with the longest matching prefix (IPv4 and IPv6), and a zone that only
+ * a record names keeps its recorded state.
  */
 #include "../src/subsystem_settings.h"
 #include "../src/failure_domains/domains.h"
@@ -12,7 +13,7 @@
     .zone = "a", .zones = {"a", "b"}, .zone_count = 2, .heartbeat_s = 2, .lease_s = 16};
 
 struct refusal {
-	const char *text, *names; /* what the message must name */
+	const char *text, *expected; /* the setting or value that the message must name */
 };
 
 static const struct refusal refusals[] = {
@@ -54,8 +55,8 @@
 		bool ok = read_text(refusals[i].text, &settings, error, sizeof(error)) &&
 			  check_against(&settings, &platform, error, sizeof(error));
 
-		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].names);
-		check(what, !ok && strstr(error, refusals[i].names));
+		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].expected);
+		check(what, !ok && strstr(error, refusals[i].expected));
 		ws_subsystem_free(&settings);
 	}
 }
@@ -67,15 +68,15 @@
     "[[zones.domains]]\nname = 'host'\nnetworks = ['10.1.2.9/32']\n"
     "[[zones.domains]]\nname = 'rest'\nnetworks = ['0.0.0.0/0']\n";
 
-static size_t unreadable;
+static size_t invalid_address_count;
 static void log_text(const char *text)
 {
-	unreadable +=
+	invalid_address_count +=
 	    strstr(text, "invalid address, no declared domain assigned machine=m ") != NULL;
 }
 
 struct lookup {
-	const char *address, *domain; /* NULL: its zone alone */
+	const char *address, *domain; /* NULL: no declared domain */
 };
 
 static const struct lookup lookups[] = {
@@ -97,7 +98,7 @@
 {
 	struct ws_subsystem_settings settings;
 	struct ws_cluster_limits limits = {.report_s = 2, .lease_s = 16, .node_zone = "a"};
-	struct ws_domains_error wrong;
+	struct ws_domains_error domains_error;
 	struct ws_failure_domains *domains;
 	char error[512];
 
@@ -105,49 +106,50 @@
 					       settings.failure_domains_enabled &&
 					       settings.failure_domains.declared_count == 4 &&
 					       settings.failure_domains.class_count == 2);
-	domains = ws_domains_new(&settings.failure_domains, &limits, log_text, &wrong);
-	check("and taken", domains != NULL);
+	domains = ws_domains_new(&settings.failure_domains, &limits, log_text, &domains_error);
+	check("declared domains are accepted", domains != NULL);
 	for (size_t i = 0; domains && i < sizeof(lookups) / sizeof(lookups[0]); i++) {
-		const struct ws_machine_info facts = {
+		const struct ws_machine_info info = {
 		    .name = "m", .address = lookups[i].address, .zone = "z"};
 		struct ws_domains_machine machine = {0};
 		const struct ws_failure_domain *got;
 		char what[128];
 
-		ws_domains_add_machine(domains, &machine, &facts);
+		ws_domains_add_machine(domains, &machine, &info);
 		got = machine.memberships[1].domain;
 		snprintf(what, sizeof(what), "%s is in %s", lookups[i].address,
-			 lookups[i].domain ? lookups[i].domain : "its zone alone");
+			 lookups[i].domain ? lookups[i].domain : "no declared domain");
 		check(what, machine.memberships[0].domain &&
 				(lookups[i].domain ? got && !strcmp(got->name, lookups[i].domain)
 						   : !got));
 		ws_domains_remove_machine(&machine);
 	}
-	check("two addresses were reported as unreadable", unreadable == 2);
+	check("two invalid addresses were logged", invalid_address_count == 2);
 	ws_domains_free(domains);
 	ws_subsystem_free(&settings);
 }
 
-/* A record of a zone that the settings don't list is a leader's verdict all the same. */
-static void check_unlisted(void)
+/* The state that a leader recorded for a zone is restored even if the settings don't list it. */
+static void check_unlisted_zone(void)
 {
 	struct ws_domains_settings settings;
 	struct ws_cluster_limits limits = {.report_s = 2, .lease_s = 16, .node_zone = "a"};
-	struct ws_domains_error wrong;
+	struct ws_domains_error domains_error;
 	struct ws_failure_domains *domains;
 	const struct ws_failure_domain *domain;
 	json_t *record = json_pack("{s:i,s:s,s:f}", "v", 1, "state", "dark", "penalty", 2.0);
 
 	ws_domains_settings_init(&settings);
-	domains = ws_domains_new(&settings, &limits, log_text, &wrong);
+	domains = ws_domains_new(&settings, &limits, log_text, &domains_error);
 	ws_domains_ops.elected(domains, &(struct ws_election_info){.now = 10});
 	ws_domains_ops.record_loaded(domains, "domain/far", record);
 	ws_domains_ops.records_loaded(domains, 10);
 	domain = ws_failure_domain_find(domains, "far");
-	check("a zone on record that is not listed is dark",
+	check("a recorded state of an unlisted zone is restored",
 	      domain && domain->state == WS_DOMAINS_UNREACHABLE && domain->penalty == 2);
-	check("and avoided", ws_domains_ops.zone_avoided(domains, 11, "far"));
-	check("one that nobody has heard of is not",
+	check("an unreachable zone without settings is avoided",
+	      ws_domains_ops.zone_avoided(domains, 11, "far"));
+	check("a zone without a record is not avoided",
 	      !ws_domains_ops.zone_avoided(domains, 11, "near"));
 	json_decref(record);
 	ws_domains_free(domains);
@@ -158,14 +160,14 @@
 	struct ws_subsystem_settings settings;
 	char error[512];
 
-	check("an empty file leaves all off",
+	check("an empty file enables nothing",
 	      read_text("", &settings, error, sizeof(error)) && !settings.failure_domains_enabled);
-	check("a missing file is refused by name",
+	check("a missing file is refused, naming it",
 	      !read_file("/nowhere.toml", &settings, error, sizeof(error)) &&
 		  strstr(error, "/nowhere.toml"));
 	check_refusals();
 	check_lookups();
-	check_unlisted();
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	check_unlisted_zone();
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/frames_test.c
+++ b/tests/frames_test.c
@@ -1,5 +1,5 @@
-/* A running controller and frames between controllers that make no sense: frames_test WAYSTEP. Each
- * is refused and logged, and the process goes on. */
+/* Sends invalid peer frames to a running controller: each must be refused and logged, and the
+ * process must keep running. Usage: frames_test WAYSTEP. */
 #include "check.h"
 #include "peer.h"
 #include "ports.h"
@@ -11,17 +11,17 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-/* Sends this and waits for an answer; its length, 0 if the other side closes, -1 if nothing comes.
- */
-static ssize_t tell(int port, const void *bytes, size_t count, uint8_t *answer, size_t max)
+/* Sends bytes on a new connection and waits for an answer. Returns the answer's length, 0 if the
+ * connection was closed, -1 on failure or timeout. */
+static ssize_t exchange(int port, const void *bytes, size_t size, uint8_t *answer, size_t max)
 {
 	struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
 	struct timeval timeout = {.tv_sec = 3};
 	int fd = -1;
-	ssize_t got;
+	ssize_t received;
 
 	inet_pton(AF_INET, "127.0.0.1", &address.sin_addr);
-	for (int i = 0; i < 100; i++) { /* until it listens */
+	for (int i = 0; i < 100; i++) { /* until the controller listens */
 		fd = socket(AF_INET, SOCK_STREAM, 0);
 		if (!connect(fd, (struct sockaddr *)&address, sizeof(address)))
 			break;
@@ -32,10 +32,10 @@
 	if (fd < 0)
 		return -1;
 	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
-	got =
-	    send(fd, bytes, count, MSG_NOSIGNAL) == (ssize_t)count ? recv(fd, answer, max, 0) : -1;
+	received =
+	    send(fd, bytes, size, MSG_NOSIGNAL) == (ssize_t)size ? recv(fd, answer, max, 0) : -1;
 	close(fd);
-	return got;
+	return received;
 }
 
 static bool logged(const char *path, const char *what)
@@ -53,9 +53,9 @@
 
 int main(int argc, char **argv)
 {
-	static const uint8_t unknown[] = "\0\0\0\x0c\x08\x09\x10\x08\x1a\x06node-1";
-	static const uint8_t garbled[] = "\0\0\0\x04\xff\xff\xff\xff";
-	static const uint8_t endless[] = "\x7f\xff\xff\xff\x08";
+	static const uint8_t unknown_kind[] = "\0\0\0\x0c\x08\x09\x10\x08\x1a\x06node-1";
+	static const uint8_t unreadable[] = "\0\0\0\x04\xff\xff\xff\xff";
+	static const uint8_t oversized[] = "\x7f\xff\xff\xff\x08";
 	char path[] = "/tmp/waystep-frames-XXXXXX", log[64];
 	int port = free_port(), peer = free_port(), status = 0;
 	FILE *file = fdopen(mkstemp(path), "w");
@@ -85,28 +85,32 @@
 		execl(argv[1], argv[1], "--config", path, (char *)NULL);
 		_exit(99);
 	}
-	length = tell(peer, unknown, sizeof(unknown) - 1, answer, sizeof(answer));
+	length = exchange(peer, unknown_kind, sizeof(unknown_kind) - 1, answer, sizeof(answer));
 	frame = length > 4 ? ws__peer_frame__unpack(NULL, (size_t)length - 4, answer + 4) : NULL;
-	check("a frame of an unknown kind gets 400",
+	check("a frame of an unknown kind is answered with 400",
 	      frame && frame->kind == WS__PEER_FRAME__KIND__REPLY && frame->id == 8 &&
 		  frame->status == 400);
 	ws__peer_frame__free_unpacked(frame, NULL);
-	check("and is logged",
+	check("a frame of an unknown kind is logged",
 	      logged(log, "peer frame of unknown kind refused peer=node-1 kind=9\n"));
-	check("a frame that can't be read ends its connection",
-	      tell(peer, garbled, sizeof(garbled) - 1, answer, sizeof(answer)) == 0);
-	check("and is logged", logged(log, "unreadable peer frame refused bytes=4\n"));
-	check("a frame too long ends its connection",
-	      tell(peer, endless, sizeof(endless) - 1, answer, sizeof(answer)) == 0);
-	check("and is logged", logged(log, "oversized peer frame refused bytes=2147483647\n"));
-	length = tell(port, "GET /healthz HTTP/1.1\r\n\r\n", 25, answer, sizeof(answer) - 1);
+	check("an unreadable frame closes its connection",
+	      exchange(peer, unreadable, sizeof(unreadable) - 1, answer, sizeof(answer)) == 0);
+	check("an unreadable frame is logged",
+	      logged(log, "unreadable peer frame refused bytes=4\n"));
+	check("an oversized frame closes its connection",
+	      exchange(peer, oversized, sizeof(oversized) - 1, answer, sizeof(answer)) == 0);
+	check("an oversized frame is logged",
+	      logged(log, "oversized peer frame refused bytes=2147483647\n"));
+	length = exchange(port, "GET /healthz HTTP/1.1\r\n\r\n", 25, answer, sizeof(answer) - 1);
 	answer[length > 0 ? length : 0] = 0;
-	check("the process goes on", length > 0 && !strncmp((char *)answer, "HTTP/1.1 503", 12));
+	check("the process keeps running",
+	      length > 0 && !strncmp((char *)answer, "HTTP/1.1 503", 12));
 	kill(pid, SIGTERM);
 	waitpid(pid, &status, 0);
-	check("and stops when told to", WIFEXITED(status) && WEXITSTATUS(status) == 0);
+	check("SIGTERM ends the process with status 0",
+	      WIFEXITED(status) && WEXITSTATUS(status) == 0);
 	unlink(path);
 	unlink(log);
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/ports.h
+++ b/tests/ports.h
@@ -1,4 +1,4 @@
-/* A port of the loopback that nobody listens on, for tests that start processes. */
+/* Unused TCP ports on the loopback interface, for tests that start processes. */
 #ifndef WS_TEST_PORTS_H
 #define WS_TEST_PORTS_H
 #include <arpa/inet.h>
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -1,13 +1,14 @@
 /*
- * Records and frames of the version in production, written down in its format, read by this one;
- * and what this one writes, held against a statement of what that version's reader accepts.
+ * Compatibility with the version in production: samples of its records and frames are decoded, and
+ * records encoded here are checked against a copy of the rules of that version's decoder.
  */
 #include "../src/core/core_state.h"
 #include "check.h"
 #include "codec.h"
 #include "outage_vote.h"
 
-/* As production wrote them: an array under way, a gang as it knew them, one that is cancelled. */
+/* Samples in the format of the version in production: a running array job, a queued gang, a
+ * scale-out request, a shard of the fleet, the machine types. */
 static const char array_job[] =
     "{\"ph\":\"running\",\"at\":1764642032.1234567,\"cl\":\"accrual-batch\",\"tm\":\"ledger-ops-"
     "03\","
@@ -22,31 +23,33 @@
     "0,"
     "\"g\":0.0,\"m\":12.8,\"im\":\"i\",\"gb\":1.0,\"ty\":[],\"z\":\"huye\",\"fl\":9,\"e\":30.0,"
     "\"ck\":20.0,\"sa\":3.0,\"dl\":-1.0}";
-static const char old_rental[] =
+static const char scale_out_request[] =
     "{\"ty\":\"std16\",\"z\":\"huye\",\"sp\":true,\"n\":3,\"got\":true,"
     "\"h\":[\"n-000100\",\"n-000101\",\"n-000102\"]}";
-static const char old_chunk[] =
+static const char machine_shard[] =
     "{\"im\":[\"img-1\",\"img-2\"],\"m\":[[\"n-000001\",\"10.1.0.1\",9000,\"std16\",\"huye\",false,"
     "1,"
     "[0,1]],[\"n-000002\",\"10.1.0.2\",9000,\"std16\",\"huye\",true,3,[1]]]}";
-static const char old_types[] = "[[\"std16\",16.0,0.0,128.0,80.0,0.4,0.91,0.41,35.0,[\"huye\"]]]";
+static const char machine_types[] =
+    "[[\"std16\",16.0,0.0,128.0,80.0,0.4,0.91,0.41,35.0,[\"huye\"]]]";
 
-/* What production's reader of job records asks for: these fields, of these types. */
-static bool old_reads_job(json_t *value)
+/* Returns whether the decoder of the version in production accepts a job record: it requires these
+ * fields with these types. */
+static bool production_accepts_job(json_t *value)
 {
-	static const char *const need[] = {"ph:s", "at:f", "cl:s", "tm:s", "sv:b", "ti:i", "n:i",
-					   "c:f",  "g:f",  "m:f",  "im:s", "gb:f", "ty:a", "z:s",
-					   "fl:i", "e:f",  "ck:f", "sa:f", "dl:f"};
+	static const char *const required[] = {
+	    "ph:s", "at:f", "cl:s", "tm:s", "sv:b", "ti:i", "n:i",  "c:f",  "g:f", "m:f",
+	    "im:s", "gb:f", "ty:a", "z:s",  "fl:i", "e:f",  "ck:f", "sa:f", "dl:f"};
 	static const char *const phases = " queued running done withdrawn ";
 	json_t *element, *attempts = json_object_get(value, "p"),
 			 *done = json_object_get(value, "d");
 	char name[8], phase[32];
 	size_t i;
 
-	for (i = 0; i < sizeof(need) / sizeof(need[0]); i++) {
-		const char *colon = strchr(need[i], ':');
+	for (i = 0; i < sizeof(required) / sizeof(required[0]); i++) {
+		const char *colon = strchr(required[i], ':');
 
-		snprintf(name, sizeof(name), "%.*s", (int)(colon - need[i]), need[i]);
+		snprintf(name, sizeof(name), "%.*s", (int)(colon - required[i]), required[i]);
 		element = json_object_get(value, name);
 		if (!(colon[1] == 's'	? json_is_string(element)
 		      : colon[1] == 'f' ? json_is_number(element)
@@ -61,39 +64,39 @@
 		return false;
 	json_array_foreach (
 	    attempts, i,
-	    element) { /* [term, zone, shared, "rest[/incarnation][#number]=1-3,5;..."] */
+	    element) { /* [term, zone, name prefix, "suffix[/incarnation][#number]=1-3,5;..."] */
 		const char *tasks = json_string_value(json_array_get(element, 3));
-		bool named = false;
+		bool has_number = false;
 
 		if (json_array_size(element) != 4 || !json_is_integer(json_array_get(element, 0)) ||
 		    !json_is_string(json_array_get(element, 1)) ||
 		    !json_is_string(json_array_get(element, 2)) || !tasks || !*tasks)
 			return false;
-		for (const char *rest = tasks; *rest;) {
-			size_t length = strcspn(rest, "/#=;");
+		for (const char *suffix = tasks; *suffix;) {
+			size_t length = strcspn(suffix, "/#=;");
 
 			if (!length)
 				return false;
-			rest += length;
-			if (*rest == '/')
-				rest += 1 + strspn(rest + 1, "0123456789");
-			if (*rest == '#') {
-				named = true;
-				rest += 1 + strspn(rest + 1, "0123456789");
+			suffix += length;
+			if (*suffix == '/')
+				suffix += 1 + strspn(suffix + 1, "0123456789");
+			if (*suffix == '#') {
+				has_number = true;
+				suffix += 1 + strspn(suffix + 1, "0123456789");
 			}
-			if (*rest != '=' || !named || !strspn(rest + 1, "0123456789"))
+			if (*suffix != '=' || !has_number || !strspn(suffix + 1, "0123456789"))
 				return false;
-			rest += 1 + strspn(rest + 1, "0123456789-,");
-			if (*rest && *rest != ';')
+			suffix += 1 + strspn(suffix + 1, "0123456789-,");
+			if (*suffix && *suffix != ';')
 				return false;
-			rest += *rest == ';';
+			suffix += *suffix == ';';
 		}
 	}
 	return true;
 }
 
-static bool assigned(const struct ws_recorded_attempt *recorded, size_t count, const char *machine,
-		     uint32_t task, uint64_t attempt, uint64_t incarnation)
+static bool has_attempt(const struct ws_recorded_attempt *recorded, size_t count,
+			const char *machine, uint32_t task, uint64_t attempt, uint64_t incarnation)
 {
 	for (size_t i = 0; i < count; i++)
 		if (!strcmp(recorded[i].machine, machine) && recorded[i].task == task &&
@@ -102,30 +105,34 @@
 	return false;
 }
 
-static void read_jobs(void)
+static void check_jobs(void)
 {
 	json_t *value = json_loads(array_job, 0, NULL);
 	struct ws_job *job = ws_job_record_decode("job-000001", value);
 	struct ws_recorded_attempt *recorded;
 	size_t count;
 
-	check("the statement holds for production's own", old_reads_job(value));
-	check("an array's record reads",
+	check("the production rules accept a record of production", production_accepts_job(value));
+	check("the record of an array job is decoded",
 	      job && job->phase == WS_JOB_RUNNING && job->spec.tasks == 40 &&
 		  job->done_count == 21 && job->tasks[33].recorded && !job->tasks[20].done &&
 		  job->spec.allows_preemptible && !job->spec.gang && job->spec.type_count == 2 &&
 		  job->spec.deadline_s == 133);
 	count = ws_attempt_list_decode(value, &recorded);
-	check("all its attempts", count == 12);
-	check("a range", assigned(recorded, count, "n-000031", 21, (41ULL << 24) + 5, 1));
-	check("a list", assigned(recorded, count, "n-000031", 30, (41ULL << 24) + 5, 1));
-	check("the number of the one before",
-	      assigned(recorded, count, "n-000032", 23, (41ULL << 24) + 5, 1));
-	check("a tenure", assigned(recorded, count, "n-000040", 24, (41ULL << 24) + 9, 2));
-	check("another term", assigned(recorded, count, "n-000091", 31, (57ULL << 24) + 1, 1));
+	check("all attempts are decoded", count == 12);
+	check("an attempt in a range of tasks",
+	      has_attempt(recorded, count, "n-000031", 21, (41ULL << 24) + 5, 1));
+	check("an attempt in a list of tasks",
+	      has_attempt(recorded, count, "n-000031", 30, (41ULL << 24) + 5, 1));
+	check("an attempt that inherits the number of the preceding entry",
+	      has_attempt(recorded, count, "n-000032", 23, (41ULL << 24) + 5, 1));
+	check("an attempt with an incarnation",
+	      has_attempt(recorded, count, "n-000040", 24, (41ULL << 24) + 9, 2));
+	check("an attempt of another term",
+	      has_attempt(recorded, count, "n-000091", 31, (57ULL << 24) + 1, 1));
 	free(recorded);
-	check("withdrawn, and still readable for it",
-	      ws_job_record_cancel(value) && old_reads_job(value) &&
+	check("a cancelled record satisfies the production rules",
+	      ws_job_record_cancel(value) && production_accepts_job(value) &&
 		  ws_job_record_continuation_count(value) == 0);
 	json_decref(value);
 	if (job) {
@@ -134,15 +141,17 @@
 	}
 	value = json_loads(gang_job, 0, NULL);
 	job = ws_job_record_decode("job-000002", value);
-	check("a gang's record reads", job && job->spec.gang && job->spec.one_zone &&
-					   !job->spec.spread && job->phase == WS_JOB_QUEUED &&
-					   job->spec.checkpoint_interval_s == 20 &&
-					   !strcmp(job->spec.zone, "huye"));
+	check("the record of a gang is decoded",
+	      job && job->spec.gang && job->spec.one_zone && !job->spec.spread &&
+		  job->phase == WS_JOB_QUEUED && job->spec.checkpoint_interval_s == 20 &&
+		  !strcmp(job->spec.zone, "huye"));
 	json_decref(value);
 	value = job ? ws_new_job_record_encode(&job->spec, WS_JOB_QUEUED, 1.5) : NULL;
-	check("and is written as production reads it", value && old_reads_job(value));
+	check("the encoded record of a gang satisfies the production rules",
+	      value && production_accepts_job(value));
 	json_object_del(value, "fl");
-	check("the statement sees a missing field", value && !old_reads_job(value));
+	check("the production rules refuse a missing field",
+	      value && !production_accepts_job(value));
 	json_decref(value);
 	if (job) {
 		free(job->tasks);
@@ -150,10 +159,11 @@
 	}
 }
 
-/* A record of 16 KiB's time: 400 attempts on as many machines, cancelled under a limit of 2 KiB. */
-static void split(void)
+/* A record from a version with values of 16 KiB: 400 attempts on as many machines. It is cancelled
+ * and split for values of 2 KiB. */
+static void check_split(void)
 {
-	json_t *value = json_loads(array_job, 0, NULL), *pieces[8];
+	json_t *value = json_loads(array_job, 0, NULL), *continuations[8];
 	char text[8192];
 	size_t len = 0, count, total;
 	struct ws_recorded_attempt *recorded;
@@ -163,29 +173,29 @@
 					i, i ? "" : "#7", i);
 	json_object_set_new(value, "n", json_integer(400));
 	json_object_set_new(value, "p", json_pack("[[i,s,s,s]]", 41, "huye", "n-000", text));
-	check("a large record of production reads",
+	check("a large record of production is decoded",
 	      ws_attempt_list_decode(value, &recorded) == 400);
 	free(recorded);
 	ws_job_record_cancel(value);
-	ws_job_record_split(value, 2000, pieces, 7, &count);
-	check("it is split",
+	ws_job_record_split(value, 2000, continuations, 7, &count);
+	check("the record is split",
 	      count >= 1 && count <= 3 && ws_job_record_continuation_count(value) == count);
-	check("its own record fits and reads",
-	      ws_record_size(value) <= 2000 && old_reads_job(value));
+	check("the job record fits and satisfies the production rules",
+	      ws_record_size(value) <= 2000 && production_accepts_job(value));
 	total = ws_attempt_list_decode(value, &recorded);
-	check("the first attempt is in it",
-	      assigned(recorded, total, "n-000000", 0, (41ULL << 24) + 7, 1));
+	check("the job record has the first attempt",
+	      has_attempt(recorded, total, "n-000000", 0, (41ULL << 24) + 7, 1));
 	free(recorded);
 	for (size_t i = 0; i < count; i++) {
-		size_t found = ws_attempt_list_decode(pieces[i], &recorded);
+		size_t found = ws_attempt_list_decode(continuations[i], &recorded);
 
-		check("a piece fits", ws_record_size(pieces[i]) <= 2000);
+		check("a continuation record fits", ws_record_size(continuations[i]) <= 2000);
 		if (i + 1 == count)
-			check("the last attempt is in the last",
-			      assigned(recorded, found, "n-000399", 399, (41ULL << 24) + 7, 1));
+			check("the last continuation record has the last attempt",
+			      has_attempt(recorded, found, "n-000399", 399, (41ULL << 24) + 7, 1));
 		total += found;
 		free(recorded);
-		json_decref(pieces[i]);
+		json_decref(continuations[i]);
 	}
 	check("no attempt is lost", total == 400);
 	json_decref(value);
@@ -201,75 +211,80 @@
 				      .zones = {"huye"},
 				      .zone_count = 1};
 
-static void others(void)
+static void check_other_records(void)
 {
 	struct ws_policy policy;
 	struct ws_scale_out request = {0};
 	struct ws_machine_type type[WS_MAX_TYPES];
 	struct ws_core *core;
 	struct ws_machine *machine;
-	json_t *value = json_loads(old_rental, 0, NULL), *written;
+	json_t *value = json_loads(scale_out_request, 0, NULL), *encoded;
 
-	check("a rental reads", ws_record_read_scale_out(value, &request) &&
-				    request.instance_count == 3 && request.preemptible &&
-				    request.state == WS_SCALE_OUT_GRANTED &&
-				    !strcmp(request.instances[2], "n-000102"));
-	written = ws_record_scale_out(&request);
-	check("and is written alike", json_equal(value, written));
+	check("a scale-out record is decoded",
+	      ws_record_read_scale_out(value, &request) && request.instance_count == 3 &&
+		  request.preemptible && request.state == WS_SCALE_OUT_GRANTED &&
+		  !strcmp(request.instances[2], "n-000102"));
+	encoded = ws_record_scale_out(&request);
+	check("a scale-out record is encoded unchanged", json_equal(value, encoded));
 	json_decref(value);
-	json_decref(written);
+	json_decref(encoded);
 	free(request.instances);
-	value = json_loads(old_types, 0, NULL);
-	check("types read", ws_machine_types_decode(value, type) == 1 && type[0].cpus == 16 &&
-				!strcmp(type[0].zones[0], "huye"));
-	written = ws_machine_types_encode(type, 1);
-	check("and are written alike", json_equal(value, written));
+	value = json_loads(machine_types, 0, NULL);
+	check("machine types are decoded", ws_machine_types_decode(value, type) == 1 &&
+					       type[0].cpus == 16 &&
+					       !strcmp(type[0].zones[0], "huye"));
+	encoded = ws_machine_types_encode(type, 1);
+	check("machine types are encoded unchanged", json_equal(value, encoded));
 	json_decref(value);
-	json_decref(written);
+	json_decref(encoded);
 	ws_policy_defaults(&policy);
 	core = ws_core_new(&settings, &policy, NULL, 1, 1);
-	value = json_loads(old_chunk, 0, NULL);
+	value = json_loads(machine_shard, 0, NULL);
 	ws_record_read_machine_shard(core, value, 0);
 	machine = ws_machine_find(core, "n-000002");
-	check("the fleet reads", machine && machine->port == 9000 && machine->incarnation == 3 &&
-				     machine->preemptible && machine->image_cache_count == 1);
-	written = ws_record_machine_shard(core, 0);
-	check("and is written in its form",
-	      json_array_size(json_object_get(written, "m")) == 2 &&
-		  json_array_size(json_array_get(json_object_get(written, "m"), 1)) == 8);
+	check("a shard of the fleet is decoded",
+	      machine && machine->port == 9000 && machine->incarnation == 3 &&
+		  machine->preemptible && machine->image_cache_count == 1);
+	encoded = ws_record_machine_shard(core, 0);
+	check("a shard of the fleet is encoded in the same format",
+	      json_array_size(json_object_get(encoded, "m")) == 2 &&
+		  json_array_size(json_array_get(json_object_get(encoded, "m"), 1)) == 8);
 	json_decref(value);
-	json_decref(written);
+	json_decref(encoded);
 	ws_core_free(core);
 }
 
-/* Frames byte by byte: a heartbeat forwarded, one of a kind and with a field that nobody knows yet.
- */
-static void frames(void)
+/* Encoded frames: a forwarded heartbeat, a frame with an unknown kind and an unknown field, and
+ * a reply. */
+static void check_frames(void)
 {
-	static const uint8_t report[] = "\x08\x01\x10\x07\x1a\x06node-1\x22\x04POST\x2a\x08/checkin"
-					"\x32\x02{}";
-	static const uint8_t later[] = "\x08\x09\x10\x08\x1a\x06node-1\x98\x06\x05";
+	static const uint8_t heartbeat[] =
+	    "\x08\x01\x10\x07\x1a\x06node-1\x22\x04POST\x2a\x08/checkin"
+	    "\x32\x02{}";
+	static const uint8_t unknown_kind[] = "\x08\x09\x10\x08\x1a\x06node-1\x98\x06\x05";
 	static const uint8_t reply[] = "\x10\x07\x38\xf7\x03\x40\x01";
 	uint8_t out[64];
-	Ws__PeerFrame *frame = ws__peer_frame__unpack(NULL, sizeof(report) - 1, report);
+	Ws__PeerFrame *frame = ws__peer_frame__unpack(NULL, sizeof(heartbeat) - 1, heartbeat);
 
-	check("a report passed on", frame && frame->kind == WS__PEER_FRAME__KIND__HEARTBEAT &&
-					frame->id == 7 && !strcmp(frame->path, "/checkin") &&
-					frame->body.len == 2);
-	check("is packed alike", frame && ws__peer_frame__pack(frame, out) == sizeof(report) - 1 &&
-				     !memcmp(out, report, sizeof(report) - 1));
+	check("a forwarded heartbeat is decoded",
+	      frame && frame->kind == WS__PEER_FRAME__KIND__HEARTBEAT && frame->id == 7 &&
+		  !strcmp(frame->path, "/checkin") && frame->body.len == 2);
+	check("a forwarded heartbeat is encoded to the same bytes",
+	      frame && ws__peer_frame__pack(frame, out) == sizeof(heartbeat) - 1 &&
+		  !memcmp(out, heartbeat, sizeof(heartbeat) - 1));
 	ws__peer_frame__free_unpacked(frame, NULL);
-	frame = ws__peer_frame__unpack(NULL, sizeof(later) - 1, later);
-	check("an unknown kind is none we know", frame && frame->kind == 9 && frame->id == 8);
+	frame = ws__peer_frame__unpack(NULL, sizeof(unknown_kind) - 1, unknown_kind);
+	check("a frame of an unknown kind is decoded", frame && frame->kind == 9 && frame->id == 8);
 	ws__peer_frame__free_unpacked(frame, NULL);
 	frame = ws__peer_frame__unpack(NULL, sizeof(reply) - 1, reply);
-	check("a reply", frame && frame->kind == WS__PEER_FRAME__KIND__REPLY &&
-			     frame->status == 503 && frame->retry_after == 1);
+	check("a reply is decoded", frame && frame->kind == WS__PEER_FRAME__KIND__REPLY &&
+					frame->status == 503 && frame->retry_after == 1);
 	ws__peer_frame__free_unpacked(frame, NULL);
 }
 
-/* An outage vote there and back; what production sends, or what makes no sense, is none. */
-static void outage_votes(void)
+/* Round trip of the question and the answer of an outage vote. An invalid answer, or one without
+ * a vote as production sends it, grants nothing. */
+static void check_outage_votes(void)
 {
 	struct ws_cancellation list[] = {{"job-000007", 41}, {"job-000003", 43}};
 	struct ws_effect effect = {
@@ -280,7 +295,7 @@
 			       .outage_vote = {.after_job = "job-000002",
 					       .since_revision = 40,
 					       .leader_revision = 12}};
-	Ws__PeerFrame frame = WS__PEER_FRAME__INIT, *got;
+	Ws__PeerFrame frame = WS__PEER_FRAME__INIT, *decoded;
 	Ws__OutageVote vote = WS__OUTAGE_VOTE__INIT;
 	struct ws_result result;
 	uint8_t out[256];
@@ -288,12 +303,12 @@
 
 	ws_vote_set_question(&frame, &vote, &call);
 	length = ws__peer_frame__pack(&frame, out);
-	got = ws__peer_frame__unpack(NULL, length, out);
-	check("a question", got && got->kind == WS__PEER_FRAME__KIND__OUTAGE_VOTE &&
-				got->vote->leader_revision == 12 &&
-				got->vote->since_revision == 40 &&
-				!strcmp(got->vote->after_job, "job-000002"));
-	ws__peer_frame__free_unpacked(got, NULL);
+	decoded = ws__peer_frame__unpack(NULL, length, out);
+	check("the question of a vote is decoded",
+	      decoded && decoded->kind == WS__PEER_FRAME__KIND__OUTAGE_VOTE &&
+		  decoded->vote->leader_revision == 12 && decoded->vote->since_revision == 40 &&
+		  !strcmp(decoded->vote->after_job, "job-000002"));
+	ws__peer_frame__free_unpacked(decoded, NULL);
 
 	effect.vote.cancellations = list;
 	ws__peer_frame__init(&frame);
@@ -301,20 +316,21 @@
 	ws_vote_set_answer(&frame, &vote, &effect);
 	length = ws__peer_frame__pack(&frame, out);
 	ws_vote_free(&vote);
-	got = ws__peer_frame__unpack(NULL, length, out);
-	check("an answer", got && ws_vote_read(got, &result) &&
-			       result.outcome == WS_OUTCOME_UNAVAILABLE && result.vote.granted &&
-			       result.vote.has_more && result.vote.cancellation_count == 2 &&
-			       result.vote.cancellations[1].revision == 43 &&
-			       !strcmp(result.vote.cancellations[0].job, "job-000007"));
+	decoded = ws__peer_frame__unpack(NULL, length, out);
+	check("the answer of a vote is decoded",
+	      decoded && ws_vote_read(decoded, &result) &&
+		  result.outcome == WS_OUTCOME_UNAVAILABLE && result.vote.granted &&
+		  result.vote.has_more && result.vote.cancellation_count == 2 &&
+		  result.vote.cancellations[1].revision == 43 &&
+		  !strcmp(result.vote.cancellations[0].job, "job-000007"));
 	ws_result_free(&result);
-	ws__peer_frame__free_unpacked(got, NULL);
+	ws__peer_frame__free_unpacked(decoded, NULL);
 
 	snprintf(list[1].job, sizeof(list[1].job), "no/job");
 	ws__peer_frame__init(&frame);
 	ws__outage_vote__init(&vote);
 	ws_vote_set_answer(&frame, &vote, &effect);
-	check("an answer with a name that no job has",
+	check("an answer with an invalid job name is refused",
 	      !ws_vote_read(&frame, &result) && result.outcome != WS_OUTCOME_UNAVAILABLE &&
 		  !result.vote.granted && !result.vote.cancellations);
 	ws_vote_free(&vote);
@@ -322,13 +338,13 @@
 	effect.vote.granted = false;
 	ws__peer_frame__init(&frame);
 	ws_vote_set_answer(&frame, &vote, &effect);
-	check("production's answer, and of one that can't vouch, has no list",
+	check("an answer without a vote grants nothing",
 	      !frame.vote && ws_vote_read(&frame, &result) &&
 		  result.outcome == WS_OUTCOME_UNAVAILABLE && !result.vote.granted);
 }
 
-/* Values that no record of a kind can have are refused, each for its reason. */
-static void refused(void)
+/* Invalid records are refused with the matching outcome. */
+static void check_refused(void)
 {
 	static const struct {
 		const char *text;
@@ -355,19 +371,19 @@
 		json_decref(value);
 	}
 	value = json_pack("{s:i}", "life", 5);
-	check("a leader's record without a node",
+	check("a leader record without a node is malformed",
 	      ws_leader_record_decode(value, &leader) == WS_RECORD_MALFORMED);
 	json_decref(value);
 }
 
 int main(void)
 {
-	read_jobs();
-	split();
-	others();
-	refused();
-	frames();
-	outage_votes();
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	check_jobs();
+	check_split();
+	check_other_records();
+	check_refused();
+	check_frames();
+	check_outage_votes();
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/settings_test.c
+++ b/tests/settings_test.c
@@ -1,18 +1,18 @@
-/* The platform's settings: figures that are missing, zero, negative or too small to run with are
- * refused, and the message names the setting. */
+/* Tests of the platform's settings: a number that is missing, zero, negative or below the minimum
+ * is refused, and the message names the setting. */
 #include "../src/config.h"
 #include "check.h"
 #include <stdlib.h>
 #include <string.h>
 #include <unistd.h>
 
-struct figure {
-	const char *table, *name, *fine;
-	const char *small; /* above 0 and refused all the same; NULL: none */
-	bool zero_means_none;
+struct setting {
+	const char *table, *name, *valid;
+	const char *too_small; /* above 0 but below the minimum; NULL: none */
+	bool zero_allowed;
 };
 
-static const struct figure figures[] = {
+static const struct setting numbers[] = {
     {"settings.workers", "report_s", "2.0", "0.001", false},
     {"settings.workers", "lease_s", "16.0", "1.5", false}, /* shorter than report_s */
     {"settings.workers", "cancel_s", "46.0", NULL, false},
@@ -26,16 +26,17 @@
     {"settings.machine_limits", "ram_mb", "72.0", "7.0", false},
     {"settings.machine_limits", "max_sockets", "900", "40", false},
 };
-#define FIGURE_COUNT (sizeof(figures) / sizeof(figures[0]))
+#define NUMBER_COUNT (sizeof(numbers) / sizeof(numbers[0]))
 
-/* Settings with one figure replaced; an empty value leaves it out. */
-static bool read_with(size_t which, const char *value, char *error, size_t size)
+/* Reads settings with one number replaced; an empty value omits it. The message goes to `error`.
+ * Returns whether the settings are accepted. */
+static bool read_settings(size_t replaced, const char *value, char *error, size_t size)
 {
 	static struct ws_settings settings;
 	char path[] = "/tmp/waystep-settings-XXXXXX";
 	FILE *file = fdopen(mkstemp(path), "w");
 	const char *table = "";
-	struct ws_startup_error wrong = {0};
+	struct ws_startup_error startup_error = {0};
 	bool ok;
 
 	fprintf(file, "node='n'\nzone='a'\nbind='127.0.0.1:1'\npeer_bind='127.0.0.1:2'\n"
@@ -43,17 +44,17 @@
 		      "[services]\ncloud='127.0.0.1:4'\nstate='127.0.0.1:5'\n"
 		      "[settings]\nzones=['a','b']\n"
 		      "[[settings.teams]]\nname='t'\ncpus=4.0\ncpus_max=8.0\n");
-	for (size_t i = 0; i < FIGURE_COUNT; i++) {
-		if (strcmp(table, figures[i].table))
-			fprintf(file, "[%s]\n", table = figures[i].table);
-		if (i != which)
-			fprintf(file, "%s = %s\n", figures[i].name, figures[i].fine);
+	for (size_t i = 0; i < NUMBER_COUNT; i++) {
+		if (strcmp(table, numbers[i].table))
+			fprintf(file, "[%s]\n", table = numbers[i].table);
+		if (i != replaced)
+			fprintf(file, "%s = %s\n", numbers[i].name, numbers[i].valid);
 		else if (value[0])
-			fprintf(file, "%s = %s\n", figures[i].name, value);
+			fprintf(file, "%s = %s\n", numbers[i].name, value);
 	}
 	fclose(file);
-	ok = ws_config_settings(path, &settings, &wrong);
-	ws_startup_error_line(&wrong, error, size);
+	ok = ws_config_settings(path, &settings, &startup_error);
+	ws_startup_error_line(&startup_error, error, size);
 	unlink(path);
 	return ok;
 }
@@ -62,23 +63,26 @@
 {
 	char error[512], what[128];
 
-	check("all as the platform's page has it",
-	      read_with(FIGURE_COUNT, "", error, sizeof(error)));
-	for (size_t i = 0; i < FIGURE_COUNT; i++) {
-		const struct figure *figure = &figures[i];
-		const char *const bad[] = {
-		    "", "-1", "'some'", "nan", figure->zero_means_none ? NULL : "0", figure->small};
+	check("valid settings are accepted", read_settings(NUMBER_COUNT, "", error, sizeof(error)));
+	for (size_t i = 0; i < NUMBER_COUNT; i++) {
+		const struct setting *setting = &numbers[i];
+		const char *const invalid[] = {"",
+					       "-1",
+					       "'some'",
+					       "nan",
+					       setting->zero_allowed ? NULL : "0",
+					       setting->too_small};
 
-		for (size_t k = 0; k < sizeof(bad) / sizeof(bad[0]); k++) {
-			if (!bad[k])
+		for (size_t k = 0; k < sizeof(invalid) / sizeof(invalid[0]); k++) {
+			if (!invalid[k])
 				continue;
-			snprintf(what, sizeof(what), "%s = %s is refused by name", figure->name,
-				 bad[k][0] ? bad[k] : "(missing)");
-			check(what, !read_with(i, bad[k], error, sizeof(error)) &&
-					strstr(error, figure->table) &&
-					strstr(error, figure->name));
+			snprintf(what, sizeof(what), "%s = %s is refused by name", setting->name,
+				 invalid[k][0] ? invalid[k] : "(missing)");
+			check(what, !read_settings(i, invalid[k], error, sizeof(error)) &&
+					strstr(error, setting->table) &&
+					strstr(error, setting->name));
 		}
 	}
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/sizing_test.c
+++ b/tests/sizing_test.c
@@ -1,6 +1,6 @@
 /*
- * The queue against an independent solution: the balance equations of all states, written out from
- * the transitions alone and solved by elimination.
+ * Compares the solution of the queue model with an independent one: the balance equations of all
+ * states, derived from the transitions alone and solved by Gaussian elimination.
  */
 #include "../src/core/core_state.h"
 
@@ -8,7 +8,7 @@
 #define BOOT_RATE (1 / 35.0)
 #define TOLERANCE 1e-6
 
-static int good, bad;
+static int passed_checks, failed_checks;
 
 /* The queue's parameters, in the order of ws_queue_solve(). */
 struct queue {
@@ -16,7 +16,7 @@
 	int owned, instances_max, units_max;
 };
 
-/* So many instances run, with so many units in the system. */
+/* The number of running instances and the number of units in the system. */
 struct state {
 	int instances, units;
 };
@@ -26,7 +26,7 @@
 	double rate;
 };
 
-/* Equations in rows, the right side in the last column. */
+/* Each row is an equation; the last column is its right-hand side. */
 struct matrix {
 	double *cells;
 	int size;
@@ -37,11 +37,11 @@
 	return &matrix->cells[(size_t)row * (size_t)(matrix->size + 1) + (size_t)column];
 }
 
-/* Lists all states that the queue can be in; the caller frees them. */
+/* Returns all reachable states of the queue; the caller frees them. */
 static struct state *list_states(const struct queue *queue, int *count)
 {
-	size_t most = (size_t)(queue->instances_max + 1) * (size_t)(queue->units_max + 1);
-	struct state *states = calloc(most, sizeof(*states));
+	size_t max_states = (size_t)(queue->instances_max + 1) * (size_t)(queue->units_max + 1);
+	struct state *states = calloc(max_states, sizeof(*states));
 
 	*count = 0;
 	for (int i = 0; i <= queue->instances_max; i++)
@@ -50,7 +50,7 @@
 	return states;
 }
 
-/* Instances that are booting: one for each unit that waits, as far as there may be. */
+/* Returns the number of booting instances: one for each waiting unit, up to instances_max. */
 static double booting(const struct queue *queue, const struct state *state)
 {
 	int machines = queue->owned + state->instances;
@@ -60,12 +60,12 @@
 	return fmin(state->units - machines, queue->instances_max - state->instances);
 }
 
-/* An arrival, a departure and the end of a boot; a rate of 0: it can't be. */
+/* Lists an arrival, a departure and a completed boot; a rate of 0 means that it cannot occur. */
 static void list_transitions(const struct queue *queue, const struct state *state,
 			     struct transition transitions[3])
 {
 	int machines = queue->owned + state->instances;
-	/* an instance without work is off at once */
+	/* an instance without work is released at once */
 	bool is_scaled_in = state->instances && state->units == machines;
 
 	transitions[0] = (struct transition){
@@ -96,7 +96,7 @@
 	}
 }
 
-/* The balance of each state, and that all probabilities add up to 1. */
+/* Returns the balance equation of each state and the condition that the probabilities sum to 1. */
 static struct matrix write_equations(const struct queue *queue, const struct state *states,
 				     int count)
 {
@@ -112,8 +112,10 @@
 		for (int k = 0; k < 3; k++)
 			add_transition(&matrix, states, i, &transitions[k]);
 	}
+	/* The balance equations are linearly dependent: the sum of probabilities replaces the last.
+	 */
 	for (int i = 0; i <= count; i++)
-		*cell(&matrix, count - 1, i) = 1; /* one equation is redundant: normalise instead */
+		*cell(&matrix, count - 1, i) = 1;
 	return matrix;
 }
 
@@ -127,7 +129,7 @@
 	}
 }
 
-/* Gauss and Jordan, with the largest pivot of each column. */
+/* Gauss-Jordan elimination with partial pivoting. */
 static void eliminate(struct matrix *matrix)
 {
 	for (int column = 0; column < matrix->size; column++) {
@@ -171,16 +173,16 @@
 	    units / (queue->arrival_rate * (1 - solution->blocking_probability)) -
 	    1 / queue->service_rate;
 	if (fabs(total - 1) > TOLERANCE)
-		bad++;
+		failed_checks++;
 	free(matrix.cells);
 	free(states);
 }
 
-static void near_to(const char *what, double actual, double expected)
+static void check_near(const char *what, double actual, double expected)
 {
 	if (!(fabs(actual - expected) <= TOLERANCE * (1 + fabs(expected)))) {
-		printf("FAIL %s: %.9g, should be %.9g\n", what, actual, expected);
-		bad++;
+		printf("FAIL %s: %.9g, expected %.9g\n", what, actual, expected);
+		failed_checks++;
 	}
 }
 
@@ -203,15 +205,16 @@
 	struct ws_queue_solution actual = {0}, expected;
 
 	if (!solve(&queue, &actual)) {
-		printf("FAIL no solution for %d %d %d\n", owned, instances, demand);
-		bad++;
+		printf("FAIL no solution for owned %d, instances %d, demand %d\n", owned, instances,
+		       demand);
+		failed_checks++;
 		return;
 	}
 	solve_dense(&queue, &expected);
-	near_to("instances", actual.mean_scaled_out, expected.mean_scaled_out);
-	near_to("wait", actual.mean_wait_s, expected.mean_wait_s);
-	near_to("blocking", actual.blocking_probability, expected.blocking_probability);
-	good++;
+	check_near("instances", actual.mean_scaled_out, expected.mean_scaled_out);
+	check_near("wait", actual.mean_wait_s, expected.mean_wait_s);
+	check_near("blocking", actual.blocking_probability, expected.blocking_probability);
+	passed_checks++;
 }
 
 static void test_small_queues(void)
@@ -222,7 +225,8 @@
 				compare_with_dense(owned, instances, demand);
 }
 
-/* Sizes of the deployments and far beyond: finite, and the wait falls as instances are added. */
+/* Sizes of deployments and far beyond them: the solution must be in range, and the wait must not
+ * rise as instances are added. */
 static void test_large_queues(void)
 {
 	for (int owned = 1; owned <= 200; owned = owned * 2 + 1) {
@@ -240,15 +244,16 @@
 			    solution.blocking_probability > 1) {
 				printf("FAIL owned %d instances %d: wait %g mean %g\n", owned,
 				       instances, solution.mean_wait_s, solution.mean_scaled_out);
-				bad++;
+				failed_checks++;
 			}
 			last_wait_s = solution.mean_wait_s;
 		}
-		good++;
+		passed_checks++;
 	}
 }
 
-/* Over the bound the number rises on, and the ceiling ends it. */
+/* The limit keeps the wait within the bound; a tighter bound does not lower it, and the ceiling
+ * caps it. */
 static void test_sizing(void)
 {
 	struct ws_queue_solution solution;
@@ -265,21 +270,22 @@
 	int instances = ws_queue_find_limit(&measurement, &solution), tight;
 
 	if (instances < 1 || instances > 20 || (instances < 20 && solution.mean_wait_s > 5)) {
-		printf("FAIL %d instances at a wait of %g\n", instances, solution.mean_wait_s);
-		bad++;
+		printf("FAIL limit of %d instances with a wait of %g s\n", instances,
+		       solution.mean_wait_s);
+		failed_checks++;
 	}
 	measurement.bound_s = 0.5;
 	tight = ws_queue_find_limit(&measurement, &solution);
 	if (tight < instances) {
-		printf("FAIL a tighter bound gives %d < %d\n", tight, instances);
-		bad++;
+		printf("FAIL limit %d under a tighter bound, %d before\n", tight, instances);
+		failed_checks++;
 	}
 	measurement.arrival_rate = 100;
 	if (ws_queue_find_limit(&measurement, &solution) != 20) {
-		printf("FAIL the ceiling does not hold\n");
-		bad++;
+		printf("FAIL the limit is not the ceiling of 20\n");
+		failed_checks++;
 	}
-	good += 3;
+	passed_checks += 3;
 }
 
 static void test_no_solution(void)
@@ -289,10 +295,10 @@
 	if (ws_queue_solve(0, 1, 1, 1, 1, 3, &solution) ||
 	    ws_queue_solve(NAN, 1, 1, 1, 1, 3, &solution) ||
 	    ws_queue_solve(1, 1, 1, 4, 1, 3, &solution)) {
-		printf("FAIL what has no solution is solved\n");
-		bad++;
+		printf("FAIL a queue without a solution is solved\n");
+		failed_checks++;
 	}
-	good++;
+	passed_checks++;
 }
 
 int main(void)
@@ -301,6 +307,6 @@
 	test_large_queues();
 	test_sizing();
 	test_no_solution();
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/smoke_test.c
+++ b/tests/smoke_test.c
@@ -1,10 +1,10 @@
 /*
- * The program itself on loopback sockets: stand-ins for store and cloud speak HTTP, one waystep
- * process is started, a user submits, a worker sends heartbeats and is told to run; broken HTTP is
- * refused without harm.
+ * Smoke test of one waystep process on loopback sockets, with simulated store and cloud servers:
+ * a user submits a job, a worker sends heartbeats and runs its task, and malformed HTTP is refused
+ * without harm.
  *
- * The store is the one of the loopback cluster, but its sessions never expire: a leader that stood
- * still must find out by its own clock that its lease is over.
+ * The store is that of the loopback cluster, but its sessions never expire here: a leader that was
+ * paused must detect by its own clock that its lease has expired.
  */
 #include "loopback_parts.h"
 #include "ports.h"
@@ -18,18 +18,18 @@
 #define TICK_S 0.05
 #define NO_ANSWER (-2)
 #define NOT_SENT (-3)
-/* More watches than a node keeps open. */
+/* Limit of the watches that a node keeps open at once. */
 #define WATCHES_MAX 16
-/* More workers than the node may hold sockets, and what it keeps for them. */
-#define CROWD 150
-#define CROWD_KEPT_MAX 40
-#define CROWD_FIRST_MACHINE 100
+/* More workers than the sockets of the node, and the limit of the worker connections it keeps. */
+#define MANY_WORKERS 150
+#define KEPT_WORKER_CONNECTIONS_MAX 40
+#define MANY_WORKERS_FIRST_MACHINE 100
 #define SOCKETS_MAX 96
 #define SOCKETS_TOO_FEW 31
-#define FROZEN_S 1.5
+#define LEADER_PAUSE_S 1.5
 #define SERVED_TRIES 100
-#define NOISE_SEEDS 60
-#define NOISE_BYTES 400
+#define RANDOM_INPUT_SEEDS 60
+#define RANDOM_INPUT_BYTES 400
 
 static const char job[] =
     "{\"nameId\":\"job-000001\",\"jobclass\":\"c\",\"owner\":\"t\",\"shape\":\"sweep\","
@@ -39,7 +39,7 @@
     "\"snapshotS\":0.0,\"dueS\":null}";
 static const char job_path[] = "/v2/runs/job-000001";
 
-/* The controller process, and the ports of all. */
+/* The controller process, and the ports of the servers. */
 static const char *program;
 static pid_t controller;
 static int port, peer_port, store_port, cloud_port;
@@ -50,16 +50,16 @@
 static int answer_status;
 static json_t *answer;
 
-/* What the worker knows. */
+/* State of the simulated worker. */
 static int sequence = 1;
 static json_int_t fencing_token, attempt;
 
-static int good, bad;
+static int passed_checks, failed_checks;
 
-static void check(const char *what, bool passed)
+static void check(const char *name, bool passed)
 {
-	printf("%s %s\n", passed ? "ok  " : "FAIL", what);
-	passed ? good++ : bad++;
+	printf("%s %s\n", passed ? "ok  " : "FAIL", name);
+	passed ? passed_checks++ : failed_checks++;
 }
 
 /* ---- the cloud ---- */
@@ -88,16 +88,16 @@
 	ev_break(loop, EVBREAK_ONE);
 }
 
-static void on_tick(struct ev_loop *ticked, ev_timer *timer, int events)
+static void on_tick(struct ev_loop *tick_loop, ev_timer *timer, int events)
 {
-	(void)ticked;
+	(void)tick_loop;
 	(void)timer;
 	(void)events;
 	loopback_store_wake_watches();
 }
 
-/* Sends a request and waits for its answer, which is then in `answer`; its status. */
-static int ask(const char *method, const char *path, const char *body)
+/* Sends a request, waits for the answer and stores its body in `answer`. Returns its status. */
+static int send_request(const char *method, const char *path, const char *body)
 {
 	answer_status = NO_ANSWER;
 	if (!ws_client_send(client, method, path, body, strlen(body), 3, false, on_answer, NULL))
@@ -107,16 +107,16 @@
 	return answer_status;
 }
 
-static bool answer_says_done(void)
+static bool answer_is_done(void)
 {
 	return answer && !strcmp(json_string_value(json_object_get(answer, "phase")), "done");
 }
 
-static void on_pause(struct ev_loop *paused, ev_timer *timer, int events)
+static void on_pause(struct ev_loop *pause_loop, ev_timer *timer, int events)
 {
 	(void)timer;
 	(void)events;
-	ev_break(paused, EVBREAK_ONE);
+	ev_break(pause_loop, EVBREAK_ONE);
 }
 
 static void pause_s(double seconds)
@@ -129,10 +129,11 @@
 	ev_timer_stop(loop, &timer);
 }
 
-/* Asks for a path until it is served, so many times a tenth of a second apart; whether it was. */
-static bool ask_until_served(const char *path, int tries)
+/* Requests a path up to `tries` times, 0.1 s apart, until the status is 200. Returns false if it
+ * never is. */
+static bool request_until_served(const char *path, int tries)
 {
-	while (ask("GET", path, "") != 200) {
+	while (send_request("GET", path, "") != 200) {
 		if (!--tries)
 			return false;
 		pause_s(0.1);
@@ -140,8 +141,8 @@
 	return true;
 }
 
-/* A connection of its own with these bytes sent on it; it is closed by the caller. */
-static int dial(const char *bytes, size_t length)
+/* Opens a connection and sends bytes on it. Returns its descriptor, which the caller closes. */
+static int connect_and_send(const char *bytes, size_t length)
 {
 	struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -153,8 +154,9 @@
 	return fd;
 }
 
-/* The answer's status, 0 if none comes in so many tries; what was read of it is in `buffer`. */
-static int status_of(int fd, int tries, double wait_s, char *buffer, size_t size)
+/* Returns the status of the answer, 0 if none arrives in `tries` reads; the bytes that were read
+ * are in `buffer`. */
+static int read_status(int fd, int tries, double wait_s, char *buffer, size_t size)
 {
 	int status = 0;
 
@@ -166,11 +168,12 @@
 	return status;
 }
 
-/* Bytes as they are, and the status line that comes back; 0: closed without one, or nothing. */
-static int raw(const char *bytes, size_t length)
+/* Sends bytes on a new connection. Returns the status of the answer, 0 if there is none. */
+static int send_raw(const char *bytes, size_t length)
 {
 	char buffer[256] = "";
-	int fd = dial(bytes, length), status = status_of(fd, 40, 0.025, buffer, sizeof(buffer));
+	int fd = connect_and_send(bytes, length),
+	    status = read_status(fd, 40, 0.025, buffer, sizeof(buffer));
 
 	close(fd);
 	return status;
@@ -178,38 +181,39 @@
 
 /* ---- heartbeats ---- */
 
-static void heartbeat_body(char *target, size_t size, int machine, int number, json_int_t token,
-			   const char *tasks)
+static void heartbeat_body(char *target, size_t size, int machine, int sequence_number,
+			   json_int_t token, const char *tasks)
 {
 	snprintf(
 	    target, size,
 	    "{\"host\":\"n-%06d\",\"address\":\"127.0.0.1:1\",\"flavour\":\"std\",\"hall\":\"a\","
 	    "\"reclaimable\":false,\"tenure\":1,\"counter\":%d,\"epoch\":%lld,\"warningS\":null,"
 	    "\"shards\":[%s]}",
-	    machine, number, (long long)token, tasks);
+	    machine, sequence_number, (long long)token, tasks);
 }
 
-/* A request with the heartbeat of a worker without tasks, as bytes; their number. */
-static size_t heartbeat_request(char *target, size_t size, int machine, int number)
+/* Writes an HTTP request with the heartbeat of a worker without tasks. Returns its length. */
+static size_t heartbeat_request(char *target, size_t size, int machine, int sequence_number)
 {
 	char body[400];
 
-	heartbeat_body(body, sizeof(body), machine, number, 0, "");
+	heartbeat_body(body, sizeof(body), machine, sequence_number, 0, "");
 	return (size_t)snprintf(
 	    target, size, "POST /checkin HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n%s",
 	    strlen(body), body);
 }
 
-/* The worker's next heartbeat, with the tasks that it has, as JSON; the answer's status. */
+/* Sends the worker's next heartbeat; `tasks` are JSON. Returns the status of the answer. */
 static int send_heartbeat(const char *tasks)
 {
 	char body[600];
 
 	heartbeat_body(body, sizeof(body), 0, sequence++, fencing_token, tasks);
-	return ask("POST", "/checkin", body);
+	return send_request("POST", "/checkin", body);
 }
 
-/* Whether the answer to a heartbeat tells the worker to run the job's task; takes it down. */
+/* Returns whether the answer to a heartbeat has a command to run the task of the job, and stores
+ * the attempt of that command. */
 static bool answer_runs_task(void)
 {
 	json_t *command;
@@ -227,50 +231,53 @@
 }
 
 /*
- * One worker after another sends a heartbeat on a connection that it would keep: more of them than
- * the node may hold sockets. All must be answered, and users still be served. How many were.
+ * Sends heartbeats of more workers than the sockets of the node, each on its own persistent
+ * connection. Returns how many were answered; `kept_open` receives the number of connections that
+ * the node did not announce to close.
  */
-static int crowd(int *kept_open)
+static int send_many_heartbeats(int *kept_open)
 {
-	int fds[CROWD], answered = 0;
+	int fds[MANY_WORKERS], answered = 0;
 
 	*kept_open = 0;
-	for (int i = 0; i < CROWD; i++) {
+	for (int i = 0; i < MANY_WORKERS; i++) {
 		char text[600], buffer[600] = "";
 
-		fds[i] =
-		    dial(text, heartbeat_request(text, sizeof(text), CROWD_FIRST_MACHINE + i, 1));
-		if (status_of(fds[i], 200, 0.005, buffer, sizeof(buffer)) != 200)
+		fds[i] = connect_and_send(
+		    text, heartbeat_request(text, sizeof(text), MANY_WORKERS_FIRST_MACHINE + i, 1));
+		if (read_status(fds[i], 200, 0.005, buffer, sizeof(buffer)) != 200)
 			continue;
 		answered++;
 		*kept_open += !strstr(buffer, "Connection: close");
 	}
-	for (int i = 0; i < CROWD; i++)
+	for (int i = 0; i < MANY_WORKERS; i++)
 		close(fds[i]);
 	return answered;
 }
 
-/* Sends a heartbeat to the stopped process and lets it go on after a while; the answer's status. */
-static int heartbeat_while_frozen(void)
+/* Sends a heartbeat to the stopped process and resumes the process after LEADER_PAUSE_S. Returns
+ * the status of the answer. */
+static int heartbeat_while_paused(void)
 {
 	char text[600], buffer[256] = "";
-	int fd = dial(text, heartbeat_request(text, sizeof(text), 0, sequence++)), status;
+	int fd = connect_and_send(text, heartbeat_request(text, sizeof(text), 0, sequence++)),
+	    status;
 
-	pause_s(FROZEN_S);
+	pause_s(LEADER_PAUSE_S);
 	kill(controller, SIGCONT);
-	status = status_of(fd, 200, 0.025, buffer, sizeof(buffer));
+	status = read_status(fd, 200, 0.025, buffer, sizeof(buffer));
 	close(fd);
 	return status;
 }
 
-/* ---- settings, and the process ---- */
+/* ---- settings and the controller process ---- */
 
-/* Ports that settings name. */
+/* Ports in the settings file. */
 struct ports {
 	int node, peer, cloud, store;
 };
 
-/* Settings that are fine but for what the sockets may be, and text behind them. */
+/* Writes valid settings with this socket limit, followed by the text `more`. */
 static void write_settings(const char *path, const struct ports *ports, int sockets,
 			   const char *more)
 {
@@ -288,7 +295,7 @@
 	fclose(file);
 }
 
-/* The program's exit status when it only checks its settings. */
+/* Runs the program with --check. Returns its exit status. */
 static int run_check(const char *path)
 {
 	int status = -1;
@@ -314,7 +321,7 @@
 	_exit(99);
 }
 
-static void open_stand_ins(void)
+static void open_servers(void)
 {
 	static const struct ws_http_server_options options = {
 	    .max = 64, .backlog = 64, .keep = {64, 64, 64}, .idle = {60, 60, 60}, .slow = 60};
@@ -336,40 +343,42 @@
 	char other[80];
 	FILE *file;
 
-	check("settings that are fine pass --check", run_check(path) == 0);
+	check("valid settings pass --check", run_check(path) == 0);
 	snprintf(other, sizeof(other), "%s.bad", path);
 	file = fopen(other, "w");
 	fprintf(file, "node='n'\nzone='a'\nbind='nowhere'\n");
 	fclose(file);
-	check("settings that are not end the start", run_check(other) == 2);
+	check("invalid settings are refused", run_check(other) == 2);
 	write_settings(other, &any, SOCKETS_TOO_FEW, "");
-	check("too few sockets end the start", run_check(other) == 2);
+	check("a socket limit that is too low is refused", run_check(other) == 2);
 	write_settings(other, &any, SOCKETS_MAX,
 		       "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\n");
-	check("lower limits to come are fine", run_check(other) == 0);
+	check("lower announced limits are accepted", run_check(other) == 0);
 	for (size_t i = 0; i < sizeof(wrong_limits) / sizeof(wrong_limits[0]); i++) {
 		write_settings(other, &any, SOCKETS_MAX, wrong_limits[i]);
-		check("limits to come that are none end the start", run_check(other) == 2);
+		check("invalid announced limits are refused", run_check(other) == 2);
 	}
 	unlink(other);
 }
 
 static void test_requests(void)
 {
-	check("healthy", ask_until_served("/healthz", SERVED_TRIES));
-	check("a job is accepted", ask("POST", "/v2/runs", job) == 201);
-	check("and known when it comes again", ask("POST", "/v2/runs", job) == 200);
-	check("400", ask("POST", "/v2/runs", "{}") == 400);
-	check("404 for an unknown job", ask("GET", "/v2/runs/job-000002", "") == 404);
-	check("404 for an unknown path", ask("GET", "/other", "") == 404);
-	check("405", ask("DELETE", "/v2/runs", "") == 405);
-	check("broken HTTP", raw("HELLO\r\n\r\n", 9) == 400);
-	check("a body too long",
-	      raw("POST /v2/runs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 49) == 413);
+	check("the health check succeeds", request_until_served("/healthz", SERVED_TRIES));
+	check("a new job is answered with 201", send_request("POST", "/v2/runs", job) == 201);
+	check("a repeated submission is answered with 200",
+	      send_request("POST", "/v2/runs", job) == 200);
+	check("400 for an invalid job", send_request("POST", "/v2/runs", "{}") == 400);
+	check("404 for an unknown job", send_request("GET", "/v2/runs/job-000002", "") == 404);
+	check("404 for an unknown path", send_request("GET", "/other", "") == 404);
+	check("405 for a method that a path does not have",
+	      send_request("DELETE", "/v2/runs", "") == 405);
+	check("400 for malformed HTTP", send_raw("HELLO\r\n\r\n", 9) == 400);
+	check("413 for a body that is too long",
+	      send_raw("POST /v2/runs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 49) == 413);
 }
 
-/* A proper request, mangled in a few places; its length. */
-static size_t mangled_request(unsigned seed, char *target, size_t size)
+/* Writes a valid request with a few random bytes replaced. Returns its length. */
+static size_t corrupted_request(unsigned seed, char *target, size_t size)
 {
 	size_t length = (size_t)snprintf(
 	    target, size, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %zu\r\n\r\n%s",
@@ -380,24 +389,25 @@
 	return length;
 }
 
-/* Noise, and requests with noise in them; the process must live on. */
-static void test_noise(void)
+/* The process must survive random bytes and corrupted requests. */
+static void test_random_input(void)
 {
-	for (unsigned seed = 1; seed <= NOISE_SEEDS; seed++) {
-		char noise[1600];
-		size_t length = NOISE_BYTES;
+	for (unsigned seed = 1; seed <= RANDOM_INPUT_SEEDS; seed++) {
+		char input[1600];
+		size_t length = RANDOM_INPUT_BYTES;
 
 		srand(seed);
-		for (size_t i = 0; i < NOISE_BYTES; i++)
-			noise[i] = (char)(rand() & (seed & 1 ? 127 : 255));
+		for (size_t i = 0; i < RANDOM_INPUT_BYTES; i++)
+			input[i] = (char)(rand() & (seed & 1 ? 127 : 255));
 		if (seed % 3)
-			length = mangled_request(seed, noise, sizeof(noise));
-		raw(noise, length);
+			length = corrupted_request(seed, input, sizeof(input));
+		send_raw(input, length);
 	}
-	check("alive after noise", ask("GET", "/healthz", "") == 200);
+	check("the health check succeeds after random input",
+	      send_request("GET", "/healthz", "") == 200);
 }
 
-/* The worker is told to run the job's task, tells its end, and the user hears of it. */
+/* A worker receives the command to run a task and reports its end; the user sees the job done. */
 static void test_job(void)
 {
 	bool ran = false, done = false;
@@ -410,51 +420,54 @@
 		}
 		pause_s(0.1);
 	}
-	check("the worker is told to run the task", ran);
+	check("the worker receives the command to run the task", ran);
 	snprintf(task, sizeof(task),
 		 "{\"shard\":\"job-000001/0\",\"tryNo\":%lld,\"phase\":\"exited\","
 		 "\"cause\":\"done\"}",
 		 (long long)attempt);
-	check("the report of its end is taken", send_heartbeat(task) == 200);
+	check("the heartbeat with the end of the task is accepted", send_heartbeat(task) == 200);
 	for (int i = 0; i < 40 && !done; i++) {
-		done = ask("GET", job_path, "") == 200 && answer_says_done();
+		done = send_request("GET", job_path, "") == 200 && answer_is_done();
 		if (!done)
 			pause_s(0.1);
 	}
-	check("and the job is done", done);
+	check("the job is done", done);
 }
 
-static void test_crowd(void)
+static void test_many_workers(void)
 {
 	int kept_open;
 
-	check("more workers than sockets are all answered", crowd(&kept_open) == CROWD);
-	check("and as many connections are kept as are for workers",
-	      kept_open <= CROWD_KEPT_MAX && kept_open > 0);
-	check("and users are served meanwhile", ask("GET", job_path, "") == 200);
+	check("all workers are answered, also more than there are sockets",
+	      send_many_heartbeats(&kept_open) == MANY_WORKERS);
+	check("connections of workers are kept up to their limit",
+	      kept_open <= KEPT_WORKER_CONNECTIONS_MAX && kept_open > 0);
+	check("users are served besides many workers", send_request("GET", job_path, "") == 200);
 }
 
-/* It stands still past its session, with a heartbeat waiting: that must not get a 200. */
-static void test_frozen_leader(void)
+/* The leader is paused for longer than its session while a heartbeat waits: answering that with
+ * 200 would renew a lease that the leader may no longer grant. */
+static void test_paused_leader(void)
 {
 	kill(controller, SIGSTOP);
-	check("a leader that stood still past its hold renews no lease",
-	      heartbeat_while_frozen() == 503);
-	check("and serves users again", ask_until_served(job_path, SERVED_TRIES));
-	check("a done job stays done when aborted",
-	      ask("POST", "/v2/runs/job-000001/abort", "") == 200 && answer_says_done());
+	check("a leader paused past its session renews no lease", heartbeat_while_paused() == 503);
+	check("a leader that was paused serves users again",
+	      request_until_served(job_path, SERVED_TRIES));
+	check("a job that is done stays done when it is cancelled",
+	      send_request("POST", "/v2/runs/job-000001/abort", "") == 200 && answer_is_done());
 }
 
 static void test_stop(void)
 {
 	int status = 0;
 
-	check("still running", waitpid(controller, &status, WNOHANG) == 0);
+	check("the process is still running", waitpid(controller, &status, WNOHANG) == 0);
 	kill(controller, SIGTERM);
 	waitpid(controller, &status, 0);
-	check("stops when told to", WIFEXITED(status) && WEXITSTATUS(status) == 0);
+	check("SIGTERM ends the process with status 0",
+	      WIFEXITED(status) && WEXITSTATUS(status) == 0);
 	if (loopback_store_most_watches() > WATCHES_MAX)
-		check("a free place for a watch", false);
+		check("no more watches are open than allowed", false);
 }
 
 int main(int argc, char **argv)
@@ -471,7 +484,7 @@
 	loop = ev_default_loop(0);
 	port = free_port();
 	peer_port = free_port();
-	open_stand_ins();
+	open_servers();
 	close(mkstemp(path));
 	write_settings(path, &(struct ports){port, peer_port, cloud_port, store_port}, SOCKETS_MAX,
 		       "");
@@ -481,10 +494,10 @@
 	ev_timer_init(&tick, on_tick, TICK_S, TICK_S);
 	ev_timer_start(loop, &tick);
 	test_requests();
-	test_noise();
+	test_random_input();
 	test_job();
-	test_crowd();
-	test_frozen_leader();
+	test_many_workers();
+	test_paused_leader();
 	test_stop();
 	ws_client_free(client);
 	ev_timer_stop(loop, &tick);
@@ -492,6 +505,6 @@
 	ws_server_free(cloud);
 	json_decref(answer);
 	unlink(path);
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/soak_test.c
+++ b/tests/soak_test.c
@@ -1,46 +1,46 @@
 /*
- * Three controllers, as processes, for as long as is asked: two teams are kept at their limits,
- * jobs are cancelled, controllers are killed and frozen, the store refuses or answers late, and
- * heartbeats, their answers and direct commands come late or again. At every start and every tick
- * the rules are checked: limits, no task twice, nothing cancelled goes on for too long; in the end
- * every job is answered for. The first break ends the run, and is told with the seed, the last
- * events and the last lines of the controllers' logs.
- * soak_test WAYSTEP SUBSYSTEMS SECONDS SEED.
+ * Soak test of three controller processes: the demand keeps two teams at their limits, jobs are
+ * cancelled, controllers are killed and paused, the store is unavailable or slow, and heartbeats,
+ * their answers and direct commands are delayed or duplicated. Each start of a task and each tick
+ * checks the invariants: no team exceeds its limit, no task runs twice, no cancelled task runs for
+ * too long. In the end every job must be done or cancelled. The first violation ends the run; it is
+ * printed with the seed, the last events and the last lines of the controllers' logs.
+ * Usage: soak_test WAYSTEP SUBSYSTEMS SECONDS SEED.
  */
 #include "check.h"
 #include "loopback.h"
 #include <stdio.h>
 #include <stdlib.h>
 
-#define UNFINISHED_JOBS 8 /* of each team, kept so many */
+#define UNFINISHED_JOBS 8 /* kept for each team */
 #define TASKS_MAX 5
 #define RUN_MAX_S 4.0
 #define CANCELLED_SHARE 0.3
 #define STEP_MAX_S 2.0
-/* All controllers are down for so long at most: longer than leaders are proven to have lived, and
- * than leases. */
+/* Longest time that all controllers are down: longer than a lease, and longer than the proof of an
+ * earlier leader stays valid. */
 #define DOWN_MAX_S (1.2 * LOOPBACK_LEASE_S)
 #define SETTLE_S 90.0
-/* A limit that no number of tasks of 4 CPUs meets. */
+/* No number of tasks with 4 CPUs adds up to this limit. */
 #define LIMIT_CPUS 22
 
-static unsigned draw(unsigned below)
+static unsigned random_below(unsigned below)
 {
 	return (unsigned)(loopback_random() * below);
 }
 
-/* Keeps a team's queue filled, so that what comes free is taken at once. */
-static void submit_some(const struct loopback_team *team)
+/* Keeps jobs of a team waiting, so that released capacity is reused at once. */
+static void submit_jobs(const struct loopback_team *team)
 {
 	while (loopback_unfinished(team) < UNFINISHED_JOBS) {
-		double cpus = draw(3) ? 4 : 1 + draw(3);
+		double cpus = random_below(3) ? 4 : 1 + random_below(3);
 
-		loopback_submit_for(team, 1 + draw(TASKS_MAX), cpus,
+		loopback_submit_for(team, 1 + random_below(TASKS_MAX), cpus,
 				    0.5 + RUN_MAX_S * loopback_random());
 	}
 }
 
-static void cancel_some(void)
+static void cancel_jobs(void)
 {
 	unsigned count;
 	struct loopback_job *jobs = loopback_jobs(&count);
@@ -48,77 +48,77 @@
 	for (unsigned i = 0; i < count; i++)
 		if (jobs[i].accepted && !jobs[i].done && !jobs[i].to_cancel &&
 		    loopback_random() < CANCELLED_SHARE / UNFINISHED_JOBS) {
-			loopback_event("%s is to be cancelled", jobs[i].id);
+			loopback_event("%s: cancellation requested", jobs[i].id);
 			loopback_cancel(&jobs[i]);
 		}
 }
 
-static bool is_broken(void)
+static bool is_violated(void)
 {
 	return loopback_break() != NULL;
 }
 
 /* ---- faults of controllers ---- */
 
-static bool down[LOOPBACK_NODES], frozen[LOOPBACK_NODES];
+static bool down[LOOPBACK_NODES], paused[LOOPBACK_NODES];
 
 static void kill_node(int node)
 {
-	loopback_event("node-%d is killed", node);
+	loopback_event("node-%d killed", node);
 	loopback_kill_node(node);
 	down[node] = true;
-	frozen[node] = false;
+	paused[node] = false;
 }
 
-static void freeze_node(int node)
+static void pause_node(int node)
 {
 	if (down[node])
 		return;
-	loopback_event("node-%d is frozen", node);
+	loopback_event("node-%d paused", node);
 	loopback_freeze_node(node, true);
-	frozen[node] = true;
+	paused[node] = true;
 }
 
-static void bring_back(int node)
+static void restore_node(int node)
 {
-	if (frozen[node])
+	if (paused[node])
 		loopback_freeze_node(node, false);
 	if (down[node])
 		loopback_start_node(node);
-	if (frozen[node] || down[node])
-		loopback_event("node-%d is back", node);
-	frozen[node] = down[node] = false;
+	if (paused[node] || down[node])
+		loopback_event("node-%d resumed or restarted", node);
+	paused[node] = down[node] = false;
 }
 
-static void bring_back_all(void)
+static void restore_all_nodes(void)
 {
 	for (int i = 0; i < LOOPBACK_NODES; i++)
-		bring_back(i);
+		restore_node(i);
 }
 
 static void controller_fault(void)
 {
-	int node = (int)draw(LOOPBACK_NODES);
+	int node = (int)random_below(LOOPBACK_NODES);
 
-	switch (draw(12)) {
+	switch (random_below(12)) {
 	case 0:
 	case 1:
 		for (int i = 0; i < LOOPBACK_NODES; i++)
 			kill_node(i);
-		loopback_until(is_broken, DOWN_MAX_S * loopback_random());
-		bring_back_all();
+		loopback_until(is_violated, DOWN_MAX_S * loopback_random());
+		restore_all_nodes();
 		break;
 	case 2: kill_node(node); break;
-	case 3: freeze_node(node); break;
-	default: bring_back_all(); break;
+	case 3: pause_node(node); break;
+	default: restore_all_nodes(); break;
 	}
 }
 
-/* ---- faults of messages and store ---- */
+/* ---- faults of messages and the store ---- */
 
 static double draw_share(unsigned percent_on, double most)
 {
-	return draw(100) < percent_on ? most * loopback_random() : 0;
+	return random_below(100) < percent_on ? most * loopback_random() : 0;
 }
 
 static void message_faults(void)
@@ -134,15 +134,15 @@
 		       loopback_faults.slow_answers, loopback_faults.heartbeat_copies,
 		       loopback_faults.copies_for_next, loopback_faults.late_commands,
 		       loopback_faults.lost_answers, loopback_faults.late_store_requests);
-	if (draw(6))
+	if (random_below(6))
 		return;
-	loopback_event("the store refuses");
+	loopback_event("store unavailable");
 	loopback_faults.store_refuses_until = loopback_now() + 4 * loopback_random();
 }
 
-static bool settled(void)
+static bool is_settled(void)
 {
-	return is_broken() ||
+	return is_violated() ||
 	       loopback_unfinished(&loopback_teams[0]) + loopback_unfinished(&loopback_teams[1]) ==
 		   0;
 }
@@ -151,34 +151,34 @@
 {
 	double end = loopback_now() + seconds;
 
-	while (loopback_now() < end && !is_broken()) {
+	while (loopback_now() < end && !is_violated()) {
 		for (int i = 0; i < LOOPBACK_TEAMS; i++)
-			submit_some(&loopback_teams[i]);
-		cancel_some();
+			submit_jobs(&loopback_teams[i]);
+		cancel_jobs();
 		controller_fault();
-		if (!draw(4))
+		if (!random_below(4))
 			message_faults();
-		loopback_until(is_broken, STEP_MAX_S * loopback_random());
+		loopback_until(is_violated, STEP_MAX_S * loopback_random());
 	}
-	loopback_event("faults end");
+	loopback_event("faults ended");
 	loopback_faults = (struct loopback_faults){0};
-	bring_back_all();
-	loopback_until(settled, SETTLE_S);
+	restore_all_nodes();
+	loopback_until(is_settled, SETTLE_S);
 }
 
 static void check_answers(void)
 {
-	unsigned count, forgotten = 0, back = 0, open = 0;
+	unsigned count, unknown = 0, contradictions = 0, unfinished = 0;
 	const struct loopback_job *jobs = loopback_jobs(&count);
 
 	for (unsigned i = 0; i < count; i++) {
-		forgotten += jobs[i].forgotten;
-		back += jobs[i].went_back;
-		open += !jobs[i].done && !jobs[i].cancelled_at;
+		unknown += jobs[i].forgotten;
+		contradictions += jobs[i].went_back;
+		unfinished += !jobs[i].done && !jobs[i].cancelled_at;
 	}
-	check("no job is forgotten", forgotten == 0);
-	check("no answer is older than one before", back == 0);
-	check("every job is done or cancelled", open == 0);
+	check("no accepted job is reported as unknown", unknown == 0);
+	check("no answer contradicts an earlier one", contradictions == 0);
+	check("every job is done or cancelled", unfinished == 0);
 	printf("%u jobs, %u starts, %u tasks lost\n", count, loopback_counts()->starts,
 	       loopback_counts()->lost);
 }
@@ -196,13 +196,15 @@
 	loopback_leave_on_signals();
 	loopback_run(1);
 	soak(atof(argv[3]));
-	check("no rule is broken", !is_broken());
+	check("no invariant is violated", !is_violated());
 	check_answers();
-	if (bad) {
-		printf("seed %s: %s\n", argv[4], is_broken() ? loopback_break() : "not settled");
+	if (failed_checks) {
+		printf("seed %s: %s\n", argv[4],
+		       is_violated() ? loopback_break()
+				     : "jobs are not finished or answers are wrong");
 		loopback_print_account();
 	}
 	loopback_stop();
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
--- a/tests/stored_records_test.c
+++ b/tests/stored_records_test.c
@@ -1,12 +1,12 @@
 /*
- * Records of a store, from a file: each is decoded and encoded again, and must have the same bytes.
- * Its one argument is the path of that file.
+ * Round trip of stored records: each record of a file is decoded and encoded again, and must keep
+ * its bytes. The only argument is the path of the file.
  */
 #include "../src/core/core_state.h"
 #include "check.h"
 
-#define FIXTURE_LIMIT (1 << 20) /* bytes of a value: room for all of a record */
-#define FIXTURE_SPLIT_LIMIT 960 /* of the records that were split: values of 1 KiB */
+#define FIXTURE_LIMIT (1 << 20) /* bytes of a value; no record is split */
+#define FIXTURE_SPLIT_LIMIT 960 /* bytes; the split records were written for values of 1 KiB */
 #define FIXTURE_ATTEMPTS_MAX 1000
 #define FIXTURE_RECORDS_MIN 100
 
@@ -21,7 +21,7 @@
 	size_t count;
 };
 
-/* Lines "key value"; those that begin with # are comments. */
+/* Reads lines of the form "key value"; lines that begin with # are comments. */
 static struct stored_records fixture_read(const char *path)
 {
 	struct stored_records stored = {0};
@@ -59,7 +59,7 @@
 	free(stored->records);
 }
 
-/* Whether a value that was encoded again has the bytes of the record; takes the value. */
+/* Returns whether a value encodes to the bytes of the record. Releases the value. */
 static bool same_bytes(const struct stored_record *record, json_t *encoded)
 {
 	char *text = encoded ? json_dumps(encoded, JSON_COMPACT) : NULL;
@@ -72,7 +72,7 @@
 	return same;
 }
 
-/* A job with the attempts that its record names, and the machines that these are on. */
+/* A decoded job with the attempts in its record and the machines that they run on. */
 struct decoded_job {
 	struct ws_job *job;
 	struct ws_attempt attempts[FIXTURE_ATTEMPTS_MAX];
@@ -80,7 +80,7 @@
 	int machine_count, zone_count;
 };
 
-/* Zones are numbered in the order in which the record names them; one without a name is unknown. */
+/* Numbers zones in the order in which the record names them. Returns -1 for an empty name. */
 static int decoded_zone(struct decoded_job *decoded, const char *zone)
 {
 	for (int i = 0; i < decoded->machine_count; i++)
@@ -90,17 +90,17 @@
 }
 
 static struct ws_machine *decoded_machine(struct decoded_job *decoded,
-					  const struct ws_recorded_attempt *assigned)
+					  const struct ws_recorded_attempt *recorded)
 {
 	struct ws_machine *machine;
 
 	for (int i = 0; i < decoded->machine_count; i++)
-		if (!strcmp(decoded->machines[i].name, assigned->machine))
+		if (!strcmp(decoded->machines[i].name, recorded->machine))
 			return &decoded->machines[i];
 	machine = &decoded->machines[decoded->machine_count];
-	machine->zone_index = decoded_zone(decoded, assigned->zone);
-	snprintf(machine->name, sizeof(machine->name), "%s", assigned->machine);
-	snprintf(machine->zone, sizeof(machine->zone), "%s", assigned->zone);
+	machine->zone_index = decoded_zone(decoded, recorded->zone);
+	snprintf(machine->name, sizeof(machine->name), "%s", recorded->machine);
+	snprintf(machine->zone, sizeof(machine->zone), "%s", recorded->zone);
 	decoded->machine_count++;
 	return machine;
 }
@@ -150,16 +150,17 @@
 	return same;
 }
 
-/* Cancels and splits the record before: it and its continuation records are those that follow. */
+/* Cancels and splits the job record `before`. The records that follow it in the file must be the
+ * result: the job record and its continuation records. */
 static bool split_keeps_bytes(const struct stored_record *before)
 {
-	enum { MOST = 7 };
-	json_t *continuations[MOST], *record = json_deep_copy(before->value);
+	enum { CONTINUATIONS_MAX = 7 };
+	json_t *continuations[CONTINUATIONS_MAX], *record = json_deep_copy(before->value);
 	size_t count;
 	bool same;
 
 	ws_job_record_cancel(record);
-	ws_job_record_split(record, FIXTURE_SPLIT_LIMIT, continuations, MOST, &count);
+	ws_job_record_split(record, FIXTURE_SPLIT_LIMIT, continuations, CONTINUATIONS_MAX, &count);
 	same = count && ws_job_record_continuation_count(before[1].value) == count;
 	same &= same_bytes(&before[1], record);
 	for (size_t i = 0; i < count; i++)
@@ -217,7 +218,8 @@
 	return !strncmp(record->key, prefix, strlen(prefix));
 }
 
-/* A record of any kind. Continuation records are decoded here, and written with their job's. */
+/* Checks a record of any kind. Continuation records are only decoded here; split_keeps_bytes()
+ * checks their bytes together with the record of their job. */
 static bool keeps_bytes(const struct stored_record *record)
 {
 	if (has_prefix(record, WS_KEY_PREFIX_JOB))
@@ -246,7 +248,7 @@
 {
 	struct stored_records stored = fixture_read(path);
 
-	check("there are stored records of all kinds", stored.count >= FIXTURE_RECORDS_MIN);
+	check("the file has the minimum number of records", stored.count >= FIXTURE_RECORDS_MIN);
 	for (size_t i = 0; i < stored.count; i++) {
 		char what[WS_KEY_MAX + 64];
 
@@ -264,6 +266,6 @@
 		return 2;
 	}
 	stored_records(argv[1]);
-	printf("%d passed, %d failed\n", good, bad);
-	return bad != 0;
+	printf("%d passed, %d failed\n", passed_checks, failed_checks);
+	return failed_checks != 0;
 }
