--- a/tests/demo_cluster.c
+++ b/tests/demo_cluster.c
@@ -1,8 +1,8 @@
 /*
- * waystep for a newcomer: three real controllers, and stand-ins for all round them. Jobs run, all
- * controllers are killed and started again, and what happens is told as it goes. Called by
- * tools/try. Exit status 0 only if nothing healthy was started again: demo_cluster WAYSTEP
- * SUBSYSTEMS.
+ * Demo of waystep: three controller processes with simulated store, cloud, workers and users. Jobs
+ * run, all controllers are killed and started again, and the events are printed. tools/try runs
+ * this program. The exit status is 0 only if no task that was alive was restarted.
+ * Usage: demo_cluster WAYSTEP SUBSYSTEMS.
  */
 #include "loopback.h"
 #include <stdio.h>
@@ -11,7 +11,7 @@
 #define ARRAYS 3
 #define TASKS 2
 #define REPLICAS 3
-#define ALL (ARRAYS * TASKS + REPLICAS)
+#define ALL_TASKS (ARRAYS * TASKS + REPLICAS)
 #define RUN_S 20.0
 #define DOWN_S 2.0
 
@@ -22,18 +22,18 @@
 
 static bool all_run(void)
 {
-	return running() == ALL;
+	return running() == ALL_TASKS;
 }
 
-static long long began; /* the term that began the cold start before */
+static long long previous_cold_start_term; /* term of the cold start recorded before the kill */
 
-/* Prints the phase of the cold start each time it changes; returns whether it has ended. */
+/* Prints the phase of the cold start whenever it changes. Returns whether the cold start ended. */
 static bool cold_start_ended(void)
 {
 	static char last_phase[32];
 	const char *phase = loopback_record_text("coldstart/phase", "phase");
 
-	if (loopback_record_count("coldstart/phase", "began") == began)
+	if (loopback_record_count("coldstart/phase", "began") == previous_cold_start_term)
 		return false;
 	if (strcmp(last_phase, phase) != 0) {
 		snprintf(last_phase, sizeof(last_phase), "%s", phase);
@@ -47,10 +47,11 @@
 	unsigned count;
 	const struct loopback_job *jobs = loopback_jobs(&count);
 
-	for (int w = 0; w < LOOPBACK_WORKERS; w++) {
-		printf("  %s (zone %c):", loopback_worker_name(w), 'a' + w % LOOPBACK_NODES);
+	for (int worker = 0; worker < LOOPBACK_WORKERS; worker++) {
+		printf("  %s (zone %c):", loopback_worker_name(worker),
+		       'a' + worker % LOOPBACK_NODES);
 		for (unsigned i = 0; i < count; i++) {
-			unsigned tasks = loopback_running_on(w, jobs[i].id);
+			unsigned tasks = loopback_running_on(worker, jobs[i].id);
 
 			if (tasks)
 				printf(" %u of %s (%s)", tasks, jobs[i].id, jobs[i].job_class);
@@ -59,7 +60,7 @@
 	}
 }
 
-static void tell_account(void)
+static void print_account(void)
 {
 	char text[2000], *line, *rest = text;
 
@@ -69,22 +70,22 @@
 			printf("  | %s\n", line);
 }
 
-static void tell_ends(void)
+static void print_job_states(void)
 {
 	unsigned count;
 	const struct loopback_job *jobs = loopback_jobs(&count);
 
 	for (unsigned i = 0; i < count; i++)
 		printf("  %s (%s): %s\n", jobs[i].id, jobs[i].job_class,
-		       jobs[i].service ? "a service, runs on"
+		       jobs[i].service ? "service, keeps running"
 		       : jobs[i].done  ? "done"
 				       : "NOT DONE");
 }
 
-/* Starts the cluster and its jobs; whether all of them run. */
-static bool begin(const char *waystep, const char *subsystems)
+/* Starts the cluster and its jobs. Returns false if not all tasks start. */
+static bool start_cluster(const char *waystep, const char *subsystems)
 {
-	printf("Three controllers, six workers in three zones, all on this machine's loopback.\n");
+	printf("Three controllers and six workers in three zones, on the loopback interface.\n");
 	loopback_start(waystep, subsystems);
 	loopback_leave_on_signals();
 	loopback_submit("portal", REPLICAS, true, 0);
@@ -100,47 +101,46 @@
 	return true;
 }
 
-/* Kills all controllers and starts them again; whether nothing healthy was touched. */
+/* Kills all controllers and starts them again. Returns true if no live task was stopped, lost or
+ * started again. */
 static bool cold_start(void)
 {
 	const struct loopback_counts before = *loopback_counts(), *now = loopback_counts();
 	unsigned run_commands, stop_commands;
 
-	printf(
-	    "All controllers are killed, and started again %.0f s later (the lease is %.0f s):\n",
-	    DOWN_S, LOOPBACK_LEASE_S);
-	began = loopback_record_count("coldstart/phase", "began");
+	printf("All controllers are killed and started again after %.0f s (the lease is %.0f s):\n",
+	       DOWN_S, LOOPBACK_LEASE_S);
+	previous_cold_start_term = loopback_record_count("coldstart/phase", "began");
 	loopback_kill_all();
 	loopback_run(DOWN_S);
 	loopback_start_all();
 	loopback_until(cold_start_ended, 2 * LOOPBACK_LEASE_S);
 	loopback_run(LOOPBACK_HEARTBEAT_S);
-	printf("What waystep --cold-start shows:\n");
-	tell_account();
+	printf("Output of waystep --cold-start:\n");
+	print_account();
 	run_commands = now->run_commands - before.run_commands;
 	stop_commands = now->stop_commands - before.stop_commands;
-	printf("Orders since the kill: %u to run, %u to stop, %u to reap; tasks lost: %u\n",
-	       run_commands, stop_commands, now->reap_commands - before.reap_commands,
-	       now->lost - before.lost);
+	printf("Commands since the kill: %u run, %u stop, %u reap; tasks lost: %u\n", run_commands,
+	       stop_commands, now->reap_commands - before.reap_commands, now->lost - before.lost);
 	print_running();
 	return !run_commands && !stop_commands && now->lost == before.lost && all_run();
 }
 
 int main(int argc, char **argv)
 {
-	bool good;
+	bool succeeded;
 
 	if (argc != 3)
 		return 2;
 	setvbuf(stdout, NULL, _IOLBF, 0);
-	good = begin(argv[1], argv[2]) && cold_start();
-	if (good)
-		good = loopback_until(loopback_all_done, 2 * RUN_S);
-	printf("How the jobs ended:\n");
-	tell_ends();
-	good = good && !loopback_counts()->twice;
-	printf("%s\n", good ? "Nothing that was healthy was started again."
-			    : "THAT WENT WRONG: see above.");
+	succeeded = start_cluster(argv[1], argv[2]) && cold_start();
+	if (succeeded)
+		succeeded = loopback_until(loopback_all_done, 2 * RUN_S);
+	printf("State of the jobs:\n");
+	print_job_states();
+	succeeded = succeeded && !loopback_counts()->twice;
+	printf("%s\n", succeeded ? "No task that was alive was restarted."
+				 : "FAILED: see the output above.");
 	loopback_stop();
-	return !good;
+	return !succeeded;
 }
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -1,4 +1,5 @@
-/* A whole cluster on loopback sockets: the controller processes, and the stand-ins' common loop. */
+/* A cluster on loopback sockets: the controller processes and the event loop of the simulated
+ * services. */
 #include "loopback_parts.h"
 #include "ports.h"
 #include <fcntl.h>
@@ -6,7 +7,7 @@
 #include <sys/wait.h>
 
 #define TICK_S 0.05
-/* Requests of users that wait for a connection to one node. */
+/* Limit of user requests that wait for a connection to a node. */
 #define USER_REQUESTS 64
 
 const char *const loopback_zones[LOOPBACK_NODES] = {"a", "b", "c"};
@@ -111,7 +112,7 @@
 		loopback_start_node(i);
 }
 
-void loopback_start(const char *binary, const char *switches)
+void loopback_start(const char *program_path, const char *subsystem_settings)
 {
 	static const struct ws_http_server_options options = {
 	    .max = 200, .backlog = 64, .keep = {200, 200, 200}, .idle = {60, 60, 60}, .slow = 60};
@@ -119,8 +120,8 @@
 	    .max_conns = 4, .max_queue = USER_REQUESTS, .max_reply = 65536};
 
 	signal(SIGPIPE, SIG_IGN);
-	program = binary;
-	subsystems = switches;
+	program = program_path;
+	subsystems = subsystem_settings;
 	loop = ev_default_loop(0);
 	store = loopback_store_open(loop, &options);
 	cloud = loopback_cloud_open(loop, &options);
@@ -233,19 +234,19 @@
 	return loopback_record_text(key, "state");
 }
 
-int loopback_command(const char *option, const char *argument, char *line, unsigned size)
+int loopback_command(const char *option, const char *argument, char *output, unsigned size)
 {
-	int ends[2], status = 0;
+	int pipe_fds[2], status = 0;
 	pid_t pid;
-	ssize_t got;
+	ssize_t length;
 
-	if (pipe(ends))
+	if (pipe(pipe_fds))
 		return -1;
 	pid = fork();
 	if (!pid) {
-		dup2(ends[1], STDOUT_FILENO);
-		close(ends[0]);
-		close(ends[1]);
+		dup2(pipe_fds[1], STDOUT_FILENO);
+		close(pipe_fds[0]);
+		close(pipe_fds[1]);
 		if (argument)
 			execl(program, program, option, argument, "--config",
 			      loopback_nodes[0].file, (char *)NULL);
@@ -254,11 +255,11 @@
 			      (char *)NULL);
 		_exit(99);
 	}
-	close(ends[1]);
-	while (waitpid(pid, &status, WNOHANG) == 0) /* it talks to our store */
+	close(pipe_fds[1]);
+	while (waitpid(pid, &status, WNOHANG) == 0) /* serves its requests */
 		ev_run(loop, EVRUN_ONCE);
-	got = read(ends[0], line, size - 1);
-	line[got > 0 ? got : 0] = 0;
-	close(ends[0]);
+	length = read(pipe_fds[0], output, size - 1);
+	output[length > 0 ? length : 0] = 0;
+	close(pipe_fds[0]);
 	return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -1,6 +1,6 @@
 /*
- * A whole cluster on loopback sockets for one test process: stand-ins for store, cloud,
- * workers and users round real controller processes, and the history of what ran where.
+ * A cluster on loopback sockets for one test process: real controller processes with simulated
+ * store, cloud, workers and users, and a history of the tasks.
  */
 #ifndef WS_TEST_LOOPBACK_H
 #define WS_TEST_LOOPBACK_H
@@ -12,7 +12,7 @@
 #define LOOPBACK_JOBS 16384
 #define LOOPBACK_TEAMS 2
 
-/* Figures of the settings that the controllers are started with. */
+/* Values in the settings of the controllers. */
 #define LOOPBACK_HEARTBEAT_S 0.5
 #define LOOPBACK_LEASE_S 6.0
 #define LOOPBACK_CANCEL_S 20.0
@@ -21,7 +21,8 @@
 	const char *name;
 	double cpus_max;
 };
-extern struct loopback_team loopback_teams[LOOPBACK_TEAMS]; /* may be set before the start */
+/* The limits may be changed before loopback_start(). */
+extern struct loopback_team loopback_teams[LOOPBACK_TEAMS];
 
 struct loopback_job {
 	char id[32];
@@ -32,95 +33,101 @@
 	bool service;
 	double run_s;
 	bool accepted, done;
-	unsigned answers_done; /* polls that said done */
-	bool went_back;	       /* an answer after done or cancelled said otherwise */
-	bool forgotten;	       /* an answer after it was accepted said that it is unknown */
-	bool asking;	       /* a poll or cancellation has no answer yet */
-	bool to_cancel;	       /* its user asks for that until it is answered */
-	double cancelled_at;   /* when its user was told so; 0: it is not */
+	unsigned answers_done; /* number of answers with the phase done */
+	bool went_back;	       /* an answer contradicts an earlier one or the requests */
+	bool forgotten;	       /* an answer after its acceptance was 404 */
+	bool asking;	       /* a poll or a cancellation is unanswered */
+	bool to_cancel;	       /* its user requests the cancellation until it is answered */
+	double cancelled_at;   /* time of the answer; 0: not cancelled */
 };
 
-/* Faults of the stand-ins: shares of the messages that they befall, all 0 at first. */
+/* Faults of the simulated services: the shares of messages that they affect, 0 at the start. */
 struct loopback_faults {
-	double slow_answers;	    /* answers to heartbeats reach their worker late */
-	double heartbeat_copies;    /* heartbeats come again, later, at any node */
-	double copies_for_next;	    /* or at all nodes, when the next leader begins */
-	double late_commands;	    /* direct commands arrive after their sender gave up */
+	double slow_answers;	    /* answers to heartbeats are delayed */
+	double heartbeat_copies;    /* heartbeats are sent again later, to any node */
+	double copies_for_next;	    /* the same to all nodes after the next election */
+	double late_commands;	    /* direct commands arrive after the timeout of their sender */
 	double lost_answers;	    /* answers to direct commands are lost */
-	double late_store_requests; /* the store carries them out late */
-	double store_refuses_until; /* it answers 503 until this time */
+	double late_store_requests; /* the store executes requests late */
+	double store_refuses_until; /* the store answers 503 until this time */
 };
 extern struct loopback_faults loopback_faults;
 
-/* What was seen, over the whole run. */
+/* Counts over the whole run. */
 struct loopback_counts {
-	unsigned starts, finishes, lost, twice; /* twice: started while on another machine */
+	/* twice: started while running on another machine */
+	unsigned starts, finishes, lost, twice;
 	unsigned run_commands, stop_commands, reap_commands;
 };
 
-/* Starts the stand-ins and the controllers, with a settings file of the subsystems; NULL: none. */
-void loopback_start(const char *program, const char *subsystems);
-/* Before the start: the controllers' logs go to files, for the account of a break. */
+/* Starts the simulated services and the controllers. `subsystem_settings` is the settings file
+ * of the subsystems, or NULL. */
+void loopback_start(const char *program_path, const char *subsystem_settings);
+/* Writes the controllers' logs to files for diagnostics; to be called before loopback_start(). */
 void loopback_keep_logs(void);
 void loopback_stop(void);
-/* SIGINT and SIGTERM end the controllers, remove their files, and end this process. */
+/* Installs handlers of SIGINT and SIGTERM that kill the controllers, remove their settings files
+ * and exit. */
 void loopback_leave_on_signals(void);
-/* The time, in seconds. */
+/* Returns the time in seconds. */
 double loopback_now(void);
-/* Runs the cluster for some seconds. */
+/* Runs the cluster for a time. */
 void loopback_run(double seconds);
-/* Runs until a condition holds, for some seconds at most; returns whether it does. */
+/* Runs the cluster until a condition holds. Returns false on a timeout after `seconds`. */
 bool loopback_until(bool (*condition)(void), double seconds);
 
+/* Submits a job of the first team. */
 struct loopback_job *loopback_submit(const char *job_class, unsigned tasks, bool service,
 				     double run_s);
-/* The same for a team, with tasks of so many CPUs. */
+/* Submits a job of a team, with this number of CPUs for each task. */
 struct loopback_job *loopback_submit_for(const struct loopback_team *team, unsigned tasks,
 					 double cpus, double run_s);
-/* Its user cancels it. */
+/* Makes the user of a job cancel it. */
 void loopback_cancel(struct loopback_job *job);
-/* Jobs of a team whose users were not told yet that they are over. */
+/* Returns the number of jobs of a team that no answer has called done or cancelled. */
 unsigned loopback_unfinished(const struct loopback_team *team);
-/* Its user sends it again, as if it had not been accepted. */
+/* Makes the user of a job submit it again, as if it had not been accepted. */
 void loopback_resubmit(struct loopback_job *job);
-/* The workers of a zone, by its index, neither send nor answer anything. */
+/* Sets whether the workers of a zone, by its index, are partitioned: they neither send heartbeats
+ * nor answer. */
 void loopback_dark(int zone, bool dark);
 void loopback_kill_node(int node);
 void loopback_start_node(int node);
 void loopback_kill_all(void);
-/* Stops a controller's process, or lets it go on. */
+/* Pauses or resumes a controller process. */
 void loopback_freeze_node(int node, bool frozen);
 void loopback_start_all(void);
-/* Tasks of a job that run on a worker now, by its index; what the worker is called. */
+/* Returns the number of running tasks of a job on a worker, by its index. */
 unsigned loopback_running_on(int worker, const char *job);
 const char *loopback_worker_name(int worker);
-/* Tasks that run in a zone now. */
+/* Returns the number of running tasks in a zone. */
 unsigned loopback_running(int zone);
-/* State on record of a domain; "" without one. */
+/* Returns the recorded state of a domain, "" if there is none. */
 const char *loopback_domain(const char *name);
+/* Returns the number of keys with a prefix. */
 unsigned loopback_keys(const char *prefix);
-/* A text and a count of a record; "" and 0 without one. */
+/* Returns a string or an integer of a record, "" or 0 if there is none. */
 const char *loopback_record_text(const char *key, const char *field);
 long long loopback_record_count(const char *key, const char *field);
-/* The store loses a record, as if it had never been written. */
+/* Deletes a record from the store, to simulate a loss of data. */
 void loopback_lose_record(const char *key);
 /*
- * Runs the program beside the controllers with an option, and an argument of it or NULL. The first
- * line that it prints goes to `line`; returns its exit status.
+ * Runs the program with an option and its argument, or NULL, while the controllers run. The
+ * beginning of its output goes to `output`. Returns its exit status, -1 on failure.
  */
-int loopback_command(const char *option, const char *argument, char *line, unsigned size);
-/* Something that was seen, for the account of a break. */
+int loopback_command(const char *option, const char *argument, char *output, unsigned size);
+/* Logs an event for diagnostics. */
 void loopback_event(const char *format, ...) __attribute__((format(printf, 1, 2)));
-/* A rule was broken: the first time, that is kept. */
+/* Reports the violation of an invariant. Only the first one is kept. */
 void loopback_broken(const char *format, ...) __attribute__((format(printf, 1, 2)));
-/* What was broken; NULL: nothing. */
+/* Returns the text of the first violation, NULL if there is none. */
 const char *loopback_break(void);
 /* Prints the last events and the last lines of the controllers' logs. */
 void loopback_print_account(void);
-/* A number from 0 up to 1, by srand48(). */
+/* Returns a random number from 0 up to but not including 1, seeded with srand48(). */
 double loopback_random(void);
 const struct loopback_counts *loopback_counts(void);
 struct loopback_job *loopback_jobs(unsigned *count);
-/* Whether the user of every job that ends was answered that it is done. */
+/* Returns true if every job that is not a service was answered as done. */
 bool loopback_all_done(void);
 #endif
--- a/tests/loopback_checks.c
+++ b/tests/loopback_checks.c
@@ -1,26 +1,26 @@
-/* The rules that the loopback cluster is checked by, and the account of a break. */
+/* Invariants of the loopback cluster, and diagnostics of a violation. */
 #include "loopback_parts.h"
 #include <stdarg.h>
 
-#define EVENTS 120
-#define EVENT_MAX 160
+#define EVENTS_MAX 120
+#define EVENT_LENGTH_MAX 160
 #define LOG_LINES 60
 #define CPU_TOLERANCE 1e-9
 
-static char events[EVENTS][EVENT_MAX];
+static char events[EVENTS_MAX][EVENT_LENGTH_MAX];
 static unsigned event_count;
-static char broken[EVENT_MAX];
-static double began_at;
+static char first_violation[EVENT_LENGTH_MAX];
+static double started_at;
 
 static void event_add(const char *format, va_list arguments)
 {
-	char *event = events[event_count++ % EVENTS];
+	char *event = events[event_count++ % EVENTS_MAX];
 	int length;
 
-	if (!began_at)
-		began_at = ws_now();
-	length = snprintf(event, EVENT_MAX, "%8.3f ", ws_now() - began_at);
-	vsnprintf(event + length, EVENT_MAX - (size_t)length, format, arguments);
+	if (!started_at)
+		started_at = ws_now();
+	length = snprintf(event, EVENT_LENGTH_MAX, "%8.3f ", ws_now() - started_at);
+	vsnprintf(event + length, EVENT_LENGTH_MAX - (size_t)length, format, arguments);
 }
 
 void loopback_event(const char *format, ...)
@@ -36,17 +36,18 @@
 {
 	va_list arguments;
 
-	if (broken[0])
+	if (first_violation[0])
 		return;
 	va_start(arguments, format);
 	event_add(format, arguments);
 	va_end(arguments);
-	snprintf(broken, sizeof(broken), "%s", events[(event_count - 1) % EVENTS]);
+	snprintf(first_violation, sizeof(first_violation), "%s",
+		 events[(event_count - 1) % EVENTS_MAX]);
 }
 
 const char *loopback_break(void)
 {
-	return broken[0] ? broken : NULL;
+	return first_violation[0] ? first_violation : NULL;
 }
 
 static void print_log(const struct loopback_node *node)
@@ -55,25 +56,25 @@
 
 	if (!node->log[0])
 		return;
-	printf("---- the last lines of %s\n", node->log);
+	printf("---- last lines of %s\n", node->log);
 	fflush(stdout);
 	snprintf(command, sizeof(command), "tail -n %d %s", LOG_LINES, node->log);
 	if (system(command))
-		printf("can't be read\n");
+		printf("cannot read %s\n", node->log);
 }
 
 void loopback_print_account(void)
 {
-	unsigned first = event_count > EVENTS ? event_count - EVENTS : 0;
+	unsigned first = event_count > EVENTS_MAX ? event_count - EVENTS_MAX : 0;
 
 	for (unsigned i = first; i < event_count; i++)
-		printf("%s\n", events[i % EVENTS]);
+		printf("%s\n", events[i % EVENTS_MAX]);
 	for (int i = 0; i < LOOPBACK_NODES; i++)
 		print_log(&loopback_nodes[i]);
 }
 
-/* CPUs of a team's tasks that run. */
-static double team_use(const struct loopback_team *team)
+/* Returns the CPUs of a team's running tasks. */
+static double used_cpus(const struct loopback_team *team)
 {
 	double cpus = 0;
 
@@ -88,8 +89,9 @@
 	return cpus;
 }
 
-/* The rule: a task starts on one machine only. */
-static void check_alone(const struct loopback_worker *worker, const struct loopback_task *started)
+/* Reports a violation if the started task is running on another machine. */
+static void check_single_start(const struct loopback_worker *worker,
+			       const struct loopback_task *started)
 {
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
 		for (unsigned k = 0; k < loopback_workers[i].count; k++) {
@@ -99,7 +101,7 @@
 			    other->number != started->number || strcmp(other->job, started->job))
 				continue;
 			loopback_count.twice++;
-			loopback_broken("%s/%u starts on %s while on %s", started->job,
+			loopback_broken("%s/%u starts on %s while it runs on %s", started->job,
 					started->number, worker->name, loopback_workers[i].name);
 		}
 }
@@ -107,15 +109,16 @@
 void loopback_check_start(const struct loopback_worker *worker, const struct loopback_task *task)
 {
 	const struct loopback_job *job = loopback_job_of(task->job);
-	double use = team_use(job->team);
+	double cpus_used = used_cpus(job->team);
 
-	loopback_event("%s/%u runs on %s, attempt %llu, team %s uses %.0f of %.0f", task->job,
+	loopback_event("%s/%u runs on %s, attempt %llu, team %s uses %.0f of %.0f CPUs", task->job,
 		       task->number, worker->name, (unsigned long long)task->attempt,
-		       job->team->name, use, job->team->cpus_max);
-	check_alone(worker, task);
-	if (use > job->team->cpus_max + CPU_TOLERANCE)
-		loopback_broken("team %s uses %.0f of %.0f with %s/%u on %s", job->team->name, use,
-				job->team->cpus_max, task->job, task->number, worker->name);
+		       job->team->name, cpus_used, job->team->cpus_max);
+	check_single_start(worker, task);
+	if (cpus_used > job->team->cpus_max + CPU_TOLERANCE)
+		loopback_broken("team %s uses %.0f of %.0f CPUs with %s/%u on %s", job->team->name,
+				cpus_used, job->team->cpus_max, task->job, task->number,
+				worker->name);
 }
 
 void loopback_check_cancelled(void)
@@ -127,7 +130,7 @@
 
 			if (task->state == LOOPBACK_RUNNING && job && job->cancelled_at > 0 &&
 			    ws_now() > job->cancelled_at + LOOPBACK_CANCEL_S)
-				loopback_broken("%s/%u is on %s %.1f s after it was cancelled",
+				loopback_broken("%s/%u runs on %s %.1f s after it was cancelled",
 						task->job, task->number, loopback_workers[i].name,
 						ws_now() - job->cancelled_at);
 		}
--- a/tests/loopback_cloud.c
+++ b/tests/loopback_cloud.c
@@ -1,4 +1,5 @@
-/* The loopback cluster's cloud: the workers are owned, and there is no capacity to scale out. */
+/* The cloud of the loopback cluster: it lists the workers as running instances and has no capacity
+ * to scale out. */
 #include "loopback_parts.h"
 
 static struct ws_http_server *cloud;
--- a/tests/loopback_faults.c
+++ b/tests/loopback_faults.c
@@ -1,19 +1,19 @@
-/* Faults of the loopback cluster: messages that are held back and arrive late. */
+/* Faults of the loopback cluster: messages that are delayed. */
 #include "loopback_parts.h"
 #include <math.h>
 
-/* Of a leader, from its election on. */
-#define FIRST_MOMENTS_S 0.3
+/* Messages held until an election are delivered within this time after it. */
+#define AFTER_ELECTION_MAX_S 0.3
 
 struct loopback_faults loopback_faults;
 
-struct held_message {
+struct delayed_message {
 	double due_at;
 	loopback_deliver_fn deliver;
-	struct loopback_message message; /* owns its texts */
-	struct held_message *next;
+	struct loopback_message message; /* owns its strings */
+	struct delayed_message *next;
 };
-static struct held_message *held;
+static struct delayed_message *delayed_messages;
 
 double loopback_random(void)
 {
@@ -28,7 +28,7 @@
 void loopback_hold(const struct loopback_message *message, double seconds,
 		   loopback_deliver_fn deliver)
 {
-	struct held_message *copy = calloc(1, sizeof(*copy));
+	struct delayed_message *copy = calloc(1, sizeof(*copy));
 
 	copy->due_at = ws_now() + seconds;
 	copy->deliver = deliver;
@@ -36,8 +36,8 @@
 	copy->message.method = strdup(message->method ? message->method : "");
 	copy->message.path = strdup(message->path ? message->path : "");
 	copy->message.body = strndup(message->body ? message->body : "", message->length);
-	copy->next = held;
-	held = copy;
+	copy->next = delayed_messages;
+	delayed_messages = copy;
 }
 
 void loopback_hold_for_leader(const struct loopback_message *message, loopback_deliver_fn deliver)
@@ -47,12 +47,12 @@
 
 void loopback_leader_began(void)
 {
-	for (struct held_message *message = held; message; message = message->next)
+	for (struct delayed_message *message = delayed_messages; message; message = message->next)
 		if (isinf(message->due_at))
-			message->due_at = ws_now() + FIRST_MOMENTS_S * loopback_random();
+			message->due_at = ws_now() + AFTER_ELECTION_MAX_S * loopback_random();
 }
 
-static void held_free(struct held_message *message)
+static void delayed_message_free(struct delayed_message *message)
 {
 	free((char *)message->message.method);
 	free((char *)message->message.path);
@@ -60,12 +60,12 @@
 	free(message);
 }
 
-/* Takes out one that is due; NULL: none is. */
-static struct held_message *take_due(void)
+/* Removes a message that is due from the list. Returns NULL if none is due. */
+static struct delayed_message *remove_due(void)
 {
-	for (struct held_message **link = &held; *link; link = &(*link)->next)
+	for (struct delayed_message **link = &delayed_messages; *link; link = &(*link)->next)
 		if ((*link)->due_at <= ws_now()) {
-			struct held_message *due = *link;
+			struct delayed_message *due = *link;
 
 			*link = due->next;
 			return due;
@@ -75,20 +75,20 @@
 
 void loopback_held_step(void)
 {
-	struct held_message *due;
+	struct delayed_message *due;
 
-	while ((due = take_due())) {
+	while ((due = remove_due())) {
 		due->deliver(&due->message);
-		held_free(due);
+		delayed_message_free(due);
 	}
 }
 
 void loopback_held_drop(void)
 {
-	while (held) {
-		struct held_message *next = held->next;
+	while (delayed_messages) {
+		struct delayed_message *next = delayed_messages->next;
 
-		held_free(held);
-		held = next;
+		delayed_message_free(delayed_messages);
+		delayed_messages = next;
 	}
 }
--- a/tests/loopback_parts.h
+++ b/tests/loopback_parts.h
@@ -1,4 +1,4 @@
-/* What the stand-ins of the loopback cluster share. */
+/* Declarations shared by the parts of the loopback cluster. */
 #ifndef WS_TEST_LOOPBACK_PARTS_H
 #define WS_TEST_LOOPBACK_PARTS_H
 #include "../src/io/clock.h"
@@ -30,7 +30,7 @@
 	struct ws_http_server *server;
 	struct ws_http_client *clients[LOOPBACK_NODES];
 	uint64_t incarnation, sequence, fencing_token;
-	uint64_t sent_incarnation; /* of the last heartbeat */
+	uint64_t sent_incarnation; /* incarnation in the last heartbeat */
 	double answered_sent, sent_at, next_heartbeat_at;
 	bool heartbeat_pending, dark;
 	struct loopback_task tasks[LOOPBACK_TASKS];
@@ -49,10 +49,10 @@
 extern struct loopback_node loopback_nodes[LOOPBACK_NODES];
 extern struct loopback_counts loopback_count;
 
-/* Answers a request and drops the body. */
+/* Answers a request and releases the body. */
 void loopback_answer(struct ws_http_server *server, uint64_t request_id, int status, json_t *body);
 
-/* loopback_faults.c: messages that are held back */
+/* loopback_faults.c: delayed messages */
 struct loopback_message {
 	void *context;
 	uint64_t id;
@@ -61,20 +61,21 @@
 	size_t length;
 };
 typedef void (*loopback_deliver_fn)(const struct loopback_message *message);
-/* Whether a fault that befalls such a share of messages befalls one now. */
+/* Returns true with this probability: whether a fault applies to the current message. */
 bool loopback_befalls(double share);
-/* Delivers a copy of a message after some seconds. */
+/* Delivers a copy of a message after this delay. */
 void loopback_hold(const struct loopback_message *message, double seconds,
 		   loopback_deliver_fn deliver);
-/* The same, but when the next leader begins. */
+/* Delivers a copy of a message shortly after the next election of a leader. */
 void loopback_hold_for_leader(const struct loopback_message *message, loopback_deliver_fn deliver);
-/* A leader was elected: what was held for it is delivered in its first moments. */
+/* Schedules the messages that wait for the election of a leader. */
 void loopback_leader_began(void);
-/* Delivers what is due. */
+/* Delivers the messages that are due. */
 void loopback_held_step(void);
+/* Discards all delayed messages. */
 void loopback_held_drop(void);
 
-/* loopback_checks.c: the rules; each break is reported to loopback_broken() */
+/* loopback_checks.c: the invariants; each check reports violations */
 void loopback_check_start(const struct loopback_worker *worker, const struct loopback_task *task);
 void loopback_check_cancelled(void);
 
@@ -82,13 +83,13 @@
 struct ws_http_server *loopback_store_open(struct ev_loop *loop,
 					   const struct ws_http_server_options *options);
 void loopback_store_close(void);
-/* Ends sessions that were not renewed, answers watches. */
+/* Ends expired sessions and answers watches. */
 void loopback_store_step(void);
-/* Answers watches that have something to tell or are over. */
+/* Answers watches that have changes to deliver or have timed out. */
 void loopback_store_wake_watches(void);
-/* How many watches were open at once, at most. */
+/* Returns the largest number of watches that were open at once. */
 unsigned loopback_store_most_watches(void);
-/* The value on record; NULL: there is none. */
+/* Returns the value of a record, NULL if there is none. */
 json_t *loopback_record(const char *key);
 
 /* loopback_cloud.c: a cloud without capacity to scale out */
@@ -97,13 +98,13 @@
 	const char *method, *path;
 };
 /*
- * Answers as a cloud with one machine type in `zones` and with these running instances; takes over
- * both arrays.
+ * Answers a request as a cloud with one machine type, available in `zones`, and with these running
+ * instances. Takes ownership of both arrays.
  */
 void loopback_cloud_answer(struct ws_http_server *server,
 			   const struct loopback_cloud_request *request, json_t *zones,
 			   json_t *instances);
-/* A running instance, for the array above. */
+/* Returns a running instance for `instances`. */
 json_t *loopback_cloud_instance(const char *name, const char *address, const char *zone);
 struct ws_http_server *loopback_cloud_open(struct ev_loop *loop,
 					   const struct ws_http_server_options *options);
--- a/tests/loopback_store.c
+++ b/tests/loopback_store.c
@@ -1,32 +1,32 @@
-/* The loopback cluster's store: records, sessions, watches. */
+/* The store of the loopback cluster: records, sessions, watches. */
 #include "loopback_parts.h"
 #include "../src/core/core.h"
 
 #define WATCHES 32
 #define SESSIONS 4096
 #define LEADER_KEY "leader"
-/* How late a request is carried out, see struct loopback_faults. */
-#define LATE_REQUEST_MAX_S 4.0
+/* Longest delay of a request, see struct loopback_faults. */
+#define DELAYED_REQUEST_MAX_S 4.0
 
 static struct ws_http_server *store;
 static json_t *records, *removed;
 static json_int_t revision = 1;
 static struct {
-	uint64_t request_id; /* 0: a free place */
+	uint64_t request_id; /* 0: unused entry */
 	json_int_t since;
 	double until;
 	char prefix[64];
 } watches[WATCHES];
-static unsigned most_watches; /* that were open at once */
+static unsigned most_watches; /* largest number open at once */
 static struct {
 	double ttl_s, until;
-	bool live;
+	bool open;
 } sessions[SESSIONS];
 static unsigned session_count;
 
 static void record_put(const char *key, json_t *value, json_int_t session)
 {
-	char name[WS_KEY_MAX]; /* the key may be the record's own, which goes with it */
+	char name[WS_KEY_MAX]; /* a copy: the key may belong to the record that is deleted */
 
 	snprintf(name, sizeof(name), "%s", key);
 	if (value) {
@@ -82,7 +82,7 @@
 	}
 }
 
-/* Of the watches that are open, this one included. */
+/* Updates most_watches with the number of open watches. */
 static void count_watches(void)
 {
 	unsigned count = 0;
@@ -109,9 +109,9 @@
 	loopback_answer(store, request_id, 503, json_object());
 }
 
-static bool session_is_live(json_int_t id)
+static bool session_is_open(json_int_t id)
 {
-	return id > 0 && id <= (json_int_t)session_count && sessions[id - 1].live;
+	return id > 0 && id <= (json_int_t)session_count && sessions[id - 1].open;
 }
 
 static void on_transaction(uint64_t request_id, json_t *body)
@@ -153,7 +153,7 @@
 	const char *key;
 	void *next;
 
-	sessions[id - 1].live = false;
+	sessions[id - 1].open = false;
 	json_object_foreach_safe(records, next, key, record)
 	{
 		if (json_integer_value(json_object_get(record, "session")) != id)
@@ -172,8 +172,8 @@
 		sessions[session_count].ttl_s =
 		    json_number_value(json_object_get(body, "ttlMs")) / 1000;
 		id = ++session_count % SESSIONS;
-		sessions[id - 1].live = true;
-	} else if (!session_is_live(id)) {
+		sessions[id - 1].open = true;
+	} else if (!session_is_open(id)) {
 		loopback_answer(store, request_id, 404, json_object());
 		return;
 	} else if (!strcmp(method, "DELETE")) {
@@ -183,8 +183,8 @@
 	loopback_answer(store, request_id, 200, json_pack("{s:I}", "permit", id));
 }
 
-/* Carries a request out. */
-static void request_arrives(const struct loopback_message *message)
+/* Executes a request and answers it. */
+static void execute_request(const struct loopback_message *message)
 {
 	const char *path = message->path, *method = message->method;
 	uint64_t request_id = message->id;
@@ -226,9 +226,9 @@
 	if (ws_now() < loopback_faults.store_refuses_until)
 		loopback_answer(store, request_id, 503, json_object());
 	else if (loopback_befalls(loopback_faults.late_store_requests))
-		loopback_hold(&message, LATE_REQUEST_MAX_S * loopback_random(), request_arrives);
+		loopback_hold(&message, DELAYED_REQUEST_MAX_S * loopback_random(), execute_request);
 	else
-		request_arrives(&message);
+		execute_request(&message);
 }
 
 struct ws_http_server *loopback_store_open(struct ev_loop *loop,
@@ -252,7 +252,7 @@
 void loopback_store_step(void)
 {
 	for (unsigned i = 0; i < session_count; i++)
-		if (sessions[i].live && ws_now() > sessions[i].until)
+		if (sessions[i].open && ws_now() > sessions[i].until)
 			session_end((json_int_t)i + 1);
 	loopback_store_wake_watches();
 }
--- a/tests/loopback_users.c
+++ b/tests/loopback_users.c
@@ -1,10 +1,10 @@
-/* The loopback cluster's users: they submit, send again what was not accepted, and poll. */
+/* The users of the loopback cluster: they submit jobs, retry until a job is accepted, and poll. */
 #include "loopback_parts.h"
 
 #define POLL_S 0.5
-/* With more jobs than this, those that are over are asked for now and then only. */
+/* With more jobs than this, finished jobs are polled only occasionally. */
 #define JOBS_POLLED_ALWAYS 64
-#define POLL_SHARE_WHEN_OVER 0.02
+#define FINISHED_POLL_SHARE 0.02
 
 #define TASK_CPUS 4
 
@@ -32,8 +32,8 @@
 	job->accepted |= status == 200 || status == 201;
 }
 
-/* What a user is told of a job that is known. */
-static void job_told(struct loopback_job *job, const char *phase)
+/* Updates a job with the phase in an answer and detects a contradiction. */
+static void job_update(struct loopback_job *job, const char *phase)
 {
 	bool done = !strcmp(phase, "done"), cancelled = !strcmp(phase, "withdrawn");
 
@@ -53,21 +53,22 @@
 
 	job->asking = false;
 	if (phase)
-		job_told(job, phase);
+		job_update(job, phase);
 	job->forgotten |= status == 404;
 	job->went_back |= status == 404 && job->done;
 	json_decref(message);
 }
 
-static bool job_is_over(const struct loopback_job *job)
+static bool job_is_finished(const struct loopback_job *job)
 {
 	return job->done || job->cancelled_at > 0;
 }
 
-/* One request at a time, so that an answer is compared with what was told before it was asked. */
-static void job_ask(struct loopback_job *job, struct ws_http_client *client)
+/* Polls or cancels a job with one request at a time, so that each answer is compared with the
+ * answers before its request. */
+static void job_poll(struct loopback_job *job, struct ws_http_client *client)
 {
-	bool cancel = job->to_cancel && !job_is_over(job);
+	bool cancel = job->to_cancel && !job_is_finished(job);
 	char path[sizeof(job->id) + 16];
 
 	snprintf(path, sizeof(path), "/v2/runs/%.31s%s", job->id, cancel ? "/abort" : "");
@@ -75,7 +76,7 @@
 	    ws_client_send(client, cancel ? "POST" : "GET", path, "", 0, 2, false, on_polled, job);
 }
 
-static void job_send(struct loopback_job *job, struct ws_http_client *client)
+static void job_submit(struct loopback_job *job, struct ws_http_client *client)
 {
 	char text[700];
 
@@ -99,16 +100,16 @@
 	for (unsigned i = 0; i < job_count; i++) {
 		struct ws_http_client *client;
 
-		if (job_count > JOBS_POLLED_ALWAYS && job_is_over(&jobs[i]) &&
-		    loopback_random() > POLL_SHARE_WHEN_OVER)
+		if (job_count > JOBS_POLLED_ALWAYS && job_is_finished(&jobs[i]) &&
+		    loopback_random() > FINISHED_POLL_SHARE)
 			continue;
 		client = loopback_nodes[next_node++ % LOOPBACK_NODES].client;
 		if (jobs[i].asking)
 			continue;
 		if (jobs[i].accepted)
-			job_ask(&jobs[i], client);
+			job_poll(&jobs[i], client);
 		else
-			job_send(&jobs[i], client);
+			job_submit(&jobs[i], client);
 	}
 }
 
@@ -124,7 +125,7 @@
 				     .service = service,
 				     .run_s = run_s};
 	snprintf(job->id, sizeof(job->id), "job-%06u", job_count);
-	job_send(job, loopback_nodes[next_node++ % LOOPBACK_NODES].client);
+	job_submit(job, loopback_nodes[next_node++ % LOOPBACK_NODES].client);
 	return job;
 }
 
@@ -136,7 +137,7 @@
 	*job = (struct loopback_job){
 	    .job_class = "accrual", .team = team, .cpus = cpus, .tasks = tasks, .run_s = run_s};
 	snprintf(job->id, sizeof(job->id), "job-%06u", job_count);
-	return job; /* it is sent with the next polls */
+	return job; /* it is sent with the next poll */
 }
 
 void loopback_cancel(struct loopback_job *job)
@@ -149,13 +150,13 @@
 	unsigned count = 0;
 
 	for (unsigned i = 0; i < job_count; i++)
-		count += jobs[i].team == team && !job_is_over(&jobs[i]);
+		count += jobs[i].team == team && !job_is_finished(&jobs[i]);
 	return count;
 }
 
 void loopback_resubmit(struct loopback_job *job)
 {
-	job->accepted = false; /* it is sent until it is accepted */
+	job->accepted = false; /* it is sent again until it is accepted */
 }
 
 struct loopback_job *loopback_jobs(unsigned *count)
--- a/tests/loopback_workers.c
+++ b/tests/loopback_workers.c
@@ -1,13 +1,13 @@
-/* The loopback cluster's workers: heartbeats, commands and leases; counts of the commands. */
+/* The workers of the loopback cluster: heartbeats, commands and leases. Commands are counted. */
 #include "loopback_parts.h"
 
-/* A worker waits so long for the answer to its heartbeat. */
+/* Timeout of a heartbeat. */
 #define ANSWER_TIMEOUT_S 4
-/* How late messages are, see struct loopback_faults. */
-#define SLOW_ANSWER_MAX_S 3.0
-#define COPY_MAX_S 20.0
-#define LATE_COMMAND_MIN_S 0.6
-#define LATE_COMMAND_SPAN_S 8.0
+/* Delays of messages, see struct loopback_faults. */
+#define ANSWER_DELAY_MAX_S 3.0
+#define COPY_DELAY_MAX_S 20.0
+#define COMMAND_DELAY_MIN_S 0.6
+#define COMMAND_DELAY_SPAN_S 8.0
 
 struct loopback_worker loopback_workers[LOOPBACK_WORKERS];
 struct loopback_counts loopback_count;
@@ -38,13 +38,13 @@
 			 "warningS", "shards", tasks);
 }
 
-static void changed(struct loopback_worker *worker)
+static void schedule_heartbeat(struct loopback_worker *worker)
 {
 	if (worker->next_heartbeat_at > ws_now() + 0.1)
 		worker->next_heartbeat_at = ws_now() + 0.1;
 }
 
-static void take_command(struct loopback_worker *worker, json_t *object)
+static void execute_command(struct loopback_worker *worker, json_t *object)
 {
 	const char *kind = json_string_value(json_object_get(object, "verb"));
 	const char *task_name = json_string_value(json_object_get(object, "shard"));
@@ -72,11 +72,11 @@
 		loopback_count.reap_commands++;
 		*task = worker->tasks[--worker->count];
 	}
-	changed(worker);
+	schedule_heartbeat(worker);
 }
 
-/* Commands with a fencing token; false if it is too low. */
-static bool take_commands(struct loopback_worker *worker, json_t *message)
+/* Executes the commands of a message. Returns false if its fencing token is outdated. */
+static bool execute_commands(struct loopback_worker *worker, json_t *message)
 {
 	uint64_t fencing_token = (uint64_t)json_integer_value(json_object_get(message, "epoch"));
 	json_t *object;
@@ -85,28 +85,29 @@
 	if (fencing_token < worker->fencing_token)
 		return false;
 	if (fencing_token > worker->fencing_token)
-		changed(worker);
+		schedule_heartbeat(worker);
 	worker->fencing_token = fencing_token;
 	json_array_foreach (json_object_get(message, "orders"), i, object)
-		take_command(worker, object);
+		execute_command(worker, object);
 	return true;
 }
 
-/* A direct command arrives; its answer is lost if nobody waits for it. */
-static void command_arrives(const struct loopback_message *message)
+/* Executes a direct command and answers it. A partitioned worker ignores it, and a fault may lose
+ * the answer. */
+static void receive_command(const struct loopback_message *message)
 {
 	struct loopback_worker *worker = message->context;
 	json_t *body = json_loadb(message->body, message->length, 0, NULL);
 	bool accepted;
 	json_t *answer;
 
-	if (worker->dark) { /* nobody hears the answer */
+	if (worker->dark) { /* partitioned: neither executed nor answered */
 		json_decref(body);
 		return;
 	}
 	accepted = json_integer_value(json_object_get(body, "tenure")) ==
 		       (json_int_t)worker->incarnation &&
-		   take_commands(worker, body);
+		   execute_commands(worker, body);
 	json_decref(body);
 	answer = heartbeat(worker);
 	if (loopback_befalls(loopback_faults.lost_answers))
@@ -125,13 +126,13 @@
 	(void)path;
 	if (loopback_befalls(loopback_faults.late_commands))
 		loopback_hold(&message,
-			      LATE_COMMAND_MIN_S + LATE_COMMAND_SPAN_S * loopback_random(),
-			      command_arrives);
+			      COMMAND_DELAY_MIN_S + COMMAND_DELAY_SPAN_S * loopback_random(),
+			      receive_command);
 	else
-		command_arrives(&message);
+		receive_command(&message);
 }
 
-static void answer_arrives(const struct loopback_message *answer)
+static void receive_answer(const struct loopback_message *answer)
 {
 	struct loopback_worker *worker = answer->context;
 	json_t *message;
@@ -142,7 +143,7 @@
 		return;
 	message = json_loadb(answer->body, answer->length, 0, NULL);
 	leader = json_string_value(json_object_get(message, "supervisor"));
-	if (answer->status == 200 && take_commands(worker, message)) {
+	if (answer->status == 200 && execute_commands(worker, message)) {
 		worker->answered_sent = worker->sent_at;
 	} else if (answer->status == 421 && leader && atoi(leader + 5) != worker->node) {
 		worker->node = atoi(leader + 5);
@@ -159,16 +160,16 @@
 	const struct loopback_message answer = {
 	    .context = context, .status = status, .body = body, .length = length};
 	const struct loopback_worker *worker = context;
-	double slow_s = SLOW_ANSWER_MAX_S * loopback_random();
+	double delay_s = ANSWER_DELAY_MAX_S * loopback_random();
 
-	if (status == 200 && ws_now() + slow_s < worker->sent_at + ANSWER_TIMEOUT_S &&
+	if (status == 200 && ws_now() + delay_s < worker->sent_at + ANSWER_TIMEOUT_S &&
 	    loopback_befalls(loopback_faults.slow_answers))
-		loopback_hold(&answer, slow_s, answer_arrives);
+		loopback_hold(&answer, delay_s, receive_answer);
 	else
-		answer_arrives(&answer);
+		receive_answer(&answer);
 }
 
-/* Nobody waits for the answer to a copy. */
+/* The answer to a duplicated heartbeat is ignored. */
 static void on_copy_answered(void *context, int status, const char *body, size_t length)
 {
 	(void)context;
@@ -183,26 +184,26 @@
 		       ANSWER_TIMEOUT_S, false, on_copy_answered, NULL);
 }
 
-static void copy_arrives(const struct loopback_message *copy)
+static void deliver_copy(const struct loopback_message *copy)
 {
 	send_copy(copy, (int)(loopback_random() * LOOPBACK_NODES) % LOOPBACK_NODES);
 }
 
-static void copy_arrives_everywhere(const struct loopback_message *copy)
+static void deliver_copy_to_all(const struct loopback_message *copy)
 {
 	for (int i = 0; i < LOOPBACK_NODES; i++)
 		send_copy(copy, i);
 }
 
-/* Some heartbeats come again. */
+/* Duplicates some heartbeats. */
 static void copy_heartbeat(const char *text)
 {
 	const struct loopback_message copy = {.body = text, .length = strlen(text)};
 
 	if (loopback_befalls(loopback_faults.heartbeat_copies))
-		loopback_hold(&copy, COPY_MAX_S * loopback_random(), copy_arrives);
+		loopback_hold(&copy, COPY_DELAY_MAX_S * loopback_random(), deliver_copy);
 	if (loopback_befalls(loopback_faults.copies_for_next))
-		loopback_hold_for_leader(&copy, copy_arrives_everywhere);
+		loopback_hold_for_leader(&copy, deliver_copy_to_all);
 }
 
 static void task_step(struct loopback_worker *worker, struct loopback_task *task)
@@ -221,7 +222,7 @@
 		task->cause = "done";
 		loopback_count.finishes++;
 	}
-	changed(worker);
+	schedule_heartbeat(worker);
 }
 
 static void worker_step(struct loopback_worker *worker)
@@ -232,7 +233,7 @@
 	if (ws_now() - worker->answered_sent > LOOPBACK_LEASE_S) {
 		for (unsigned i = 0; i < worker->count; i++)
 			loopback_count.lost += worker->tasks[i].state != LOOPBACK_EXITED;
-		loopback_event("the lease of %s ends, with %u tasks", worker->name, worker->count);
+		loopback_event("lease of %s expired, with %u tasks", worker->name, worker->count);
 		worker->count = 0;
 		worker->incarnation++;
 		worker->answered_sent = ws_now();
--- a/tests/random_cold_start.c
+++ b/tests/random_cold_start.c
@@ -1,8 +1,8 @@
 /*
- * Scenarios drawn at random: all controllers stop, once or several times, and return together or
- * one by one; machines lose power, zones are late, the store is out or slow, late messages
- * come, and the store may lose records. No command may start anew what is alive, and in the end
- * every job is answered for.
+ * Random scenarios of cold starts: all controllers stop, once or several times, and restart
+ * together or one by one, while machines lose power, zones are unreachable, the store is
+ * unavailable or slow, and messages and writes are delayed or duplicated. No command may restart
+ * a task that is alive, and every job must be answered in the end.
  */
 #include "random_parts.h"
 
@@ -13,7 +13,7 @@
 	return durations[random_draw(10)] + random_draw(10) / 10.0;
 }
 
-static void draw_return(double time, double down_s)
+static void draw_restart(double time, double down_s)
 {
 	if (random_chance(30))
 		random_event(time, "crash-in-turn first=%.1f every=%u", down_s,
@@ -25,7 +25,7 @@
 		random_event(time, "crash all for=%.1f", down_s);
 }
 
-/* Other faults around the time of the stop. */
+/* Draws other faults around the time of a stop. */
 static void draw_other_faults(double time, double down_s, unsigned zones)
 {
 	if (random_chance(30))
@@ -61,7 +61,7 @@
 {
 	double at = 25 + random_draw(100), down_s = draw_down_time();
 
-	draw_return(at, down_s);
+	draw_restart(at, down_s);
 	draw_other_faults(at, down_s, zones);
 	if (random_chance(40))
 		random_event(at - random_draw(2), "abort job-%06u", 1 + random_draw(jobs));
--- a/tests/random_failure_domains.c
+++ b/tests/random_failure_domains.c
@@ -1,6 +1,7 @@
 /*
- * Scenarios drawn at random: zones go dark while leaders end, are cut off and refused, answers are
- * lost, and heartbeats come twice. In the end every job is answered for.
+ * Random scenarios of zone outages: zones become unreachable while leaders crash or are
+ * partitioned, the store and the cloud are unavailable, answers are lost, commands and writes are
+ * delayed and heartbeats are duplicated. Every job must be answered in the end.
  */
 #include "random_parts.h"
 
--- a/tests/random_parts.c
+++ b/tests/random_parts.c
@@ -1,22 +1,22 @@
 /*
- * Scenarios drawn at random: the generator of numbers, the common parts of a cluster, and the main
- * function of the tests.
+ * Random scenarios: the random number generator, the parts of a cluster that all scenarios share,
+ * and the main function of the tests.
  */
 #include "random_parts.h"
 #include <stdarg.h>
 
 #define EVENTS_MAX 256
-#define PLAYED_S 420
+#define SCENARIO_S 420
 
-static uint64_t state;
+static uint64_t random_state;
 static struct sim *sim;
 static char error[512];
-static bool digests;
+static bool print_digests;
 
 unsigned random_draw(unsigned below)
 {
-	state = state * 6364136223846793005ULL + 1442695040888963407ULL;
-	return (unsigned)((state >> 33) % below);
+	random_state = random_state * 6364136223846793005ULL + 1442695040888963407ULL;
+	return (unsigned)((random_state >> 33) % below);
 }
 
 bool random_chance(unsigned percent)
@@ -56,7 +56,7 @@
 	va_end(arguments);
 }
 
-static int by_time(const void *left, const void *right)
+static int compare_times(const void *left, const void *right)
 {
 	const struct event *first = left, *second = right;
 
@@ -121,24 +121,24 @@
 	return jobs;
 }
 
-static bool play(unsigned seed)
+static bool run_scenario(unsigned seed)
 {
 	bool passed;
 
-	state = seed * 2654435761ULL + 1;
+	random_state = seed * 2654435761ULL + 1;
 	event_count = 0;
 	error[0] = 0;
 	sim = sim_new();
 	random_generate();
-	qsort(events, event_count, sizeof(*events), by_time);
+	qsort(events, event_count, sizeof(*events), compare_times);
 	for (size_t i = 0; i < event_count; i++)
 		random_line("at %.2f %s", events[i].time, events[i].text);
-	random_line("at %d expect leader", PLAYED_S);
-	random_line("at %d expect all-answered 75", PLAYED_S);
+	random_line("at %d expect leader", SCENARIO_S);
+	random_line("at %d expect all-answered 75", SCENARIO_S);
 	passed = !error[0] && sim_play(sim, error, sizeof(error));
 	if (!passed)
 		printf("FAIL seed %u: %s\n", seed, error);
-	if (digests) {
+	if (print_digests) {
 		char name[32];
 
 		snprintf(name, sizeof(name), "seed-%u", seed);
@@ -150,17 +150,17 @@
 
 int main(int argc, char **argv)
 {
-	unsigned good = 0, bad = 0;
+	unsigned passed_count = 0, failed_count = 0;
 	int at = 1;
 
 	for (; at < argc && argv[at][0] == '-'; at++) {
 		sim_verbose |= !strcmp(argv[at], "-v");
-		digests |= !strcmp(argv[at], "-d");
+		print_digests |= !strcmp(argv[at], "-d");
 	}
 	if (argc != at + 2)
 		return 2;
 	for (unsigned i = 0; i < (unsigned)atoi(argv[at + 1]); i++)
-		play((unsigned)atoi(argv[at]) + i) ? good++ : bad++;
-	printf("%u passed, %u failed\n", good, bad);
-	return bad != 0;
+		run_scenario((unsigned)atoi(argv[at]) + i) ? passed_count++ : failed_count++;
+	printf("%u passed, %u failed\n", passed_count, failed_count);
+	return failed_count != 0;
 }
--- a/tests/random_parts.h
+++ b/tests/random_parts.h
@@ -1,23 +1,25 @@
-/* Scenarios drawn at random: what their generators share. */
+/* Random scenarios: functions shared by the generators. */
 #ifndef WS_TEST_RANDOM_PARTS_H
 #define WS_TEST_RANDOM_PARTS_H
 #include "sim.h"
 
-/* A number below another, and whether something of so many percent happens: by the seed alone. */
+/* Returns a random number below `below`; the sequence depends only on the seed. */
 unsigned random_draw(unsigned below);
+/* Returns true with this probability. */
 bool random_chance(unsigned percent);
-/* A line of the scenario; an event goes in by its time, when all are drawn. */
+/* Adds a line to the scenario. */
 void random_line(const char *format, ...) __attribute__((format(printf, 1, 2)));
+/* Adds an event; events are sorted by time once the scenario is complete. */
 void random_event(double time, const char *format, ...) __attribute__((format(printf, 2, 3)));
-/* Lease, heartbeat interval, zones, machines and a team. */
+/* Draws lease, heartbeat interval, zones, machines and a team. */
 void random_cluster(unsigned zones);
-/* Some jobs of any shape, each of which its user may cancel; their number. */
+/* Draws jobs of all kinds, some of which their user cancels. Returns their number. */
 unsigned random_jobs(unsigned zones);
 /*
- * Draws one scenario: defined by each test. The main function is in random_parts.c:
- * NAME [-v] [-d] FIRST COUNT plays COUNT scenarios from seed FIRST on and prints those that fail;
- * -v: with the log; -d: with the digest of each, as the runner. The simulator checks the rules at
- * every step.
+ * Draws one scenario; each test defines this function. The main function is in random_parts.c:
+ * NAME [-v] [-d] FIRST COUNT runs COUNT scenarios with seeds from FIRST on and prints those that
+ * fail. -v prints the scenario and the log, -d the digest of each scenario as the runner does. The
+ * simulator checks its invariants at every step.
  */
 void random_generate(void);
 #endif
--- a/tests/random_team_limits.c
+++ b/tests/random_team_limits.c
@@ -1,7 +1,7 @@
 /*
- * Scenarios drawn at random: teams are kept at their limits while leaders end, also just after they
- * were elected, answers to heartbeats are slow, commands, writes and copies of heartbeats come
- * late, and jobs are cancelled. No team may use more than its limit at any moment.
+ * Random scenarios of team limits: the demand keeps teams at their limits while leaders crash, also
+ * just after their election, answers to heartbeats are slow, commands, writes and duplicated
+ * heartbeats are delayed, and jobs are cancelled. No team may exceed its limit at any time.
  */
 #include "random_parts.h"
 
@@ -16,7 +16,7 @@
 			    TASK_CPUS * (3 + random_draw(6)) + random_draw(TASK_CPUS));
 }
 
-/* More than the team's limit allows, so that what comes free is taken at once. */
+/* Draws more demand than the team's limit allows, so that released capacity is reused at once. */
 static void draw_jobs(unsigned jobs)
 {
 	for (unsigned number = 1; number <= jobs; number++) {
@@ -77,7 +77,7 @@
 		    random_chance(50) ? "after " : "", random_draw(6), 1 + random_draw(10));
 	else
 		random_event(time, "crash leader for=%u", 1 + random_draw(20));
-	if (random_chance(40)) /* the next leader ends a moment after its election */
+	if (random_chance(40)) /* the next leader crashes shortly after its election */
 		random_event(time + 3 + random_draw(100) / 10.0, "crash leader for=%u",
 			     1 + random_draw(10));
 	if (random_chance(25))
