--- a/tools/cppcheck_macros.h
+++ b/tools/cppcheck_macros.h
@@ -1,6 +1,6 @@
 /*
- * What cppcheck must know of the iteration macros of uthash, utlist and jansson, whose headers it
- * does not read: that they are loops. Never compiled.
+ * Definitions of the iteration macros of uthash, utlist and jansson for cppcheck, which does not
+ * read those headers and must treat the macros as loops. This file is never compiled.
  */
 #define HASH_ITER(hh, head, el, tmp) for ((el) = (head), (tmp) = (el); (el); (el) = (tmp))
 #define DL_FOREACH(head, el) for ((el) = (head); (el); (el) = (el)->next)
