--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -94,10 +94,10 @@
 	loopback_nodes[index].pid = 0;
 }
 
-void loopback_freeze_node(int index, bool frozen)
+void loopback_freeze_node(int index, bool paused)
 {
 	if (loopback_nodes[index].pid > 0)
-		kill(loopback_nodes[index].pid, frozen ? SIGSTOP : SIGCONT);
+		kill(loopback_nodes[index].pid, paused ? SIGSTOP : SIGCONT);
 }
 
 void loopback_kill_all(void)
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -55,7 +55,7 @@
 
 /* Counts over the whole run. */
 struct loopback_counts {
-	/* twice: started while running on another machine */
+	/* the last one: tasks started while they ran on another machine */
 	unsigned starts, finishes, lost, twice;
 	unsigned run_commands, stop_commands, reap_commands;
 };
@@ -90,12 +90,12 @@
 void loopback_resubmit(struct loopback_job *job);
 /* Sets whether the workers of a zone, by its index, are partitioned: they neither send heartbeats
  * nor answer. */
-void loopback_dark(int zone, bool dark);
+void loopback_dark(int zone, bool partitioned);
 void loopback_kill_node(int node);
 void loopback_start_node(int node);
 void loopback_kill_all(void);
 /* Pauses or resumes a controller process. */
-void loopback_freeze_node(int node, bool frozen);
+void loopback_freeze_node(int node, bool paused);
 void loopback_start_all(void);
 /* Returns the number of running tasks of a job on a worker, by its index. */
 unsigned loopback_running_on(int worker, const char *job);
--- a/tests/loopback_workers.c
+++ b/tests/loopback_workers.c
@@ -101,7 +101,7 @@
 	bool accepted;
 	json_t *answer;
 
-	if (worker->dark) { /* partitioned: neither executed nor answered */
+	if (worker->dark) { /* neither executed nor answered */
 		json_decref(body);
 		return;
 	}
@@ -289,11 +289,11 @@
 		worker_step(&loopback_workers[i]);
 }
 
-void loopback_dark(int zone, bool dark)
+void loopback_dark(int zone, bool partitioned)
 {
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
 		if (loopback_workers[i].zone == zone)
-			loopback_workers[i].dark = dark;
+			loopback_workers[i].dark = partitioned;
 }
 
 unsigned loopback_running_on(int worker, const char *job)
