--- a/tests/frames_test.c
+++ b/tests/frames_test.c
@@ -53,7 +53,7 @@
 
 int main(int argc, char **argv)
 {
-	static const uint8_t unknown_kind[] = "\0\0\0\x0c\x08\x09\x10\x08\x1a\x06node-1";
+	static const uint8_t unknown[] = "\0\0\0\x0c\x08\x09\x10\x08\x1a\x06node-1";
 	static const uint8_t unreadable[] = "\0\0\0\x04\xff\xff\xff\xff";
 	static const uint8_t oversized[] = "\x7f\xff\xff\xff\x08";
 	char path[] = "/tmp/waystep-frames-XXXXXX", log[64];
@@ -85,13 +85,13 @@
 		execl(argv[1], argv[1], "--config", path, (char *)NULL);
 		_exit(99);
 	}
-	length = exchange(peer, unknown_kind, sizeof(unknown_kind) - 1, answer, sizeof(answer));
+	length = exchange(peer, unknown, sizeof(unknown) - 1, answer, sizeof(answer));
 	frame = length > 4 ? ws__peer_frame__unpack(NULL, (size_t)length - 4, answer + 4) : NULL;
-	check("a frame of an unknown kind is answered with 400",
-	      frame && frame->kind == WS__PEER_FRAME__KIND__REPLY && frame->id == 8 &&
-		  frame->status == 400);
+	check("an unknown frame kind gets 400", frame &&
+						    frame->kind == WS__PEER_FRAME__KIND__REPLY &&
+						    frame->id == 8 && frame->status == 400);
 	ws__peer_frame__free_unpacked(frame, NULL);
-	check("a frame of an unknown kind is logged",
+	check("an unknown frame kind is logged",
 	      logged(log, "peer frame of unknown kind refused peer=node-1 kind=9\n"));
 	check("an unreadable frame closes its connection",
 	      exchange(peer, unreadable, sizeof(unreadable) - 1, answer, sizeof(answer)) == 0);
@@ -107,8 +107,7 @@
 	      length > 0 && !strncmp((char *)answer, "HTTP/1.1 503", 12));
 	kill(pid, SIGTERM);
 	waitpid(pid, &status, 0);
-	check("SIGTERM ends the process with status 0",
-	      WIFEXITED(status) && WEXITSTATUS(status) == 0);
+	check("exit status 0 after SIGTERM", WIFEXITED(status) && WEXITSTATUS(status) == 0);
 	unlink(path);
 	unlink(log);
 	printf("%d passed, %d failed\n", passed_checks, failed_checks);
