--- a/tests/cold_start_loopback_test.c
+++ b/tests/cold_start_loopback_test.c
@@ -20,7 +20,8 @@
 
 static unsigned running(void)
 {
-	return loopback_running(0) + loopback_running(1) + loopback_running(2);
+	return loopback_running_in_zone(0) + loopback_running_in_zone(1) +
+	       loopback_running_in_zone(2);
 }
 
 static bool all_run(void)
@@ -33,7 +34,7 @@
 
 static bool cold_start_detected(void)
 {
-	return loopback_record_count("coldstart/phase", "began") != previous_cold_start_term;
+	return loopback_record_integer("coldstart/phase", "began") != previous_cold_start_term;
 }
 
 static bool cold_start_ended(void)
@@ -44,18 +45,18 @@
 
 static bool one_job_quarantined(void)
 {
-	return loopback_keys("coldstart/kept/") == 1;
+	return loopback_key_count("coldstart/kept/") == 1;
 }
 
 static bool no_job_quarantined(void)
 {
-	return loopback_keys("coldstart/kept/") == 0;
+	return loopback_key_count("coldstart/kept/") == 0;
 }
 
 static void stop_all(double seconds)
 {
 	before = *loopback_counts();
-	previous_cold_start_term = loopback_record_count("coldstart/phase", "began");
+	previous_cold_start_term = loopback_record_integer("coldstart/phase", "began");
 	loopback_kill_all();
 	loopback_run(seconds);
 }
@@ -64,8 +65,8 @@
 {
 	loopback_start_all();
 	check("a leader detects a cold start",
-	      loopback_until(cold_start_detected, LOOPBACK_LEASE_S / 2));
-	check("the cold start ends", loopback_until(cold_start_ended, 2 * LOOPBACK_LEASE_S));
+	      loopback_run_until(cold_start_detected, LOOPBACK_LEASE_S / 2));
+	check("the cold start ends", loopback_run_until(cold_start_ended, 2 * LOOPBACK_LEASE_S));
 }
 
 static void check_tasks_undisturbed(const char *when)
@@ -78,7 +79,7 @@
 	snprintf(what, sizeof(what), "%s: no command to stop", when);
 	check(what, now->stop_commands == before.stop_commands);
 	snprintf(what, sizeof(what), "%s: no task is lost", when);
-	check(what, now->lost == before.lost);
+	check(what, now->lost_tasks == before.lost_tasks);
 	snprintf(what, sizeof(what), "%s: all tasks run", when);
 	check(what, running() == ALL_TASKS);
 }
@@ -111,17 +112,17 @@
 
 	snprintf(key, sizeof(key), "job/%s", job->id);
 	stop_all(LOOPBACK_LEASE_S / 3);
-	loopback_lose_record(key);
+	loopback_delete_record(key);
 	loopback_start_all();
 	check("the job without a record is quarantined",
-	      loopback_until(one_job_quarantined, LOOPBACK_LEASE_S));
+	      loopback_run_until(one_job_quarantined, LOOPBACK_LEASE_S));
 	loopback_run(LOOPBACK_LEASE_S / 3);
 	check_tasks_undisturbed("job in quarantine");
 	loopback_resubmit(job);
 	check("the job submitted again is adopted",
-	      loopback_until(no_job_quarantined, LOOPBACK_LEASE_S));
+	      loopback_run_until(no_job_quarantined, LOOPBACK_LEASE_S));
 	check("the cold start ends after the adoption",
-	      loopback_until(cold_start_ended, LOOPBACK_LEASE_S));
+	      loopback_run_until(cold_start_ended, LOOPBACK_LEASE_S));
 	check_tasks_undisturbed("job adopted");
 }
 
@@ -131,13 +132,13 @@
 	stop_all(LOOPBACK_LEASE_S * 1.5);
 	check("all tasks are lost after their leases", running() == 0);
 	loopback_start_all();
-	check("all tasks run again", loopback_until(all_run, 2 * LOOPBACK_LEASE_S));
+	check("all tasks run again", loopback_run_until(all_run, 2 * LOOPBACK_LEASE_S));
 	check("one command to run is sent for each task",
 	      loopback_counts()->run_commands == before.run_commands + ALL_TASKS);
 	check("no command to stop is sent after all leases expired",
 	      loopback_counts()->stop_commands == before.stop_commands);
 	check("the cold start after all leases expired ends",
-	      loopback_until(cold_start_ended, 2 * LOOPBACK_LEASE_S));
+	      loopback_run_until(cold_start_ended, 2 * LOOPBACK_LEASE_S));
 }
 
 static void check_answers(void)
@@ -146,9 +147,9 @@
 	const struct loopback_job *jobs = loopback_jobs(&count);
 
 	for (unsigned i = 0; i < count; i++)
-		contradictions += jobs[i].went_back;
+		contradictions += jobs[i].contradicted;
 	check("no answer contradicts an earlier one", contradictions == 0);
-	check("no task ran twice at the same time", loopback_counts()->twice == 0);
+	check("no task ran twice at the same time", loopback_counts()->duplicate_starts == 0);
 	check("each task finished once", loopback_counts()->finishes == JOBS * TASKS);
 }
 
@@ -162,12 +163,12 @@
 	loopback_submit("portal", REPLICAS, true, 0);
 	for (int i = 0; i < JOBS; i++)
 		job = loopback_submit(i % 2 ? "accrual" : "matching", TASKS, false, RUN_S);
-	check("all tasks run", loopback_until(all_run, 20));
+	check("all tasks run", loopback_run_until(all_run, 20));
 	loopback_run(1);
 	test_restart_within_lease();
 	test_lost_record(job);
 	test_restart_after_leases();
-	check("all jobs are done", loopback_until(loopback_all_done, 2 * RUN_S));
+	check("all jobs are done", loopback_run_until(loopback_all_done, 2 * RUN_S));
 	check_answers();
 	loopback_stop();
 	printf("%d passed, %d failed\n", passed_checks, failed_checks);
--- a/tests/demo_cluster.c
+++ b/tests/demo_cluster.c
@@ -17,7 +17,8 @@
 
 static unsigned running(void)
 {
-	return loopback_running(0) + loopback_running(1) + loopback_running(2);
+	return loopback_running_in_zone(0) + loopback_running_in_zone(1) +
+	       loopback_running_in_zone(2);
 }
 
 static bool all_run(void)
@@ -33,7 +34,7 @@
 	static char last_phase[32];
 	const char *phase = loopback_record_text("coldstart/phase", "phase");
 
-	if (loopback_record_count("coldstart/phase", "began") == previous_cold_start_term)
+	if (loopback_record_integer("coldstart/phase", "began") == previous_cold_start_term)
 		return false;
 	if (strcmp(last_phase, phase) != 0) {
 		snprintf(last_phase, sizeof(last_phase), "%s", phase);
@@ -51,7 +52,7 @@
 		printf("  %s (zone %c):", loopback_worker_name(worker),
 		       'a' + worker % LOOPBACK_NODES);
 		for (unsigned i = 0; i < count; i++) {
-			unsigned tasks = loopback_running_on(worker, jobs[i].id);
+			unsigned tasks = loopback_running_on_worker(worker, jobs[i].id);
 
 			if (tasks)
 				printf(" %u of %s (%s)", tasks, jobs[i].id, jobs[i].job_class);
@@ -87,11 +88,11 @@
 {
 	printf("Three controllers and six workers in three zones, on the loopback interface.\n");
 	loopback_start(waystep, subsystems);
-	loopback_leave_on_signals();
+	loopback_exit_on_signals();
 	loopback_submit("portal", REPLICAS, true, 0);
 	for (int i = 0; i < ARRAYS; i++)
 		loopback_submit("accrual", TASKS, false, RUN_S);
-	if (!loopback_until(all_run, 20)) {
+	if (!loopback_run_until(all_run, 20)) {
 		printf("The jobs did not start.\n");
 		return false;
 	}
@@ -110,20 +111,21 @@
 
 	printf("All controllers are killed and started again after %.0f s (the lease is %.0f s):\n",
 	       DOWN_S, LOOPBACK_LEASE_S);
-	previous_cold_start_term = loopback_record_count("coldstart/phase", "began");
+	previous_cold_start_term = loopback_record_integer("coldstart/phase", "began");
 	loopback_kill_all();
 	loopback_run(DOWN_S);
 	loopback_start_all();
-	loopback_until(cold_start_ended, 2 * LOOPBACK_LEASE_S);
+	loopback_run_until(cold_start_ended, 2 * LOOPBACK_LEASE_S);
 	loopback_run(LOOPBACK_HEARTBEAT_S);
 	printf("Output of waystep --cold-start:\n");
 	print_account();
 	run_commands = now->run_commands - before.run_commands;
 	stop_commands = now->stop_commands - before.stop_commands;
 	printf("Commands since the kill: %u run, %u stop, %u reap; tasks lost: %u\n", run_commands,
-	       stop_commands, now->reap_commands - before.reap_commands, now->lost - before.lost);
+	       stop_commands, now->reap_commands - before.reap_commands,
+	       now->lost_tasks - before.lost_tasks);
 	print_running();
-	return !run_commands && !stop_commands && now->lost == before.lost && all_run();
+	return !run_commands && !stop_commands && now->lost_tasks == before.lost_tasks && all_run();
 }
 
 int main(int argc, char **argv)
@@ -135,10 +137,10 @@
 	setvbuf(stdout, NULL, _IOLBF, 0);
 	succeeded = start_cluster(argv[1], argv[2]) && cold_start();
 	if (succeeded)
-		succeeded = loopback_until(loopback_all_done, 2 * RUN_S);
+		succeeded = loopback_run_until(loopback_all_done, 2 * RUN_S);
 	printf("State of the jobs:\n");
 	print_job_states();
-	succeeded = succeeded && !loopback_counts()->twice;
+	succeeded = succeeded && !loopback_counts()->duplicate_starts;
 	printf("%s\n", succeeded ? "No task that was alive was restarted."
 				 : "FAILED: see the output above.");
 	loopback_stop();
--- a/tests/failure_domains_loopback_test.c
+++ b/tests/failure_domains_loopback_test.c
@@ -14,27 +14,29 @@
 
 static bool all_run(void)
 {
-	return loopback_running(0) + loopback_running(1) + loopback_running(2) == JOBS * TASKS + 3;
+	return loopback_running_in_zone(0) + loopback_running_in_zone(1) +
+		   loopback_running_in_zone(2) ==
+	       JOBS * TASKS + 3;
 }
 
 static bool zone_a_unreachable(void)
 {
-	return !strcmp(loopback_domain("a"), "dark");
+	return !strcmp(loopback_domain_state("a"), "dark");
 }
 
 static bool zone_a_recovering(void)
 {
-	return !strcmp(loopback_domain("a"), "recovering");
+	return !strcmp(loopback_domain_state("a"), "recovering");
 }
 
 static bool zone_a_healthy(void)
 {
-	return !strcmp(loopback_domain("a"), "healthy");
+	return !strcmp(loopback_domain_state("a"), "healthy");
 }
 
 static bool all_run_in_other_zones(void)
 {
-	return loopback_running(0) == 0 && all_run();
+	return loopback_running_in_zone(0) == 0 && all_run();
 }
 
 static void check_answers(void)
@@ -43,7 +45,7 @@
 	const struct loopback_job *jobs = loopback_jobs(&count);
 
 	for (unsigned i = 0; i < count; i++) {
-		contradictions += jobs[i].went_back;
+		contradictions += jobs[i].contradicted;
 		not_accepted += !jobs[i].accepted;
 	}
 	check("every job was accepted", not_accepted == 0);
@@ -62,7 +64,7 @@
 	      loopback_command("--hold-domain", "x", line, sizeof(line)) == 2);
 	check("--hold-domain records the hold",
 	      loopback_command("--hold-domain", "b", line, sizeof(line)) == 0 &&
-		  loopback_keys("zones/hold/b") == 1);
+		  loopback_key_count("zones/hold/b") == 1);
 	check("a repeated --hold-domain succeeds",
 	      loopback_command("--hold-domain", "b", line, sizeof(line)) == 0);
 	loopback_run(LOOPBACK_LEASE_S / 2);
@@ -70,7 +72,7 @@
 	check("the leader applies the hold", strstr(line, ", held"));
 	check("--release-domain removes the hold",
 	      loopback_command("--release-domain", "b", line, sizeof(line)) == 0 &&
-		  loopback_keys("zones/hold/b") == 0);
+		  loopback_key_count("zones/hold/b") == 0);
 }
 
 int main(int argc, char **argv)
@@ -83,30 +85,31 @@
 	loopback_submit("portal", 3, true, 0);
 	for (int i = 0; i < JOBS; i++)
 		loopback_submit(i % 2 ? "accrual" : "matching", TASKS, false, RUN_S);
-	check("all tasks run", loopback_until(all_run, 20));
+	check("all tasks run", loopback_run_until(all_run, 20));
 	loopback_run(1);
-	before = loopback_running(0);
+	before = loopback_running_in_zone(0);
 	check("some tasks run in zone a", before > 0);
-	loopback_dark(0, true);
-	check("zone a is recorded as dark", loopback_until(zone_a_unreachable, LOOPBACK_LEASE_S));
+	loopback_partition_zone(0, true);
+	check("zone a is recorded as dark",
+	      loopback_run_until(zone_a_unreachable, LOOPBACK_LEASE_S));
 	check("that is recorded before the leases of the zone expire",
-	      loopback_running(0) == before);
+	      loopback_running_in_zone(0) == before);
 	check("all tasks run in the other zones",
-	      loopback_until(all_run_in_other_zones, 2 * LOOPBACK_LEASE_S));
-	check("the plan is recorded", loopback_keys("zones/plan/") > 0);
+	      loopback_run_until(all_run_in_other_zones, 2 * LOOPBACK_LEASE_S));
+	check("the plan is recorded", loopback_key_count("zones/plan/") > 0);
 	check_commands();
-	loopback_dark(0, false);
-	check("zone a recovers", loopback_until(zone_a_recovering, 5));
+	loopback_partition_zone(0, false);
+	check("zone a recovers", loopback_run_until(zone_a_recovering, 5));
 	loopback_submit("late", 2, false, 1);
 	loopback_run(2);
-	check("a recovering zone gets no tasks", loopback_running(0) == 0);
-	check("all jobs are done", loopback_until(loopback_all_done, 4 * RUN_S));
-	check("zone a is healthy again", loopback_until(zone_a_healthy, 4 * LOOPBACK_LEASE_S));
+	check("a recovering zone gets no tasks", loopback_running_in_zone(0) == 0);
+	check("all jobs are done", loopback_run_until(loopback_all_done, 4 * RUN_S));
+	check("zone a is healthy again", loopback_run_until(zone_a_healthy, 4 * LOOPBACK_LEASE_S));
 	check_answers();
-	check("no task ran twice at the same time", loopback_counts()->twice == 0);
+	check("no task ran twice at the same time", loopback_counts()->duplicate_starts == 0);
 	check("each task finished once", loopback_counts()->finishes == JOBS * TASKS + 2);
-	check("only the tasks in zone a were lost", loopback_counts()->lost == before);
-	check("the record of the plan is removed", loopback_keys("zones/plan/") == 0);
+	check("only the tasks in zone a were lost", loopback_counts()->lost_tasks == before);
+	check("the record of the plan is removed", loopback_key_count("zones/plan/") == 0);
 	loopback_stop();
 	printf("%d passed, %d failed\n", passed_checks, failed_checks);
 	return failed_checks != 0;
--- a/tests/loopback.c
+++ b/tests/loopback.c
@@ -17,7 +17,8 @@
 static const char *program, *subsystems;
 static ev_timer ticker;
 
-void loopback_answer(struct ws_http_server *server, uint64_t request_id, int status, json_t *body)
+void loopback_answer_request(struct ws_http_server *server, uint64_t request_id, int status,
+			     json_t *body)
 {
 	char *text = json_dumps(body, 0);
 
@@ -31,7 +32,7 @@
 	(void)loop;
 	(void)timer;
 	(void)events;
-	loopback_held_step();
+	loopback_deliver_due();
 	loopback_store_step();
 	loopback_workers_step();
 	loopback_check_cancelled();
@@ -43,8 +44,8 @@
 	struct loopback_node *node = &loopback_nodes[index];
 	FILE *file;
 
-	snprintf(node->file, sizeof(node->file), "/tmp/waystep-loopback-XXXXXX");
-	file = fdopen(mkstemp(node->file), "w");
+	snprintf(node->settings_path, sizeof(node->settings_path), "/tmp/waystep-loopback-XXXXXX");
+	file = fdopen(mkstemp(node->settings_path), "w");
 	fprintf(file, "node='node-%d'\nzone='%s'\nbind='127.0.0.1:%d'\npeer_bind='127.0.0.1:%d'\n",
 		index, loopback_zones[index], node->port, node->peer_port);
 	for (int i = 0; i < LOOPBACK_NODES; i++)
@@ -73,15 +74,16 @@
 	loopback_nodes[index].pid = fork();
 	if (loopback_nodes[index].pid)
 		return;
-	if (loopback_nodes[index].log[0])
-		(void)!freopen(loopback_nodes[index].log, "a", stderr);
+	if (loopback_nodes[index].log_path[0])
+		(void)!freopen(loopback_nodes[index].log_path, "a", stderr);
 	else if (!getenv("LOG_LEVEL"))
 		(void)!freopen("/dev/null", "w", stderr);
 	if (subsystems)
 		execl(program, program, "--subsystems", subsystems, "--config",
-		      loopback_nodes[index].file, (char *)NULL);
+		      loopback_nodes[index].settings_path, (char *)NULL);
 	else
-		execl(program, program, "--config", loopback_nodes[index].file, (char *)NULL);
+		execl(program, program, "--config", loopback_nodes[index].settings_path,
+		      (char *)NULL);
 	_exit(99);
 }
 
@@ -94,7 +96,7 @@
 	loopback_nodes[index].pid = 0;
 }
 
-void loopback_freeze_node(int index, bool paused)
+void loopback_pause_node(int index, bool paused)
 {
 	if (loopback_nodes[index].pid > 0)
 		kill(loopback_nodes[index].pid, paused ? SIGSTOP : SIGCONT);
@@ -133,7 +135,7 @@
 		loopback_nodes[i].peer_port = free_port();
 		loopback_nodes[i].client =
 		    ws_client_new(loop, "127.0.0.1", loopback_nodes[i].port, &users);
-		loopback_nodes[i].copies =
+		loopback_nodes[i].duplicates_client =
 		    ws_client_new(loop, "127.0.0.1", loopback_nodes[i].port, &users);
 	}
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
@@ -153,11 +155,11 @@
 	(void)events;
 	loopback_kill_all();
 	for (int i = 0; i < LOOPBACK_NODES; i++)
-		unlink(loopback_nodes[i].file);
+		unlink(loopback_nodes[i].settings_path);
 	exit(130);
 }
 
-void loopback_leave_on_signals(void)
+void loopback_exit_on_signals(void)
 {
 	static ev_signal interrupt, terminate;
 
@@ -167,27 +169,28 @@
 	ev_signal_start(loop, &terminate);
 }
 
-void loopback_keep_logs(void)
+void loopback_write_logs(void)
 {
 	for (int i = 0; i < LOOPBACK_NODES; i++) {
 		struct loopback_node *node = &loopback_nodes[i];
 
-		snprintf(node->log, sizeof(node->log), "/tmp/waystep-loopback-log-XXXXXX");
-		close(mkstemp(node->log));
+		snprintf(node->log_path, sizeof(node->log_path),
+			 "/tmp/waystep-loopback-log-XXXXXX");
+		close(mkstemp(node->log_path));
 	}
 }
 
 void loopback_stop(void)
 {
 	ev_timer_stop(loop, &ticker);
-	loopback_held_drop();
+	loopback_discard_delayed();
 	for (int i = 0; i < LOOPBACK_NODES; i++) {
 		loopback_kill_node(i);
-		unlink(loopback_nodes[i].file);
-		if (loopback_nodes[i].log[0])
-			unlink(loopback_nodes[i].log);
+		unlink(loopback_nodes[i].settings_path);
+		if (loopback_nodes[i].log_path[0])
+			unlink(loopback_nodes[i].log_path);
 		ws_client_free(loopback_nodes[i].client);
-		ws_client_free(loopback_nodes[i].copies);
+		ws_client_free(loopback_nodes[i].duplicates_client);
 	}
 	loopback_workers_close();
 	loopback_store_close();
@@ -195,7 +198,7 @@
 	ev_loop_destroy(loop);
 }
 
-bool loopback_until(bool (*condition)(void), double seconds)
+bool loopback_run_until(bool (*condition)(void), double seconds)
 {
 	double end = ws_now() + seconds;
 
@@ -214,22 +217,22 @@
 
 void loopback_run(double seconds)
 {
-	loopback_until(NULL, seconds);
+	loopback_run_until(NULL, seconds);
 }
 
 const char *loopback_record_text(const char *key, const char *field)
 {
-	const char *text = json_string_value(json_object_get(loopback_record(key), field));
+	const char *text = json_string_value(json_object_get(loopback_record_value(key), field));
 
 	return text ? text : "";
 }
 
-long long loopback_record_count(const char *key, const char *field)
+long long loopback_record_integer(const char *key, const char *field)
 {
-	return json_integer_value(json_object_get(loopback_record(key), field));
+	return json_integer_value(json_object_get(loopback_record_value(key), field));
 }
 
-const char *loopback_domain(const char *name)
+const char *loopback_domain_state(const char *name)
 {
 	char key[64];
 
@@ -252,9 +255,9 @@
 		close(pipe_fds[1]);
 		if (argument)
 			execl(program, program, option, argument, "--config",
-			      loopback_nodes[0].file, (char *)NULL);
+			      loopback_nodes[0].settings_path, (char *)NULL);
 		else
-			execl(program, program, option, "--config", loopback_nodes[0].file,
+			execl(program, program, option, "--config", loopback_nodes[0].settings_path,
 			      (char *)NULL);
 		_exit(99);
 	}
--- a/tests/loopback_checks.c
+++ b/tests/loopback_checks.c
@@ -32,7 +32,7 @@
 	va_end(arguments);
 }
 
-void loopback_broken(const char *format, ...)
+void loopback_violation(const char *format, ...)
 {
 	va_list arguments;
 
@@ -45,7 +45,7 @@
 		 events[(event_count - 1) % EVENTS_MAX]);
 }
 
-const char *loopback_break(void)
+const char *loopback_first_violation(void)
 {
 	return first_violation[0] ? first_violation : NULL;
 }
@@ -54,16 +54,16 @@
 {
 	char command[120];
 
-	if (!node->log[0])
+	if (!node->log_path[0])
 		return;
-	printf("---- last lines of %s\n", node->log);
+	printf("---- last lines of %s\n", node->log_path);
 	fflush(stdout);
-	snprintf(command, sizeof(command), "tail -n %d %s", LOG_LINES, node->log);
+	snprintf(command, sizeof(command), "tail -n %d %s", LOG_LINES, node->log_path);
 	if (system(command))
-		printf("cannot read %s\n", node->log);
+		printf("cannot read %s\n", node->log_path);
 }
 
-void loopback_print_account(void)
+void loopback_print_diagnostics(void)
 {
 	unsigned first = event_count > EVENTS_MAX ? event_count - EVENTS_MAX : 0;
 
@@ -79,9 +79,9 @@
 	double cpus = 0;
 
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
-		for (unsigned k = 0; k < loopback_workers[i].count; k++) {
+		for (unsigned k = 0; k < loopback_workers[i].task_count; k++) {
 			const struct loopback_task *task = &loopback_workers[i].tasks[k];
-			const struct loopback_job *job = loopback_job_of(task->job);
+			const struct loopback_job *job = loopback_job_find(task->job);
 
 			if (job && job->team == team && task->state == LOOPBACK_RUNNING)
 				cpus += job->cpus;
@@ -94,21 +94,21 @@
 			       const struct loopback_task *started)
 {
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
-		for (unsigned k = 0; k < loopback_workers[i].count; k++) {
+		for (unsigned k = 0; k < loopback_workers[i].task_count; k++) {
 			const struct loopback_task *other = &loopback_workers[i].tasks[k];
 
 			if (other == started || other->state != LOOPBACK_RUNNING ||
 			    other->number != started->number || strcmp(other->job, started->job))
 				continue;
-			loopback_count.twice++;
-			loopback_broken("%s/%u starts on %s while it runs on %s", started->job,
-					started->number, worker->name, loopback_workers[i].name);
+			loopback_total_counts.duplicate_starts++;
+			loopback_violation("%s/%u starts on %s while it runs on %s", started->job,
+					   started->number, worker->name, loopback_workers[i].name);
 		}
 }
 
 void loopback_check_start(const struct loopback_worker *worker, const struct loopback_task *task)
 {
-	const struct loopback_job *job = loopback_job_of(task->job);
+	const struct loopback_job *job = loopback_job_find(task->job);
 	double cpus_used = used_cpus(job->team);
 
 	loopback_event("%s/%u runs on %s, attempt %llu, team %s uses %.0f of %.0f CPUs", task->job,
@@ -116,22 +116,23 @@
 		       job->team->name, cpus_used, job->team->cpus_max);
 	check_single_start(worker, task);
 	if (cpus_used > job->team->cpus_max + CPU_TOLERANCE)
-		loopback_broken("team %s uses %.0f of %.0f CPUs with %s/%u on %s", job->team->name,
-				cpus_used, job->team->cpus_max, task->job, task->number,
-				worker->name);
+		loopback_violation("team %s uses %.0f of %.0f CPUs with %s/%u on %s",
+				   job->team->name, cpus_used, job->team->cpus_max, task->job,
+				   task->number, worker->name);
 }
 
 void loopback_check_cancelled(void)
 {
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
-		for (unsigned k = 0; k < loopback_workers[i].count; k++) {
+		for (unsigned k = 0; k < loopback_workers[i].task_count; k++) {
 			const struct loopback_task *task = &loopback_workers[i].tasks[k];
-			const struct loopback_job *job = loopback_job_of(task->job);
+			const struct loopback_job *job = loopback_job_find(task->job);
 
 			if (task->state == LOOPBACK_RUNNING && job && job->cancelled_at > 0 &&
 			    ws_now() > job->cancelled_at + LOOPBACK_CANCEL_S)
-				loopback_broken("%s/%u runs on %s %.1f s after it was cancelled",
-						task->job, task->number, loopback_workers[i].name,
-						ws_now() - job->cancelled_at);
+				loopback_violation("%s/%u runs on %s %.1f s after it was cancelled",
+						   task->job, task->number,
+						   loopback_workers[i].name,
+						   ws_now() - job->cancelled_at);
 		}
 }
--- a/tests/loopback_faults.c
+++ b/tests/loopback_faults.c
@@ -20,13 +20,13 @@
 	return drand48();
 }
 
-bool loopback_befalls(double share)
+bool loopback_fault_occurs(double share)
 {
 	return share > 0 && loopback_random() < share;
 }
 
-void loopback_hold(const struct loopback_message *message, double seconds,
-		   loopback_deliver_fn deliver)
+void loopback_delay_message(const struct loopback_message *message, double seconds,
+			    loopback_deliver_fn deliver)
 {
 	struct delayed_message *copy = calloc(1, sizeof(*copy));
 
@@ -40,12 +40,13 @@
 	delayed_messages = copy;
 }
 
-void loopback_hold_for_leader(const struct loopback_message *message, loopback_deliver_fn deliver)
+void loopback_delay_until_election(const struct loopback_message *message,
+				   loopback_deliver_fn deliver)
 {
-	loopback_hold(message, INFINITY, deliver);
+	loopback_delay_message(message, INFINITY, deliver);
 }
 
-void loopback_leader_began(void)
+void loopback_leader_elected(void)
 {
 	for (struct delayed_message *message = delayed_messages; message; message = message->next)
 		if (isinf(message->due_at))
@@ -73,7 +74,7 @@
 	return NULL;
 }
 
-void loopback_held_step(void)
+void loopback_deliver_due(void)
 {
 	struct delayed_message *due;
 
@@ -83,7 +84,7 @@
 	}
 }
 
-void loopback_held_drop(void)
+void loopback_discard_delayed(void)
 {
 	while (delayed_messages) {
 		struct delayed_message *next = delayed_messages->next;
--- a/tests/loopback_parts.h
+++ b/tests/loopback_parts.h
@@ -11,17 +11,17 @@
 #include <string.h>
 #include <sys/types.h>
 
-#define LOOPBACK_TASKS 32
+#define LOOPBACK_TASKS_MAX 32
 
-enum loopback_task_state { LOOPBACK_PULLING, LOOPBACK_RUNNING, LOOPBACK_EXITED };
+enum loopback_task_state { LOOPBACK_FETCHING, LOOPBACK_RUNNING, LOOPBACK_EXITED };
 
 struct loopback_task {
 	char job[32];
 	unsigned number;
 	uint64_t attempt;
 	enum loopback_task_state state;
-	const char *cause;
-	double until;
+	const char *exit_reason;
+	double next_state_at;
 };
 
 struct loopback_worker {
@@ -31,26 +31,27 @@
 	struct ws_http_client *clients[LOOPBACK_NODES];
 	uint64_t incarnation, sequence, fencing_token;
 	uint64_t sent_incarnation; /* incarnation in the last heartbeat */
-	double answered_sent, sent_at, next_heartbeat_at;
-	bool heartbeat_pending, dark;
-	struct loopback_task tasks[LOOPBACK_TASKS];
-	unsigned count;
+	double acknowledged_sent_at, sent_at, next_heartbeat_at;
+	bool heartbeat_pending, partitioned;
+	struct loopback_task tasks[LOOPBACK_TASKS_MAX];
+	unsigned task_count;
 };
 
 struct loopback_node {
 	pid_t pid;
 	int port, peer_port;
-	char file[64], log[64];
-	struct ws_http_client *client, *copies;
+	char settings_path[64], log_path[64];
+	struct ws_http_client *client, *duplicates_client;
 };
 
 extern const char *const loopback_zones[LOOPBACK_NODES];
 extern struct loopback_worker loopback_workers[LOOPBACK_WORKERS];
 extern struct loopback_node loopback_nodes[LOOPBACK_NODES];
-extern struct loopback_counts loopback_count;
+extern struct loopback_counts loopback_total_counts;
 
 /* Answers a request and releases the body. */
-void loopback_answer(struct ws_http_server *server, uint64_t request_id, int status, json_t *body);
+void loopback_answer_request(struct ws_http_server *server, uint64_t request_id, int status,
+			     json_t *body);
 
 /* loopback_faults.c: delayed messages */
 struct loopback_message {
@@ -62,18 +63,19 @@
 };
 typedef void (*loopback_deliver_fn)(const struct loopback_message *message);
 /* Returns true with this probability: whether a fault applies to the current message. */
-bool loopback_befalls(double share);
+bool loopback_fault_occurs(double share);
 /* Delivers a copy of a message after this delay. */
-void loopback_hold(const struct loopback_message *message, double seconds,
-		   loopback_deliver_fn deliver);
+void loopback_delay_message(const struct loopback_message *message, double seconds,
+			    loopback_deliver_fn deliver);
 /* Delivers a copy of a message shortly after the next election of a leader. */
-void loopback_hold_for_leader(const struct loopback_message *message, loopback_deliver_fn deliver);
+void loopback_delay_until_election(const struct loopback_message *message,
+				   loopback_deliver_fn deliver);
 /* Schedules the messages that wait for the election of a leader. */
-void loopback_leader_began(void);
+void loopback_leader_elected(void);
 /* Delivers the messages that are due. */
-void loopback_held_step(void);
+void loopback_deliver_due(void);
 /* Discards all delayed messages. */
-void loopback_held_drop(void);
+void loopback_discard_delayed(void);
 
 /* loopback_checks.c: the invariants; each check reports violations */
 void loopback_check_start(const struct loopback_worker *worker, const struct loopback_task *task);
@@ -90,7 +92,7 @@
 /* Returns the largest number of watches that were open at once. */
 unsigned loopback_store_most_watches(void);
 /* Returns the value of a record, NULL if there is none. */
-json_t *loopback_record(const char *key);
+json_t *loopback_record_value(const char *key);
 
 /* loopback_cloud.c: a cloud without capacity to scale out */
 struct loopback_cloud_request {
@@ -116,6 +118,6 @@
 void loopback_workers_step(void);
 
 /* loopback_users.c */
-struct loopback_job *loopback_job_of(const char *id);
+struct loopback_job *loopback_job_find(const char *id);
 void loopback_users_step(void);
 #endif
--- a/tests/loopback_store.c
+++ b/tests/loopback_store.c
@@ -35,7 +35,7 @@
 					      "session", session));
 		json_object_del(removed, name);
 		if (!strcmp(name, LEADER_KEY))
-			loopback_leader_began();
+			loopback_leader_elected();
 	} else if (!json_object_del(records, name)) {
 		json_object_set_new(removed, name, json_integer(revision));
 	}
@@ -76,8 +76,9 @@
 			json_decref(changes);
 			continue;
 		}
-		loopback_answer(store, watches[i].request_id, 200,
-				json_pack("{s:I,s:o}", "ledgerRev", revision, "news", changes));
+		loopback_answer_request(
+		    store, watches[i].request_id, 200,
+		    json_pack("{s:I,s:o}", "ledgerRev", revision, "news", changes));
 		watches[i].request_id = 0;
 	}
 }
@@ -106,7 +107,7 @@
 		loopback_store_wake_watches();
 		return;
 	}
-	loopback_answer(store, request_id, 503, json_object());
+	loopback_answer_request(store, request_id, 503, json_object());
 }
 
 static bool session_is_open(json_int_t id)
@@ -128,8 +129,9 @@
 			json_array_append_new(failed, json_string(key));
 	}
 	if (json_array_size(failed)) {
-		loopback_answer(store, request_id, 409,
-				json_pack("{s:o,s:I}", "failed", failed, "ledgerRev", revision));
+		loopback_answer_request(
+		    store, request_id, 409,
+		    json_pack("{s:o,s:I}", "failed", failed, "ledgerRev", revision));
 		return;
 	}
 	json_decref(failed);
@@ -143,7 +145,7 @@
 		else
 			record_put(json_string_value(json_object_get(entry, "delete")), NULL, 0);
 	}
-	loopback_answer(store, request_id, 200, json_pack("{s:I}", "ledgerRev", revision));
+	loopback_answer_request(store, request_id, 200, json_pack("{s:I}", "ledgerRev", revision));
 	loopback_store_wake_watches();
 }
 
@@ -174,13 +176,13 @@
 		id = ++session_count % SESSIONS;
 		sessions[id - 1].open = true;
 	} else if (!session_is_open(id)) {
-		loopback_answer(store, request_id, 404, json_object());
+		loopback_answer_request(store, request_id, 404, json_object());
 		return;
 	} else if (!strcmp(method, "DELETE")) {
 		session_end(id);
 	}
 	sessions[id - 1].until = ws_now() + sessions[id - 1].ttl_s;
-	loopback_answer(store, request_id, 200, json_pack("{s:I}", "permit", id));
+	loopback_answer_request(store, request_id, 200, json_pack("{s:I}", "permit", id));
 }
 
 /* Executes a request and answers it. */
@@ -195,17 +197,19 @@
 	if (strstr(path, "starts="))
 		sscanf(strstr(path, "starts=") + 7, "%63[^&]", prefix);
 	if (!strncmp(path, "/kv?", 4)) {
-		loopback_answer(store, request_id, 200,
-				json_pack("{s:o,s:b,s:I}", "entries", record_list(prefix, 0, false),
-					  "hasNext", 0, "ledgerRev", revision));
+		loopback_answer_request(store, request_id, 200,
+					json_pack("{s:o,s:b,s:I}", "entries",
+						  record_list(prefix, 0, false), "hasNext", 0,
+						  "ledgerRev", revision));
 	} else if (!strncmp(path, "/kv/", 4)) {
 		json_t *record = json_object_get(records, path + 4);
 
-		loopback_answer(store, request_id, record ? 200 : 404,
-				record ? json_pack("{s:s,s:O,s:O}", "k", path + 4, "value",
-						   json_object_get(record, "value"), "stamp",
-						   json_object_get(record, "stamp"))
-				       : json_pack("{s:I}", "ledgerRev", revision));
+		loopback_answer_request(store, request_id, record ? 200 : 404,
+					record
+					    ? json_pack("{s:s,s:O,s:O}", "k", path + 4, "value",
+							json_object_get(record, "value"), "stamp",
+							json_object_get(record, "stamp"))
+					    : json_pack("{s:I}", "ledgerRev", revision));
 	} else if (!strncmp(path, "/watch", 6)) {
 		on_watch(request_id, path, prefix);
 	} else if (!strcmp(path, "/multi")) {
@@ -223,10 +227,11 @@
 	    .id = request_id, .method = method, .path = path, .body = body, .length = length};
 
 	(void)context;
-	if (ws_now() < loopback_faults.store_refuses_until)
-		loopback_answer(store, request_id, 503, json_object());
-	else if (loopback_befalls(loopback_faults.late_store_requests))
-		loopback_hold(&message, DELAYED_REQUEST_MAX_S * loopback_random(), execute_request);
+	if (ws_now() < loopback_faults.store_unavailable_until)
+		loopback_answer_request(store, request_id, 503, json_object());
+	else if (loopback_fault_occurs(loopback_faults.delayed_store_requests))
+		loopback_delay_message(&message, DELAYED_REQUEST_MAX_S * loopback_random(),
+				       execute_request);
 	else
 		execute_request(&message);
 }
@@ -262,12 +267,12 @@
 	return most_watches;
 }
 
-json_t *loopback_record(const char *key)
+json_t *loopback_record_value(const char *key)
 {
 	return json_object_get(json_object_get(records, key), "value");
 }
 
-unsigned loopback_keys(const char *prefix)
+unsigned loopback_key_count(const char *prefix)
 {
 	const char *key;
 	json_t *record;
@@ -278,7 +283,7 @@
 	return count;
 }
 
-void loopback_lose_record(const char *key)
+void loopback_delete_record(const char *key)
 {
 	revision++;
 	record_put(key, NULL, 0);
--- a/tests/loopback_users.c
+++ b/tests/loopback_users.c
@@ -10,12 +10,12 @@
 
 struct loopback_team loopback_teams[LOOPBACK_TEAMS] = {{"t", 400}, {"u", 400}};
 
-static struct loopback_job jobs[LOOPBACK_JOBS];
+static struct loopback_job jobs[LOOPBACK_JOBS_MAX];
 static unsigned job_count;
 static double next_poll;
 static unsigned next_node;
 
-struct loopback_job *loopback_job_of(const char *id)
+struct loopback_job *loopback_job_find(const char *id)
 {
 	for (unsigned i = 0; i < job_count; i++)
 		if (!strcmp(jobs[i].id, id))
@@ -37,10 +37,10 @@
 {
 	bool done = !strcmp(phase, "done"), cancelled = !strcmp(phase, "withdrawn");
 
-	job->went_back |= (job->done && !done) || (job->cancelled_at > 0 && !cancelled) ||
-			  (cancelled && !job->to_cancel);
+	job->contradicted |= (job->done && !done) || (job->cancelled_at > 0 && !cancelled) ||
+			     (cancelled && !job->cancel_requested);
 	job->done |= done;
-	job->answers_done += done;
+	job->done_answer_count += done;
 	if (cancelled && !job->cancelled_at)
 		job->cancelled_at = ws_now();
 }
@@ -51,11 +51,11 @@
 	json_t *message = status == 200 ? json_loadb(body, length, 0, NULL) : NULL;
 	const char *phase = json_string_value(json_object_get(message, "phase"));
 
-	job->asking = false;
+	job->request_pending = false;
 	if (phase)
 		job_update(job, phase);
-	job->forgotten |= status == 404;
-	job->went_back |= status == 404 && job->done;
+	job->reported_unknown |= status == 404;
+	job->contradicted |= status == 404 && job->done;
 	json_decref(message);
 }
 
@@ -68,11 +68,11 @@
  * answers before its request. */
 static void job_poll(struct loopback_job *job, struct ws_http_client *client)
 {
-	bool cancel = job->to_cancel && !job_is_finished(job);
+	bool cancel = job->cancel_requested && !job_is_finished(job);
 	char path[sizeof(job->id) + 16];
 
 	snprintf(path, sizeof(path), "/v2/runs/%.31s%s", job->id, cancel ? "/abort" : "");
-	job->asking =
+	job->request_pending =
 	    ws_client_send(client, cancel ? "POST" : "GET", path, "", 0, 2, false, on_polled, job);
 }
 
@@ -104,7 +104,7 @@
 		    loopback_random() > FINISHED_POLL_SHARE)
 			continue;
 		client = loopback_nodes[next_node++ % LOOPBACK_NODES].client;
-		if (jobs[i].asking)
+		if (jobs[i].request_pending)
 			continue;
 		if (jobs[i].accepted)
 			job_poll(&jobs[i], client);
@@ -142,10 +142,10 @@
 
 void loopback_cancel(struct loopback_job *job)
 {
-	job->to_cancel = true;
+	job->cancel_requested = true;
 }
 
-unsigned loopback_unfinished(const struct loopback_team *team)
+unsigned loopback_unfinished_count(const struct loopback_team *team)
 {
 	unsigned count = 0;
 
--- a/tests/loopback_workers.c
+++ b/tests/loopback_workers.c
@@ -10,7 +10,7 @@
 #define COMMAND_DELAY_SPAN_S 8.0
 
 struct loopback_worker loopback_workers[LOOPBACK_WORKERS];
-struct loopback_counts loopback_count;
+struct loopback_counts loopback_total_counts;
 
 static json_t *heartbeat(struct loopback_worker *worker)
 {
@@ -18,7 +18,7 @@
 	json_t *tasks = json_array();
 	char address[32];
 
-	for (unsigned i = 0; i < worker->count; i++) {
+	for (unsigned i = 0; i < worker->task_count; i++) {
 		const struct loopback_task *task = &worker->tasks[i];
 		char name[64];
 		json_t *object;
@@ -26,8 +26,8 @@
 		snprintf(name, sizeof(name), "%s/%u", task->job, task->number);
 		object = json_pack("{s:s,s:I,s:s}", "shard", name, "tryNo",
 				   (json_int_t)task->attempt, "phase", names[task->state]);
-		if (task->cause)
-			json_object_set_new(object, "cause", json_string(task->cause));
+		if (task->exit_reason)
+			json_object_set_new(object, "cause", json_string(task->exit_reason));
 		json_array_append_new(tasks, object);
 	}
 	snprintf(address, sizeof(address), "127.0.0.1:%d", worker->port);
@@ -54,23 +54,23 @@
 	char job[32];
 
 	snprintf(job, sizeof(job), "%.*s", (int)strcspn(task_name, "/"), task_name);
-	for (unsigned i = 0; i < worker->count; i++)
+	for (unsigned i = 0; i < worker->task_count; i++)
 		if (worker->tasks[i].attempt == attempt && worker->tasks[i].number == number &&
 		    !strcmp(worker->tasks[i].job, job))
 			task = &worker->tasks[i];
-	if (!strcmp(kind, "run") && !task && worker->count < LOOPBACK_TASKS) {
-		loopback_count.run_commands++;
-		task = &worker->tasks[worker->count++];
+	if (!strcmp(kind, "run") && !task && worker->task_count < LOOPBACK_TASKS_MAX) {
+		loopback_total_counts.run_commands++;
+		task = &worker->tasks[worker->task_count++];
 		*task = (struct loopback_task){
-		    .number = number, .attempt = attempt, .until = ws_now() + 0.1};
+		    .number = number, .attempt = attempt, .next_state_at = ws_now() + 0.1};
 		snprintf(task->job, sizeof(task->job), "%s", job);
 	} else if (!strcmp(kind, "stop") && task && task->state != LOOPBACK_EXITED) {
-		loopback_count.stop_commands++;
+		loopback_total_counts.stop_commands++;
 		task->state = LOOPBACK_EXITED;
-		task->cause = "stopped";
+		task->exit_reason = "stopped";
 	} else if (!strcmp(kind, "reap") && task && task->state == LOOPBACK_EXITED) {
-		loopback_count.reap_commands++;
-		*task = worker->tasks[--worker->count];
+		loopback_total_counts.reap_commands++;
+		*task = worker->tasks[--worker->task_count];
 	}
 	schedule_heartbeat(worker);
 }
@@ -101,7 +101,7 @@
 	bool accepted;
 	json_t *answer;
 
-	if (worker->dark) { /* neither executed nor answered */
+	if (worker->partitioned) { /* neither executed nor answered */
 		json_decref(body);
 		return;
 	}
@@ -110,10 +110,10 @@
 		   execute_commands(worker, body);
 	json_decref(body);
 	answer = heartbeat(worker);
-	if (loopback_befalls(loopback_faults.lost_answers))
+	if (loopback_fault_occurs(loopback_faults.lost_answers))
 		json_decref(answer);
 	else
-		loopback_answer(worker->server, message->id, accepted ? 200 : 409, answer);
+		loopback_answer_request(worker->server, message->id, accepted ? 200 : 409, answer);
 }
 
 static void on_command(void *context, uint64_t request_id, const char *method, const char *path,
@@ -124,10 +124,10 @@
 
 	(void)method;
 	(void)path;
-	if (loopback_befalls(loopback_faults.late_commands))
-		loopback_hold(&message,
-			      COMMAND_DELAY_MIN_S + COMMAND_DELAY_SPAN_S * loopback_random(),
-			      receive_command);
+	if (loopback_fault_occurs(loopback_faults.delayed_commands))
+		loopback_delay_message(
+		    &message, COMMAND_DELAY_MIN_S + COMMAND_DELAY_SPAN_S * loopback_random(),
+		    receive_command);
 	else
 		receive_command(&message);
 }
@@ -139,12 +139,12 @@
 	const char *leader;
 
 	worker->heartbeat_pending = false;
-	if (worker->dark || worker->incarnation != worker->sent_incarnation)
+	if (worker->partitioned || worker->incarnation != worker->sent_incarnation)
 		return;
 	message = json_loadb(answer->body, answer->length, 0, NULL);
 	leader = json_string_value(json_object_get(message, "supervisor"));
 	if (answer->status == 200 && execute_commands(worker, message)) {
-		worker->answered_sent = worker->sent_at;
+		worker->acknowledged_sent_at = worker->sent_at;
 	} else if (answer->status == 421 && leader && atoi(leader + 5) != worker->node) {
 		worker->node = atoi(leader + 5);
 		worker->next_heartbeat_at = ws_now() + 0.1;
@@ -163,8 +163,8 @@
 	double delay_s = ANSWER_DELAY_MAX_S * loopback_random();
 
 	if (status == 200 && ws_now() + delay_s < worker->sent_at + ANSWER_TIMEOUT_S &&
-	    loopback_befalls(loopback_faults.slow_answers))
-		loopback_hold(&answer, delay_s, receive_answer);
+	    loopback_fault_occurs(loopback_faults.delayed_answers))
+		loopback_delay_message(&answer, delay_s, receive_answer);
 	else
 		receive_answer(&answer);
 }
@@ -180,8 +180,8 @@
 
 static void send_copy(const struct loopback_message *copy, int node)
 {
-	ws_client_send(loopback_nodes[node].copies, "POST", "/checkin", copy->body, copy->length,
-		       ANSWER_TIMEOUT_S, false, on_copy_answered, NULL);
+	ws_client_send(loopback_nodes[node].duplicates_client, "POST", "/checkin", copy->body,
+		       copy->length, ANSWER_TIMEOUT_S, false, on_copy_answered, NULL);
 }
 
 static void deliver_copy(const struct loopback_message *copy)
@@ -200,27 +200,27 @@
 {
 	const struct loopback_message copy = {.body = text, .length = strlen(text)};
 
-	if (loopback_befalls(loopback_faults.heartbeat_copies))
-		loopback_hold(&copy, COPY_DELAY_MAX_S * loopback_random(), deliver_copy);
-	if (loopback_befalls(loopback_faults.copies_for_next))
-		loopback_hold_for_leader(&copy, deliver_copy_to_all);
+	if (loopback_fault_occurs(loopback_faults.duplicated_heartbeats))
+		loopback_delay_message(&copy, COPY_DELAY_MAX_S * loopback_random(), deliver_copy);
+	if (loopback_fault_occurs(loopback_faults.duplicated_after_election))
+		loopback_delay_until_election(&copy, deliver_copy_to_all);
 }
 
 static void task_step(struct loopback_worker *worker, struct loopback_task *task)
 {
-	struct loopback_job *job = loopback_job_of(task->job);
+	struct loopback_job *job = loopback_job_find(task->job);
 
-	if (task->state == LOOPBACK_EXITED || ws_now() < task->until)
+	if (task->state == LOOPBACK_EXITED || ws_now() < task->next_state_at)
 		return;
-	if (task->state == LOOPBACK_PULLING) {
+	if (task->state == LOOPBACK_FETCHING) {
 		task->state = LOOPBACK_RUNNING;
-		task->until = job->service ? 1e18 : ws_now() + job->run_s;
-		loopback_count.starts++;
+		task->next_state_at = job->service ? 1e18 : ws_now() + job->run_s;
+		loopback_total_counts.starts++;
 		loopback_check_start(worker, task);
 	} else {
 		task->state = LOOPBACK_EXITED;
-		task->cause = "done";
-		loopback_count.finishes++;
+		task->exit_reason = "done";
+		loopback_total_counts.finishes++;
 	}
 	schedule_heartbeat(worker);
 }
@@ -230,17 +230,20 @@
 	char *text;
 	json_t *body;
 
-	if (ws_now() - worker->answered_sent > LOOPBACK_LEASE_S) {
-		for (unsigned i = 0; i < worker->count; i++)
-			loopback_count.lost += worker->tasks[i].state != LOOPBACK_EXITED;
-		loopback_event("lease of %s expired, with %u tasks", worker->name, worker->count);
-		worker->count = 0;
+	if (ws_now() - worker->acknowledged_sent_at > LOOPBACK_LEASE_S) {
+		for (unsigned i = 0; i < worker->task_count; i++)
+			loopback_total_counts.lost_tasks +=
+			    worker->tasks[i].state != LOOPBACK_EXITED;
+		loopback_event("lease of %s expired, with %u tasks", worker->name,
+			       worker->task_count);
+		worker->task_count = 0;
 		worker->incarnation++;
-		worker->answered_sent = ws_now();
+		worker->acknowledged_sent_at = ws_now();
 	}
-	for (unsigned i = 0; i < worker->count; i++)
+	for (unsigned i = 0; i < worker->task_count; i++)
 		task_step(worker, &worker->tasks[i]);
-	if (worker->dark || worker->heartbeat_pending || ws_now() < worker->next_heartbeat_at)
+	if (worker->partitioned || worker->heartbeat_pending ||
+	    ws_now() < worker->next_heartbeat_at)
 		return;
 	body = heartbeat(worker);
 	text = json_dumps(body, 0);
@@ -269,7 +272,7 @@
 	    ws_server_new(loop, "127.0.0.1", 0, options, on_command, worker, error, sizeof(error));
 	worker->port = ws_server_port(worker->server);
 	worker->incarnation = 1;
-	worker->answered_sent = ws_now();
+	worker->acknowledged_sent_at = ws_now();
 	for (int i = 0; i < LOOPBACK_NODES; i++)
 		worker->clients[i] =
 		    ws_client_new(loop, "127.0.0.1", loopback_nodes[i].port, &client);
@@ -290,19 +293,19 @@
 		worker_step(&loopback_workers[i]);
 }
 
-void loopback_dark(int zone, bool partitioned)
+void loopback_partition_zone(int zone, bool partitioned)
 {
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
 		if (loopback_workers[i].zone == zone)
-			loopback_workers[i].dark = partitioned;
+			loopback_workers[i].partitioned = partitioned;
 }
 
-unsigned loopback_running_on(int worker, const char *job)
+unsigned loopback_running_on_worker(int worker, const char *job)
 {
 	const struct loopback_worker *machine = &loopback_workers[worker];
 	unsigned count = 0;
 
-	for (unsigned i = 0; i < machine->count; i++)
+	for (unsigned i = 0; i < machine->task_count; i++)
 		count += machine->tasks[i].state == LOOPBACK_RUNNING &&
 			 !strcmp(machine->tasks[i].job, job);
 	return count;
@@ -313,18 +316,18 @@
 	return loopback_workers[worker].name;
 }
 
-unsigned loopback_running(int zone)
+unsigned loopback_running_in_zone(int zone)
 {
 	unsigned count = 0;
 
 	for (int i = 0; i < LOOPBACK_WORKERS; i++)
 		for (unsigned k = 0;
-		     loopback_workers[i].zone == zone && k < loopback_workers[i].count; k++)
+		     loopback_workers[i].zone == zone && k < loopback_workers[i].task_count; k++)
 			count += loopback_workers[i].tasks[k].state == LOOPBACK_RUNNING;
 	return count;
 }
 
 const struct loopback_counts *loopback_counts(void)
 {
-	return &loopback_count;
+	return &loopback_total_counts;
 }
--- a/tests/soak_test.c
+++ b/tests/soak_test.c
@@ -32,7 +32,7 @@
 /* Keeps jobs of a team waiting, so that released capacity is reused at once. */
 static void submit_jobs(const struct loopback_team *team)
 {
-	while (loopback_unfinished(team) < UNFINISHED_JOBS) {
+	while (loopback_unfinished_count(team) < UNFINISHED_JOBS) {
 		double cpus = random_below(3) ? 4 : 1 + random_below(3);
 
 		loopback_submit_for(team, 1 + random_below(TASKS_MAX), cpus,
@@ -46,7 +46,7 @@
 	struct loopback_job *jobs = loopback_jobs(&count);
 
 	for (unsigned i = 0; i < count; i++)
-		if (jobs[i].accepted && !jobs[i].done && !jobs[i].to_cancel &&
+		if (jobs[i].accepted && !jobs[i].done && !jobs[i].cancel_requested &&
 		    loopback_random() < CANCELLED_SHARE / UNFINISHED_JOBS) {
 			loopback_event("%s: cancellation requested", jobs[i].id);
 			loopback_cancel(&jobs[i]);
@@ -55,7 +55,7 @@
 
 static bool is_violated(void)
 {
-	return loopback_break() != NULL;
+	return loopback_first_violation() != NULL;
 }
 
 /* ---- faults of controllers ---- */
@@ -75,14 +75,14 @@
 	if (down[node])
 		return;
 	loopback_event("node-%d paused", node);
-	loopback_freeze_node(node, true);
+	loopback_pause_node(node, true);
 	paused[node] = true;
 }
 
 static void restore_node(int node)
 {
 	if (paused[node])
-		loopback_freeze_node(node, false);
+		loopback_pause_node(node, false);
 	if (down[node])
 		loopback_start_node(node);
 	if (paused[node] || down[node])
@@ -105,7 +105,7 @@
 	case 1:
 		for (int i = 0; i < LOOPBACK_NODES; i++)
 			kill_node(i);
-		loopback_until(is_violated, DOWN_MAX_S * loopback_random());
+		loopback_run_until(is_violated, DOWN_MAX_S * loopback_random());
 		restore_all_nodes();
 		break;
 	case 2: kill_node(node); break;
@@ -123,28 +123,28 @@
 
 static void message_faults(void)
 {
-	loopback_faults.slow_answers = draw_share(60, 0.8);
-	loopback_faults.heartbeat_copies = draw_share(50, 0.5);
-	loopback_faults.copies_for_next = draw_share(70, 0.5);
-	loopback_faults.late_commands = draw_share(40, 0.5);
+	loopback_faults.delayed_answers = draw_share(60, 0.8);
+	loopback_faults.duplicated_heartbeats = draw_share(50, 0.5);
+	loopback_faults.duplicated_after_election = draw_share(70, 0.5);
+	loopback_faults.delayed_commands = draw_share(40, 0.5);
 	loopback_faults.lost_answers = draw_share(20, 0.3);
-	loopback_faults.late_store_requests = draw_share(30, 0.1);
+	loopback_faults.delayed_store_requests = draw_share(30, 0.1);
 	loopback_event("faults: slow answers %.2f, copies %.2f and %.2f, late commands %.2f, lost "
 		       "answers %.2f, late store requests %.2f",
-		       loopback_faults.slow_answers, loopback_faults.heartbeat_copies,
-		       loopback_faults.copies_for_next, loopback_faults.late_commands,
-		       loopback_faults.lost_answers, loopback_faults.late_store_requests);
+		       loopback_faults.delayed_answers, loopback_faults.duplicated_heartbeats,
+		       loopback_faults.duplicated_after_election, loopback_faults.delayed_commands,
+		       loopback_faults.lost_answers, loopback_faults.delayed_store_requests);
 	if (random_below(6))
 		return;
 	loopback_event("store unavailable");
-	loopback_faults.store_refuses_until = loopback_now() + 4 * loopback_random();
+	loopback_faults.store_unavailable_until = loopback_now() + 4 * loopback_random();
 }
 
 static bool is_settled(void)
 {
-	return is_violated() ||
-	       loopback_unfinished(&loopback_teams[0]) + loopback_unfinished(&loopback_teams[1]) ==
-		   0;
+	return is_violated() || loopback_unfinished_count(&loopback_teams[0]) +
+					loopback_unfinished_count(&loopback_teams[1]) ==
+				    0;
 }
 
 static void soak(double seconds)
@@ -158,12 +158,12 @@
 		controller_fault();
 		if (!random_below(4))
 			message_faults();
-		loopback_until(is_violated, STEP_MAX_S * loopback_random());
+		loopback_run_until(is_violated, STEP_MAX_S * loopback_random());
 	}
 	loopback_event("faults ended");
 	loopback_faults = (struct loopback_faults){0};
 	restore_all_nodes();
-	loopback_until(is_settled, SETTLE_S);
+	loopback_run_until(is_settled, SETTLE_S);
 }
 
 static void check_answers(void)
@@ -172,15 +172,15 @@
 	const struct loopback_job *jobs = loopback_jobs(&count);
 
 	for (unsigned i = 0; i < count; i++) {
-		unknown += jobs[i].forgotten;
-		contradictions += jobs[i].went_back;
+		unknown += jobs[i].reported_unknown;
+		contradictions += jobs[i].contradicted;
 		unfinished += !jobs[i].done && !jobs[i].cancelled_at;
 	}
 	check("no accepted job is reported as unknown", unknown == 0);
 	check("no answer contradicts an earlier one", contradictions == 0);
 	check("every job is done or cancelled", unfinished == 0);
 	printf("%u jobs, %u starts, %u tasks lost\n", count, loopback_counts()->starts,
-	       loopback_counts()->lost);
+	       loopback_counts()->lost_tasks);
 }
 
 int main(int argc, char **argv)
@@ -191,18 +191,18 @@
 	srand48(atol(argv[4]));
 	for (int i = 0; i < LOOPBACK_TEAMS; i++)
 		loopback_teams[i].cpus_max = LIMIT_CPUS;
-	loopback_keep_logs();
+	loopback_write_logs();
 	loopback_start(argv[1], argv[2]);
-	loopback_leave_on_signals();
+	loopback_exit_on_signals();
 	loopback_run(1);
 	soak(atof(argv[3]));
 	check("no invariant is violated", !is_violated());
 	check_answers();
 	if (failed_checks) {
 		printf("seed %s: %s\n", argv[4],
-		       is_violated() ? loopback_break()
+		       is_violated() ? loopback_first_violation()
 				     : "jobs are not finished or answers are wrong");
-		loopback_print_account();
+		loopback_print_diagnostics();
 	}
 	loopback_stop();
 	printf("%d passed, %d failed\n", passed_checks, failed_checks);
