--- a/tests/runner.c
+++ b/tests/runner.c
@@ -1,14 +1,14 @@
 /*
- * Plays scenario files: runner [-v] [-c] [-d] [-t] FILE...
+ * Runs scenario files: runner [-v] [-c] [-d] [-t] FILE...
  *
- * -v: with the log; -c: with the subsystem coldstart on in each; -d: with a digest of all that left
- * the cores; -t: with that itself, as text on standard error.
+ * -v prints the log. -c enables the subsystem coldstart in every scenario. -d prints a digest of
+ * all effects that the cores emitted. -t writes these effects as text to standard error.
  */
 #include "sim.h"
 
 int main(int argc, char **argv)
 {
-	int bad = 0, good = 0;
+	int failed = 0, passed = 0;
 	bool digests = false;
 
 	for (int i = 1; i < argc; i++) {
@@ -48,8 +48,8 @@
 			sim_print_digest(sim, strrchr(argv[i], '/') ? strrchr(argv[i], '/') + 1
 								    : argv[i]);
 		sim_free(sim);
-		ok ? good++ : bad++;
+		ok ? passed++ : failed++;
 	}
-	printf("%d passed, %d failed\n", good, bad);
-	return bad || !good;
+	printf("%d passed, %d failed\n", passed, failed);
+	return failed || !passed;
 }
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -1,4 +1,4 @@
-/* The clock, the main loop, and what all modules of the simulator need. */
+/* The clock, the main loop, and functions that all modules of the simulator use. */
 #include "sim_calls.h"
 #include "sim_checks.h"
 #include "sim_digest.h"
@@ -31,7 +31,7 @@
     .free_call = ws_call_free,
 };
 
-/* The simulation whose time log lines bear. */
+/* The simulation whose time is printed in log lines. */
 static const struct sim *logged_sim;
 
 void sim_fail(struct sim *sim, const char *format, ...)
@@ -107,20 +107,20 @@
 		sim_act(sim, &sim->timed_lines[sim->next_timed_line++]);
 }
 
-/* The action that waits for the first scale-in, see the action once-returned. */
-static void run_follow_up(struct sim *sim)
+/* Runs the action that the scenario has deferred until after the first scale-in. */
+static void run_deferred_action(struct sim *sim)
 {
-	struct sim_timed_line follow_up = {.time = sim->now};
+	struct sim_timed_line deferred = {.time = sim->now};
 
 	if (!sim->follow_up[0] || sim->scaled_in_at <= 0 ||
 	    sim->now < sim->scaled_in_at + sim->follow_up_after_s)
 		return;
-	snprintf(follow_up.text, sizeof(follow_up.text), "%s", sim->follow_up);
+	snprintf(deferred.text, sizeof(deferred.text), "%s", sim->follow_up);
 	sim->follow_up[0] = 0;
-	sim_act(sim, &follow_up);
+	sim_act(sim, &deferred);
 }
 
-/* All calls that are due within this step, in the order of their times. */
+/* Advances all calls that are due within this step, in the order of their due times. */
 static void advance_calls(struct sim *sim, double step_end)
 {
 	for (;;) {
@@ -142,7 +142,7 @@
 
 	run_due_actions(sim);
 	sim_sessions_extend_after_outage(sim);
-	run_follow_up(sim);
+	run_deferred_action(sim);
 	sim_sessions_expire(sim);
 	sim->store_was_down = sim->now < sim->store_down_until;
 	sim_workers_deliver_delayed_heartbeats(sim);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -1,9 +1,10 @@
 /*
- * The simulator: store, cloud, workers and users in simulated time round one core per node. It
- * plays scenarios, which come line by line, and checks its rules at every step.
+ * The simulator runs one core per controller node and models the store, the cloud, the workers and
+ * the users around them in simulated time. It reads a scenario line by line, runs it, and checks
+ * its invariants at every step.
  *
- * Times are seconds of simulated time since the start of the scenario; a time of 0 in a field that
- * ends with _at or _until means "never" unless its comment says otherwise.
+ * Times are in seconds of simulated time since the start of the scenario. In a field whose name
+ * ends with _at or _until, 0 means "never" unless its comment says otherwise.
  */
 #ifndef WS_SIM_H
 #define WS_SIM_H
@@ -14,21 +15,24 @@
 
 struct sim;
 
-/* The caller owns the result and frees it with sim_free(). */
+/* Returns a new simulation, which the caller frees with sim_free(). */
 struct sim *sim_new(void);
 void sim_free(struct sim *sim);
 
-/* Takes one line of a scenario, which it changes; false with a message in `error`. */
+/*
+ * Parses one line of a scenario and modifies the buffer in doing so. Returns false and writes a
+ * message to `error` if the line is invalid.
+ */
 bool sim_line(struct sim *sim, char *line, char *error, size_t size);
 
-/* Plays all lines taken; false with the rule that was broken in `error`. */
+/* Runs the scenario. Returns false and writes the violated invariant to `error` if it fails. */
 bool sim_play(struct sim *sim, char *error, size_t size);
 
-/* Prints the digest of all that left the cores, see sim_digest.c. */
+/* Prints the digest of all effects that the cores emitted, see sim_digest.c. */
 void sim_print_digest(const struct sim *sim, const char *name);
 
-extern FILE *sim_trace;	 /* where the lines that the digest hashes are written; NULL: nowhere */
-extern bool sim_verbose; /* the log goes to standard error */
-/* The subsystem coldstart is on in every scenario, whether it says so or not. */
+extern FILE *sim_trace;	 /* the hashed lines are also written here, unless it is NULL */
+extern bool sim_verbose; /* writes the log to standard error */
+/* Enables the subsystem coldstart in every scenario, also in those that do not ask for it. */
 extern bool sim_cold_start_always;
 #endif
--- a/tests/sim_slow_answers.c
+++ b/tests/sim_slow_answers.c
@@ -1,10 +1,10 @@
 /*
- * Answers to heartbeats that are slow on their way: held by a busy follower that forwarded the
- * heartbeat, or in a socket. Direct commands, which take another connection, overtake them.
+ * Delayed answers to heartbeats. This models an answer that is held up by a busy follower, which
+ * forwarded the heartbeat, or in a socket. Direct commands use another connection and overtake it.
  */
 #include "sim_workers.h"
 
-static bool answer_is_slow(struct sim *sim, const struct ws_effect *answer)
+static bool should_delay(struct sim *sim, const struct ws_effect *answer)
 {
 	return answer->answer == WS_ANSWER_OK && sim->now < sim->slow_answers_until &&
 	       sim_random(sim) < sim->slow_answers_share;
@@ -21,48 +21,48 @@
 
 bool sim_slow_answer_add(struct sim *sim, const struct ws_effect *answer)
 {
-	struct sim_slow_answer **link = &sim->slow_answers, *slow;
+	struct sim_slow_answer **link = &sim->slow_answers, *delayed;
 
-	if (!answer_is_slow(sim, answer))
+	if (!should_delay(sim, answer))
 		return false;
-	slow = calloc(1, sizeof(*slow));
-	slow->due_at = sim->now + sim->slow_answers_by_s;
-	slow->answer = *answer;
-	slow->answer.next = NULL;
-	copy_commands(&slow->answer, answer);
-	while (*link) /* delivered in order */
+	delayed = calloc(1, sizeof(*delayed));
+	delayed->due_at = sim->now + sim->slow_answers_by_s;
+	delayed->answer = *answer;
+	delayed->answer.next = NULL;
+	copy_commands(&delayed->answer, answer);
+	while (*link) /* appended, so that answers are delivered in order */
 		link = &(*link)->next;
-	*link = slow;
+	*link = delayed;
 	return true;
 }
 
-static void slow_answer_free(struct sim_slow_answer *slow)
+static void delayed_free(struct sim_slow_answer *delayed)
 {
-	free(slow->answer.heartbeat.commands);
-	free(slow);
+	free(delayed->answer.heartbeat.commands);
+	free(delayed);
 }
 
 void sim_slow_answers_deliver(struct sim *sim)
 {
-	struct sim_slow_answer **link = &sim->slow_answers, *slow;
+	struct sim_slow_answer **link = &sim->slow_answers, *delayed;
 
-	while ((slow = *link)) {
-		if (slow->due_at > sim->now) {
-			link = &slow->next;
+	while ((delayed = *link)) {
+		if (delayed->due_at > sim->now) {
+			link = &delayed->next;
 			continue;
 		}
-		*link = slow->next;
-		sim_worker_take_answer(sim, &slow->answer);
-		slow_answer_free(slow);
+		*link = delayed->next;
+		sim_worker_take_answer(sim, &delayed->answer);
+		delayed_free(delayed);
 	}
 }
 
 void sim_slow_answers_free(struct sim *sim)
 {
 	while (sim->slow_answers) {
-		struct sim_slow_answer *slow = sim->slow_answers;
+		struct sim_slow_answer *delayed = sim->slow_answers;
 
-		sim->slow_answers = slow->next;
-		slow_answer_free(slow);
+		sim->slow_answers = delayed->next;
+		delayed_free(delayed);
 	}
 }
