--- a/tests/sim_actions.c
+++ b/tests/sim_actions.c
@@ -1,12 +1,12 @@
-/* Timed actions: what befalls jobs, nodes, store, cloud and network. */
+/* Timed actions of users, and faults of nodes, store, cloud and network. */
 #include "sim_nodes.h"
 #include "sim_store.h"
 #include "sim_subsystems.h"
 #include "sim_users.h"
 #include "sim_workers.h"
 
-#define DEFAULT_SPAN_S 5
-#define DEFAULT_LATE_S 5
+#define DEFAULT_DURATION_S 5
+#define DEFAULT_DELAY_S 5
 #define NEVER_SUBMITTED (-1)
 
 /* ---- users ---- */
@@ -73,7 +73,7 @@
 	add_job(sim, action->name, action->text, sim->now);
 }
 
-/* submit-many COUNT [first=N] [every=S] [OPTION ...]: one after another from now on */
+/* submit-many COUNT [first=N] [every=S] [OPTION ...]: submits jobs at intervals, from now on */
 static void run_submit_many(struct sim *sim, const struct sim_action *action)
 {
 	int first = (int)sim_option(action->text, "first", 1);
@@ -87,13 +87,13 @@
 	}
 }
 
-/* ask ID: for a job that nobody submitted */
-static void run_ask(struct sim *sim, const struct sim_action *action)
+/* ask ID: polls a job that was never submitted */
+static void run_poll_unsubmitted(struct sim *sim, const struct sim_action *action)
 {
 	add_job(sim, action->name, action->text, NEVER_SUBMITTED);
 }
 
-/* abort ID [at=NODE]: of this node first */
+/* abort ID [at=NODE]: the request is sent to this node first */
 static void run_abort(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_job *job = sim_job_of(sim, action->name);
@@ -123,15 +123,15 @@
 	}
 }
 
-/* abort-at-end SHARE for=S */
-static void run_abort_at_end(struct sim *sim, const struct sim_action *action)
+/* abort-at-end SHARE for=S: the fraction of jobs cancelled when their last task ends */
+static void run_abort_on_completion(struct sim *sim, const struct sim_action *action)
 {
 	sim->cancel_at_end_until = sim->now + action->span;
 	sim->cancel_at_end_share = atof(action->name);
 }
 
-/* look ID: asked for and sent again, at all nodes */
-static void run_look(struct sim *sim, const struct sim_action *action)
+/* look ID: polls and resubmits the job at all nodes, and checks that the answers are consistent */
+static void run_check_job(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_job *job = sim_job_of(sim, action->name);
 
@@ -139,8 +139,8 @@
 		sim_user_check_all_nodes(sim, job);
 }
 
-/* looks SHARE for=S: after each news; that share cancels at once */
-static void run_looks(struct sim *sim, const struct sim_action *action)
+/* looks SHARE for=S: checks jobs so after each change; users then cancel this fraction of them */
+static void run_check_on_change(struct sim *sim, const struct sim_action *action)
 {
 	sim->checks_until = sim->now + action->span;
 	sim->cancel_share = atof(action->name);
@@ -148,13 +148,13 @@
 
 /* ---- nodes ---- */
 
-/* The node that an action names; NULL: it is to be the leader, and nobody leads. */
+/* Returns the node that an action names. Fails and returns NULL for "leader" if no node leads. */
 static struct sim_node *named_node(struct sim *sim, const struct sim_action *action)
 {
 	int index = sim_node_named(sim, action->name);
 
 	if (index < 0) {
-		sim_fail(sim, "nobody leads");
+		sim_fail(sim, "no node leads");
 		return NULL;
 	}
 	return &sim->nodes[index];
@@ -167,13 +167,13 @@
 
 	if (all)
 		sim_cold_start_all_stopped(sim);
-	/* "leader" is looked up each time: without the first, another one may think it leads */
+	/* "leader" is resolved each time: after the first crash, a second node may claim to lead */
 	for (int i = 0; i < sim->node_count; i++)
 		if (all || i == sim_node_named(sim, action->name))
 			sim_node_crash(sim, i, action->span);
 }
 
-/* upgrade NODE|leader [for=S]: it ends, and is back with this version */
+/* upgrade NODE|leader [for=S]: stops the node and restarts it with the present version */
 static void run_upgrade(struct sim *sim, const struct sim_action *action)
 {
 	const struct sim_node *node = named_node(sim, action);
@@ -195,7 +195,7 @@
 }
 
 /* cut NODE|leader [all] [state] [workers] [peers] [for=S] */
-static void run_cut(struct sim *sim, const struct sim_action *action)
+static void run_partition(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_node *node = named_node(sim, action);
 	bool all = sim_flag(action->text, "all");
@@ -210,8 +210,8 @@
 		node->cut_peers_until = sim->now + action->span;
 }
 
-/* refuse NODE|leader [for=S]: the store answers it with errors */
-static void run_refuse(struct sim *sim, const struct sim_action *action)
+/* refuse NODE|leader [for=S]: the store rejects calls of the node with errors */
+static void run_store_errors(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_node *node = named_node(sim, action);
 
@@ -219,8 +219,8 @@
 		node->refused_until = sim->now + action->span;
 }
 
-/* blind NODE|leader [for=S]: its watches wait, all else is served */
-static void run_blind(struct sim *sim, const struct sim_action *action)
+/* blind NODE|leader [for=S]: watches of the node receive nothing; other store calls are served */
+static void run_stall_watches(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_node *node = named_node(sim, action);
 
@@ -228,7 +228,7 @@
 		node->blind_until = sim->now + action->span;
 }
 
-/* freeze NODE|leader [for=S]: it stands still, what reaches it waits */
+/* freeze NODE|leader [for=S]: suspends the node; messages to it are delayed */
 static void run_freeze(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_node *node = named_node(sim, action);
@@ -237,8 +237,11 @@
 		node->frozen_until = sim->now + action->span;
 }
 
-/* crash-on txn|orders|rent|return [after] [skip=N] [for=S] */
-static void run_crash_on(struct sim *sim, const struct sim_action *action)
+/*
+ * crash-on txn|orders|rent|return [after] [skip=N] [for=S]: crashes the leader before or after a
+ * call of this kind is executed
+ */
+static void run_crash_on_call(struct sim *sim, const struct sim_action *action)
 {
 	if (!strcmp(action->name, "txn"))
 		sim->crash_kind = WS_CALL_TRANSACTION;
@@ -256,27 +259,30 @@
 /* ---- store and cloud ---- */
 
 /* state-outage [for=S] */
-static void run_state_outage(struct sim *sim, const struct sim_action *action)
+static void run_store_outage(struct sim *sim, const struct sim_action *action)
 {
 	sim->store_down_until = sim->now + action->span;
 }
 
-/* slow-state MAX_S [for=S] */
-static void run_slow_state(struct sim *sim, const struct sim_action *action)
+/* slow-state MAX_S [for=S]: delays answers of the store */
+static void run_slow_store(struct sim *sim, const struct sim_action *action)
 {
 	sim->store_slow_until = sim->now + action->span;
 	sim->store_slow_by_s = atof(action->name);
 }
 
-/* late-watches MAX_S [for=S] */
-static void run_late_watches(struct sim *sim, const struct sim_action *action)
+/* late-watches MAX_S [for=S]: delays answers to watches that stay open */
+static void run_delay_watches(struct sim *sim, const struct sim_action *action)
 {
 	sim->late_watches_until = sim->now + action->span;
 	sim->late_watches_max_s = atof(action->name);
 }
 
-/* late-writes SHARE [for=S] [most=S] [at-once] */
-static void run_late_writes(struct sim *sim, const struct sim_action *action)
+/*
+ * late-writes SHARE [for=S] [most=S] [at-once]: this fraction of writes times out, and is executed
+ * later, or at once
+ */
+static void run_time_out_writes(struct sim *sim, const struct sim_action *action)
 {
 	sim->late_writes_until = sim->now + action->span;
 	sim->late_writes_share = atof(action->name);
@@ -284,7 +290,7 @@
 	sim->late_writes_at_once = sim_flag(action->text, "at-once");
 }
 
-/* lower-limits [KIB] [ops=N]: by what the settings told, or by more */
+/* lower-limits [KIB] [ops=N]: applies the upcoming limits of the settings, or these instead */
 static void run_lower_limits(struct sim *sim, const struct sim_action *action)
 {
 	sim->limits_lowered = true;
@@ -296,8 +302,8 @@
 	sim->txn_ops = sim->next_txn_ops;
 }
 
-/* garble KEY: a record that nobody can read */
-static void run_garble(struct sim *sim, const struct sim_action *action)
+/* garble KEY: overwrites a record with an unreadable value */
+static void run_corrupt_record(struct sim *sim, const struct sim_action *action)
 {
 	json_t *value = json_pack("{s:i}", "x", 1);
 
@@ -314,13 +320,13 @@
 
 /* ---- network ---- */
 
-/* zone-cut [for=S] */
-static void run_zone_cut(struct sim *sim, const struct sim_action *action)
+/* zone-cut [for=S]: workers can reach only nodes of their own zone */
+static void run_partition_zones(struct sim *sim, const struct sim_action *action)
 {
 	sim->zone_cut_until = sim->now + action->span;
 }
 
-/* lose-answer rent|txn|orders [times=N] */
+/* lose-answer rent|txn|orders [times=N]: executes calls but loses their answers */
 static void run_lose_answer(struct sim *sim, const struct sim_action *action)
 {
 	int times = (int)sim_option(action->text, "times", 1);
@@ -333,28 +339,28 @@
 		sim->lost_commands = times;
 }
 
-/* late txn|orders [times=N] [by=S] */
-static void run_late(struct sim *sim, const struct sim_action *action)
+/* late txn|orders [times=N] [by=S]: executes calls after their senders have timed out */
+static void run_delay_calls(struct sim *sim, const struct sim_action *action)
 {
 	int times = (int)sim_option(action->text, "times", 1);
-	double late_s = sim_option(action->text, "by", DEFAULT_LATE_S);
+	double delay_s = sim_option(action->text, "by", DEFAULT_DELAY_S);
 
 	if (!strcmp(action->name, "txn")) {
 		sim->late_txns = times;
-		sim->late_txns_by_s = late_s;
+		sim->late_txns_by_s = delay_s;
 	} else {
 		sim->late_command_count = times;
-		sim->late_commands_by_s = late_s;
+		sim->late_commands_by_s = delay_s;
 	}
 }
 
-/* slow-orders SECONDS */
-static void run_slow_orders(struct sim *sim, const struct sim_action *action)
+/* slow-orders SECONDS: delays answers to commands, which are executed at once */
+static void run_slow_commands(struct sim *sim, const struct sim_action *action)
 {
 	sim->slow_commands_s = atof(action->name);
 }
 
-/* slow-answers SECONDS [for=S] [share=X]: to heartbeats; direct commands overtake them */
+/* slow-answers SECONDS [for=S] [share=X]: delays answers to heartbeats, but no direct commands */
 static void run_slow_answers(struct sim *sim, const struct sim_action *action)
 {
 	sim->slow_answers_by_s = atof(action->name);
@@ -362,8 +368,11 @@
 	sim->slow_answers_share = sim_option(action->text, "share", 1);
 }
 
-/* copies MAX_S [for=S] [share=X] [for-next]: of heartbeats */
-static void run_copies(struct sim *sim, const struct sim_action *action)
+/*
+ * copies MAX_S [for=S] [share=X] [for-next]: duplicates this fraction of heartbeats; the duplicates
+ * arrive up to MAX_S later, or after the next election
+ */
+static void run_duplicate_heartbeats(struct sim *sim, const struct sim_action *action)
 {
 	sim->duplicates_max_s = atof(action->name);
 	sim->duplicates_until = sim->now + action->span;
@@ -371,8 +380,8 @@
 	sim->duplicates_for_next_leader = sim_flag(action->text, "for-next");
 }
 
-/* stutter: heartbeats name every task twice */
-static void run_stutter(struct sim *sim, const struct sim_action *action)
+/* stutter: heartbeats list each task twice */
+static void run_list_tasks_twice(struct sim *sim, const struct sim_action *action)
 {
 	(void)action;
 	sim->heartbeats_name_tasks_twice = true;
@@ -380,8 +389,8 @@
 
 /* ---- the table ---- */
 
-/* once-returned SECONDS ACTION ...: so long after the first scale-in */
-static void run_once_returned(struct sim *sim, const struct sim_action *action)
+/* once-returned SECONDS ACTION ...: runs the action this long after the first scale-in */
+static void run_after_scale_in(struct sim *sim, const struct sim_action *action)
 {
 	sim->follow_up_after_s = atof(action->name);
 	snprintf(sim->follow_up, sizeof(sim->follow_up), "%s", action->rest);
@@ -389,40 +398,40 @@
 
 static const struct sim_action_word cluster_actions[] = {
     {"abort", run_abort},
-    {"abort-at-end", run_abort_at_end},
+    {"abort-at-end", run_abort_on_completion},
     {"abort-many", run_abort_many},
-    {"ask", run_ask},
-    {"blind", run_blind},
+    {"ask", run_poll_unsubmitted},
+    {"blind", run_stall_watches},
     {"cloud-outage", run_cloud_outage},
-    {"copies", run_copies},
+    {"copies", run_duplicate_heartbeats},
     {"crash", run_crash},
-    {"crash-on", run_crash_on},
-    {"cut", run_cut},
+    {"crash-on", run_crash_on_call},
+    {"cut", run_partition},
     {"freeze", run_freeze},
-    {"garble", run_garble},
-    {"late", run_late},
-    {"late-watches", run_late_watches},
-    {"late-writes", run_late_writes},
-    {"look", run_look},
-    {"looks", run_looks},
+    {"garble", run_corrupt_record},
+    {"late", run_delay_calls},
+    {"late-watches", run_delay_watches},
+    {"late-writes", run_time_out_writes},
+    {"look", run_check_job},
+    {"looks", run_check_on_change},
     {"lose-answer", run_lose_answer},
     {"lower-limits", run_lower_limits},
-    {"once-returned", run_once_returned},
-    {"refuse", run_refuse},
+    {"once-returned", run_after_scale_in},
+    {"refuse", run_store_errors},
     {"resign", run_resign},
     {"slow-answers", run_slow_answers},
-    {"slow-orders", run_slow_orders},
-    {"slow-state", run_slow_state},
-    {"state-outage", run_state_outage},
-    {"stutter", run_stutter},
+    {"slow-orders", run_slow_commands},
+    {"slow-state", run_slow_store},
+    {"state-outage", run_store_outage},
+    {"stutter", run_list_tasks_twice},
     {"submit", run_submit},
     {"submit-many", run_submit_many},
     {"upgrade", run_upgrade},
-    {"zone-cut", run_zone_cut},
+    {"zone-cut", run_partition_zones},
     {NULL, NULL},
 };
 
-static const struct sim_action_word *action_word(const char *word)
+static const struct sim_action_word *find_action_word(const char *word)
 {
 	static const struct sim_action_word *const tables[] = {
 	    cluster_actions, sim_machine_actions, sim_cold_start_actions, sim_domains_actions};
@@ -450,10 +459,10 @@
 	}
 	sim_log(WS_LOG_INFO, timed_line->text);
 	action.name = sim_next_word(&action.rest);
-	action.span = sim_option(action.text, "for", DEFAULT_SPAN_S);
-	entry = action_word(action.word);
+	action.span = sim_option(action.text, "for", DEFAULT_DURATION_S);
+	entry = find_action_word(action.word);
 	if (entry)
 		entry->run(sim, &action);
 	else
-		sim_fail(sim, "line %d: %s?", timed_line->line, action.word);
+		sim_fail(sim, "line %d: unknown action %s", timed_line->line, action.word);
 }
--- a/tests/sim_expect.c
+++ b/tests/sim_expect.c
@@ -1,18 +1,21 @@
-/* What scenarios expect of the cluster. */
+/* Expectations of scenarios about the cluster. */
 #include "sim_checks.h"
 #include "sim_scenario.h"
 
-/* The leader's core, to be looked into: one of this version; else NULL, and the play fails. */
+/*
+ * Returns the core of the leader, whose state may be read. Fails and returns NULL if no node leads
+ * or the leader is of the version in production.
+ */
 static const struct ws_core *leading_core(struct sim *sim)
 {
 	int leader = sim_leader(sim);
 
 	if (leader < 0) {
-		sim_fail(sim, "nobody leads");
+		sim_fail(sim, "no node leads");
 		return NULL;
 	}
 	if (sim->nodes[leader].version != &sim_this_version) {
-		sim_fail(sim, "node %d leads, which is of the version in production", leader);
+		sim_fail(sim, "node %d leads, but is of the version in production", leader);
 		return NULL;
 	}
 	return sim->nodes[leader].core;
@@ -37,16 +40,18 @@
 	int running = sim_running(sim, expectation->first);
 
 	if (!job || !job->cancelled || running)
-		sim_fail(sim, "%s is not cancelled, %d run", expectation->first, running);
+		sim_fail(sim, "%s is not cancelled, or still runs (%d tasks)", expectation->first,
+			 running);
 }
 
-/* status JOB CODE: of the last answer to its submission */
+/* status JOB CODE: the HTTP status of the last answer to its submission */
 static void check_status(struct sim *sim, const struct sim_expectation *expectation)
 {
 	const struct sim_job *job = sim_job_of(sim, expectation->first);
 
 	if (!job || job->status != atoi(expectation->second))
-		sim_fail(sim, "%s was answered %d", expectation->first, job ? job->status : 0);
+		sim_fail(sim, "the submission of %s was answered with status %d",
+			 expectation->first, job ? job->status : 0);
 }
 
 /* started-within JOB SECONDS */
@@ -56,7 +61,7 @@
 	bool has_started = job && job->started_at != 0;
 
 	if (!has_started || job->started_at - job->submit_at > atof(expectation->second))
-		sim_fail(sim, "%s began after %.1f s", expectation->first,
+		sim_fail(sim, "%s started after %.1f s", expectation->first,
 			 has_started ? job->started_at - job->submit_at : -1.0);
 }
 
@@ -68,8 +73,8 @@
 			sim_fail(sim, "%s is not done", sim->jobs[i].spec.id);
 }
 
-/* all-finished: all but services are done */
-static void check_all_finished(struct sim *sim, const struct sim_expectation *expectation)
+/* all-finished: all jobs but services are done */
+static void check_batch_done(struct sim *sim, const struct sim_expectation *expectation)
 {
 	(void)expectation;
 	for (int i = 0; i < sim->job_count; i++)
@@ -77,8 +82,8 @@
 			sim_fail(sim, "%s is not done", sim->jobs[i].spec.id);
 }
 
-/* all-answered SECONDS: the last answer about each job is not older */
-static void check_all_answered(struct sim *sim, const struct sim_expectation *expectation)
+/* all-answered SECONDS: the last answer about each accepted job is not older than this */
+static void check_answer_age(struct sim *sim, const struct sim_expectation *expectation)
 {
 	for (int i = 0; i < sim->job_count; i++) {
 		const struct sim_job *job = &sim->jobs[i];
@@ -94,7 +99,7 @@
 	return sim_running(sim, subject);
 }
 
-static double count_finishes(struct sim *sim, const char *subject)
+static double count_finished_runs(struct sim *sim, const char *subject)
 {
 	const struct sim_job *job = sim_job_of(sim, subject);
 
@@ -104,22 +109,23 @@
 /* ---- machines ---- */
 
 /* gone MACHINE */
-static void check_gone(struct sim *sim, const struct sim_expectation *expectation)
+static void check_deleted(struct sim *sim, const struct sim_expectation *expectation)
 {
 	for (int i = 0; i < sim->worker_count; i++)
 		if (!strcmp(sim->workers[i].name, expectation->first) && !sim->workers[i].deleted)
 			sim_fail(sim, "%s is still there", expectation->first);
 }
 
-/* lost MACHINES: at most so many were killed by their lease */
-static void check_lost(struct sim *sim, const struct sim_expectation *expectation)
+/* lost COUNT: the maximum number of workers that restarted after a lease expiry or a power loss */
+static void check_expired_leases(struct sim *sim, const struct sim_expectation *expectation)
 {
-	int lost = 0;
+	int restarted = 0;
 
 	for (int i = 0; i < sim->worker_count; i++)
-		lost += sim->workers[i].is_up && sim->workers[i].incarnation > 1;
-	if (lost > atoi(expectation->first))
-		sim_fail(sim, "%d machines lost their lease", lost);
+		restarted += sim->workers[i].is_up && sim->workers[i].incarnation > 1;
+	if (restarted > atoi(expectation->first))
+		sim_fail(sim, "%d workers restarted after a lease expiry or a power loss",
+			 restarted);
 }
 
 static double count_scaled_out(struct sim *sim)
@@ -132,7 +138,7 @@
 	return sim->scaled_in;
 }
 
-/* Instances of the cloud that are there. */
+/* Counts the instances of the cloud that exist. */
 static double count_instances(struct sim *sim)
 {
 	int count = 0;
@@ -157,7 +163,7 @@
 	return sim->member_lost_exits;
 }
 
-static double count_saved_attempts(struct sim *sim)
+static double count_checkpointed_attempts(struct sim *sim)
 {
 	return sim->saved_attempts;
 }
@@ -173,7 +179,7 @@
 {
 	(void)expectation;
 	if (sim_leader(sim) < 0)
-		sim_fail(sim, "nobody leads");
+		sim_fail(sim, "no node leads");
 }
 
 static void check_no_leader(struct sim *sim, const struct sim_expectation *expectation)
@@ -206,20 +212,20 @@
 	for (int i = 0; i < sim->node_count; i++)
 		healthy += is_healthy(&sim->nodes[i]);
 	if (healthy != atoi(expectation->first))
-		sim_fail(sim, "%d healthy nodes", healthy);
+		sim_fail(sim, "%d nodes are healthy", healthy);
 }
 
-/* healthy NODE | unhealthy NODE: the node runs, and says so of itself */
+/* healthy NODE | unhealthy NODE: the node runs and reports this health */
 static void check_node_health(struct sim *sim, const struct sim_expectation *expectation)
 {
 	int index = atoi(expectation->first) % sim->node_count;
 	const struct sim_node *node = &sim->nodes[index];
 
 	if (!node->is_up || is_healthy(node) != !strcmp(expectation->word, "healthy"))
-		sim_fail(sim, "node %d: not %s", index, expectation->word);
+		sim_fail(sim, "node %d is not %s", index, expectation->word);
 }
 
-/* elections COUNT: so often the leader's key was written */
+/* elections COUNT: the number of writes of the leader key */
 static void check_elections(struct sim *sim, const struct sim_expectation *expectation)
 {
 	int elections = 0;
@@ -230,12 +236,12 @@
 		sim_fail(sim, "%d elections", elections);
 }
 
-static double count_refused_writes(struct sim *sim)
+static double count_rejected_writes(struct sim *sim)
 {
 	return sim->refused_writes;
 }
 
-/* Bytes of a key's value; 0: there is none. */
+/* Returns the size of a key's value in bytes, or 0 if the key does not exist. */
 static double count_value_bytes(struct sim *sim, const char *subject)
 {
 	struct sim_entry *entry;
@@ -246,40 +252,44 @@
 
 /* ---- costs ---- */
 
-/* live-jobs COUNT: the leader keeps at most so many in memory */
-static void check_live_jobs(struct sim *sim, const struct sim_expectation *expectation)
+/* live-jobs COUNT: the maximum number of jobs in the memory of the leader */
+static void check_jobs_in_memory(struct sim *sim, const struct sim_expectation *expectation)
 {
 	const struct ws_core *core = leading_core(sim);
 	int jobs = core ? (int)HASH_COUNT(core->jobs.by_id) : -1;
 
 	if (jobs < 0 || jobs > atoi(expectation->first))
-		sim_fail(sim, "the leader keeps %d jobs", jobs);
+		sim_fail(sim, "the leader has %d jobs in memory", jobs);
 }
 
-/* per-pass steps COUNT: the longest pass of this leader has at most so many */
-static void check_per_pass(struct sim *sim, const struct sim_expectation *expectation)
+/* per-pass steps COUNT: the maximum number of steps in the longest scheduling pass of the leader */
+static void check_steps_per_pass(struct sim *sim, const struct sim_expectation *expectation)
 {
 	const struct ws_core *core = leading_core(sim);
 
 	if (core && core->scheduler.longest_pass_steps > (uint64_t)atoll(expectation->second))
-		sim_fail(sim, "a pass took %llu steps",
+		sim_fail(sim, "a scheduling pass took %llu steps",
 			 (unsigned long long)core->scheduler.longest_pass_steps);
 }
 
-/* A count of the cluster or, by any other name, of its leader; false: nobody can tell. */
-static bool find_cost(struct sim *sim, const char *name, double *cost)
+/*
+ * Finds a counter of the cluster or, for other names, of the leader. Returns false if the leader's
+ * state is needed and cannot be read.
+ */
+static bool find_counter(struct sim *sim, const char *name, double *cost)
 {
 	const struct {
 		const char *name;
 		uint64_t value;
-	} costs[] = {{"requests", sim->store_requests},	    {"changes", sim->changes},
-		     {"commands", sim->commands},	    {"watched", sim->watched_records},
-		     {"bytes-watched", sim->watched_bytes}, {"bytes-written", sim->written_bytes}};
+	} counters[] = {
+	    {"requests", sim->store_requests},	   {"changes", sim->changes},
+	    {"commands", sim->commands},	   {"watched", sim->watched_records},
+	    {"bytes-watched", sim->watched_bytes}, {"bytes-written", sim->written_bytes}};
 	const struct ws_core *core;
 
-	for (size_t i = 0; i < sizeof(costs) / sizeof(costs[0]); i++)
-		if (!strcmp(costs[i].name, name)) {
-			*cost = (double)costs[i].value;
+	for (size_t i = 0; i < sizeof(counters) / sizeof(counters[0]); i++)
+		if (!strcmp(counters[i].name, name)) {
+			*cost = (double)counters[i].value;
 			return true;
 		}
 	core = leading_core(sim);
@@ -294,14 +304,14 @@
 	return true;
 }
 
-/* per-start COST NUMBER | per-poll COST NUMBER: on average at most so much */
+/* per-start COST NUMBER | per-poll COST NUMBER: the maximum average per task start or per poll */
 static void check_ratio(struct sim *sim, const struct sim_expectation *expectation)
 {
 	bool per_poll = !strcmp(expectation->word, "per-poll");
 	double base = per_poll ? (double)sim->status_queries : (double)sim->starts, cost;
 
-	if (!find_cost(sim, expectation->first, &cost))
-		return; /* said there */
+	if (!find_counter(sim, expectation->first, &cost))
+		return; /* leading_core() has reported the failure */
 	if (!base || cost / base > atof(expectation->second))
 		sim_fail(sim, "%.3f %s %s", base ? cost / base : -1, expectation->first,
 			 expectation->word);
@@ -310,34 +320,34 @@
 /* ---- the table ---- */
 
 static const struct sim_expect_word cluster_expectations[] = {
-    {"all-answered", 1, .check = check_all_answered},
+    {"all-answered", 1, .check = check_answer_age},
     {"all-done", 0, .check = check_all_done},
-    {"all-finished", 0, .check = check_all_finished},
+    {"all-finished", 0, .check = check_batch_done},
     {"alone", 2, .count = count_incomplete_exits},
     {"cancelled", 1, .check = check_cancelled},
     {"done", 1, .check = check_done},
     {"elections", 1, .check = check_elections},
     {"failures", 2, .count = count_failures},
-    {"finishes", 3, .count_of = count_finishes},
+    {"finishes", 3, .count_of = count_finished_runs},
     {"gang-runs", 2, .count = count_gang_runs},
-    {"gone", 1, .check = check_gone},
+    {"gone", 1, .check = check_deleted},
     {"healthy", 1, .check = check_node_health},
     {"healthy-nodes", 1, .check = check_healthy_nodes},
     {"held", 2, .count = count_instances},
     {"leader", 0, .check = check_leader},
     {"leader-version", 1, .check = check_leader_version},
-    {"live-jobs", 1, .check = check_live_jobs},
-    {"lost", 1, .check = check_lost},
+    {"live-jobs", 1, .check = check_jobs_in_memory},
+    {"lost", 1, .check = check_expired_leases},
     {"mates", 2, .count = count_member_lost_exits},
     {"no-leader", 0, .check = check_no_leader},
-    {"per-pass", 2, .check = check_per_pass},
+    {"per-pass", 2, .check = check_steps_per_pass},
     {"per-poll", 2, .check = check_ratio},
     {"per-start", 2, .check = check_ratio},
-    {"refused", 2, .count = count_refused_writes},
+    {"refused", 2, .count = count_rejected_writes},
     {"rented", 2, .count = count_scaled_out},
     {"returned", 2, .count = count_scaled_in},
     {"running", 3, .count_of = count_running},
-    {"saved", 2, .count = count_saved_attempts},
+    {"saved", 2, .count = count_checkpointed_attempts},
     {"started-within", 2, .check = check_started_within},
     {"status", 2, .check = check_status},
     {"unhealthy", 1, .check = check_node_health},
@@ -345,7 +355,7 @@
     {NULL},
 };
 
-static const struct sim_expect_word *expect_word(const char *word)
+static const struct sim_expect_word *find_expectation_word(const char *word)
 {
 	static const struct sim_expect_word *const tables[] = {
 	    cluster_expectations, sim_domains_expectations, sim_cold_start_expectations};
@@ -375,14 +385,14 @@
 {
 	int operands = sim_count_words(text) - 1;
 	struct sim_expectation expectation = {.word = sim_next_word(&text)};
-	const struct sim_expect_word *entry = expect_word(expectation.word);
+	const struct sim_expect_word *entry = find_expectation_word(expectation.word);
 
 	if (!entry) {
-		sim_fail(sim, "expect %s?", expectation.word);
+		sim_fail(sim, "unknown expectation %s", expectation.word);
 		return;
 	}
 	if (operands < entry->operands) {
-		sim_fail(sim, "expect %s: words are missing", expectation.word);
+		sim_fail(sim, "expect %s: operands are missing", expectation.word);
 		return;
 	}
 	expectation.first = sim_next_word(&text);
--- a/tests/sim_machine_actions.c
+++ b/tests/sim_machine_actions.c
@@ -1,4 +1,4 @@
-/* Timed actions: what befalls single machines. */
+/* Timed actions: faults of single machines. */
 #include "sim_scenario.h"
 #include "sim_workers.h"
 
@@ -14,9 +14,11 @@
 	return count;
 }
 
-/* The machine of this name; else the one with most tasks: of "rental" or "owned" ones, or of all.
+/*
+ * Returns the machine of this name. For other names, returns the running machine with the most live
+ * tasks among the "rental" ones, the "owned" ones, or all.
  */
-static struct sim_worker *named_machine(struct sim *sim, const char *name)
+static struct sim_worker *select_machine(struct sim *sim, const char *name)
 {
 	struct sim_worker *busiest = NULL;
 
@@ -35,19 +37,19 @@
 			busiest = worker;
 	}
 	if (!busiest)
-		sim_fail(sim, "no machine %s", name);
+		sim_fail(sim, "no running machine %s", name);
 	return busiest;
 }
 
-/* ---- faults of a machine; span: how long they last, in seconds ---- */
+/* ---- faults of a machine, and their duration in seconds ---- */
 
-typedef void (*machine_fault)(struct sim *sim, struct sim_worker *worker, double span);
+typedef void (*machine_fault)(struct sim *sim, struct sim_worker *worker, double duration_s);
 
-/* To as many machines as times=N says, those with most tasks first. */
+/* Applies the fault times=N times, each time to the machine that the action selects then. */
 static void apply_fault(struct sim *sim, const struct sim_action *action, machine_fault fault)
 {
 	for (int times = (int)sim_option(action->text, "times", 1); times > 0; times--) {
-		struct sim_worker *worker = named_machine(sim, action->name);
+		struct sim_worker *worker = select_machine(sim, action->name);
 
 		if (!worker)
 			return;
@@ -55,20 +57,20 @@
 	}
 }
 
-static void hang(struct sim *sim, struct sim_worker *worker, double span)
+static void hang(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	worker->hang_until = sim->now + span;
+	worker->hang_until = sim->now + duration_s;
 }
 
-static void pin(struct sim *sim, struct sim_worker *worker, double span)
+static void pin_to_leader(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
 	worker->pin = sim_leader(sim) + 1;
-	worker->pin_until = sim->now + span;
+	worker->pin_until = sim->now + duration_s;
 }
 
-static void reboot(struct sim *sim, struct sim_worker *worker, double span)
+static void reboot(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	(void)span;
+	(void)duration_s;
 	worker->task_count = 0;
 	worker->image_count = 0;
 	worker->sequence = 0;
@@ -79,121 +81,121 @@
 	worker->next_heartbeat_at = sim->now;
 }
 
-static void deafen(struct sim *sim, struct sim_worker *worker, double span)
+static void block_inbound(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	worker->deaf_until = sim->now + span;
+	worker->deaf_until = sim->now + duration_s;
 }
 
-static void mute(struct sim *sim, struct sim_worker *worker, double span)
+static void block_outbound(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	worker->mute_until = sim->now + span;
+	worker->mute_until = sim->now + duration_s;
 }
 
-static void cut_off(struct sim *sim, struct sim_worker *worker, double span)
+static void partition_machine(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	worker->cut_until = sim->now + span;
+	worker->cut_until = sim->now + duration_s;
 }
 
-static void kill_machine(struct sim *sim, struct sim_worker *worker, double span)
+static void kill_machine(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	(void)span;
+	(void)duration_s;
 	worker->dead = true;
 	worker->died_at = sim->now;
 }
 
-static void fail_tasks(struct sim *sim, struct sim_worker *worker, double span)
+static void fail_tasks(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
 	(void)sim;
-	(void)span;
+	(void)duration_s;
 	worker->failing = true;
 }
 
-static void take_away(struct sim *sim, struct sim_worker *worker, double span)
+static void delete_machine(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	(void)span;
+	(void)duration_s;
 	worker->deleted = true;
 	worker->deleted_at = sim->now;
 }
 
-static void give_preemption_notice(struct sim *sim, struct sim_worker *worker, double span)
+static void give_preemption_notice(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
 	worker->preemption_notice_at = sim->now;
-	worker->preempted_at = sim->now + span;
+	worker->preempted_at = sim->now + duration_s;
 	sim_worker_changed(worker, sim->now);
 }
 
 /* ---- actions: WORD MACHINE|rental|owned|any [times=N] [for=S] ---- */
 
-/* hang: it stands still; its lease may run out meanwhile */
+/* hang: suspends the worker; its lease may expire in the meantime */
 static void run_hang(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, hang);
 }
 
-/* pin: it reaches the node that leads now and no other */
-static void run_pin(struct sim *sim, const struct sim_action *action)
+/* pin: the machine can reach only the node that leads now */
+static void run_pin_to_leader(struct sim *sim, const struct sim_action *action)
 {
-	apply_fault(sim, action, pin);
+	apply_fault(sim, action, pin_to_leader);
 }
 
-/* reboot: an empty worker under the same name */
+/* reboot: restarts the worker without tasks and images, under the same name */
 static void run_reboot(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, reboot);
 }
 
-/* deaf: its heartbeats arrive, nothing reaches it */
-static void run_deaf(struct sim *sim, const struct sim_action *action)
+/* deaf: heartbeats arrive, but no answer or command reaches the machine */
+static void run_block_inbound(struct sim *sim, const struct sim_action *action)
 {
-	apply_fault(sim, action, deafen);
+	apply_fault(sim, action, block_inbound);
 }
 
-/* mute: it can't open connections, commands reach it */
-static void run_mute(struct sim *sim, const struct sim_action *action)
+/* mute: the machine cannot open connections, but commands reach it */
+static void run_block_outbound(struct sim *sim, const struct sim_action *action)
 {
-	apply_fault(sim, action, mute);
+	apply_fault(sim, action, block_outbound);
 }
 
-/* cut-machine: from the network */
-static void run_cut_machine(struct sim *sim, const struct sim_action *action)
+/* cut-machine: disconnects the machine from the network */
+static void run_partition_machine(struct sim *sim, const struct sim_action *action)
 {
-	apply_fault(sim, action, cut_off);
+	apply_fault(sim, action, partition_machine);
 }
 
-/* die: it is gone, and the cloud lists it for a while */
-static void run_die(struct sim *sim, const struct sim_action *action)
+/* die: the machine fails for good; the cloud still lists it for a while */
+static void run_kill_machine(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, kill_machine);
 }
 
-/* fail-tasks: from now on */
+/* fail-tasks: tasks on the machine fail from now on */
 static void run_fail_tasks(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, fail_tasks);
 }
 
-/* take: the cloud deletes it */
-static void run_take(struct sim *sim, const struct sim_action *action)
+/* take: the cloud deletes the machine */
+static void run_delete_machine(struct sim *sim, const struct sim_action *action)
 {
-	apply_fault(sim, action, take_away);
+	apply_fault(sim, action, delete_machine);
 }
 
-/* notice: it will be preempted at the end of the span */
-static void run_notice(struct sim *sim, const struct sim_action *action)
+/* notice: announces that the machine will be preempted after this duration */
+static void run_preemption_notice(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, give_preemption_notice);
 }
 
-/* foreign MACHINE job=ID: an attempt of the job's task 0 that nobody started runs there */
-static void run_foreign(struct sim *sim, const struct sim_action *action)
+/* foreign MACHINE job=ID: adds an attempt of the job's task 0 that the controllers never started */
+static void run_unrecorded_attempt(struct sim *sim, const struct sim_action *action)
 {
-	struct sim_worker *worker = named_machine(sim, action->name);
+	struct sim_worker *worker = select_machine(sim, action->name);
 	struct sim_task *task;
 
 	if (!worker)
 		return;
 	if (worker->task_count == SIM_TASKS) {
-		sim_fail(sim, "no room on machine %s", action->name);
+		sim_fail(sim, "no free task slot on machine %s", action->name);
 		return;
 	}
 	task = &worker->tasks[worker->task_count++];
@@ -205,13 +207,13 @@
 	sim_worker_changed(worker, sim->now);
 }
 
-/* no-boot COUNT: so many instances never boot */
-static void run_no_boot(struct sim *sim, const struct sim_action *action)
+/* no-boot COUNT: the number of next instances that never boot */
+static void run_boot_failures(struct sim *sim, const struct sim_action *action)
 {
 	sim->boot_failures = atoi(action->name);
 }
 
-/* instant-boot: instances are there at once */
+/* instant-boot: instances boot at once */
 static void run_instant_boot(struct sim *sim, const struct sim_action *action)
 {
 	(void)action;
@@ -219,18 +221,18 @@
 }
 
 const struct sim_action_word sim_machine_actions[] = {
-    {"cut-machine", run_cut_machine},
-    {"deaf", run_deaf},
-    {"die", run_die},
+    {"cut-machine", run_partition_machine},
+    {"deaf", run_block_inbound},
+    {"die", run_kill_machine},
     {"fail-tasks", run_fail_tasks},
-    {"foreign", run_foreign},
+    {"foreign", run_unrecorded_attempt},
     {"hang", run_hang},
     {"instant-boot", run_instant_boot},
-    {"mute", run_mute},
-    {"no-boot", run_no_boot},
-    {"notice", run_notice},
-    {"pin", run_pin},
+    {"mute", run_block_outbound},
+    {"no-boot", run_boot_failures},
+    {"notice", run_preemption_notice},
+    {"pin", run_pin_to_leader},
     {"reboot", run_reboot},
-    {"take", run_take},
+    {"take", run_delete_machine},
     {NULL, NULL},
 };
--- a/tests/sim_scenario.c
+++ b/tests/sim_scenario.c
@@ -1,4 +1,4 @@
-/* Scenarios: words and options, and the lines with settings. */
+/* Parses scenarios: words, options and settings lines. */
 #include "sim_cloud.h"
 #include "sim_scenario.h"
 #include "sim_subsystems.h"
@@ -28,7 +28,7 @@
 	return count;
 }
 
-/* Behind the equals sign of an option; NULL: it is not there. */
+/* Returns the text behind the equals sign of an option, or NULL if the option is absent. */
 static const char *option_value(const char *text, const char *name)
 {
 	char key[OPTION_NAME_MAX];
@@ -39,11 +39,11 @@
 	return found ? found + strlen(key) : NULL;
 }
 
-double sim_option(const char *text, const char *name, double otherwise)
+double sim_option(const char *text, const char *name, double fallback)
 {
 	const char *value = option_value(text, name);
 
-	return value ? atof(value) : otherwise;
+	return value ? atof(value) : fallback;
 }
 
 bool sim_option_text(const char *text, const char *name, char *target, size_t size)
@@ -102,8 +102,8 @@
 	snprintf(target, size, "%s", sim_next_word(&setting->rest));
 }
 
-/* at TIME ACTION ... */
-static const char *take_timed_line(struct sim *sim, struct sim_setting *setting)
+/* at TIME ACTION ... | at TIME expect EXPECTATION ... */
+static const char *parse_timed_line(struct sim *sim, struct sim_setting *setting)
 {
 	struct sim_timed_line *timed_line = &sim->timed_lines[sim->timed_line_count];
 
@@ -114,84 +114,87 @@
 	snprintf(timed_line->text, sizeof(timed_line->text), "%s", setting->rest);
 	if (sim->timed_line_count &&
 	    timed_line->time < sim->timed_lines[sim->timed_line_count - 1].time)
-		return "times must not fall";
+		return "the time is before that of the previous timed line";
 	sim->timed_line_count++;
 	sim->end_at = fmax(sim->end_at, timed_line->time);
 	return NULL;
 }
 
-static const char *take_nodes(struct sim *sim, struct sim_setting *setting)
+static const char *parse_nodes(struct sim *sim, struct sim_setting *setting)
 {
 	sim->node_count = next_integer(setting);
-	return sim->node_count > 0 && sim->node_count <= SIM_NODES ? NULL : "out of range";
+	return sim->node_count > 0 && sim->node_count <= SIM_NODES
+		   ? NULL
+		   : "the number of nodes is out of range";
 }
 
-static const char *take_lease(struct sim *sim, struct sim_setting *setting)
+static const char *parse_lease(struct sim *sim, struct sim_setting *setting)
 {
 	sim->lease_s = next_number(setting);
 	return NULL;
 }
 
-static const char *take_heartbeat(struct sim *sim, struct sim_setting *setting)
+static const char *parse_heartbeat_interval(struct sim *sim, struct sim_setting *setting)
 {
 	sim->heartbeat_s = next_number(setting);
 	return NULL;
 }
 
-static const char *take_gang_wait(struct sim *sim, struct sim_setting *setting)
+static const char *parse_gang_wait(struct sim *sim, struct sim_setting *setting)
 {
 	sim->gang_wait_s = next_number(setting);
 	return NULL;
 }
 
-static const char *take_gang_peer(struct sim *sim, struct sim_setting *setting)
+static const char *parse_gang_peer(struct sim *sim, struct sim_setting *setting)
 {
 	sim->gang_peer_s = next_number(setting);
 	return NULL;
 }
 
-/* old N: so many nodes run the version in production at first */
-static const char *take_production_nodes(struct sim *sim, struct sim_setting *setting)
+/* old COUNT: the number of nodes that start with the version in production */
+static const char *parse_production_nodes(struct sim *sim, struct sim_setting *setting)
 {
 	sim->production_nodes = next_integer(setting);
-	return sim_production_version() ? NULL : "the version in production was not built";
+	return sim_production_version() ? NULL
+					: "the version in production could not be built or loaded";
 }
 
-/* next-limits KIB OPERATIONS: of a value, and of a transaction */
-static const char *take_next_limits(struct sim *sim, struct sim_setting *setting)
+/* next-limits KIB OPERATIONS: upcoming lower limits of a value and of a transaction */
+static const char *parse_next_limits(struct sim *sim, struct sim_setting *setting)
 {
 	sim->next_value_kb = next_number(setting);
 	sim->next_txn_ops = next_integer(setting);
 	return NULL;
 }
 
-static const char *take_cancel(struct sim *sim, struct sim_setting *setting)
+static const char *parse_cancel(struct sim *sim, struct sim_setting *setting)
 {
 	sim->cancel_s = next_number(setting);
 	return NULL;
 }
 
-static const char *take_seed(struct sim *sim, struct sim_setting *setting)
+static const char *parse_seed(struct sim *sim, struct sim_setting *setting)
 {
 	sim->random_state = (uint64_t)next_integer(setting);
 	return NULL;
 }
 
-/* capacity N: of the cloud, in instances */
-static const char *take_capacity(struct sim *sim, struct sim_setting *setting)
+/* capacity COUNT: the number of instances that the cloud grants */
+static const char *parse_capacity(struct sim *sim, struct sim_setting *setting)
 {
 	sim->instance_limit = next_integer(setting);
 	return NULL;
 }
 
-static const char *take_zone(struct sim *sim, struct sim_setting *setting)
+static const char *parse_zone(struct sim *sim, struct sim_setting *setting)
 {
 	next_text(setting, sim->zones[sim->zone_count++], sizeof(sim->zones[0]));
 	return NULL;
 }
 
 /* team NAME CPUS CPUS_MAX */
-static const char *take_team(struct sim *sim, struct sim_setting *setting)
+static const char *parse_team(struct sim *sim, struct sim_setting *setting)
 {
 	struct ws_team_setting *team = &sim->teams[sim->team_count++];
 
@@ -202,7 +205,7 @@
 }
 
 /* type NAME CPUS MEMORY_GB PRICE BOOT_S ZONE ... */
-static const char *take_type(struct sim *sim, struct sim_setting *setting)
+static const char *parse_type(struct sim *sim, struct sim_setting *setting)
 {
 	struct ws_machine_type *type = &sim->types[sim->type_count++];
 
@@ -219,7 +222,7 @@
 }
 
 /* objective KIND CLASS SECONDS */
-static const char *take_objective(struct sim *sim, struct sim_setting *setting)
+static const char *parse_objective(struct sim *sim, struct sim_setting *setting)
 {
 	struct ws_objective *objective = &sim->objectives[sim->objective_count++];
 
@@ -230,7 +233,7 @@
 }
 
 /* owned TYPE ZONE [COUNT] */
-static const char *take_owned(struct sim *sim, struct sim_setting *setting)
+static const char *parse_owned(struct sim *sim, struct sim_setting *setting)
 {
 	int type = sim_type_index(sim, sim_next_word(&setting->rest));
 	const char *zone = sim_next_word(&setting->rest);
@@ -241,8 +244,8 @@
 	return NULL;
 }
 
-/* subsystem NAME [OPTION=NUMBER ...] */
-static const char *take_subsystem(struct sim *sim, struct sim_setting *setting)
+/* subsystem NAME [OPTION=NUMBER ...]: enables the subsystem */
+static const char *parse_subsystem(struct sim *sim, struct sim_setting *setting)
 {
 	if (strstr(setting->text, " coldstart"))
 		sim_cold_start_configure(sim, setting->text);
@@ -251,30 +254,30 @@
 	return NULL;
 }
 
-static const struct sim_setting_word cluster_settings_words[] = {
-    {"at", 1, take_timed_line},
-    {"cancel", 1, take_cancel},
-    {"capacity", 1, take_capacity},
-    {"gang-peer", 1, take_gang_peer},
-    {"gang-wait", 1, take_gang_wait},
-    {"lease", 1, take_lease},
-    {"next-limits", 2, take_next_limits},
-    {"nodes", 1, take_nodes},
-    {"objective", 3, take_objective},
-    {"old", 1, take_production_nodes},
-    {"owned", 2, take_owned},
-    {"report", 1, take_heartbeat},
-    {"seed", 1, take_seed},
-    {"subsystem", 0, take_subsystem},
-    {"team", 3, take_team},
-    {"type", 5, take_type},
-    {"zone", 1, take_zone},
+static const struct sim_setting_word cluster_setting_words[] = {
+    {"at", 1, parse_timed_line},
+    {"cancel", 1, parse_cancel},
+    {"capacity", 1, parse_capacity},
+    {"gang-peer", 1, parse_gang_peer},
+    {"gang-wait", 1, parse_gang_wait},
+    {"lease", 1, parse_lease},
+    {"next-limits", 2, parse_next_limits},
+    {"nodes", 1, parse_nodes},
+    {"objective", 3, parse_objective},
+    {"old", 1, parse_production_nodes},
+    {"owned", 2, parse_owned},
+    {"report", 1, parse_heartbeat_interval},
+    {"seed", 1, parse_seed},
+    {"subsystem", 0, parse_subsystem},
+    {"team", 3, parse_team},
+    {"type", 5, parse_type},
+    {"zone", 1, parse_zone},
     {NULL, 0, NULL},
 };
 
-static const struct sim_setting_word *setting_word(const char *word)
+static const struct sim_setting_word *find_setting_word(const char *word)
 {
-	static const struct sim_setting_word *const tables[] = {cluster_settings_words,
+	static const struct sim_setting_word *const tables[] = {cluster_setting_words,
 								sim_domains_settings_words};
 
 	for (size_t i = 0; i < sizeof(tables) / sizeof(tables[0]); i++)
@@ -289,7 +292,7 @@
 	char copy[SETTING_LINE_MAX];
 	struct sim_setting setting = {.rest = copy, .text = line};
 	const struct sim_setting_word *entry;
-	const char *word, *problem;
+	const char *word, *message;
 
 	sim->line++;
 	line[strcspn(line, "#\r\n")] = 0;
@@ -297,14 +300,14 @@
 	word = sim_next_word(&setting.rest);
 	if (!word[0])
 		return true;
-	entry = setting_word(word);
+	entry = find_setting_word(word);
 	if (!entry)
-		problem = "an unknown word";
+		message = "unknown word";
 	else if (sim_count_words(setting.rest) < entry->operands)
-		problem = "words are missing";
+		message = "operands are missing";
 	else
-		problem = entry->take(sim, &setting);
-	if (problem)
-		snprintf(error, size, "line %d: %s: %s", sim->line, word, problem);
-	return !problem;
+		message = entry->take(sim, &setting);
+	if (message)
+		snprintf(error, size, "line %d: %s: %s", sim->line, word, message);
+	return !message;
 }
