--- a/tests/sim_parts.h
+++ b/tests/sim_parts.h
@@ -50,13 +50,16 @@
 	double scaled_out_at, deleted_at, died_at, boots_at;
 	double hang_until, cut_until;
 	double preemption_notice_at, preempted_at;
-	double deaf_until; /* heartbeats arrive, but no answer or command reaches it */
+	double deaf_until; /* its heartbeats arrive, but no message reaches it */
 	double mute_until; /* it cannot open connections, but commands reach it */
 	uint64_t incarnation, sequence, fencing_token;
-	double answered_sent; /* send time of the last answered heartbeat; the lease runs from it */
-	double answered_since; /* time of the first answer after the last stop of all controllers */
+	/* The lease runs from the time at which the last answered heartbeat was sent. */
+	double answered_sent;
+	/* Time of the first answer after the last stop of all controllers. */
+	double answered_since;
 	double next_heartbeat_at, sent_at;
-	int pin; /* index + 1 of the only node that it can reach; 0: no restriction */
+	/* Index + 1 of the only node that it can reach, or 0 if that is not restricted. */
+	int pin;
 	double pin_until;
 	bool heartbeat_pending;
 	uint64_t heartbeat_id;
@@ -135,7 +138,7 @@
 	uint64_t restarts; /* a call made before a crash gets no answer after the restart */
 	double cut_store_until, cut_workers_until, cut_peers_until;
 	double refused_until; /* the store rejects its calls with errors */
-	double blind_until;   /* its watches receive nothing; other store calls are served */
+	double blind_until;   /* only its watches are not served */
 	double frozen_until;
 	double skew;			    /* clock rate error, as a fraction */
 	struct ws_failure_domains *domains; /* owned by the core; NULL: disabled */
@@ -253,14 +256,16 @@
 	/* the scenario */
 	struct sim_timed_line timed_lines[SIM_TIMED_LINES];
 	int timed_line_count, next_timed_line;
-	int line;		  /* number of the line parsed last */
-	double follow_up_after_s; /* delay of the action below after the first scale-in */
+	int line; /* number of the line parsed last */
+	/* An action to run this long after the first scale-in. */
+	double follow_up_after_s;
 	char follow_up[SIM_LINE_MAX];
 
 	/* settings */
 	double lease_s, heartbeat_s, cancel_s, list_lag_s;
 	double gang_wait_s, gang_peer_s;
-	double value_kb, next_value_kb; /* limits of the store, now and after they are lowered */
+	/* Limits of the store, now and after they are lowered. */
+	double value_kb, next_value_kb;
 	int txn_ops, next_txn_ops;
 	struct ws_policy policy;
 	char zones[SIM_ZONES][32];
@@ -305,25 +310,31 @@
 	double store_down_until;
 	double store_slow_until, store_slow_by_s;      /* maximum extra latency of store calls */
 	double late_watches_until, late_watches_max_s; /* maximum extra latency of open watches */
-	int lost_txns;	       /* remaining transactions whose answers get lost */
-	int late_txns;	       /* remaining transactions that execute after a timeout */
-	double late_txns_by_s; /* delay of their execution */
-	double late_writes_until, late_writes_share; /* fraction of writes that get no answer */
-	double late_writes_max_s;		     /* maximum delay of their execution */
-	bool late_writes_at_once;		     /* executes them without that delay */
-	bool store_was_down;			     /* in the previous step */
+	int lost_txns; /* remaining transactions whose answers get lost */
+	/* Remaining transactions that execute after their senders timed out, and the delay. */
+	int late_txns;
+	double late_txns_by_s;
+	/* A fraction of writes gets no answer, and executes after up to a maximum delay or at once.
+	 */
+	double late_writes_until, late_writes_share;
+	double late_writes_max_s;
+	bool late_writes_at_once;
+	bool store_was_down; /* in the previous step */
 
 	/* faults of cloud and network */
 	double cloud_down_until, zone_cut_until;
 	int lost_scale_outs, lost_commands; /* remaining calls whose answers get lost */
-	int late_command_count;		    /* remaining command calls that arrive late */
-	double late_commands_by_s;	    /* delay of their arrival */
-	double slow_commands_s; /* commands are executed at once but answered after this delay */
-	double slow_answers_until, slow_answers_by_s; /* delay of answers to heartbeats */
-	double slow_answers_share;		      /* fraction of answers that it delays */
-	double duplicates_until, duplicates_max_s;    /* maximum delay of duplicated heartbeats */
-	double duplicates_share;	 /* fraction of heartbeats that it duplicates */
-	bool duplicates_for_next_leader; /* duplicates arrive after the next election instead */
+	/* Remaining command calls that arrive late, and the delay. */
+	int late_command_count;
+	double late_commands_by_s;
+	double slow_commands_s; /* delay of answers to commands, which execute at once */
+	/* A fraction of the answers to heartbeats is delayed. */
+	double slow_answers_until, slow_answers_by_s;
+	double slow_answers_share;
+	/* A fraction of heartbeats is duplicated; the copies arrive after up to a maximum delay. */
+	double duplicates_until, duplicates_max_s;
+	double duplicates_share;
+	bool duplicates_for_next_leader; /* the copies arrive after the next election instead */
 
 	/* faults of nodes and workers */
 	enum sim_crash crash;
@@ -335,10 +346,12 @@
 	bool heartbeats_name_tasks_twice;
 
 	/* what users do */
-	double checks_until;	    /* until then they query all nodes after each change of a job */
-	double cancel_share;	    /* the fraction of them that then cancels the job */
-	double cancel_at_end_until; /* until then some cancel a job when its last task ends */
-	double cancel_at_end_share; /* the fraction of users that do so */
+	/* Users query all nodes after each change of a job; a fraction of them then cancels it. */
+	double checks_until;
+	double cancel_share;
+	/* A fraction of users cancels a job when its last task ends. */
+	double cancel_at_end_until;
+	double cancel_at_end_share;
 
 	/* counters for expectations */
 	uint64_t commands, starts, status_queries, store_requests, changes, heartbeats;
@@ -348,7 +361,8 @@
 	int scaled_out, scaled_in, failures;
 	double scaled_in_at;			 /* time of the first scale-in */
 	int incomplete_exits, member_lost_exits; /* exits of gang tasks by reason */
-	int saved_attempts, gang_runs; /* gang attempts that saved their state, that started */
+	/* Gang attempts that saved their state when stopped, and those that started to run. */
+	int saved_attempts, gang_runs;
 	uint64_t run_commands, stop_commands, reap_commands; /* received by workers */
 	/* Stop commands for live tasks whose job is not cancelled, on machines without a notice. */
 	uint64_t healthy_stops;
