--- a/tests/sim_actions.c
+++ b/tests/sim_actions.c
@@ -139,7 +139,7 @@
 		sim_user_check_all_nodes(sim, job);
 }
 
-/* looks SHARE for=S: checks jobs so after each change; users then cancel this fraction of them */
+/* looks SHARE for=S: checks each job after each change of it, then cancels this fraction */
 static void run_check_on_change(struct sim *sim, const struct sim_action *action)
 {
 	sim->checks_until = sim->now + action->span;
@@ -194,7 +194,7 @@
 		node->version->resign(node->core, sim_node_time(sim, node));
 }
 
-/* cut NODE|leader [all] [state] [workers] [peers] [for=S] */
+/* cut NODE|leader [all] [state] [workers] [peers] [for=S]: partitions the node from these */
 static void run_partition(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_node *node = named_node(sim, action);
@@ -264,7 +264,7 @@
 	sim->store_down_until = sim->now + action->span;
 }
 
-/* slow-state MAX_S [for=S]: delays answers of the store */
+/* slow-state MAX_S [for=S]: delays calls to the store */
 static void run_slow_store(struct sim *sim, const struct sim_action *action)
 {
 	sim->store_slow_until = sim->now + action->span;
--- a/tests/sim_parts.h
+++ b/tests/sim_parts.h
@@ -95,8 +95,8 @@
 	double pending_at;
 	double started_at, answered_at;
 	int finishes;
-	double *displaced_at;  /* per task: when its machine was lost; 0: not displaced */
-	double *killed_at;     /* per task: when an expired lease killed it; 0: not killed */
+	double *displaced_at;  /* per task: when a zone fault hit its machine; 0: never */
+	double *killed_at;     /* per task: when lease expiry or power loss killed it; 0: never */
 	double progress_saved; /* seconds of a gang's run that are checkpointed */
 	struct sim_gang gangs[SIM_GANGS];
 	int gang_count;
@@ -138,7 +138,7 @@
 	uint64_t restarts; /* a call made before a crash gets no answer after the restart */
 	double cut_store_until, cut_workers_until, cut_peers_until;
 	double refused_until; /* the store rejects its calls with errors */
-	double blind_until;   /* only its watches are not served */
+	double blind_until;   /* its open watches receive nothing */
 	double frozen_until;
 	double skew;			    /* clock rate error, as a fraction */
 	struct ws_failure_domains *domains; /* owned by the core; NULL: disabled */
@@ -366,7 +366,7 @@
 	uint64_t run_commands, stop_commands, reap_commands; /* received by workers */
 	/* Stop commands for live tasks whose job is not cancelled, on machines without a notice. */
 	uint64_t healthy_stops;
-	/* Tasks killed by an expired lease, and those of them that ran again. */
+	/* Tasks killed by a lease expiry or a power loss, and those of them that ran again. */
 	int killed, restarted;
 	/* Total delay until they ran again, and the time of the last restart. */
 	double restart_sum, restart_last;
