--- a/tests/random_parts.c
+++ b/tests/random_parts.c
@@ -35,7 +35,7 @@
 	if (sim_verbose)
 		fprintf(stderr, "%s\n", text);
 	if (!error[0])
-		sim_line(sim, text, error, sizeof(error));
+		sim_parse_line(sim, text, error, sizeof(error));
 }
 
 struct event {
@@ -135,7 +135,7 @@
 		random_line("at %.2f %s", events[i].time, events[i].text);
 	random_line("at %d expect leader", SCENARIO_S);
 	random_line("at %d expect all-answered 75", SCENARIO_S);
-	passed = !error[0] && sim_play(sim, error, sizeof(error));
+	passed = !error[0] && sim_run(sim, error, sizeof(error));
 	if (!passed)
 		printf("FAIL seed %u: %s\n", seed, error);
 	if (print_digests) {
--- a/tests/runner.c
+++ b/tests/runner.c
@@ -30,7 +30,7 @@
 			continue;
 		}
 		if (!strcmp(argv[i], "-t")) {
-			sim_trace = stderr;
+			sim_digest_trace = stderr;
 			continue;
 		}
 		file = fopen(argv[i], "r");
@@ -40,9 +40,9 @@
 		}
 		sim = sim_new();
 		while (ok && fgets(line, sizeof(line), file))
-			ok = sim_line(sim, line, error, sizeof(error));
+			ok = sim_parse_line(sim, line, error, sizeof(error));
 		fclose(file);
-		ok = ok && sim_play(sim, error, sizeof(error));
+		ok = ok && sim_run(sim, error, sizeof(error));
 		printf("%s %s%s%s\n", ok ? "ok  " : "FAIL", argv[i], ok ? "" : ": ", error);
 		if (digests)
 			sim_print_digest(sim, strrchr(argv[i], '/') ? strrchr(argv[i], '/') + 1
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -67,7 +67,7 @@
 	return -1;
 }
 
-struct sim_job *sim_job_of(struct sim *sim, const char *id)
+struct sim_job *sim_find_job(struct sim *sim, const char *id)
 {
 	struct sim_job *job;
 
@@ -95,8 +95,8 @@
 	ws_policy_defaults(&sim->policy);
 	ws_domains_settings_init(&sim->domains_settings);
 	ws_cold_start_defaults(&sim->cold_start_settings);
-	sim->cold_start_on = sim_cold_start_always;
-	sim_digest_begin(sim);
+	sim->cold_start_enabled = sim_cold_start_always;
+	sim_digest_init(sim);
 	return sim;
 }
 
@@ -104,7 +104,7 @@
 {
 	while (sim->next_timed_line < sim->timed_line_count &&
 	       sim->timed_lines[sim->next_timed_line].time <= sim->now + TIME_TOLERANCE_S)
-		sim_act(sim, &sim->timed_lines[sim->next_timed_line++]);
+		sim_run_action(sim, &sim->timed_lines[sim->next_timed_line++]);
 }
 
 /* Runs the action that the scenario has deferred until after the first scale-in. */
@@ -112,12 +112,12 @@
 {
 	struct sim_timed_line deferred = {.time = sim->now};
 
-	if (!sim->follow_up[0] || sim->scaled_in_at <= 0 ||
-	    sim->now < sim->scaled_in_at + sim->follow_up_after_s)
+	if (!sim->deferred_action[0] || sim->scaled_in_at <= 0 ||
+	    sim->now < sim->scaled_in_at + sim->deferred_action_delay_s)
 		return;
-	snprintf(deferred.text, sizeof(deferred.text), "%s", sim->follow_up);
-	sim->follow_up[0] = 0;
-	sim_act(sim, &deferred);
+	snprintf(deferred.text, sizeof(deferred.text), "%s", sim->deferred_action);
+	sim->deferred_action[0] = 0;
+	sim_run_action(sim, &deferred);
 }
 
 /* Advances all calls that are due within this step, in the order of their due times. */
@@ -160,7 +160,7 @@
 	sim_check_quota(sim);
 }
 
-bool sim_play(struct sim *sim, char *error, size_t size)
+bool sim_run(struct sim *sim, char *error, size_t size)
 {
 	logged_sim = sim;
 	sim_nodes_start(sim);
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -23,16 +23,16 @@
  * Parses one line of a scenario and modifies the buffer in doing so. Returns false and writes a
  * message to `error` if the line is invalid.
  */
-bool sim_line(struct sim *sim, char *line, char *error, size_t size);
+bool sim_parse_line(struct sim *sim, char *line, char *error, size_t size);
 
 /* Runs the scenario. Returns false and writes the violated invariant to `error` if it fails. */
-bool sim_play(struct sim *sim, char *error, size_t size);
+bool sim_run(struct sim *sim, char *error, size_t size);
 
 /* Prints the digest of all effects that the cores emitted, see sim_digest.c. */
 void sim_print_digest(const struct sim *sim, const char *name);
 
-extern FILE *sim_trace;	 /* the hashed lines are also written here, unless it is NULL */
-extern bool sim_verbose; /* writes the log to standard error */
+extern FILE *sim_digest_trace; /* the hashed lines are also written here, unless it is NULL */
+extern bool sim_verbose;       /* writes the log to standard error */
 /* Enables the subsystem coldstart in every scenario, also in those that do not ask for it. */
 extern bool sim_cold_start_always;
 #endif
--- a/tests/sim_actions.c
+++ b/tests/sim_actions.c
@@ -60,7 +60,7 @@
 	snprintf(job->spec.id, sizeof(job->spec.id), "%s", id);
 	read_job_spec(text, &job->spec);
 	job->run_s = sim_option(text, "run", 10);
-	job->bad = sim_flag(text, "bad");
+	job->tasks_fail = sim_flag(text, "bad");
 	job->submit_at = submit_at;
 	job->node = sim->job_count;
 	job->task_done = calloc(job->spec.tasks, sizeof(bool));
@@ -70,7 +70,7 @@
 /* submit ID [OPTION ...] */
 static void run_submit(struct sim *sim, const struct sim_action *action)
 {
-	add_job(sim, action->name, action->text, sim->now);
+	add_job(sim, action->operand, action->text, sim->now);
 }
 
 /* submit-many COUNT [first=N] [every=S] [OPTION ...]: submits jobs at intervals, from now on */
@@ -79,7 +79,7 @@
 	int first = (int)sim_option(action->text, "first", 1);
 	double every = sim_option(action->text, "every", SIM_STEP_S);
 
-	for (int i = 0; i < atoi(action->name) && sim->job_count < SIM_JOBS; i++) {
+	for (int i = 0; i < atoi(action->operand) && sim->job_count < SIM_JOBS; i++) {
 		char id[WS_ID_MAX];
 
 		snprintf(id, sizeof(id), "job-%06d", first + i);
@@ -90,20 +90,20 @@
 /* ask ID: polls a job that was never submitted */
 static void run_poll_unsubmitted(struct sim *sim, const struct sim_action *action)
 {
-	add_job(sim, action->name, action->text, NEVER_SUBMITTED);
+	add_job(sim, action->operand, action->text, NEVER_SUBMITTED);
 }
 
 /* abort ID [at=NODE]: the request is sent to this node first */
 static void run_abort(struct sim *sim, const struct sim_action *action)
 {
-	struct sim_job *job = sim_job_of(sim, action->name);
+	struct sim_job *job = sim_find_job(sim, action->operand);
 	char node[16];
 
 	if (!job)
 		return;
 	job->cancel_at = sim->now;
 	if (sim_option_text(action->text, "at", node, sizeof(node)))
-		job->node = sim_node_named(sim, node) - 1;
+		job->node = sim_node_index(sim, node) - 1;
 }
 
 /* abort-many COUNT [first=N] [every=S] */
@@ -112,12 +112,12 @@
 	int first = (int)sim_option(action->text, "first", 1);
 	double every = sim_option(action->text, "every", SIM_STEP_S);
 
-	for (int i = 0; i < atoi(action->name); i++) {
+	for (int i = 0; i < atoi(action->operand); i++) {
 		char id[WS_ID_MAX];
 		struct sim_job *job;
 
 		snprintf(id, sizeof(id), "job-%06d", first + i);
-		job = sim_job_of(sim, id);
+		job = sim_find_job(sim, id);
 		if (job)
 			job->cancel_at = sim->now + i * every;
 	}
@@ -126,14 +126,14 @@
 /* abort-at-end SHARE for=S: the fraction of jobs cancelled when their last task ends */
 static void run_abort_on_completion(struct sim *sim, const struct sim_action *action)
 {
-	sim->cancel_at_end_until = sim->now + action->span;
-	sim->cancel_at_end_share = atof(action->name);
+	sim->cancel_on_completion_until = sim->now + action->duration_s;
+	sim->cancel_on_completion_share = atof(action->operand);
 }
 
 /* look ID: polls and resubmits the job at all nodes, and checks that the answers are consistent */
 static void run_check_job(struct sim *sim, const struct sim_action *action)
 {
-	struct sim_job *job = sim_job_of(sim, action->name);
+	struct sim_job *job = sim_find_job(sim, action->operand);
 
 	if (job)
 		sim_user_check_all_nodes(sim, job);
@@ -142,8 +142,8 @@
 /* looks SHARE for=S: checks each job after each change of it, then cancels this fraction */
 static void run_check_on_change(struct sim *sim, const struct sim_action *action)
 {
-	sim->checks_until = sim->now + action->span;
-	sim->cancel_share = atof(action->name);
+	sim->consistency_checks_until = sim->now + action->duration_s;
+	sim->cancel_share = atof(action->operand);
 }
 
 /* ---- nodes ---- */
@@ -151,7 +151,7 @@
 /* Returns the node that an action names. Fails and returns NULL for "leader" if no node leads. */
 static struct sim_node *named_node(struct sim *sim, const struct sim_action *action)
 {
-	int index = sim_node_named(sim, action->name);
+	int index = sim_node_index(sim, action->operand);
 
 	if (index < 0) {
 		sim_fail(sim, "no node leads");
@@ -163,14 +163,14 @@
 /* crash NODE|leader|all [for=S] */
 static void run_crash(struct sim *sim, const struct sim_action *action)
 {
-	bool all = !strcmp(action->name, "all");
+	bool all = !strcmp(action->operand, "all");
 
 	if (all)
 		sim_cold_start_controllers_stopped(sim);
 	/* "leader" is resolved each time: after the first crash, a second node may claim to lead */
 	for (int i = 0; i < sim->node_count; i++)
-		if (all || i == sim_node_named(sim, action->name))
-			sim_node_crash(sim, i, action->span);
+		if (all || i == sim_node_index(sim, action->operand))
+			sim_node_crash(sim, i, action->duration_s);
 }
 
 /* upgrade NODE|leader [for=S]: stops the node and restarts it with the present version */
@@ -180,14 +180,14 @@
 
 	if (!node)
 		return;
-	sim_node_crash(sim, (int)(node - sim->nodes), action->span);
+	sim_node_crash(sim, (int)(node - sim->nodes), action->duration_s);
 	sim_node_upgrade(sim, (int)(node - sim->nodes));
 }
 
 /* resign NODE|leader */
 static void run_resign(struct sim *sim, const struct sim_action *action)
 {
-	int index = sim_node_named(sim, action->name);
+	int index = sim_node_index(sim, action->operand);
 	struct sim_node *node = &sim->nodes[index < 0 ? 0 : index];
 
 	if (index >= 0)
@@ -203,11 +203,11 @@
 	if (!node)
 		return;
 	if (all || sim_flag(action->text, "state"))
-		node->cut_store_until = sim->now + action->span;
+		node->store_partitioned_until = sim->now + action->duration_s;
 	if (all || sim_flag(action->text, "workers"))
-		node->cut_workers_until = sim->now + action->span;
+		node->workers_partitioned_until = sim->now + action->duration_s;
 	if (all || sim_flag(action->text, "peers"))
-		node->cut_peers_until = sim->now + action->span;
+		node->peers_partitioned_until = sim->now + action->duration_s;
 }
 
 /* refuse NODE|leader [for=S]: the store rejects calls of the node with errors */
@@ -216,7 +216,7 @@
 	struct sim_node *node = named_node(sim, action);
 
 	if (node)
-		node->refused_until = sim->now + action->span;
+		node->store_errors_until = sim->now + action->duration_s;
 }
 
 /* blind NODE|leader [for=S]: watches of the node receive nothing; other store calls are served */
@@ -225,7 +225,7 @@
 	struct sim_node *node = named_node(sim, action);
 
 	if (node)
-		node->blind_until = sim->now + action->span;
+		node->watches_stalled_until = sim->now + action->duration_s;
 }
 
 /* freeze NODE|leader [for=S]: suspends the node; messages to it are delayed */
@@ -234,7 +234,7 @@
 	struct sim_node *node = named_node(sim, action);
 
 	if (node)
-		node->frozen_until = sim->now + action->span;
+		node->frozen_until = sim->now + action->duration_s;
 }
 
 /*
@@ -243,17 +243,17 @@
  */
 static void run_crash_on_call(struct sim *sim, const struct sim_action *action)
 {
-	if (!strcmp(action->name, "txn"))
+	if (!strcmp(action->operand, "txn"))
 		sim->crash_kind = WS_CALL_TRANSACTION;
-	else if (!strcmp(action->name, "orders"))
+	else if (!strcmp(action->operand, "orders"))
 		sim->crash_kind = WS_CALL_COMMANDS;
-	else if (!strcmp(action->name, "rent"))
+	else if (!strcmp(action->operand, "rent"))
 		sim->crash_kind = WS_CALL_SCALE_OUT;
 	else
 		sim->crash_kind = WS_CALL_SCALE_IN;
 	sim->crash = sim_flag(action->text, "after") ? SIM_CRASH_AFTER : SIM_CRASH_BEFORE;
 	sim->crash_skip = (int)sim_option(action->text, "skip", 0);
-	sim->crash_down_s = action->span;
+	sim->crash_down_s = action->duration_s;
 }
 
 /* ---- store and cloud ---- */
@@ -261,21 +261,21 @@
 /* state-outage [for=S] */
 static void run_store_outage(struct sim *sim, const struct sim_action *action)
 {
-	sim->store_down_until = sim->now + action->span;
+	sim->store_down_until = sim->now + action->duration_s;
 }
 
 /* slow-state MAX_S [for=S]: delays calls to the store */
 static void run_slow_store(struct sim *sim, const struct sim_action *action)
 {
-	sim->store_slow_until = sim->now + action->span;
-	sim->store_slow_by_s = atof(action->name);
+	sim->store_slow_until = sim->now + action->duration_s;
+	sim->store_slow_max_s = atof(action->operand);
 }
 
 /* late-watches MAX_S [for=S]: delays answers to watches that stay open */
 static void run_delay_watches(struct sim *sim, const struct sim_action *action)
 {
-	sim->late_watches_until = sim->now + action->span;
-	sim->late_watches_max_s = atof(action->name);
+	sim->slow_watches_until = sim->now + action->duration_s;
+	sim->slow_watches_max_s = atof(action->operand);
 }
 
 /*
@@ -284,22 +284,22 @@
  */
 static void run_time_out_writes(struct sim *sim, const struct sim_action *action)
 {
-	sim->late_writes_until = sim->now + action->span;
-	sim->late_writes_share = atof(action->name);
-	sim->late_writes_max_s = sim_option(action->text, "most", 12);
-	sim->late_writes_at_once = sim_flag(action->text, "at-once");
+	sim->timed_out_writes_until = sim->now + action->duration_s;
+	sim->timed_out_writes_share = atof(action->operand);
+	sim->timed_out_writes_max_s = sim_option(action->text, "most", 12);
+	sim->timed_out_writes_at_once = sim_flag(action->text, "at-once");
 }
 
 /* lower-limits [KIB] [ops=N]: applies the upcoming limits of the settings, or these instead */
 static void run_lower_limits(struct sim *sim, const struct sim_action *action)
 {
 	sim->limits_lowered = true;
-	if (action->name[0]) {
-		sim->next_value_kb = atof(action->name);
-		sim->next_txn_ops = (int)sim_option(action->text, "ops", 12);
+	if (action->operand[0]) {
+		sim->upcoming_value_kb = atof(action->operand);
+		sim->upcoming_txn_ops = (int)sim_option(action->text, "ops", 12);
 	}
-	sim->value_kb = sim->next_value_kb;
-	sim->txn_ops = sim->next_txn_ops;
+	sim->value_kb = sim->upcoming_value_kb;
+	sim->txn_ops = sim->upcoming_txn_ops;
 }
 
 /* garble KEY: overwrites a record with an unreadable value */
@@ -308,14 +308,14 @@
 	json_t *value = json_pack("{s:i}", "x", 1);
 
 	sim->revision++;
-	sim_store_put(sim, action->name, value, 0);
+	sim_store_put(sim, action->operand, value, 0);
 	json_decref(value);
 }
 
 /* cloud-outage [for=S] */
 static void run_cloud_outage(struct sim *sim, const struct sim_action *action)
 {
-	sim->cloud_down_until = sim->now + action->span;
+	sim->cloud_down_until = sim->now + action->duration_s;
 }
 
 /* ---- network ---- */
@@ -323,7 +323,7 @@
 /* zone-cut [for=S]: workers can reach only nodes of their own zone */
 static void run_partition_zones(struct sim *sim, const struct sim_action *action)
 {
-	sim->zone_cut_until = sim->now + action->span;
+	sim->zones_partitioned_until = sim->now + action->duration_s;
 }
 
 /* lose-answer rent|txn|orders [times=N]: executes calls but loses their answers */
@@ -331,9 +331,9 @@
 {
 	int times = (int)sim_option(action->text, "times", 1);
 
-	if (!strcmp(action->name, "rent"))
+	if (!strcmp(action->operand, "rent"))
 		sim->lost_scale_outs = times;
-	else if (!strcmp(action->name, "txn"))
+	else if (!strcmp(action->operand, "txn"))
 		sim->lost_txns = times;
 	else
 		sim->lost_commands = times;
@@ -345,26 +345,26 @@
 	int times = (int)sim_option(action->text, "times", 1);
 	double delay_s = sim_option(action->text, "by", DEFAULT_DELAY_S);
 
-	if (!strcmp(action->name, "txn")) {
-		sim->late_txns = times;
-		sim->late_txns_by_s = delay_s;
+	if (!strcmp(action->operand, "txn")) {
+		sim->delayed_txns = times;
+		sim->txn_delay_s = delay_s;
 	} else {
 		sim->late_command_count = times;
-		sim->late_commands_by_s = delay_s;
+		sim->late_command_delay_s = delay_s;
 	}
 }
 
 /* slow-orders SECONDS: delays answers to commands, which are executed at once */
 static void run_slow_commands(struct sim *sim, const struct sim_action *action)
 {
-	sim->slow_commands_s = atof(action->name);
+	sim->command_answer_delay_s = atof(action->operand);
 }
 
 /* slow-answers SECONDS [for=S] [share=X]: delays answers to heartbeats, but no direct commands */
 static void run_slow_answers(struct sim *sim, const struct sim_action *action)
 {
-	sim->slow_answers_by_s = atof(action->name);
-	sim->slow_answers_until = sim->now + action->span;
+	sim->slow_answer_delay_s = atof(action->operand);
+	sim->slow_answers_until = sim->now + action->duration_s;
 	sim->slow_answers_share = sim_option(action->text, "share", 1);
 }
 
@@ -374,8 +374,8 @@
  */
 static void run_duplicate_heartbeats(struct sim *sim, const struct sim_action *action)
 {
-	sim->duplicates_max_s = atof(action->name);
-	sim->duplicates_until = sim->now + action->span;
+	sim->duplicates_max_s = atof(action->operand);
+	sim->duplicates_until = sim->now + action->duration_s;
 	sim->duplicates_share = sim_option(action->text, "share", 1);
 	sim->duplicates_for_next_leader = sim_flag(action->text, "for-next");
 }
@@ -384,7 +384,7 @@
 static void run_list_tasks_twice(struct sim *sim, const struct sim_action *action)
 {
 	(void)action;
-	sim->heartbeats_name_tasks_twice = true;
+	sim->heartbeats_list_tasks_twice = true;
 }
 
 /* ---- the table ---- */
@@ -392,8 +392,8 @@
 /* once-returned SECONDS ACTION ...: runs the action this long after the first scale-in */
 static void run_after_scale_in(struct sim *sim, const struct sim_action *action)
 {
-	sim->follow_up_after_s = atof(action->name);
-	snprintf(sim->follow_up, sizeof(sim->follow_up), "%s", action->rest);
+	sim->deferred_action_delay_s = atof(action->operand);
+	snprintf(sim->deferred_action, sizeof(sim->deferred_action), "%s", action->rest);
 }
 
 static const struct sim_action_word cluster_actions[] = {
@@ -443,7 +443,7 @@
 	return NULL;
 }
 
-void sim_act(struct sim *sim, const struct sim_timed_line *timed_line)
+void sim_run_action(struct sim *sim, const struct sim_timed_line *timed_line)
 {
 	char text[SIM_LINE_MAX];
 	struct sim_action action = {.rest = text, .text = timed_line->text};
@@ -458,11 +458,11 @@
 		return;
 	}
 	sim_log(WS_LOG_INFO, timed_line->text);
-	action.name = sim_next_word(&action.rest);
-	action.span = sim_option(action.text, "for", DEFAULT_DURATION_S);
+	action.operand = sim_next_word(&action.rest);
+	action.duration_s = sim_option(action.text, "for", DEFAULT_DURATION_S);
 	entry = find_action_word(action.word);
 	if (entry)
 		entry->run(sim, &action);
 	else
-		sim_fail(sim, "line %d: unknown action %s", timed_line->line, action.word);
+		sim_fail(sim, "line %d: unknown action %s", timed_line->line_number, action.word);
 }
--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -71,7 +71,8 @@
 static bool is_late_write(struct sim *sim, const struct ws_call *call)
 {
 	return call->kind == WS_CALL_TRANSACTION && call->transaction.operation_count &&
-	       sim->now < sim->late_writes_until && sim_random(sim) < sim->late_writes_share;
+	       sim->now < sim->timed_out_writes_until &&
+	       sim_random(sim) < sim->timed_out_writes_share;
 }
 
 static struct sim_call_in_flight *flight_new(const struct sim *sim, int node, struct ws_call *call)
@@ -121,13 +122,13 @@
 	flight->call_version = &sim_this_version;
 	flight->stage = SIM_CALL_ABANDONED;
 	if (!is_late_by_share) {
-		sim->late_txns--;
-		flight->due_at = sim->now + sim->late_txns_by_s;
-	} else if (sim->late_writes_at_once) {
+		sim->delayed_txns--;
+		flight->due_at = sim->now + sim->txn_delay_s;
+	} else if (sim->timed_out_writes_at_once) {
 		flight->due_at = sim->now + CALL_LATENCY_S;
 	} else {
 		flight->due_at = sim->now + LATE_WRITE_MIN_S +
-				 (sim->late_writes_max_s - LATE_WRITE_MIN_S) * sim_random(sim);
+				 (sim->timed_out_writes_max_s - LATE_WRITE_MIN_S) * sim_random(sim);
 	}
 }
 
@@ -139,16 +140,17 @@
 	const struct ws_call *call = flight->call;
 
 	if (sim->now < sim->store_slow_until)
-		flight->due_at += sim->store_slow_by_s * (0.2 + 0.8 * sim_random(sim));
-	if (sim->now < node->cut_store_until) {
+		flight->due_at += sim->store_slow_max_s * (0.2 + 0.8 * sim_random(sim));
+	if (sim->now < node->store_partitioned_until) {
 		flight->stage = SIM_CALL_TO_ANSWER;
 		flight->due_at = sim->now + STORE_TIMEOUT_S;
 	} else if (call->kind != WS_CALL_WATCH &&
-		   (sim->now < sim->store_down_until || sim->now < node->refused_until)) {
+		   (sim->now < sim->store_down_until || sim->now < node->store_errors_until)) {
 		flight->stage = SIM_CALL_TO_ANSWER;
 		flight->result.outcome = WS_OUTCOME_UNAVAILABLE;
 	} else if (call->kind == WS_CALL_TRANSACTION &&
-		   (is_late_by_share || (sim->late_txns > 0 && sim_leader(sim) == flight->node))) {
+		   (is_late_by_share ||
+		    (sim->delayed_txns > 0 && sim_leader(sim) == flight->node))) {
 		abandon_transaction(sim, flight, is_late_by_share);
 	}
 }
@@ -187,7 +189,7 @@
 		return;
 	}
 	if (is_awaited) {
-		if (is_store_call(flight->call->kind) && sim->now < node->cut_store_until)
+		if (is_store_call(flight->call->kind) && sim->now < node->store_partitioned_until)
 			flight->result.outcome = WS_OUTCOME_NO_ANSWER;
 		node->version->complete(node->core, sim_node_time(sim, node), flight->call,
 					&flight->result);
@@ -226,13 +228,15 @@
 {
 	struct ws_call *call = flight->call;
 	const struct sim_node *node = &sim->nodes[flight->node];
-	bool sees_no_changes = sim->now < sim->store_down_until || sim->now < node->refused_until ||
-			       sim->now < node->cut_store_until ||
-			       (call->watch.timeout_ms && sim->now < node->blind_until);
+	bool sees_no_changes = sim->now < sim->store_down_until ||
+			       sim->now < node->store_errors_until ||
+			       sim->now < node->store_partitioned_until ||
+			       (call->watch.timeout_ms && sim->now < node->watches_stalled_until);
 
 	sim->store_requests += !call->watch.timeout_ms;
 	if ((sees_no_changes || !sim_store_watch(sim, call, &flight->result)) &&
-	    sim->now < call->created_at / (1 + node->skew) + call->watch.timeout_ms / 1000.0 &&
+	    sim->now <
+		call->created_at / (1 + node->clock_skew) + call->watch.timeout_ms / 1000.0 &&
 	    node->restarts == flight->restarts) {
 		ws_result_free(&flight->result);
 		flight->due_at = sim->now + SIM_STEP_S / 2;
@@ -241,14 +245,15 @@
 	}
 	if (sees_no_changes) {
 		ws_result_free(&flight->result);
-		flight->result.outcome = sim->now < node->cut_store_until ? WS_OUTCOME_NO_ANSWER
-									  : WS_OUTCOME_UNAVAILABLE;
+		flight->result.outcome = sim->now < node->store_partitioned_until
+					     ? WS_OUTCOME_NO_ANSWER
+					     : WS_OUTCOME_UNAVAILABLE;
 	}
 	if (flight->node == sim_leader(sim))
 		count_watched_records(sim, &flight->result);
-	if (call->watch.timeout_ms && sim->now < sim->late_watches_until)
+	if (call->watch.timeout_ms && sim->now < sim->slow_watches_until)
 		/* a watch without a timeout is not delayed and can overtake this one */
-		schedule_answer(sim, flight, sim->now + sim->late_watches_max_s * sim_random(sim));
+		schedule_answer(sim, flight, sim->now + sim->slow_watches_max_s * sim_random(sim));
 	else
 		schedule_answer(sim, flight, sim->now + CALL_LATENCY_S);
 }
@@ -280,13 +285,13 @@
 static double commands_delayed_until(struct sim *sim, const struct sim_worker *worker,
 				     const struct sim_node *node)
 {
-	double machine_until = fmax(worker->cut_until, worker->hang_until);
-	double network_until =
-	    fmax(node->cut_workers_until, fmax(sim->zone_cut_until, worker->pin_until));
+	double machine_until = fmax(worker->partitioned_until, worker->hang_until);
+	double network_until = fmax(node->workers_partitioned_until,
+				    fmax(sim->zones_partitioned_until, worker->pinned_until));
 
 	if (sim->late_command_count > 0) {
 		sim->late_command_count--;
-		return sim->now + sim->late_commands_by_s;
+		return sim->now + sim->late_command_delay_s;
 	}
 	if (sim_worker_is_live(sim, worker) && !sim_is_partitioned(sim, worker, node))
 		return 0;
@@ -324,7 +329,7 @@
 		schedule_answer(sim, flight, sim->now + fmin(sim->heartbeat_s, sim->lease_s / 16));
 		return;
 	}
-	if (sim->now < worker->deaf_until) { /* the commands are dropped */
+	if (sim->now < worker->inbound_blocked_until) { /* the commands are dropped */
 		schedule_answer(sim, flight, sim->now + sim->heartbeat_s);
 		return;
 	}
@@ -339,8 +344,8 @@
 	    sim, worker, call->commands.fencing_token, call->commands.incarnation,
 	    call->commands.list, call->commands.count, flight->result.heartbeat);
 	flight->result.http_status = ws_http_status_of_outcome(flight->result.outcome);
-	if (sim->slow_commands_s > 0) {
-		schedule_answer(sim, flight, sim->now + sim->slow_commands_s);
+	if (sim->command_answer_delay_s > 0) {
+		schedule_answer(sim, flight, sim->now + sim->command_answer_delay_s);
 	} else if (sim->lost_commands > 0) {
 		sim->lost_commands--;
 		drop_answer(sim, flight, sim->now + sim->heartbeat_s);
@@ -358,8 +363,8 @@
 
 		if (strcmp(peer->settings.node, name) != 0)
 			continue;
-		if (peer->is_up && sim->now >= from->cut_peers_until &&
-		    sim->now >= peer->cut_peers_until && sim->now >= peer->frozen_until)
+		if (peer->is_up && sim->now >= from->peers_partitioned_until &&
+		    sim->now >= peer->peers_partitioned_until && sim->now >= peer->frozen_until)
 			return peer;
 		return NULL;
 	}
@@ -377,8 +382,8 @@
 		schedule_answer(sim, flight, sim->now + VOTE_UNREACHABLE_S);
 		return;
 	}
-	flight->request_id =
-	    ++sim->last_request_id << SIM_TOKEN_SHIFT | (uint64_t)flight->node | SIM_ID_OUTAGE_VOTE;
+	flight->request_id = ++sim->last_request_id << SIM_REQUEST_ID_SHIFT |
+			     (uint64_t)flight->node | SIM_ID_OUTAGE_VOTE;
 	schedule_answer(sim, flight, sim->now + VOTE_TIMEOUT_S);
 	/* only two nodes of this version exchange lists of cancellations */
 	if (peer->version == &sim_this_version && node->version == &sim_this_version)
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -9,7 +9,7 @@
 	uint32_t in_zone, in_other_zones;
 };
 
-bool sim_on_machine(const struct sim_task *task)
+bool sim_task_started(const struct sim_task *task)
 {
 	return task->state == WS_TASK_RUNNING || task->state == WS_TASK_CHECKPOINTING ||
 	       task->state == WS_TASK_WAITING;
@@ -20,14 +20,14 @@
 	return !worker->dead && !worker->deleted;
 }
 
-int sim_running(const struct sim *sim, const char *id)
+int sim_count_running(const struct sim *sim, const char *id)
 {
 	int count = 0;
 
 	for (int i = 0; i < sim->worker_count; i++)
 		for (int k = 0; k < sim->workers[i].task_count; k++)
 			count += exists(&sim->workers[i]) &&
-				 sim_on_machine(&sim->workers[i].tasks[k]) &&
+				 sim_task_started(&sim->workers[i].tasks[k]) &&
 				 !strcmp(sim->workers[i].tasks[k].job, id);
 	return count;
 }
@@ -59,7 +59,7 @@
 		for (int k = 0; exists(other_worker) && k < other_worker->task_count; k++) {
 			const struct sim_task *other_task = &other_worker->tasks[k];
 
-			if (other_task == task || !sim_on_machine(other_task) ||
+			if (other_task == task || !sim_task_started(other_task) ||
 			    strcmp(other_task->job, task->job) != 0)
 				continue;
 			check_concurrent_attempts(sim, job, worker, task, other_worker, other_task);
@@ -96,7 +96,7 @@
 static void check_running_task(struct sim *sim, const struct sim_worker *worker,
 			       const struct sim_job *job, double *used)
 {
-	if (job->told_cancelled_at > 0 && sim->now > job->told_cancelled_at + sim->cancel_s)
+	if (job->reported_cancelled_at > 0 && sim->now > job->reported_cancelled_at + sim->cancel_s)
 		sim_fail(sim, "ran_cancelled: %s still runs on %s", job->spec.id, worker->name);
 	for (int i = 0; i < sim->team_count; i++)
 		if (!strcmp(sim->teams[i].name, job->spec.team))
@@ -111,9 +111,9 @@
 	for (int i = 0; i < sim->worker_count; i++)
 		for (int k = 0; k < sim->workers[i].task_count; k++) {
 			const struct sim_task *task = &sim->workers[i].tasks[k];
-			const struct sim_job *job = sim_job_of((struct sim *)sim, task->job);
+			const struct sim_job *job = sim_find_job((struct sim *)sim, task->job);
 
-			if (!job || !exists(&sim->workers[i]) || !sim_on_machine(task) ||
+			if (!job || !exists(&sim->workers[i]) || !sim_task_started(task) ||
 			    strcmp(job->spec.team, team) != 0)
 				continue;
 			snprintf(text, sizeof(text),
@@ -132,9 +132,9 @@
 		const struct sim_worker *worker = &sim->workers[i];
 
 		for (int k = 0; exists(worker) && k < worker->task_count; k++) {
-			const struct sim_job *job = sim_job_of(sim, worker->tasks[k].job);
+			const struct sim_job *job = sim_find_job(sim, worker->tasks[k].job);
 
-			if (job && sim_on_machine(&worker->tasks[k]))
+			if (job && sim_task_started(&worker->tasks[k]))
 				check_running_task(sim, worker, job, used);
 		}
 	}
@@ -165,13 +165,13 @@
 
 void sim_check_start(struct sim *sim, struct sim_worker *worker, struct sim_task *task)
 {
-	struct sim_job *job = sim_job_of(sim, task->job);
+	struct sim_job *job = sim_find_job(sim, task->job);
 	struct zone_counts counts = check_other_tasks(sim, job, worker, task);
 
 	if (!job)
 		return;
 	check_placement(sim, &job->spec, worker, task, &counts);
-	if (job->told_cancelled_at > 0 && sim->now > job->told_cancelled_at + sim->cancel_s)
+	if (job->reported_cancelled_at > 0 && sim->now > job->reported_cancelled_at + sim->cancel_s)
 		sim_fail(sim, "ran_cancelled: %s/%u starts on %s", task->job, task->task,
 			 worker->name);
 	check_quota_at_start(sim, job);
--- a/tests/sim_cold_start.c
+++ b/tests/sim_cold_start.c
@@ -16,7 +16,7 @@
 	const char *names[SIM_ZONES];
 	struct ws_cluster_limits limits;
 
-	if (!sim->cold_start_on || node->version != &sim_this_version)
+	if (!sim->cold_start_enabled || node->version != &sim_this_version)
 		return;
 	sim_fill_cluster_limits(sim, node, names, &limits);
 	node->cold_start = ws_cold_start_new(&sim->cold_start_settings, &limits, log_line);
@@ -27,7 +27,7 @@
 {
 	struct ws_cold_start_settings *settings = &sim->cold_start_settings;
 
-	sim->cold_start_on = true;
+	sim->cold_start_enabled = true;
 	settings->quarantine_s = sim_option(text, "keep", settings->quarantine_s);
 	settings->answered_share = sim_option(text, "share", settings->answered_share);
 }
@@ -49,11 +49,11 @@
 {
 	if (sim->stop.stopped_at <= 0)
 		return;
-	for (int i = 0; i < sim->node_count && sim->stop.up_at <= 0; i++)
+	for (int i = 0; i < sim->node_count && sim->stop.restarted_at <= 0; i++)
 		if (sim->nodes[i].is_up)
-			sim->stop.up_at = sim->now;
-	if (sim->stop.led_at <= 0 && sim_leader(sim) >= 0)
-		sim->stop.led_at = sim->now;
+			sim->stop.restarted_at = sim->now;
+	if (sim->stop.elected_at <= 0 && sim_leader(sim) >= 0)
+		sim->stop.elected_at = sim->now;
 }
 
 /* crash-in-turn [first=S] [every=S]: all controllers stop, and restart one after another */
@@ -77,7 +77,7 @@
 	worker->incarnation++;
 	worker->heartbeat_pending = false;
 	worker->hang_until = sim->now + down_s;
-	worker->answered_sent = worker->hang_until;
+	worker->lease_renewed_at = worker->hang_until;
 	worker->next_heartbeat_at = worker->hang_until;
 }
 
@@ -98,7 +98,7 @@
 		if (accumulated_share < 1 - 1e-9)
 			continue;
 		accumulated_share -= 1;
-		lose_power(sim, worker, action->span);
+		lose_power(sim, worker, action->duration_s);
 	}
 }
 
@@ -109,10 +109,10 @@
 	json_t *value = NULL;
 
 	for (size_t i = sim->history_count; i-- > 0 && skip >= 0;)
-		if (!strcmp(sim->history[i].key, action->name) && skip-- == 0)
+		if (!strcmp(sim->history[i].key, action->operand) && skip-- == 0)
 			value = json_incref(sim->history[i].value);
 	sim->revision++;
-	sim_store_put(sim, action->name, value, 0);
+	sim_store_put(sim, action->operand, value, 0);
 	json_decref(value);
 }
 
@@ -120,10 +120,10 @@
 static void run_lose_record(struct sim *sim, const struct sim_action *action)
 {
 	static const char prefix[] = "job/";
-	const char *key = action->name;
+	const char *key = action->operand;
 	struct sim_job *job = strncmp(key, prefix, strlen(prefix)) != 0
 				  ? NULL
-				  : sim_job_of(sim, key + strlen(prefix));
+				  : sim_find_job(sim, key + strlen(prefix));
 
 	sim->revision++;
 	sim_store_put(sim, key, NULL, 0);
@@ -137,7 +137,7 @@
 /* resubmit JOB */
 static void run_resubmit(struct sim *sim, const struct sim_action *action)
 {
-	struct sim_job *job = sim_job_of(sim, action->name);
+	struct sim_job *job = sim_find_job(sim, action->operand);
 
 	if (job)
 		job->next_try_at = sim->now;
@@ -169,13 +169,13 @@
 static void run_copy_task(struct sim *sim, const struct sim_action *action)
 {
 	char target_name[WS_NAME_MAX] = "";
-	struct sim_worker *from = worker_named(sim, action->name), *target;
+	struct sim_worker *from = worker_named(sim, action->operand), *target;
 	struct sim_task *task;
 
 	sim_option_text(action->text, "to", target_name, sizeof(target_name));
 	target = from ? worker_named(sim, target_name) : NULL;
 	if (!target || !from->task_count || target->task_count == SIM_TASKS) {
-		sim_fail(sim, "can't copy a task from worker %s to worker '%s'", action->name,
+		sim_fail(sim, "can't copy a task from worker %s to worker '%s'", action->operand,
 			 target_name);
 		return;
 	}
@@ -193,7 +193,7 @@
 	json_t *value = json_pack("{s:i,s:s}", "v", 9, "phase", "observing");
 
 	sim->revision++;
-	sim_store_put(sim, action->name, value, 0);
+	sim_store_put(sim, action->operand, value, 0);
 	json_decref(value);
 }
 
@@ -215,7 +215,7 @@
 			  const struct sim_task *task)
 {
 	return task->state != WS_TASK_EXITED && !worker->dead && !worker->deleted &&
-	       worker->is_up && sim->now - worker->answered_sent <= sim->lease_s;
+	       worker->is_up && sim->now - worker->lease_renewed_at <= sim->lease_s;
 }
 
 /* Counts the live tasks of a job, including those that fetch their image. */
@@ -251,7 +251,7 @@
 void sim_cold_start_command_received(struct sim *sim, const struct sim_worker *worker,
 				     const struct ws_command *command, const struct sim_task *task)
 {
-	const struct sim_job *job = sim_job_of(sim, command->job);
+	const struct sim_job *job = sim_find_job(sim, command->job);
 
 	switch (command->kind) {
 	case WS_COMMAND_RUN:
@@ -272,14 +272,14 @@
 void sim_cold_start_tasks_killed(struct sim *sim, const struct sim_worker *worker)
 {
 	for (int i = 0; i < worker->task_count; i++) {
-		struct sim_job *job = sim_job_of(sim, worker->tasks[i].job);
+		struct sim_job *job = sim_find_job(sim, worker->tasks[i].job);
 
 		if (!job || worker->tasks[i].state == WS_TASK_EXITED || job->cancelled)
 			continue;
 		if (!job->killed_at)
 			job->killed_at = calloc(job->spec.tasks, sizeof(*job->killed_at));
 		job->killed_at[worker->tasks[i].task] = sim->now;
-		sim->killed++;
+		sim->killed_tasks++;
 	}
 }
 
@@ -287,9 +287,9 @@
 {
 	if (!job->killed_at || job->killed_at[task] <= 0)
 		return;
-	sim->restarted++;
-	sim->restart_sum += sim->now - job->killed_at[task];
-	sim->restart_last = sim->now;
+	sim->restarted_tasks++;
+	sim->restart_delay_sum_s += sim->now - job->killed_at[task];
+	sim->last_restart_at = sim->now;
 	job->killed_at[task] = 0;
 }
 
@@ -353,18 +353,18 @@
 		if (!sim_worker_is_live(sim, worker))
 			continue;
 		found.live++;
-		if (worker->answered_since <= sim->stop.stopped_at)
+		if (worker->reconnected_at <= sim->stop.stopped_at)
 			continue;
 		found.answered++;
-		found.first = fmin(found.first, worker->answered_since);
-		found.last = fmax(found.last, worker->answered_since);
+		found.first = fmin(found.first, worker->reconnected_at);
+		found.last = fmax(found.last, worker->reconnected_at);
 	}
 	return found;
 }
 
 static double count_killed(struct sim *sim)
 {
-	return sim->killed;
+	return sim->killed_tasks;
 }
 
 static double count_healthy_stops(struct sim *sim)
@@ -385,7 +385,7 @@
 /* Returns how many seconds after the stop the last killed task ran again. */
 static double last_restart_s(struct sim *sim)
 {
-	return sim->restart_last - sim->stop.stopped_at;
+	return sim->last_restart_at - sim->stop.stopped_at;
 }
 
 /* Prints the figures for manual measurements, described in docs/measurements.md. */
@@ -396,8 +396,8 @@
 	fprintf(stderr,
 		"measured: stopped at %.1f s, first node up after %.1f s, a leader %.2f s later; "
 		"%d of %d workers answered since\n",
-		sim->stop.stopped_at, sim->stop.up_at - sim->stop.stopped_at,
-		sim->stop.led_at - sim->stop.up_at, found.answered, found.live);
+		sim->stop.stopped_at, sim->stop.restarted_at - sim->stop.stopped_at,
+		sim->stop.elected_at - sim->stop.restarted_at, found.answered, found.live);
 	fprintf(stderr,
 		"measured: since the stop %.0f run commands, %llu stop commands, %llu changes, "
 		"%.0f instances scaled out\n",
@@ -408,7 +408,8 @@
 	fprintf(stderr,
 		"measured: %d tasks killed, %d of them ran again after %.2f s on average, the last "
 		"%.1f s after the stop; %llu stop commands to healthy tasks\n",
-		sim->killed, sim->restarted, sim->restarted ? sim->restart_sum / sim->restarted : 0,
+		sim->killed_tasks, sim->restarted_tasks,
+		sim->restarted_tasks ? sim->restart_delay_sum_s / sim->restarted_tasks : 0,
 		last_restart_s(sim), (unsigned long long)sim->healthy_stops);
 }
 
@@ -431,11 +432,11 @@
 static void check_answered(struct sim *sim, const struct sim_expectation *expectation)
 {
 	struct answered_workers found = find_answered(sim);
-	double last = found.last - sim->stop.up_at;
+	double last = found.last - sim->stop.restarted_at;
 
 	if (sim_verbose)
 		fprintf(stderr, "answered: %d of %d workers, first after %.2f, last after %.2f s\n",
-			found.answered, found.live, found.first - sim->stop.up_at, last);
+			found.answered, found.live, found.first - sim->stop.restarted_at, last);
 	if (found.answered < found.live || last > atof(expectation->first))
 		sim_fail(sim, "%d of %d workers were answered, the last after %.2f s",
 			 found.answered, found.live, last);
--- a/tests/sim_digest.c
+++ b/tests/sim_digest.c
@@ -14,14 +14,14 @@
 #define FNV_OFFSET 14695981039346656037ULL
 #define FNV_PRIME 1099511628211ULL
 
-FILE *sim_trace;
+FILE *sim_digest_trace;
 
 static void append_bytes(struct sim *sim, const char *text, size_t length)
 {
 	for (size_t i = 0; i < length; i++)
 		sim->digest = (sim->digest ^ (unsigned char)text[i]) * FNV_PRIME;
-	if (sim_trace)
-		fwrite(text, 1, length, sim_trace);
+	if (sim_digest_trace)
+		fwrite(text, 1, length, sim_digest_trace);
 }
 
 static void append(struct sim *sim, const char *format, ...) __attribute__((format(printf, 2, 3)));
@@ -123,7 +123,7 @@
 		       (unsigned long long)effect->vote.cancellations[i].revision);
 }
 
-void sim_digest_begin(struct sim *sim)
+void sim_digest_init(struct sim *sim)
 {
 	sim->digest = FNV_OFFSET;
 }
--- a/tests/sim_digest.h
+++ b/tests/sim_digest.h
@@ -3,7 +3,7 @@
 #define WS_SIM_DIGEST_H
 #include "sim_parts.h"
 
-void sim_digest_begin(struct sim *sim);
+void sim_digest_init(struct sim *sim);
 /* Adds an effect that the core of a node emitted. */
 void sim_digest_add(struct sim *sim, int node, const struct ws_effect *effect);
 #endif
--- a/tests/sim_expect.c
+++ b/tests/sim_expect.c
@@ -26,7 +26,7 @@
 /* done JOB */
 static void check_done(struct sim *sim, const struct sim_expectation *expectation)
 {
-	const struct sim_job *job = sim_job_of(sim, expectation->first);
+	const struct sim_job *job = sim_find_job(sim, expectation->first);
 
 	if (!job || !job->done)
 		sim_fail(sim, "%s is not done (%u tasks are)", expectation->first,
@@ -36,8 +36,8 @@
 /* cancelled JOB */
 static void check_cancelled(struct sim *sim, const struct sim_expectation *expectation)
 {
-	const struct sim_job *job = sim_job_of(sim, expectation->first);
-	int running = sim_running(sim, expectation->first);
+	const struct sim_job *job = sim_find_job(sim, expectation->first);
+	int running = sim_count_running(sim, expectation->first);
 
 	if (!job || !job->cancelled || running)
 		sim_fail(sim, "%s is not cancelled, or still runs (%d tasks)", expectation->first,
@@ -47,7 +47,7 @@
 /* status JOB CODE: the HTTP status of the last answer to its submission */
 static void check_status(struct sim *sim, const struct sim_expectation *expectation)
 {
-	const struct sim_job *job = sim_job_of(sim, expectation->first);
+	const struct sim_job *job = sim_find_job(sim, expectation->first);
 
 	if (!job || job->status != atoi(expectation->second))
 		sim_fail(sim, "the submission of %s was answered with status %d",
@@ -57,7 +57,7 @@
 /* started-within JOB SECONDS */
 static void check_started_within(struct sim *sim, const struct sim_expectation *expectation)
 {
-	const struct sim_job *job = sim_job_of(sim, expectation->first);
+	const struct sim_job *job = sim_find_job(sim, expectation->first);
 	bool has_started = job && job->started_at != 0;
 
 	if (!has_started || job->started_at - job->submit_at > atof(expectation->second))
@@ -96,14 +96,14 @@
 
 static double count_running(struct sim *sim, const char *subject)
 {
-	return sim_running(sim, subject);
+	return sim_count_running(sim, subject);
 }
 
 static double count_finished_runs(struct sim *sim, const char *subject)
 {
-	const struct sim_job *job = sim_job_of(sim, subject);
+	const struct sim_job *job = sim_find_job(sim, subject);
 
-	return job ? job->finishes : 0;
+	return job ? job->finished_runs : 0;
 }
 
 /* ---- machines ---- */
@@ -150,7 +150,7 @@
 
 static double count_failures(struct sim *sim)
 {
-	return sim->failures;
+	return sim->task_failures;
 }
 
 static double count_incomplete_exits(struct sim *sim)
@@ -165,7 +165,7 @@
 
 static double count_checkpointed_attempts(struct sim *sim)
 {
-	return sim->saved_attempts;
+	return sim->checkpointed_attempts;
 }
 
 static double count_gang_runs(struct sim *sim)
@@ -238,7 +238,7 @@
 
 static double count_rejected_writes(struct sim *sim)
 {
-	return sim->refused_writes;
+	return sim->rejected_writes;
 }
 
 /* Returns the size of a key's value in bytes, or 0 if the key does not exist. */
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -36,7 +36,7 @@
 	struct ws_cluster_limits limits;
 	struct ws_failure_domains *domains;
 
-	if (!sim->domains_on || node->version != &sim_this_version)
+	if (!sim->domains_enabled || node->version != &sim_this_version)
 		return;
 	sim_fill_cluster_limits(sim, node, names, &limits);
 	domains = ws_domains_new(&sim->domains_settings, &limits, log_line, &error);
@@ -69,7 +69,7 @@
 {
 	struct ws_domains_settings *settings = &sim->domains_settings;
 
-	sim->domains_on = true;
+	sim->domains_enabled = true;
 	settings->hold_down_s = sim_option(text, "stable", settings->hold_down_s);
 	settings->ramp_s = sim_option(text, "ramp", settings->ramp_s);
 	settings->penalty_half_life_s =
@@ -114,7 +114,7 @@
 static void mark_displaced(struct sim *sim, const struct sim_worker *worker)
 {
 	for (int i = 0; i < worker->task_count; i++) {
-		struct sim_job *job = sim_job_of(sim, worker->tasks[i].job);
+		struct sim_job *job = sim_find_job(sim, worker->tasks[i].job);
 
 		if (!job || worker->tasks[i].state == WS_TASK_EXITED)
 			continue;
@@ -139,14 +139,14 @@
 	if (!moves && sim->move_count < SIM_CLASSES) {
 		moves = &sim->moves[sim->move_count++];
 		snprintf(moves->job_class, sizeof(moves->job_class), "%s", job->spec.job_class);
-		moves->first = duration_s;
+		moves->shortest_s = duration_s;
 	}
 	if (!moves)
 		return;
 	moves->count++;
-	moves->first = fmin(moves->first, duration_s);
-	moves->last = fmax(moves->last, duration_s);
-	moves->sum += duration_s;
+	moves->shortest_s = fmin(moves->shortest_s, duration_s);
+	moves->longest_s = fmax(moves->longest_s, duration_s);
+	moves->total_s += duration_s;
 }
 
 /* Applies a zone failure to one of the zone's machines. */
@@ -163,11 +163,11 @@
 		worker->deleted = true;
 		worker->deleted_at = sim->now;
 	} else if (!strcmp(kind, "reports")) {
-		worker->mute_until = sim->now + action->span;
+		worker->outbound_blocked_until = sim->now + action->duration_s;
 	} else if (!strcmp(kind, "answers")) {
-		worker->deaf_until = sim->now + action->span;
+		worker->inbound_blocked_until = sim->now + action->duration_s;
 	} else {
-		worker->cut_until = sim->now + action->span;
+		worker->partitioned_until = sim->now + action->duration_s;
 	}
 }
 
@@ -178,7 +178,7 @@
 
 	if (!strcmp(action->word, "dark-but-leader"))
 		return leader >= 0 && strcmp(sim->nodes[leader].settings.zone, zone) != 0;
-	return !strcmp(action->name, zone);
+	return !strcmp(action->operand, zone);
 }
 
 /*
@@ -219,26 +219,26 @@
 /* hold-domain NAME: an operator keeps the domain in use */
 static void run_hold_domain(struct sim *sim, const struct sim_action *action)
 {
-	put_record(sim, "zones/hold/", action->name, json_pack("{s:i}", "v", 1));
+	put_record(sim, "zones/hold/", action->operand, json_pack("{s:i}", "v", 1));
 }
 
 /* release-domain NAME */
 static void run_release_domain(struct sim *sim, const struct sim_action *action)
 {
-	put_record(sim, "zones/hold/", action->name, NULL);
+	put_record(sim, "zones/hold/", action->operand, NULL);
 }
 
 /* later-format NAME: replaces the domain's record by one in a later format */
 static void run_later_format(struct sim *sim, const struct sim_action *action)
 {
-	put_record(sim, "zones/domain/", action->name,
+	put_record(sim, "zones/domain/", action->operand,
 		   json_pack("{s:i,s:s}", "v", 9, "state", "dark"));
 }
 
 /* lead-by old|new: stops the nodes of the other version, so that one of the named version leads */
 static void run_lead_by(struct sim *sim, const struct sim_action *action)
 {
-	bool is_new = !strcmp(action->name, "new");
+	bool is_new = !strcmp(action->operand, "new");
 
 	for (int i = 0; i < sim->node_count; i++)
 		if ((sim->nodes[i].version == &sim_this_version) != is_new)
@@ -294,7 +294,7 @@
 		if (strcmp(worker->zone, zone) != 0 || worker->dead || worker->deleted)
 			continue;
 		for (int k = 0; k < worker->task_count; k++)
-			count += sim_on_machine(&worker->tasks[k]);
+			count += sim_task_started(&worker->tasks[k]);
 	}
 	return count;
 }
@@ -302,8 +302,8 @@
 static void print_moves(const struct sim_moves *moves)
 {
 	fprintf(stderr, "measured: class %s: %d tasks moved, first %.1f, mean %.1f, last %.1f s\n",
-		moves->job_class, moves->count, moves->first, moves->sum / moves->count,
-		moves->last);
+		moves->job_class, moves->count, moves->shortest_s, moves->total_s / moves->count,
+		moves->longest_s);
 }
 
 /* Prints the figures for manual measurements, described in docs/measurements.md. */
@@ -316,11 +316,11 @@
 		const struct sim_job *job = &sim->jobs[i];
 		bool has_deadline = job->spec.deadline_s >= 0;
 
-		finishes += job->finishes;
+		finishes += job->finished_runs;
 		done += job->done;
 		deadlines += has_deadline;
 		deadlines_met += has_deadline && job->done &&
-				 job->told_done_at <= job->submit_at + job->spec.deadline_s;
+				 job->reported_done_at <= job->submit_at + job->spec.deadline_s;
 	}
 	for (int i = 0; i < sim->worker_count; i++) {
 		const struct sim_worker *worker = &sim->workers[i];
@@ -374,9 +374,9 @@
 	}
 	if (sim_verbose)
 		print_moves(moves);
-	if (moves->count < count || moves->last > atof(expectation->third))
+	if (moves->count < count || moves->longest_s > atof(expectation->third))
 		sim_fail(sim, "class %s: %d tasks moved, the last after %.1f s", moves->job_class,
-			 moves->count, moves->last);
+			 moves->count, moves->longest_s);
 }
 
 /* domain NAME STATE */
--- a/tests/sim_gangs.c
+++ b/tests/sim_gangs.c
@@ -36,8 +36,8 @@
 	gang_members->last_stopped_at = fmax(gang_members->last_stopped_at, task->stopped_at);
 }
 
-static void find_members(struct sim *sim, const struct sim_job *job, const struct sim_gang *gang,
-			 struct gang_members *found)
+static void find_members(struct sim *sim, const struct sim_job *job,
+			 const struct sim_gang_attempt *gang, struct gang_members *found)
 {
 	found->count = 0;
 	found->waiting = found->running = found->checkpointing = 0;
@@ -68,7 +68,7 @@
 	sim_worker_expedite_heartbeat(member->worker, sim->now);
 }
 
-static void gang_run(struct sim *sim, const struct sim_job *job, struct sim_gang *gang,
+static void gang_run(struct sim *sim, const struct sim_job *job, struct sim_gang_attempt *gang,
 		     const struct gang_members *found)
 {
 	gang->running = true;
@@ -95,7 +95,7 @@
 
 /* Progress pauses from the first stop command on, after a loss, and during a hang. */
 static void update_gang_progress(const struct sim *sim, const struct sim_job *job,
-				 struct sim_gang *gang, const struct gang_members *found)
+				 struct sim_gang_attempt *gang, const struct gang_members *found)
 {
 	if (found->running >= job->spec.tasks && !found->is_hung)
 		gang->lost_at = 0;
@@ -107,7 +107,7 @@
 
 /* Returns the reason why the attempt ends in this step, or WS_EXIT_NONE if it continues. */
 static enum ws_exit_reason gang_end_reason(const struct sim *sim, const struct sim_job *job,
-					   const struct sim_gang *gang,
+					   const struct sim_gang_attempt *gang,
 					   const struct gang_members *found)
 {
 	if (!found->checkpointing && !gang->lost_at && gang->progress >= job->run_s)
@@ -124,14 +124,14 @@
 }
 
 /* Saves the progress that the next attempt starts from. */
-static void save_progress(struct sim *sim, struct sim_job *job, const struct sim_gang *gang,
+static void save_progress(struct sim *sim, struct sim_job *job, const struct sim_gang_attempt *gang,
 			  enum ws_exit_reason reason)
 {
 	double interval = job->spec.checkpoint_interval_s;
 
 	if (reason == WS_EXIT_STOPPED) { /* the checkpoint is complete when the first task exits */
 		job->progress_saved = gang->progress;
-		sim->saved_attempts++;
+		sim->checkpointed_attempts++;
 	} else if (interval > 0) {
 		job->progress_saved =
 		    fmax(job->progress_saved, floor(gang->progress / interval) * interval);
@@ -154,7 +154,7 @@
 	}
 }
 
-static void gang_step(struct sim *sim, struct sim_job *job, struct sim_gang *gang)
+static void gang_step(struct sim *sim, struct sim_job *job, struct sim_gang_attempt *gang)
 {
 	struct gang_members found;
 	enum ws_exit_reason reason;
@@ -178,17 +178,18 @@
 void sim_gangs_step(struct sim *sim)
 {
 	for (int i = 0; i < sim->job_count; i++)
-		for (int k = 0; k < sim->jobs[i].gang_count; k++)
-			gang_step(sim, &sim->jobs[i], &sim->jobs[i].gangs[k]);
+		for (int k = 0; k < sim->jobs[i].gang_attempt_count; k++)
+			gang_step(sim, &sim->jobs[i], &sim->jobs[i].gang_attempts[k]);
 }
 
 void sim_gang_track_attempt(struct sim *sim, struct sim_job *job, uint64_t attempt)
 {
-	for (int i = 0; i < job->gang_count; i++)
-		if (job->gangs[i].attempt == attempt)
+	for (int i = 0; i < job->gang_attempt_count; i++)
+		if (job->gang_attempts[i].attempt == attempt)
 			return;
-	if (job->gang_count == SIM_GANGS)
-		sim_fail(sim, "job %s has more than %d gang attempts", job->spec.id, SIM_GANGS);
+	if (job->gang_attempt_count == SIM_GANG_ATTEMPTS)
+		sim_fail(sim, "job %s has more than %d gang attempts", job->spec.id,
+			 SIM_GANG_ATTEMPTS);
 	else
-		job->gangs[job->gang_count++].attempt = attempt;
+		job->gang_attempts[job->gang_attempt_count++].attempt = attempt;
 }
--- a/tests/sim_machine_actions.c
+++ b/tests/sim_machine_actions.c
@@ -49,11 +49,11 @@
 static void apply_fault(struct sim *sim, const struct sim_action *action, machine_fault fault)
 {
 	for (int times = (int)sim_option(action->text, "times", 1); times > 0; times--) {
-		struct sim_worker *worker = select_machine(sim, action->name);
+		struct sim_worker *worker = select_machine(sim, action->operand);
 
 		if (!worker)
 			return;
-		fault(sim, worker, action->span);
+		fault(sim, worker, action->duration_s);
 	}
 }
 
@@ -64,8 +64,8 @@
 
 static void pin_to_leader(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	worker->pin = sim_leader(sim) + 1;
-	worker->pin_until = sim->now + duration_s;
+	worker->pinned_node = sim_leader(sim) + 1;
+	worker->pinned_until = sim->now + duration_s;
 }
 
 static void reboot(struct sim *sim, struct sim_worker *worker, double duration_s)
@@ -77,23 +77,23 @@
 	worker->fencing_token = 0;
 	worker->incarnation = 1;
 	worker->heartbeat_pending = false;
-	worker->answered_sent = sim->now;
+	worker->lease_renewed_at = sim->now;
 	worker->next_heartbeat_at = sim->now;
 }
 
 static void block_inbound(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	worker->deaf_until = sim->now + duration_s;
+	worker->inbound_blocked_until = sim->now + duration_s;
 }
 
 static void block_outbound(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	worker->mute_until = sim->now + duration_s;
+	worker->outbound_blocked_until = sim->now + duration_s;
 }
 
 static void partition_machine(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
-	worker->cut_until = sim->now + duration_s;
+	worker->partitioned_until = sim->now + duration_s;
 }
 
 static void kill_machine(struct sim *sim, struct sim_worker *worker, double duration_s)
@@ -189,13 +189,13 @@
 /* foreign MACHINE job=ID: adds an attempt of the job's task 0 that the controllers never started */
 static void run_unrecorded_attempt(struct sim *sim, const struct sim_action *action)
 {
-	struct sim_worker *worker = select_machine(sim, action->name);
+	struct sim_worker *worker = select_machine(sim, action->operand);
 	struct sim_task *task;
 
 	if (!worker)
 		return;
 	if (worker->task_count == SIM_TASKS) {
-		sim_fail(sim, "no free task slot on machine %s", action->name);
+		sim_fail(sim, "no free task slot on machine %s", action->operand);
 		return;
 	}
 	task = &worker->tasks[worker->task_count++];
@@ -210,7 +210,7 @@
 /* no-boot COUNT: the number of next instances that never boot */
 static void run_boot_failures(struct sim *sim, const struct sim_action *action)
 {
-	sim->boot_failures = atoi(action->name);
+	sim->boot_failures = atoi(action->operand);
 }
 
 /* instant-boot: instances boot at once */
--- a/tests/sim_nodes.c
+++ b/tests/sim_nodes.c
@@ -13,7 +13,7 @@
 
 double sim_node_time(const struct sim *sim, const struct sim_node *node)
 {
-	return sim->now * (1 + node->skew);
+	return sim->now * (1 + node->clock_skew);
 }
 
 /* ---- starts and crashes ---- */
@@ -51,9 +51,9 @@
 	struct sim_node *node = &sim->nodes[index];
 
 	node->version = &sim_this_version;
-	node->settings.value_kb = fmin(sim->value_kb, sim->next_value_kb);
+	node->settings.value_kb = fmin(sim->value_kb, sim->upcoming_value_kb);
 	node->settings.transaction_ops =
-	    sim->txn_ops < sim->next_txn_ops ? sim->txn_ops : sim->next_txn_ops;
+	    sim->txn_ops < sim->upcoming_txn_ops ? sim->txn_ops : sim->upcoming_txn_ops;
 }
 
 /* Sets the node's name and zone, its peers and the zones of the cluster. */
@@ -98,9 +98,9 @@
 		node->version = &sim_this_version;
 		if (i < sim->production_nodes)
 			node->version = sim_production_version();
-		else if (sim->next_value_kb > 0)
+		else if (sim->upcoming_value_kb > 0)
 			sim_node_upgrade(sim, i);
-		node->skew = i == 1 ? CLOCK_SKEW_RATIO : 0;
+		node->clock_skew = i == 1 ? CLOCK_SKEW_RATIO : 0;
 		node_start(sim, i);
 	}
 }
@@ -119,7 +119,8 @@
 		struct sim_node *peer = &sim->nodes[i];
 
 		if (i == from || !peer->is_up || sim->now < peer->frozen_until ||
-		    sim->now < sim->nodes[from].cut_peers_until || sim->now < peer->cut_peers_until)
+		    sim->now < sim->nodes[from].peers_partitioned_until ||
+		    sim->now < peer->peers_partitioned_until)
 			continue;
 		if (name[0] ? !strcmp(name, peer->settings.node) : !target)
 			target = peer;
--- a/tests/sim_parts.h
+++ b/tests/sim_parts.h
@@ -9,7 +9,7 @@
 #define SIM_TASKS 64
 #define SIM_IMAGES 32
 #define SIM_JOBS 4096
-#define SIM_GANGS 16
+#define SIM_GANG_ATTEMPTS 16
 #define SIM_CLASSES 8
 #define SIM_ZONES 8
 #define SIM_TIMED_LINES 256
@@ -22,10 +22,10 @@
  * Layout of a request id: the lowest bits hold the index of a worker or a job, the middle bits a
  * sequence number. One of the highest bits marks the kind of request; a request of a user has none.
  */
-#define SIM_TOKEN_SHIFT 13
+#define SIM_REQUEST_ID_SHIFT 13
 #define SIM_ID_HEARTBEAT (1ULL << 62)
 #define SIM_ID_OUTAGE_VOTE (1ULL << 61)
-#define SIM_ID_UNHEARD (1ULL << 60) /* a late heartbeat whose answer is discarded */
+#define SIM_ID_LATE_HEARTBEAT (1ULL << 60) /* a late heartbeat whose answer is discarded */
 #define SIM_ID_CONSISTENCY_CHECK (1ULL << 59)
 
 /* A task on a worker. */
@@ -48,19 +48,19 @@
 	bool never_boots;
 	bool failing; /* its tasks fail as soon as they run */
 	double scaled_out_at, deleted_at, died_at, boots_at;
-	double hang_until, cut_until;
+	double hang_until, partitioned_until;
 	double preemption_notice_at, preempted_at;
-	double deaf_until; /* its heartbeats arrive, but no message reaches it */
-	double mute_until; /* it cannot open connections, but commands reach it */
+	double inbound_blocked_until;  /* its heartbeats arrive, but no message reaches it */
+	double outbound_blocked_until; /* it cannot open connections, but commands reach it */
 	uint64_t incarnation, sequence, fencing_token;
 	/* The lease runs from the time at which the last answered heartbeat was sent. */
-	double answered_sent;
+	double lease_renewed_at;
 	/* Time of the first answer after the last stop of all controllers. */
-	double answered_since;
-	double next_heartbeat_at, sent_at;
+	double reconnected_at;
+	double next_heartbeat_at, heartbeat_sent_at;
 	/* Index + 1 of the only node that it can reach, or 0 if that is not restricted. */
-	int pin;
-	double pin_until;
+	int pinned_node;
+	double pinned_until;
 	bool heartbeat_pending;
 	uint64_t heartbeat_id;
 	int node; /* the node to which it sends heartbeats */
@@ -71,7 +71,7 @@
 };
 
 /* One attempt to run a gang. */
-struct sim_gang {
+struct sim_gang_attempt {
 	uint64_t attempt;
 	bool running;
 	double progress, lost_at;
@@ -84,9 +84,9 @@
 struct sim_job {
 	struct ws_job_spec spec;
 	double run_s, submit_at, next_try_at, cancel_at, next_poll_at;
-	double told_cancelled_at, told_done_at;
+	double reported_cancelled_at, reported_done_at;
 	bool submitted, accepted, refused, cancelled, done, cancel_sent;
-	bool bad; /* its tasks fail as soon as they run */
+	bool tasks_fail; /* its tasks fail as soon as they run */
 	int status, node;
 	uint32_t completed;
 	bool *task_done;
@@ -94,12 +94,12 @@
 	int pending_kind;
 	double pending_at;
 	double started_at, answered_at;
-	int finishes;
+	int finished_runs;
 	double *displaced_at;  /* per task: when a zone fault hit its machine; 0: never */
 	double *killed_at;     /* per task: when lease expiry or power loss killed it; 0: never */
 	double progress_saved; /* seconds of a gang's run that are checkpointed */
-	struct sim_gang gangs[SIM_GANGS];
-	int gang_count;
+	struct sim_gang_attempt gang_attempts[SIM_GANG_ATTEMPTS];
+	int gang_attempt_count;
 	UT_hash_handle hh;
 };
 
@@ -136,11 +136,11 @@
 	bool is_up;
 	double up_at;
 	uint64_t restarts; /* a call made before a crash gets no answer after the restart */
-	double cut_store_until, cut_workers_until, cut_peers_until;
-	double refused_until; /* the store rejects its calls with errors */
-	double blind_until;   /* its open watches receive nothing */
+	double store_partitioned_until, workers_partitioned_until, peers_partitioned_until;
+	double store_errors_until;    /* the store rejects its calls with errors */
+	double watches_stalled_until; /* its open watches receive nothing */
 	double frozen_until;
-	double skew;			    /* clock rate error, as a fraction */
+	double clock_skew;		    /* clock rate error, as a fraction */
 	struct ws_failure_domains *domains; /* owned by the core; NULL: disabled */
 	struct ws_cold_start *cold_start;   /* owned by the core; NULL: disabled */
 };
@@ -162,7 +162,7 @@
 
 struct sim_session {
 	uint64_t id;
-	double ttl_s, until;
+	double ttl_s, expires_at;
 	bool live;
 };
 
@@ -228,13 +228,13 @@
 	char job_class[WS_NAME_MAX];
 	int count;
 	/* Shortest, longest and total time until they ran again, in seconds. */
-	double first, last, sum;
+	double shortest_s, longest_s, total_s;
 };
 
 /* The last stop of all controllers. The counters hold their values at that time. */
 struct sim_stop {
-	double stopped_at;    /* 0: none */
-	double up_at, led_at; /* first restart and first election after it; 0: not yet */
+	double stopped_at;		 /* 0: none */
+	double restarted_at, elected_at; /* first restart and first election after it; 0: not yet */
 	uint64_t run_commands, stop_commands, changes, scaled_out;
 };
 
@@ -245,7 +245,7 @@
 struct sim_timed_line {
 	double time;
 	char text[SIM_LINE_MAX];
-	int line;
+	int line_number;
 };
 
 struct sim {
@@ -256,17 +256,17 @@
 	/* the scenario */
 	struct sim_timed_line timed_lines[SIM_TIMED_LINES];
 	int timed_line_count, next_timed_line;
-	int line; /* number of the line parsed last */
+	int line_number; /* number of the line parsed last */
 	/* An action to run this long after the first scale-in. */
-	double follow_up_after_s;
-	char follow_up[SIM_LINE_MAX];
+	double deferred_action_delay_s;
+	char deferred_action[SIM_LINE_MAX];
 
 	/* settings */
 	double lease_s, heartbeat_s, cancel_s, list_lag_s;
 	double gang_wait_s, gang_peer_s;
 	/* Limits of the store, now and after they are lowered. */
-	double value_kb, next_value_kb;
-	int txn_ops, next_txn_ops;
+	double value_kb, upcoming_value_kb;
+	int txn_ops, upcoming_txn_ops;
 	struct ws_policy policy;
 	char zones[SIM_ZONES][32];
 	struct ws_team_setting teams[16];
@@ -275,7 +275,7 @@
 	struct ws_machine_type types[8];
 	int zone_count, team_count, objective_count, type_count;
 	int instance_limit;
-	bool limits_lowered, domains_on, cold_start_on;
+	bool limits_lowered, domains_enabled, cold_start_enabled;
 	struct ws_domains_settings domains_settings;
 	struct ws_cold_start_settings cold_start_settings;
 
@@ -286,8 +286,8 @@
 	struct sim_job *jobs, *jobs_by_id;
 	int node_count, worker_count, job_count;
 	int production_nodes; /* number of nodes that start with the version in production */
-	struct sim_consistency_check checks[SIM_CONSISTENCY_CHECKS];
-	size_t check_count;
+	struct sim_consistency_check consistency_checks[SIM_CONSISTENCY_CHECKS];
+	size_t consistency_check_count;
 	struct sim_scale_out scale_outs[512];
 	int scale_out_count;
 
@@ -308,28 +308,28 @@
 
 	/* faults of the store */
 	double store_down_until;
-	double store_slow_until, store_slow_by_s;      /* maximum extra latency of store calls */
-	double late_watches_until, late_watches_max_s; /* maximum extra latency of open watches */
+	double store_slow_until, store_slow_max_s;     /* maximum extra latency of store calls */
+	double slow_watches_until, slow_watches_max_s; /* maximum extra latency of open watches */
 	int lost_txns; /* remaining transactions whose answers get lost */
 	/* Remaining transactions that execute after their senders timed out, and the delay. */
-	int late_txns;
-	double late_txns_by_s;
+	int delayed_txns;
+	double txn_delay_s;
 	/* A fraction of writes gets no answer, and executes after up to a maximum delay or at once.
 	 */
-	double late_writes_until, late_writes_share;
-	double late_writes_max_s;
-	bool late_writes_at_once;
+	double timed_out_writes_until, timed_out_writes_share;
+	double timed_out_writes_max_s;
+	bool timed_out_writes_at_once;
 	bool store_was_down; /* in the previous step */
 
 	/* faults of cloud and network */
-	double cloud_down_until, zone_cut_until;
+	double cloud_down_until, zones_partitioned_until;
 	int lost_scale_outs, lost_commands; /* remaining calls whose answers get lost */
 	/* Remaining command calls that arrive late, and the delay. */
 	int late_command_count;
-	double late_commands_by_s;
-	double slow_commands_s; /* delay of answers to commands, which execute at once */
+	double late_command_delay_s;
+	double command_answer_delay_s; /* delay of answers to commands, which execute at once */
 	/* A fraction of the answers to heartbeats is delayed. */
-	double slow_answers_until, slow_answers_by_s;
+	double slow_answers_until, slow_answer_delay_s;
 	double slow_answers_share;
 	/* A fraction of heartbeats is duplicated; the copies arrive after up to a maximum delay. */
 	double duplicates_until, duplicates_max_s;
@@ -343,33 +343,33 @@
 	double crash_down_s;
 	int boot_failures; /* remaining new instances that never boot */
 	bool instant_boot;
-	bool heartbeats_name_tasks_twice;
+	bool heartbeats_list_tasks_twice;
 
 	/* what users do */
 	/* Users query all nodes after each change of a job; a fraction of them then cancels it. */
-	double checks_until;
+	double consistency_checks_until;
 	double cancel_share;
 	/* A fraction of users cancels a job when its last task ends. */
-	double cancel_at_end_until;
-	double cancel_at_end_share;
+	double cancel_on_completion_until;
+	double cancel_on_completion_share;
 
 	/* counters for expectations */
 	uint64_t commands, starts, status_queries, store_requests, changes, heartbeats;
 	uint64_t watched_records, watched_bytes; /* delivered to the leader by watches */
 	uint64_t written_bytes;			 /* in transactions that the core paces itself */
-	int refused_writes;
-	int scaled_out, scaled_in, failures;
+	int rejected_writes;
+	int scaled_out, scaled_in, task_failures;
 	double scaled_in_at;			 /* time of the first scale-in */
 	int incomplete_exits, member_lost_exits; /* exits of gang tasks by reason */
 	/* Gang attempts that saved their state when stopped, and those that started to run. */
-	int saved_attempts, gang_runs;
+	int checkpointed_attempts, gang_runs;
 	uint64_t run_commands, stop_commands, reap_commands; /* received by workers */
 	/* Stop commands for live tasks whose job is not cancelled, on machines without a notice. */
 	uint64_t healthy_stops;
 	/* Tasks killed by a lease expiry or a power loss, and those of them that ran again. */
-	int killed, restarted;
+	int killed_tasks, restarted_tasks;
 	/* Total delay until they ran again, and the time of the last restart. */
-	double restart_sum, restart_last;
+	double restart_delay_sum_s, last_restart_at;
 	struct sim_stop stop;
 	struct sim_moves moves[SIM_CLASSES];
 	int move_count;
@@ -384,7 +384,7 @@
 /* Returns the index of the leader, or -1 if no node leads. */
 int sim_leader(struct sim *sim);
 /* Returns the job with this id, or NULL if no such job exists. */
-struct sim_job *sim_job_of(struct sim *sim, const char *id);
+struct sim_job *sim_find_job(struct sim *sim, const char *id);
 
 extern const struct sim_version sim_this_version;
 /*
--- a/tests/sim_scenario.c
+++ b/tests/sim_scenario.c
@@ -67,7 +67,7 @@
 	return false;
 }
 
-int sim_node_named(struct sim *sim, const char *name)
+int sim_node_index(struct sim *sim, const char *name)
 {
 	if (!strcmp(name, "leader"))
 		return sim_leader(sim);
@@ -110,7 +110,7 @@
 	if (sim->timed_line_count == SIM_TIMED_LINES)
 		return "too many timed lines";
 	timed_line->time = next_number(setting);
-	timed_line->line = sim->line;
+	timed_line->line_number = sim->line_number;
 	snprintf(timed_line->text, sizeof(timed_line->text), "%s", setting->rest);
 	if (sim->timed_line_count &&
 	    timed_line->time < sim->timed_lines[sim->timed_line_count - 1].time)
@@ -163,8 +163,8 @@
 /* next-limits KIB OPERATIONS: upcoming lower limits of a value and of a transaction */
 static const char *parse_next_limits(struct sim *sim, struct sim_setting *setting)
 {
-	sim->next_value_kb = next_number(setting);
-	sim->next_txn_ops = next_integer(setting);
+	sim->upcoming_value_kb = next_number(setting);
+	sim->upcoming_txn_ops = next_integer(setting);
 	return NULL;
 }
 
@@ -287,14 +287,14 @@
 	return NULL;
 }
 
-bool sim_line(struct sim *sim, char *line, char *error, size_t size)
+bool sim_parse_line(struct sim *sim, char *line, char *error, size_t size)
 {
 	char copy[SETTING_LINE_MAX];
 	struct sim_setting setting = {.rest = copy, .text = line};
 	const struct sim_setting_word *entry;
 	const char *word, *message;
 
-	sim->line++;
+	sim->line_number++;
 	line[strcspn(line, "#\r\n")] = 0;
 	snprintf(copy, sizeof(copy), "%s", line);
 	word = sim_next_word(&setting.rest);
@@ -306,8 +306,8 @@
 	else if (sim_count_words(setting.rest) < entry->operands)
 		message = "operands are missing";
 	else
-		message = entry->take(sim, &setting);
+		message = entry->parse(sim, &setting);
 	if (message)
-		snprintf(error, size, "line %d: %s: %s", sim->line, word, message);
+		snprintf(error, size, "line %d: %s: %s", sim->line_number, word, message);
 	return !message;
 }
--- a/tests/sim_scenario.h
+++ b/tests/sim_scenario.h
@@ -14,16 +14,16 @@
 	const char *word;
 	int operands; /* minimum number of words that must follow */
 	/* Returns an error message, or NULL if the line is valid. */
-	const char *(*take)(struct sim *sim, struct sim_setting *setting);
+	const char *(*parse)(struct sim *sim, struct sim_setting *setting);
 };
 
 /* A timed action. */
 struct sim_action {
 	const char *word;
-	const char *name; /* the first operand; "" if there is none */
-	char *rest;	  /* the unparsed text behind the first operand */
-	const char *text; /* the whole action, from which options are read */
-	double span;	  /* duration from the option for=S, 5 s by default */
+	const char *operand; /* the first operand; "" if there is none */
+	char *rest;	     /* the unparsed text behind the first operand */
+	const char *text;    /* the whole action, from which options are read */
+	double duration_s;   /* duration from the option for=S, 5 s by default */
 };
 
 struct sim_action_word {
@@ -65,12 +65,12 @@
 /* Returns whether the flag NAME stands behind the first word. */
 bool sim_flag(const char *text, const char *name);
 /* Returns the index of a node given by number or as "leader", or -1 if no node leads. */
-int sim_node_named(struct sim *sim, const char *name);
+int sim_node_index(struct sim *sim, const char *name);
 /* Returns whether NUMBER OPERATOR TEXT holds. The operators are =, >= and <=. */
 bool sim_compare(double number, const char *operator, const char * text);
 
 /* Runs a timed action. */
-void sim_act(struct sim *sim, const struct sim_timed_line *timed_line);
+void sim_run_action(struct sim *sim, const struct sim_timed_line *timed_line);
 /* Checks an expectation. `text` is what follows the word "expect"; the buffer is modified. */
 void sim_expect(struct sim *sim, char *text);
 #endif
--- a/tests/sim_slow_answers.c
+++ b/tests/sim_slow_answers.c
@@ -26,7 +26,7 @@
 	if (!should_delay(sim, answer))
 		return false;
 	delayed = calloc(1, sizeof(*delayed));
-	delayed->due_at = sim->now + sim->slow_answers_by_s;
+	delayed->due_at = sim->now + sim->slow_answer_delay_s;
 	delayed->answer = *answer;
 	delayed->answer.next = NULL;
 	copy_commands(&delayed->answer, answer);
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -144,7 +144,7 @@
 	}
 	session->id = (uint64_t)++sim->session_count;
 	session->ttl_s = call->session.ttl_ms / 1000.0;
-	session->until = sim->now + session->ttl_s;
+	session->expires_at = sim->now + session->ttl_s;
 	session->live = true;
 	result->session = session->id;
 }
@@ -154,7 +154,7 @@
 	struct sim_session *session = session_find(sim, call->session.id);
 
 	if (session)
-		session->until = sim->now + session->ttl_s;
+		session->expires_at = sim->now + session->ttl_s;
 	else
 		result->outcome = WS_OUTCOME_NOT_FOUND;
 }
@@ -175,14 +175,14 @@
 		return;
 	for (int i = 0; i < sim->session_count; i++)
 		if (sim->sessions[i].live)
-			sim->sessions[i].until = sim->now + sim->sessions[i].ttl_s;
+			sim->sessions[i].expires_at = sim->now + sim->sessions[i].ttl_s;
 }
 
 void sim_sessions_expire(struct sim *sim)
 {
 	for (int i = 0; i < sim->session_count; i++)
 		if (sim->sessions[i].live && sim->now >= sim->store_down_until &&
-		    sim->now > sim->sessions[i].until + SESSION_GRACE_S)
+		    sim->now > sim->sessions[i].expires_at + SESSION_GRACE_S)
 			session_end(sim, &sim->sessions[i]);
 }
 
@@ -198,7 +198,7 @@
 	if (call->transaction.operation_count <= (size_t)sim->txn_ops &&
 	    (double)bytes <= sim->value_kb * 1024)
 		return true;
-	sim->refused_writes++;
+	sim->rejected_writes++;
 	if (!sim->limits_lowered)
 		sim_fail(sim, "transaction over the limits: %zu operations, %zu bytes at key %s",
 			 call->transaction.operation_count, bytes, operation->key);
--- a/tests/sim_users.c
+++ b/tests/sim_users.c
@@ -39,14 +39,14 @@
 	if (request_id == job->pending_request)
 		return job->pending_kind;
 	for (size_t i = 0; i < SIM_CONSISTENCY_CHECKS; i++)
-		if (sim->checks[i].request_id == request_id)
-			return sim->checks[i].kind;
+		if (sim->consistency_checks[i].request_id == request_id)
+			return sim->consistency_checks[i].kind;
 	return 0;
 }
 
 static uint64_t new_request_id(struct sim *sim, const struct sim_job *job)
 {
-	return (++sim->last_request_id << SIM_TOKEN_SHIFT) | (uint64_t)(job - sim->jobs);
+	return (++sim->last_request_id << SIM_REQUEST_ID_SHIFT) | (uint64_t)(job - sim->jobs);
 }
 
 /*
@@ -56,7 +56,7 @@
 static void send_consistency_check(struct sim *sim, int node, struct sim_job *job, int kind)
 {
 	struct sim_consistency_check *check =
-	    &sim->checks[sim->check_count++ % SIM_CONSISTENCY_CHECKS];
+	    &sim->consistency_checks[sim->consistency_check_count++ % SIM_CONSISTENCY_CHECKS];
 
 	check->request_id = new_request_id(sim, job) | SIM_ID_CONSISTENCY_CHECK;
 	check->kind = kind;
@@ -116,7 +116,7 @@
 		return true;
 	}
 	for (size_t i = 0; i < SIM_CONSISTENCY_CHECKS; i++) {
-		struct sim_consistency_check *check = &sim->checks[i];
+		struct sim_consistency_check *check = &sim->consistency_checks[i];
 
 		if (check->request_id != request_id)
 			continue;
@@ -199,12 +199,12 @@
 {
 	if (answer->user.phase == WS_JOB_DONE && !job->done) {
 		job->done = true;
-		job->told_done_at = sim->now;
+		job->reported_done_at = sim->now;
 		return true;
 	}
 	if (answer->user.phase == WS_JOB_CANCELLED && !job->cancelled) {
 		job->cancelled = true;
-		job->told_cancelled_at = sim->now;
+		job->reported_cancelled_at = sim->now;
 		return true;
 	}
 	return false;
@@ -213,7 +213,7 @@
 /* After a state change a user queries all nodes, and a share of the users cancel at once. */
 static void react_to_state_change(struct sim *sim, struct sim_job *job)
 {
-	if (sim->now >= sim->checks_until)
+	if (sim->now >= sim->consistency_checks_until)
 		return;
 	sim_user_check_all_nodes(sim, job);
 	if (!job->done && !job->cancelled && !job->cancel_at && sim_random(sim) < sim->cancel_share)
@@ -244,8 +244,8 @@
 
 void sim_user_job_ended(struct sim *sim, struct sim_job *job)
 {
-	if (sim->now < sim->cancel_at_end_until && !job->cancel_at &&
-	    sim_random(sim) < sim->cancel_at_end_share) {
+	if (sim->now < sim->cancel_on_completion_until && !job->cancel_at &&
+	    sim_random(sim) < sim->cancel_on_completion_share) {
 		job->cancel_at = sim->now;
 		job->next_try_at = 0;
 	}
--- a/tests/sim_worker_tasks.c
+++ b/tests/sim_worker_tasks.c
@@ -38,7 +38,7 @@
 	double cpus = spec->cpus, mem_gb = spec->mem_gb, used_cpus = 0, used_mem_gb = 0;
 
 	for (int i = 0; i < worker->task_count; i++) {
-		const struct sim_job *job = sim_job_of(sim, worker->tasks[i].job);
+		const struct sim_job *job = sim_find_job(sim, worker->tasks[i].job);
 
 		if (worker->tasks[i].state == WS_TASK_EXITED || !job)
 			continue;
@@ -77,7 +77,7 @@
 static bool start_task(struct sim *sim, struct sim_worker *worker, const struct ws_command *command,
 		       bool has_other_attempt)
 {
-	const struct sim_job *job = sim_job_of(sim, command->job);
+	const struct sim_job *job = sim_find_job(sim, command->job);
 	enum ws_exit_reason failure_reason =
 	    start_failure_reason(sim, worker, job, has_other_attempt);
 	struct sim_task *task;
@@ -113,7 +113,7 @@
 static void stop_task(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
 		      const struct ws_command *command)
 {
-	if (checkpoints_before_stop(sim_job_of(sim, task->job), task, command)) {
+	if (checkpoints_before_stop(sim_find_job(sim, task->job), task, command)) {
 		if (task->state == WS_TASK_RUNNING)
 			task->stopped_at = sim->now;
 		task->state = WS_TASK_CHECKPOINTING;
@@ -166,7 +166,7 @@
 
 void sim_task_finished(struct sim *sim, struct sim_job *job, const struct sim_task *task)
 {
-	job->finishes++;
+	job->finished_runs++;
 	if (job->task_done[task->task])
 		return;
 	job->task_done[task->task] = true;
@@ -195,7 +195,7 @@
 static void run_step(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
 		     struct sim_job *job)
 {
-	bool fails = worker->failing || job->bad;
+	bool fails = worker->failing || job->tasks_fail;
 
 	if (job->spec.gang && !fails) /* see sim_gangs.c */
 		return;
@@ -203,7 +203,7 @@
 	if (fails) {
 		task->state = WS_TASK_EXITED;
 		task->exit_reason = WS_EXIT_ERROR;
-		sim->failures++;
+		sim->task_failures++;
 		sim_worker_expedite_heartbeat(worker, sim->now);
 	} else if (!job->spec.service && task->seconds_left <= 0) {
 		task->state = WS_TASK_EXITED;
@@ -217,7 +217,7 @@
 {
 	for (int i = 0; i < worker->task_count; i++) {
 		struct sim_task *task = &worker->tasks[i];
-		struct sim_job *job = sim_job_of(sim, task->job);
+		struct sim_job *job = sim_find_job(sim, task->job);
 
 		if (task->state == WS_TASK_FETCHING)
 			fetch_step(sim, worker, task, job);
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -23,10 +23,11 @@
 bool sim_is_partitioned(const struct sim *sim, const struct sim_worker *worker,
 			const struct sim_node *node)
 {
-	return sim->now < worker->cut_until || sim->now < node->cut_workers_until ||
+	return sim->now < worker->partitioned_until || sim->now < node->workers_partitioned_until ||
 	       sim->now < node->frozen_until ||
-	       (sim->now < sim->zone_cut_until && strcmp(node->settings.zone, worker->zone) != 0) ||
-	       (sim->now < worker->pin_until && node != &sim->nodes[worker->pin - 1]);
+	       (sim->now < sim->zones_partitioned_until &&
+		strcmp(node->settings.zone, worker->zone) != 0) ||
+	       (sim->now < worker->pinned_until && node != &sim->nodes[worker->pinned_node - 1]);
 }
 
 /* ---- heartbeats ---- */
@@ -42,7 +43,7 @@
 static void add_task_statuses(const struct sim *sim, const struct sim_worker *worker,
 			      struct ws_heartbeat *heartbeat)
 {
-	int times = sim->heartbeats_name_tasks_twice ? 2 : 1;
+	int times = sim->heartbeats_list_tasks_twice ? 2 : 1;
 
 	heartbeat->tasks = calloc(2 * (size_t)SIM_TASKS, sizeof(*heartbeat->tasks));
 	for (int i = 0; i < worker->task_count * times; i++) {
@@ -94,12 +95,13 @@
 static void delay_heartbeat(struct sim *sim, const struct sim_worker *worker,
 			    const struct sim_node *node, const struct ws_heartbeat *heartbeat)
 {
-	double machine_until = fmax(worker->cut_until, worker->pin_until);
-	double node_until = fmax(node->cut_workers_until, node->frozen_until);
+	double machine_until = fmax(worker->partitioned_until, worker->pinned_until);
+	double node_until = fmax(node->workers_partitioned_until, node->frozen_until);
 	struct sim_delayed_heartbeat *delayed = calloc(1, sizeof(*delayed));
 	struct sim_delayed_heartbeat **link = &sim->delayed_heartbeats;
 
-	delayed->due_at = fmax(fmax(machine_until, node_until), sim->zone_cut_until) + SIM_STEP_S;
+	delayed->due_at =
+	    fmax(fmax(machine_until, node_until), sim->zones_partitioned_until) + SIM_STEP_S;
 	delayed->node = worker->node;
 	delayed->heartbeat = *heartbeat;
 	while (*link) /* delivered in the order of sending */
@@ -137,18 +139,18 @@
 	struct sim_node *node = &sim->nodes[worker->node];
 	struct ws_heartbeat heartbeat;
 
-	worker->sent_at = sim->now;
+	worker->heartbeat_sent_at = sim->now;
 	sim->heartbeats++;
 	worker->heartbeat_pending = true;
 	sim_worker_build_heartbeat(sim, worker, &heartbeat);
 	worker->next_heartbeat_at = sim->now + sim->heartbeat_s * (0.75 + 0.5 * sim_random(sim));
-	worker->heartbeat_id = (++sim->last_request_id << SIM_TOKEN_SHIFT) |
+	worker->heartbeat_id = (++sim->last_request_id << SIM_REQUEST_ID_SHIFT) |
 			       (uint64_t)(worker - sim->workers) | SIM_ID_HEARTBEAT;
 	if (sim_is_partitioned(sim, worker, node)) {
 		delay_heartbeat(sim, worker, node, &heartbeat);
 		return;
 	}
-	if (!node->is_up || sim->now < worker->mute_until) {
+	if (!node->is_up || sim->now < worker->outbound_blocked_until) {
 		try_next_node(sim, worker);
 	} else {
 		if (sim->duplicates_max_s > 0 && sim->now < sim->duplicates_until &&
@@ -190,7 +192,7 @@
 
 		if (node->is_up && (delayed->node == i || delayed->node < 0))
 			node->version->heartbeat(node->core, sim_node_time(sim, node),
-						 SIM_ID_UNHEARD, &delayed->heartbeat, false);
+						 SIM_ID_LATE_HEARTBEAT, &delayed->heartbeat, false);
 	}
 }
 
@@ -249,9 +251,9 @@
 		worker->fencing_token = answer->heartbeat.fencing_token;
 		sim_worker_expedite_heartbeat(worker, sim->now);
 	}
-	worker->answered_sent = worker->sent_at;
-	if (worker->answered_since <= sim->stop.stopped_at)
-		worker->answered_since = sim->now;
+	worker->lease_renewed_at = worker->heartbeat_sent_at;
+	if (worker->reconnected_at <= sim->stop.stopped_at)
+		worker->reconnected_at = sim->now;
 	sim_worker_execute_commands(sim, worker, answer->heartbeat.commands,
 				    answer->heartbeat.command_count);
 }
@@ -282,9 +284,9 @@
 {
 	struct sim_worker *worker = &sim->workers[effect->request_id & (SIM_WORKERS - 1)];
 
-	if (effect->request_id & SIM_ID_UNHEARD || effect->request_id != worker->heartbeat_id ||
-	    !worker->heartbeat_pending || !sim_worker_is_live(sim, worker) ||
-	    sim->now < worker->deaf_until ||
+	if (effect->request_id & SIM_ID_LATE_HEARTBEAT ||
+	    effect->request_id != worker->heartbeat_id || !worker->heartbeat_pending ||
+	    !sim_worker_is_live(sim, worker) || sim->now < worker->inbound_blocked_until ||
 	    sim_is_partitioned(sim, worker, &sim->nodes[worker->node]))
 		return;
 	worker->heartbeat_pending = false;
@@ -303,7 +305,7 @@
 		return;
 	worker->is_up = true;
 	worker->incarnation = 1;
-	worker->answered_sent = sim->now;
+	worker->lease_renewed_at = sim->now;
 	worker->next_heartbeat_at = sim->now;
 	worker->node = (int)(sim_random(sim) * sim->node_count);
 }
@@ -314,21 +316,21 @@
  */
 static void lease_step(struct sim *sim, struct sim_worker *worker)
 {
-	if (sim->now - worker->answered_sent <= sim->lease_s)
+	if (sim->now - worker->lease_renewed_at <= sim->lease_s)
 		return;
 	sim_cold_start_tasks_killed(sim, worker);
 	worker->task_count = 0;
 	if (sim->now < worker->hang_until)
 		return;
 	worker->incarnation++;
-	worker->answered_sent = sim->now;
+	worker->lease_renewed_at = sim->now;
 	worker->next_heartbeat_at = sim->now;
 	worker->heartbeat_pending = false;
 }
 
 static void heartbeat_step(struct sim *sim, struct sim_worker *worker)
 {
-	if (worker->heartbeat_pending && sim->now - worker->sent_at > HEARTBEAT_TIMEOUT_S)
+	if (worker->heartbeat_pending && sim->now - worker->heartbeat_sent_at > HEARTBEAT_TIMEOUT_S)
 		try_next_node(sim, worker);
 	if (!worker->heartbeat_pending && sim->now >= worker->next_heartbeat_at)
 		send_heartbeat(sim, worker);
