--- a/tests/random_cold_start.c
+++ b/tests/random_cold_start.c
@@ -16,7 +16,7 @@
 static void draw_restart(double time, double down_s)
 {
 	if (random_chance(30))
-		random_event(time, "crash-in-turn first=%.1f every=%u", down_s,
+		random_event(time, "staggered-restart first=%.1f every=%u", down_s,
 			     1 + random_draw(30));
 	else if (random_chance(10))
 		for (unsigned n = 0; n < 3; n++)
@@ -32,25 +32,27 @@
 		random_event(time, "power-loss share=0.%u for=%u", 2 + random_draw(8),
 			     3 + random_draw(60));
 	if (random_chance(25))
-		random_event(time, "dark %c for=%u", 'a' + (int)random_draw(zones),
+		random_event(time, "partition-zone %c for=%u", 'a' + (int)random_draw(zones),
 			     5 + random_draw(50));
 	if (random_chance(20))
-		random_event(time, "state-outage for=%.1f", down_s + random_draw(10));
+		random_event(time, "store-outage for=%.1f", down_s + random_draw(10));
 	if (random_chance(15))
-		random_event(time + down_s, "slow-state 0.%u for=10", 1 + random_draw(8));
+		random_event(time + down_s, "slow-store 0.%u for=10", 1 + random_draw(8));
 	if (random_chance(15))
-		random_event(time + down_s, "refuse %u for=%u", random_draw(3),
+		random_event(time + down_s, "store-errors %u for=%u", random_draw(3),
 			     3 + random_draw(20));
 	if (random_chance(15))
 		random_event(time + down_s, "cloud-outage for=20");
 	if (random_chance(20))
-		random_event(time - 6, "copies %u for=8 for-next", 10 + random_draw(30));
+		random_event(time - 6, "duplicate-heartbeats %u for=8 for-next-leader",
+			     10 + random_draw(30));
 	if (random_chance(15))
-		random_event(time - 1, "late orders times=3 by=%u", 5 + random_draw(25));
+		random_event(time - 1, "delay-calls commands times=3 delay=%u",
+			     5 + random_draw(25));
 	if (random_chance(15))
-		random_event(time - 3, "late-writes 0.5 for=4 most=15");
+		random_event(time - 3, "time-out-writes 0.5 for=4 max=15");
 	if (random_chance(15))
-		random_event(time + down_s, "crash-on txn %sskip=%u for=3",
+		random_event(time + down_s, "crash-on-call transaction %sskip=%u for=3",
 			     random_chance(50) ? "after " : "", random_draw(6));
 	if (random_chance(25))
 		random_event(time + down_s + random_draw(8), "crash leader for=%u",
--- a/tests/random_failure_domains.c
+++ b/tests/random_failure_domains.c
@@ -8,12 +8,12 @@
 static void draw_outage(unsigned zones)
 {
 	static const int durations[] = {3, 6, 10, 16, 20, 40, 70};
-	static const char *const kinds[] = {"", "", "", " only=reports", " only=answers"};
-	static const char *const cuts[] = {"all", "workers", "state", "peers"};
+	static const char *const kinds[] = {"", "", "", " only=outbound", " only=inbound"};
+	static const char *const cuts[] = {"all", "workers", "store", "peers"};
 	double at = 15 + random_draw(110);
 	int zone = 'a' + (int)random_draw(zones);
 
-	random_event(at, "dark %c for=%d%s", zone, durations[random_draw(7)],
+	random_event(at, "partition-zone %c for=%d%s", zone, durations[random_draw(7)],
 		     kinds[random_draw(5)]);
 	if (random_chance(40))
 		random_event(at + random_draw(20), "crash leader for=%d",
@@ -21,27 +21,27 @@
 	if (random_chance(15))
 		random_event(at + random_draw(10), "crash all for=4");
 	if (random_chance(20))
-		random_event(at + random_draw(10), "state-outage for=%d",
+		random_event(at + random_draw(10), "store-outage for=%d",
 			     random_chance(50) ? 3 : 30);
 	if (random_chance(20))
 		random_event(at + random_draw(10), "cloud-outage for=20");
 	if (random_chance(20))
-		random_event(at + random_draw(5), "cut %u %s for=%d", random_draw(3),
+		random_event(at + random_draw(5), "partition %u %s for=%d", random_draw(3),
 			     cuts[random_draw(4)], random_chance(50) ? 5 : 30);
 	if (random_chance(10))
-		random_event(at + 1, "late-writes 0.2 for=20");
+		random_event(at + 1, "time-out-writes 0.2 for=20");
 	if (random_chance(20))
-		random_event(at - 8, "copies %d for=30", random_chance(50) ? 5 : 30);
+		random_event(at - 8, "duplicate-heartbeats %d for=30", random_chance(50) ? 5 : 30);
 	if (random_chance(10))
 		random_event(at + random_draw(20), "hold-domain %c", zone);
 	if (random_chance(10))
 		random_event(at + random_draw(40), "release-domain %c", zone);
 	if (random_chance(10))
-		random_event(at + random_draw(8), "late orders times=3 by=20");
+		random_event(at + random_draw(8), "delay-calls commands times=3 delay=20");
 	if (random_chance(10))
-		random_event(at + random_draw(8), "lose-answer txn times=2");
+		random_event(at + random_draw(8), "lose-answer transaction times=2");
 	if (random_chance(10))
-		random_event(at + random_draw(3), "crash-on txn %sskip=%u for=3",
+		random_event(at + random_draw(3), "crash-on-call transaction %sskip=%u for=3",
 			     random_chance(50) ? "after " : "", random_draw(5));
 }
 
--- a/tests/random_parts.c
+++ b/tests/random_parts.c
@@ -69,7 +69,7 @@
 
 	random_line("seed %u", random_draw(1000000));
 	random_line("lease %d", long_lease ? 45 : 16);
-	random_line("report %d", long_lease ? 3 : 2);
+	random_line("heartbeat %d", long_lease ? 3 : 2);
 	random_line("cancel %d", long_lease ? 75 : 46);
 	for (unsigned i = 0; i < zones; i++)
 		random_line("zone %c", 'a' + (int)i);
@@ -87,7 +87,7 @@
 
 static void random_job(unsigned number, unsigned zones)
 {
-	static const char *const tiers[] = {"urgent", "normal", "best"};
+	static const char *const tiers[] = {"urgent", "normal", "best-effort"};
 	double at = 5 + random_draw(80);
 	char where[32] = "";
 
@@ -97,17 +97,18 @@
 		snprintf(where, sizeof(where), " one-zone");
 	if (random_chance(20))
 		random_event(
-		    at, "submit job-%06u class=portal service tasks=%u cpus=2 tier=production%s",
+		    at,
+		    "submit job-%06u class=portal service tasks=%u cpus=2 priority=production%s",
 		    number, 1 + random_draw(4), random_chance(60) ? " spread" : "");
 	else if (random_chance(20))
-		random_event(
-		    at,
-		    "submit job-%06u class=gang gang tasks=%u cpus=4 run=%u checkpoint=5 save=1%s",
-		    number, 2 + random_draw(4), 5 + random_draw(25), where);
+		random_event(at,
+			     "submit job-%06u class=gang gang tasks=%u cpus=4 run=%u "
+			     "checkpoint-interval=5 checkpoint-duration=1%s",
+			     number, 2 + random_draw(4), 5 + random_draw(25), where);
 	else
-		random_event(at, "submit job-%06u class=accrual tasks=%u cpus=4 run=%u tier=%s%s",
-			     number, 1 + random_draw(6), 5 + random_draw(55), tiers[random_draw(3)],
-			     where);
+		random_event(
+		    at, "submit job-%06u class=accrual tasks=%u cpus=4 run=%u priority=%s%s",
+		    number, 1 + random_draw(6), 5 + random_draw(55), tiers[random_draw(3)], where);
 	if (random_chance(20))
 		random_event(at + 1 + random_draw(60), "abort job-%06u", number);
 }
@@ -134,7 +135,7 @@
 	for (size_t i = 0; i < event_count; i++)
 		random_line("at %.2f %s", events[i].time, events[i].text);
 	random_line("at %d expect leader", SCENARIO_S);
-	random_line("at %d expect all-answered 75", SCENARIO_S);
+	random_line("at %d expect all-answered-within 75", SCENARIO_S);
 	passed = !error[0] && sim_run(sim, error, sizeof(error));
 	if (!passed)
 		printf("FAIL seed %u: %s\n", seed, error);
--- a/tests/random_team_limits.c
+++ b/tests/random_team_limits.c
@@ -25,7 +25,8 @@
 		    random_chance(30) ? random_chance(50) ? " zone=a" : " zone=b" : "";
 
 		random_event(
-		    at, "submit job-%06u team=t%u tasks=%u cpus=%u run=%u gb=0.%u tier=%s%s",
+		    at,
+		    "submit job-%06u team=t%u tasks=%u cpus=%u run=%u image-gb=0.%u priority=%s%s",
 		    number, random_draw(TEAMS), 1 + random_draw(5),
 		    random_chance(70) ? TASK_CPUS : 1 + random_draw(3), 5 + random_draw(40),
 		    1 + random_draw(9), random_chance(20) ? "production" : "normal", where);
@@ -37,34 +38,36 @@
 static void draw_slow_messages(double time)
 {
 	if (random_chance(70))
-		random_event(time, "slow-answers %u.%u for=%u share=0.%u", random_draw(4),
+		random_event(time, "slow-heartbeat-answers %u.%u for=%u share=0.%u", random_draw(4),
 			     random_draw(10), 5 + random_draw(30), 2 + random_draw(8));
 	if (random_chance(30))
-		random_event(time, "late orders times=%u by=%u", 1 + random_draw(6),
+		random_event(time, "delay-calls commands times=%u delay=%u", 1 + random_draw(6),
 			     2 + random_draw(14));
 	if (random_chance(30))
-		random_event(time, "copies %u for=20 share=0.%u%s", 5 + random_draw(40),
-			     1 + random_draw(9), random_chance(50) ? " for-next" : "");
+		random_event(time, "duplicate-heartbeats %u for=20 share=0.%u%s",
+			     5 + random_draw(40), 1 + random_draw(9),
+			     random_chance(50) ? " for-next-leader" : "");
 	if (random_chance(30))
-		random_event(time, "late-writes 0.%u for=%u most=12", 1 + random_draw(5),
+		random_event(time, "time-out-writes 0.%u for=%u max=12", 1 + random_draw(5),
 			     2 + random_draw(10));
 	if (random_chance(20))
-		random_event(time, "slow-state 0.%u for=10", 1 + random_draw(9));
+		random_event(time, "slow-store 0.%u for=10", 1 + random_draw(9));
 	if (random_chance(20))
-		random_event(time, "lose-answer orders times=%u", 1 + random_draw(3));
+		random_event(time, "lose-answer commands times=%u", 1 + random_draw(3));
 	if (random_chance(10))
-		random_event(time, "slow-orders 0.%u", random_draw(10));
+		random_event(time, "slow-command-answers 0.%u", random_draw(10));
 }
 
 static void draw_machine_faults(double time)
 {
-	static const char *const faults[] = {"hang", "cut-machine", "deaf", "mute"};
+	static const char *const faults[] = {"hang", "partition-machine", "block-inbound",
+					     "block-outbound"};
 
 	for (unsigned i = random_draw(3); i; i--)
 		random_event(time + random_draw(10), "%s any for=%u", faults[random_draw(4)],
 			     3 + random_draw(40));
 	if (random_chance(15))
-		random_event(time + random_draw(10), "die any");
+		random_event(time + random_draw(10), "kill-machine any");
 }
 
 static void draw_controller_faults(double time)
@@ -72,21 +75,22 @@
 	if (random_chance(30))
 		random_event(time, "crash all for=%u", 1 + random_draw(10));
 	else if (random_chance(30))
-		random_event(
-		    time, "crash-on %s %sskip=%u for=%u", random_chance(50) ? "txn" : "orders",
-		    random_chance(50) ? "after " : "", random_draw(6), 1 + random_draw(10));
+		random_event(time, "crash-on-call %s %sskip=%u for=%u",
+			     random_chance(50) ? "transaction" : "commands",
+			     random_chance(50) ? "after " : "", random_draw(6),
+			     1 + random_draw(10));
 	else
 		random_event(time, "crash leader for=%u", 1 + random_draw(20));
 	if (random_chance(40)) /* the next leader crashes shortly after its election */
 		random_event(time + 3 + random_draw(100) / 10.0, "crash leader for=%u",
 			     1 + random_draw(10));
 	if (random_chance(25))
-		random_event(time + random_draw(10), "refuse %u for=%u", random_draw(3),
+		random_event(time + random_draw(10), "store-errors %u for=%u", random_draw(3),
 			     3 + random_draw(20));
 	if (random_chance(20))
 		random_event(time - 2, "freeze %u for=%u", random_draw(3), 1 + random_draw(8));
 	if (random_chance(15))
-		random_event(time + random_draw(10), "state-outage for=%u", 1 + random_draw(20));
+		random_event(time + random_draw(10), "store-outage for=%u", 1 + random_draw(20));
 }
 
 void random_generate(void)
@@ -97,7 +101,7 @@
 
 	random_line("seed %u", random_draw(1000000));
 	random_line("lease %d", long_lease ? 45 : 16);
-	random_line("report %d", long_lease ? random_chance(50) ? 10 : 3 : 2);
+	random_line("heartbeat %d", long_lease ? random_chance(50) ? 10 : 3 : 2);
 	random_line("cancel %d", long_lease ? 75 : 46);
 	random_line("zone a");
 	random_line("zone b");
--- a/tests/sim_actions.c
+++ b/tests/sim_actions.c
@@ -15,12 +15,12 @@
 {
 	char word[32] = "normal";
 
-	sim_option_text(text, "tier", word, sizeof(word));
+	sim_option_text(text, "priority", word, sizeof(word));
 	if (!strcmp(word, "production"))
 		return WS_PRIORITY_PRODUCTION;
 	if (!strcmp(word, "urgent"))
 		return WS_PRIORITY_URGENT;
-	if (!strcmp(word, "best"))
+	if (!strcmp(word, "best-effort"))
 		return WS_PRIORITY_BEST_EFFORT;
 	return WS_PRIORITY_NORMAL;
 }
@@ -35,21 +35,21 @@
 	spec->gang = sim_flag(text, "gang");
 	spec->spread = sim_flag(text, "spread");
 	spec->one_zone = sim_flag(text, "one-zone");
-	spec->allows_preemptible = sim_flag(text, "spot");
+	spec->allows_preemptible = sim_flag(text, "preemptible");
 	sim_option_text(text, "zone", spec->zone, sizeof(spec->zone));
 	if (sim_option_text(text, "type", spec->types[0], sizeof(spec->types[0])))
 		spec->type_count = 1;
 	spec->priority = priority_of(text);
 	spec->tasks = (uint32_t)sim_option(text, "tasks", 1);
 	spec->cpus = sim_option(text, "cpus", 4);
-	spec->mem_gb = sim_option(text, "mem", 1);
+	spec->mem_gb = sim_option(text, "mem-gb", 1);
 	snprintf(spec->image, sizeof(spec->image), "img");
 	sim_option_text(text, "image", spec->image, sizeof(spec->image));
-	spec->image_gb = sim_option(text, "gb", 0.5);
+	spec->image_gb = sim_option(text, "image-gb", 0.5);
 	spec->deadline_s = sim_option(text, "deadline", -1);
 	spec->estimate_s = sim_option(text, "estimate", 0);
-	spec->checkpoint_interval_s = sim_option(text, "checkpoint", 0);
-	spec->checkpoint_duration_s = sim_option(text, "save", 0);
+	spec->checkpoint_interval_s = sim_option(text, "checkpoint-interval", 0);
+	spec->checkpoint_duration_s = sim_option(text, "checkpoint-duration", 0);
 }
 
 static void add_job(struct sim *sim, const char *id, const char *text, double submit_at)
@@ -60,7 +60,7 @@
 	snprintf(job->spec.id, sizeof(job->spec.id), "%s", id);
 	read_job_spec(text, &job->spec);
 	job->run_s = sim_option(text, "run", 10);
-	job->tasks_fail = sim_flag(text, "bad");
+	job->tasks_fail = sim_flag(text, "failing");
 	job->submit_at = submit_at;
 	job->node = sim->job_count;
 	job->task_done = calloc(job->spec.tasks, sizeof(bool));
@@ -87,13 +87,13 @@
 	}
 }
 
-/* ask ID: polls a job that was never submitted */
+/* poll-unsubmitted ID: polls a job that was never submitted */
 static void run_poll_unsubmitted(struct sim *sim, const struct sim_action *action)
 {
 	add_job(sim, action->operand, action->text, NEVER_SUBMITTED);
 }
 
-/* abort ID [at=NODE]: the request is sent to this node first */
+/* abort ID [node=NODE]: the request is sent to this node first */
 static void run_abort(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_job *job = sim_find_job(sim, action->operand);
@@ -102,7 +102,7 @@
 	if (!job)
 		return;
 	job->cancel_at = sim->now;
-	if (sim_option_text(action->text, "at", node, sizeof(node)))
+	if (sim_option_text(action->text, "node", node, sizeof(node)))
 		job->node = sim_node_index(sim, node) - 1;
 }
 
@@ -123,14 +123,17 @@
 	}
 }
 
-/* abort-at-end SHARE for=S: the fraction of jobs cancelled when their last task ends */
+/* abort-on-completion SHARE for=S: the fraction of jobs cancelled when their last task ends */
 static void run_abort_on_completion(struct sim *sim, const struct sim_action *action)
 {
 	sim->cancel_on_completion_until = sim->now + action->duration_s;
 	sim->cancel_on_completion_share = atof(action->operand);
 }
 
-/* look ID: polls and resubmits the job at all nodes, and checks that the answers are consistent */
+/*
+ * check-consistency ID: polls and resubmits the job at all nodes, and checks that the answers are
+ * consistent
+ */
 static void run_check_job(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_job *job = sim_find_job(sim, action->operand);
@@ -139,7 +142,10 @@
 		sim_user_check_all_nodes(sim, job);
 }
 
-/* looks SHARE for=S: checks each job after each change of it, then cancels this fraction */
+/*
+ * check-consistency-on-change SHARE for=S: checks each job after each change of it, then cancels
+ * this fraction
+ */
 static void run_check_on_change(struct sim *sim, const struct sim_action *action)
 {
 	sim->consistency_checks_until = sim->now + action->duration_s;
@@ -194,7 +200,7 @@
 		node->version->resign(node->core, sim_node_time(sim, node));
 }
 
-/* cut NODE|leader [all] [state] [workers] [peers] [for=S]: partitions the node from these */
+/* partition NODE|leader [all] [store] [workers] [peers] [for=S]: partitions the node from these */
 static void run_partition(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_node *node = named_node(sim, action);
@@ -202,7 +208,7 @@
 
 	if (!node)
 		return;
-	if (all || sim_flag(action->text, "state"))
+	if (all || sim_flag(action->text, "store"))
 		node->store_partitioned_until = sim->now + action->duration_s;
 	if (all || sim_flag(action->text, "workers"))
 		node->workers_partitioned_until = sim->now + action->duration_s;
@@ -210,7 +216,7 @@
 		node->peers_partitioned_until = sim->now + action->duration_s;
 }
 
-/* refuse NODE|leader [for=S]: the store rejects calls of the node with errors */
+/* store-errors NODE|leader [for=S]: the store rejects calls of the node with errors */
 static void run_store_errors(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_node *node = named_node(sim, action);
@@ -219,7 +225,10 @@
 		node->store_errors_until = sim->now + action->duration_s;
 }
 
-/* blind NODE|leader [for=S]: watches of the node receive nothing; other store calls are served */
+/*
+ * stall-watches NODE|leader [for=S]: watches of the node receive nothing; other store calls are
+ * served
+ */
 static void run_stall_watches(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_node *node = named_node(sim, action);
@@ -238,16 +247,16 @@
 }
 
 /*
- * crash-on txn|orders|rent|return [after] [skip=N] [for=S]: crashes the leader before or after a
- * call of this kind is executed
+ * crash-on-call transaction|commands|scale-out|scale-in [after] [skip=N] [for=S]: crashes the
+ * leader before or after a call of this kind is executed
  */
 static void run_crash_on_call(struct sim *sim, const struct sim_action *action)
 {
-	if (!strcmp(action->operand, "txn"))
+	if (!strcmp(action->operand, "transaction"))
 		sim->crash_kind = WS_CALL_TRANSACTION;
-	else if (!strcmp(action->operand, "orders"))
+	else if (!strcmp(action->operand, "commands"))
 		sim->crash_kind = WS_CALL_COMMANDS;
-	else if (!strcmp(action->operand, "rent"))
+	else if (!strcmp(action->operand, "scale-out"))
 		sim->crash_kind = WS_CALL_SCALE_OUT;
 	else
 		sim->crash_kind = WS_CALL_SCALE_IN;
@@ -258,20 +267,20 @@
 
 /* ---- store and cloud ---- */
 
-/* state-outage [for=S] */
+/* store-outage [for=S] */
 static void run_store_outage(struct sim *sim, const struct sim_action *action)
 {
 	sim->store_down_until = sim->now + action->duration_s;
 }
 
-/* slow-state MAX_S [for=S]: delays calls to the store */
+/* slow-store MAX_S [for=S]: delays calls to the store */
 static void run_slow_store(struct sim *sim, const struct sim_action *action)
 {
 	sim->store_slow_until = sim->now + action->duration_s;
 	sim->store_slow_max_s = atof(action->operand);
 }
 
-/* late-watches MAX_S [for=S]: delays answers to watches that stay open */
+/* delay-watches MAX_S [for=S]: delays answers to watches that stay open */
 static void run_delay_watches(struct sim *sim, const struct sim_action *action)
 {
 	sim->slow_watches_until = sim->now + action->duration_s;
@@ -279,14 +288,14 @@
 }
 
 /*
- * late-writes SHARE [for=S] [most=S] [at-once]: this fraction of writes times out, and is executed
- * later, or at once
+ * time-out-writes SHARE [for=S] [max=S] [at-once]: this fraction of writes times out, and is
+ * executed later, or at once
  */
 static void run_time_out_writes(struct sim *sim, const struct sim_action *action)
 {
 	sim->timed_out_writes_until = sim->now + action->duration_s;
 	sim->timed_out_writes_share = atof(action->operand);
-	sim->timed_out_writes_max_s = sim_option(action->text, "most", 12);
+	sim->timed_out_writes_max_s = sim_option(action->text, "max", 12);
 	sim->timed_out_writes_at_once = sim_flag(action->text, "at-once");
 }
 
@@ -302,7 +311,7 @@
 	sim->txn_ops = sim->upcoming_txn_ops;
 }
 
-/* garble KEY: overwrites a record with an unreadable value */
+/* corrupt-record KEY: overwrites a record with an unreadable value */
 static void run_corrupt_record(struct sim *sim, const struct sim_action *action)
 {
 	json_t *value = json_pack("{s:i}", "x", 1);
@@ -320,32 +329,35 @@
 
 /* ---- network ---- */
 
-/* zone-cut [for=S]: workers can reach only nodes of their own zone */
+/* partition-zones [for=S]: workers can reach only nodes of their own zone */
 static void run_partition_zones(struct sim *sim, const struct sim_action *action)
 {
 	sim->zones_partitioned_until = sim->now + action->duration_s;
 }
 
-/* lose-answer rent|txn|orders [times=N]: executes calls but loses their answers */
+/* lose-answer scale-out|transaction|commands [times=N]: executes calls but loses their answers */
 static void run_lose_answer(struct sim *sim, const struct sim_action *action)
 {
 	int times = (int)sim_option(action->text, "times", 1);
 
-	if (!strcmp(action->operand, "rent"))
+	if (!strcmp(action->operand, "scale-out"))
 		sim->lost_scale_outs = times;
-	else if (!strcmp(action->operand, "txn"))
+	else if (!strcmp(action->operand, "transaction"))
 		sim->lost_txns = times;
 	else
 		sim->lost_commands = times;
 }
 
-/* late txn|orders [times=N] [by=S]: executes calls after their senders have timed out */
+/*
+ * delay-calls transaction|commands [times=N] [delay=S]: executes calls after their senders have
+ * timed out
+ */
 static void run_delay_calls(struct sim *sim, const struct sim_action *action)
 {
 	int times = (int)sim_option(action->text, "times", 1);
-	double delay_s = sim_option(action->text, "by", DEFAULT_DELAY_S);
+	double delay_s = sim_option(action->text, "delay", DEFAULT_DELAY_S);
 
-	if (!strcmp(action->operand, "txn")) {
+	if (!strcmp(action->operand, "transaction")) {
 		sim->delayed_txns = times;
 		sim->txn_delay_s = delay_s;
 	} else {
@@ -354,13 +366,16 @@
 	}
 }
 
-/* slow-orders SECONDS: delays answers to commands, which are executed at once */
+/* slow-command-answers SECONDS: delays answers to commands, which are executed at once */
 static void run_slow_commands(struct sim *sim, const struct sim_action *action)
 {
 	sim->command_answer_delay_s = atof(action->operand);
 }
 
-/* slow-answers SECONDS [for=S] [share=X]: delays answers to heartbeats, but no direct commands */
+/*
+ * slow-heartbeat-answers SECONDS [for=S] [share=X]: delays answers to heartbeats, but no direct
+ * commands
+ */
 static void run_slow_answers(struct sim *sim, const struct sim_action *action)
 {
 	sim->slow_answer_delay_s = atof(action->operand);
@@ -369,18 +384,18 @@
 }
 
 /*
- * copies MAX_S [for=S] [share=X] [for-next]: duplicates this fraction of heartbeats; the duplicates
- * arrive up to MAX_S later, or after the next election
+ * duplicate-heartbeats MAX_S [for=S] [share=X] [for-next-leader]: duplicates this fraction of
+ * heartbeats; the duplicates arrive up to MAX_S later, or after the next election
  */
 static void run_duplicate_heartbeats(struct sim *sim, const struct sim_action *action)
 {
 	sim->duplicates_max_s = atof(action->operand);
 	sim->duplicates_until = sim->now + action->duration_s;
 	sim->duplicates_share = sim_option(action->text, "share", 1);
-	sim->duplicates_for_next_leader = sim_flag(action->text, "for-next");
+	sim->duplicates_for_next_leader = sim_flag(action->text, "for-next-leader");
 }
 
-/* stutter: heartbeats list each task twice */
+/* list-tasks-twice: heartbeats list each task twice */
 static void run_list_tasks_twice(struct sim *sim, const struct sim_action *action)
 {
 	(void)action;
@@ -389,7 +404,7 @@
 
 /* ---- the table ---- */
 
-/* once-returned SECONDS ACTION ...: runs the action this long after the first scale-in */
+/* after-scale-in SECONDS ACTION ...: runs the action this long after the first scale-in */
 static void run_after_scale_in(struct sim *sim, const struct sim_action *action)
 {
 	sim->deferred_action_delay_s = atof(action->operand);
@@ -398,36 +413,36 @@
 
 static const struct sim_action_word cluster_actions[] = {
     {"abort", run_abort},
-    {"abort-at-end", run_abort_on_completion},
     {"abort-many", run_abort_many},
-    {"ask", run_poll_unsubmitted},
-    {"blind", run_stall_watches},
+    {"abort-on-completion", run_abort_on_completion},
+    {"after-scale-in", run_after_scale_in},
+    {"check-consistency", run_check_job},
+    {"check-consistency-on-change", run_check_on_change},
     {"cloud-outage", run_cloud_outage},
-    {"copies", run_duplicate_heartbeats},
+    {"corrupt-record", run_corrupt_record},
     {"crash", run_crash},
-    {"crash-on", run_crash_on_call},
-    {"cut", run_partition},
+    {"crash-on-call", run_crash_on_call},
+    {"delay-calls", run_delay_calls},
+    {"delay-watches", run_delay_watches},
+    {"duplicate-heartbeats", run_duplicate_heartbeats},
     {"freeze", run_freeze},
-    {"garble", run_corrupt_record},
-    {"late", run_delay_calls},
-    {"late-watches", run_delay_watches},
-    {"late-writes", run_time_out_writes},
-    {"look", run_check_job},
-    {"looks", run_check_on_change},
+    {"list-tasks-twice", run_list_tasks_twice},
     {"lose-answer", run_lose_answer},
     {"lower-limits", run_lower_limits},
-    {"once-returned", run_after_scale_in},
-    {"refuse", run_store_errors},
+    {"partition", run_partition},
+    {"partition-zones", run_partition_zones},
+    {"poll-unsubmitted", run_poll_unsubmitted},
     {"resign", run_resign},
-    {"slow-answers", run_slow_answers},
-    {"slow-orders", run_slow_commands},
-    {"slow-state", run_slow_store},
-    {"state-outage", run_store_outage},
-    {"stutter", run_list_tasks_twice},
+    {"slow-command-answers", run_slow_commands},
+    {"slow-heartbeat-answers", run_slow_answers},
+    {"slow-store", run_slow_store},
+    {"stall-watches", run_stall_watches},
+    {"store-errors", run_store_errors},
+    {"store-outage", run_store_outage},
     {"submit", run_submit},
     {"submit-many", run_submit_many},
+    {"time-out-writes", run_time_out_writes},
     {"upgrade", run_upgrade},
-    {"zone-cut", run_partition_zones},
     {NULL, NULL},
 };
 
--- a/tests/sim_cold_start.c
+++ b/tests/sim_cold_start.c
@@ -28,7 +28,7 @@
 	struct ws_cold_start_settings *settings = &sim->cold_start_settings;
 
 	sim->cold_start_enabled = true;
-	settings->quarantine_s = sim_option(text, "keep", settings->quarantine_s);
+	settings->quarantine_s = sim_option(text, "quarantine", settings->quarantine_s);
 	settings->answered_share = sim_option(text, "share", settings->answered_share);
 }
 
@@ -56,7 +56,7 @@
 		sim->stop.elected_at = sim->now;
 }
 
-/* crash-in-turn [first=S] [every=S]: all controllers stop, and restart one after another */
+/* staggered-restart [first=S] [every=S]: all controllers stop, and restart one after another */
 static void run_crash_in_turn(struct sim *sim, const struct sim_action *action)
 {
 	double down_s = sim_option(action->text, "first", 5);
@@ -102,10 +102,13 @@
 	}
 }
 
-/* old-record KEY [back=N]: restores the value N versions ago; deletes the key if there is none */
+/*
+ * roll-back-record KEY [versions=N]: restores the value N versions ago; deletes the key if there is
+ * none
+ */
 static void run_old_record(struct sim *sim, const struct sim_action *action)
 {
-	int skip = (int)sim_option(action->text, "back", 1);
+	int skip = (int)sim_option(action->text, "versions", 1);
 	json_t *value = NULL;
 
 	for (size_t i = sim->history_count; i-- > 0 && skip >= 0;)
@@ -163,8 +166,8 @@
 }
 
 /*
- * twin FROM to=MACHINE [by=N]: copies the first task of worker FROM to another worker, and adds N
- * to the copy's attempt number
+ * duplicate-attempt FROM target=MACHINE [attempt-offset=N]: copies the first task of worker FROM to
+ * another worker, and adds N to the copy's attempt number
  */
 static void run_copy_task(struct sim *sim, const struct sim_action *action)
 {
@@ -172,7 +175,7 @@
 	struct sim_worker *from = worker_named(sim, action->operand), *target;
 	struct sim_task *task;
 
-	sim_option_text(action->text, "to", target_name, sizeof(target_name));
+	sim_option_text(action->text, "target", target_name, sizeof(target_name));
 	target = from ? worker_named(sim, target_name) : NULL;
 	if (!target || !from->task_count || target->task_count == SIM_TASKS) {
 		sim_fail(sim, "can't copy a task from worker %s to worker '%s'", action->operand,
@@ -181,13 +184,13 @@
 	}
 	task = &target->tasks[target->task_count++];
 	*task = from->tasks[0];
-	task->attempt += (uint64_t)(int64_t)sim_option(action->text, "by", 0);
+	task->attempt += (uint64_t)(int64_t)sim_option(action->text, "attempt-offset", 0);
 	task->state = WS_TASK_FETCHING;
 	task->seconds_left = UNBOUNDED_S;
 	sim_worker_expedite_heartbeat(target, sim->now);
 }
 
-/* coldstart-format KEY: replaces the record by one in a later format */
+/* newer-cold-start-record KEY: replaces the record by one in a later format */
 static void run_later_format(struct sim *sim, const struct sim_action *action)
 {
 	json_t *value = json_pack("{s:i,s:s}", "v", 9, "phase", "observing");
@@ -198,13 +201,13 @@
 }
 
 const struct sim_action_word sim_cold_start_actions[] = {
-    {"coldstart-format", run_later_format},
-    {"crash-in-turn", run_crash_in_turn},
+    {"duplicate-attempt", run_copy_task},
     {"lose-record", run_lose_record},
-    {"old-record", run_old_record},
+    {"newer-cold-start-record", run_later_format},
     {"power-loss", run_power_loss},
     {"resubmit", run_resubmit},
-    {"twin", run_copy_task},
+    {"roll-back-record", run_old_record},
+    {"staggered-restart", run_crash_in_turn},
     {NULL, NULL},
 };
 
@@ -413,7 +416,7 @@
 		last_restart_s(sim), (unsigned long long)sim->healthy_stops);
 }
 
-/* cold-measured: with -v, prints the figures for manual measurements */
+/* print-cold-start-measurements: with -v, prints the figures for manual measurements */
 static void check_measured(struct sim *sim, const struct sim_expectation *expectation)
 {
 	(void)expectation;
@@ -421,14 +424,17 @@
 		print_measured(sim);
 }
 
-/* phase NAME */
+/* cold-start-phase NAME */
 static void check_phase(struct sim *sim, const struct sim_expectation *expectation)
 {
 	if (strcmp(recorded_phase(sim), expectation->first) != 0)
 		sim_fail(sim, "the phase is %s, not %s", recorded_phase(sim), expectation->first);
 }
 
-/* answered-within S: all live workers are answered within S after the first controller is up */
+/*
+ * workers-answered-within S: all live workers are answered within S after the first controller is
+ * up
+ */
 static void check_answered(struct sim *sim, const struct sim_expectation *expectation)
 {
 	struct answered_workers found = find_answered(sim);
@@ -442,7 +448,7 @@
 			 found.answered, found.live, last);
 }
 
-/* coldstart-steps NUMBER: at most so many steps of the leader per heartbeat sent */
+/* cold-start-steps-per-heartbeat NUMBER: at most so many steps of the leader per heartbeat sent */
 static void check_steps(struct sim *sim, const struct sim_expectation *expectation)
 {
 	int leader = sim_leader(sim);
@@ -457,16 +463,16 @@
 
 const struct sim_expect_word sim_cold_start_expectations[] = {
     {"account", 3, .count_of = count_account},
-    {"alive", 3, .count_of = count_live_tasks},
-    {"answered-within", 1, .check = check_answered},
-    {"cold-measured", 0, .check = check_measured},
+    {"cold-start-phase", 1, .check = check_phase},
+    {"cold-start-steps-per-heartbeat", 1, .check = check_steps},
     {"cold-starts", 2, .count = count_cold_starts},
-    {"coldstart-steps", 1, .check = check_steps},
     {"healthy-stops", 2, .count = count_healthy_stops},
-    {"killed", 2, .count = count_killed},
-    {"phase", 1, .check = check_phase},
-    {"rented-since", 2, .count = count_scaled_out_since},
-    {"restarts-within", 2, .count = last_restart_s},
-    {"run-orders-since", 2, .count = count_run_commands_since},
+    {"killed-tasks", 2, .count = count_killed},
+    {"last-restart-after-stop", 2, .count = last_restart_s},
+    {"live-tasks", 3, .count_of = count_live_tasks},
+    {"print-cold-start-measurements", 0, .check = check_measured},
+    {"run-commands-since-stop", 2, .count = count_run_commands_since},
+    {"scaled-out-since-stop", 2, .count = count_scaled_out_since},
+    {"workers-answered-within", 1, .check = check_answered},
     {NULL},
 };
--- a/tests/sim_expect.c
+++ b/tests/sim_expect.c
@@ -73,7 +73,7 @@
 			sim_fail(sim, "%s is not done", sim->jobs[i].spec.id);
 }
 
-/* all-finished: all jobs but services are done */
+/* all-done-but-services: all jobs but services are done */
 static void check_batch_done(struct sim *sim, const struct sim_expectation *expectation)
 {
 	(void)expectation;
@@ -82,7 +82,7 @@
 			sim_fail(sim, "%s is not done", sim->jobs[i].spec.id);
 }
 
-/* all-answered SECONDS: the last answer about each accepted job is not older than this */
+/* all-answered-within SECONDS: the last answer about each accepted job is not older than this */
 static void check_answer_age(struct sim *sim, const struct sim_expectation *expectation)
 {
 	for (int i = 0; i < sim->job_count; i++) {
@@ -108,7 +108,7 @@
 
 /* ---- machines ---- */
 
-/* gone MACHINE */
+/* deleted MACHINE */
 static void check_deleted(struct sim *sim, const struct sim_expectation *expectation)
 {
 	for (int i = 0; i < sim->worker_count; i++)
@@ -116,7 +116,10 @@
 			sim_fail(sim, "%s is still there", expectation->first);
 }
 
-/* lost COUNT: the maximum number of workers that restarted after a lease expiry or a power loss */
+/*
+ * max-worker-restarts COUNT: the maximum number of workers that restarted after a lease expiry or a
+ * power loss
+ */
 static void check_expired_leases(struct sim *sim, const struct sim_expectation *expectation)
 {
 	int restarted = 0;
@@ -252,7 +255,7 @@
 
 /* ---- costs ---- */
 
-/* live-jobs COUNT: the maximum number of jobs in the memory of the leader */
+/* jobs-in-memory COUNT: the maximum number of jobs in the memory of the leader */
 static void check_jobs_in_memory(struct sim *sim, const struct sim_expectation *expectation)
 {
 	const struct ws_core *core = leading_core(sim);
@@ -281,10 +284,12 @@
 	const struct {
 		const char *name;
 		uint64_t value;
-	} counters[] = {
-	    {"requests", sim->store_requests},	   {"changes", sim->changes},
-	    {"commands", sim->commands},	   {"watched", sim->watched_records},
-	    {"bytes-watched", sim->watched_bytes}, {"bytes-written", sim->written_bytes}};
+	} counters[] = {{"store-requests", sim->store_requests},
+			{"changes", sim->changes},
+			{"commands", sim->commands},
+			{"watched-records", sim->watched_records},
+			{"watched-bytes", sim->watched_bytes},
+			{"written-bytes", sim->written_bytes}};
 	const struct ws_core *core;
 
 	for (size_t i = 0; i < sizeof(counters) / sizeof(counters[0]); i++)
@@ -295,9 +300,9 @@
 	core = leading_core(sim);
 	if (!core)
 		return false;
-	if (!strcmp(name, "idle-looks"))
+	if (!strcmp(name, "empty-collections"))
 		*cost = (double)core->writer.empty_collections;
-	else if (!strcmp(name, "machines"))
+	else if (!strcmp(name, "sweep-steps"))
 		*cost = (double)core->fleet.sweep_steps;
 	else
 		*cost = (double)core->scheduler.steps;
@@ -320,38 +325,38 @@
 /* ---- the table ---- */
 
 static const struct sim_expect_word cluster_expectations[] = {
-    {"all-answered", 1, .check = check_answer_age},
+    {"all-answered-within", 1, .check = check_answer_age},
     {"all-done", 0, .check = check_all_done},
-    {"all-finished", 0, .check = check_batch_done},
-    {"alone", 2, .count = count_incomplete_exits},
+    {"all-done-but-services", 0, .check = check_batch_done},
     {"cancelled", 1, .check = check_cancelled},
+    {"checkpointed-attempts", 2, .count = count_checkpointed_attempts},
+    {"deleted", 1, .check = check_deleted},
     {"done", 1, .check = check_done},
     {"elections", 1, .check = check_elections},
-    {"failures", 2, .count = count_failures},
-    {"finishes", 3, .count_of = count_finished_runs},
+    {"finished-runs", 3, .count_of = count_finished_runs},
     {"gang-runs", 2, .count = count_gang_runs},
-    {"gone", 1, .check = check_deleted},
     {"healthy", 1, .check = check_node_health},
     {"healthy-nodes", 1, .check = check_healthy_nodes},
-    {"held", 2, .count = count_instances},
+    {"incomplete-gang-exits", 2, .count = count_incomplete_exits},
+    {"instances", 2, .count = count_instances},
+    {"jobs-in-memory", 1, .check = check_jobs_in_memory},
     {"leader", 0, .check = check_leader},
     {"leader-version", 1, .check = check_leader_version},
-    {"live-jobs", 1, .check = check_jobs_in_memory},
-    {"lost", 1, .check = check_expired_leases},
-    {"mates", 2, .count = count_member_lost_exits},
+    {"max-worker-restarts", 1, .check = check_expired_leases},
+    {"member-lost-exits", 2, .count = count_member_lost_exits},
     {"no-leader", 0, .check = check_no_leader},
     {"per-pass", 2, .check = check_steps_per_pass},
     {"per-poll", 2, .check = check_ratio},
     {"per-start", 2, .check = check_ratio},
-    {"refused", 2, .count = count_rejected_writes},
-    {"rented", 2, .count = count_scaled_out},
-    {"returned", 2, .count = count_scaled_in},
+    {"rejected-writes", 2, .count = count_rejected_writes},
     {"running", 3, .count_of = count_running},
-    {"saved", 2, .count = count_checkpointed_attempts},
+    {"scaled-in", 2, .count = count_scaled_in},
+    {"scaled-out", 2, .count = count_scaled_out},
     {"started-within", 2, .check = check_started_within},
     {"status", 2, .check = check_status},
+    {"task-failures", 2, .count = count_failures},
     {"unhealthy", 1, .check = check_node_health},
-    {"value-of", 3, .count_of = count_value_bytes},
+    {"value-bytes", 3, .count_of = count_value_bytes},
     {NULL},
 };
 
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -159,12 +159,12 @@
 	if (!strcmp(action->word, "kill-zone")) {
 		worker->dead = true;
 		worker->died_at = sim->now;
-	} else if (!strcmp(action->word, "take-zone")) {
+	} else if (!strcmp(action->word, "delete-zone")) {
 		worker->deleted = true;
 		worker->deleted_at = sim->now;
-	} else if (!strcmp(kind, "reports")) {
+	} else if (!strcmp(kind, "outbound")) {
 		worker->outbound_blocked_until = sim->now + action->duration_s;
-	} else if (!strcmp(kind, "answers")) {
+	} else if (!strcmp(kind, "inbound")) {
 		worker->inbound_blocked_until = sim->now + action->duration_s;
 	} else {
 		worker->partitioned_until = sim->now + action->duration_s;
@@ -176,14 +176,14 @@
 {
 	int leader = sim_leader(sim);
 
-	if (!strcmp(action->word, "dark-but-leader"))
+	if (!strcmp(action->word, "partition-other-zones"))
 		return leader >= 0 && strcmp(sim->nodes[leader].settings.zone, zone) != 0;
 	return !strcmp(action->operand, zone);
 }
 
 /*
- * dark ZONE for=S [only=reports|answers] [share=X] | kill-zone ZONE | take-zone ZONE
- * | dark-but-leader for=S
+ * partition-zone ZONE for=S [only=outbound|inbound] [share=X] | kill-zone ZONE | delete-zone ZONE
+ * | partition-other-zones for=S
  * The fault affects the given share of the machines in these zones.
  */
 static void run_zone_fault(struct sim *sim, const struct sim_action *action)
@@ -228,14 +228,17 @@
 	put_record(sim, "zones/hold/", action->operand, NULL);
 }
 
-/* later-format NAME: replaces the domain's record by one in a later format */
+/* newer-domain-record NAME: replaces the domain's record by one in a later format */
 static void run_later_format(struct sim *sim, const struct sim_action *action)
 {
 	put_record(sim, "zones/domain/", action->operand,
 		   json_pack("{s:i,s:s}", "v", 9, "state", "dark"));
 }
 
-/* lead-by old|new: stops the nodes of the other version, so that one of the named version leads */
+/*
+ * lead-with-version old|new: stops the nodes of the other version, so that one of the named version
+ * leads
+ */
 static void run_lead_by(struct sim *sim, const struct sim_action *action)
 {
 	bool is_new = !strcmp(action->operand, "new");
@@ -246,14 +249,14 @@
 }
 
 const struct sim_action_word sim_domains_actions[] = {
-    {"dark", run_zone_fault},
-    {"dark-but-leader", run_zone_fault},
+    {"delete-zone", run_zone_fault},
     {"hold-domain", run_hold_domain},
     {"kill-zone", run_zone_fault},
-    {"later-format", run_later_format},
-    {"lead-by", run_lead_by},
+    {"lead-with-version", run_lead_by},
+    {"newer-domain-record", run_later_format},
+    {"partition-other-zones", run_zone_fault},
+    {"partition-zone", run_zone_fault},
     {"release-domain", run_release_domain},
-    {"take-zone", run_zone_fault},
     {NULL, NULL},
 };
 
@@ -342,7 +345,7 @@
 		print_moves(&sim->moves[i]);
 }
 
-/* measured: with -v, prints the figures for manual measurements */
+/* print-measurements: with -v, prints the figures for manual measurements */
 static void check_measured(struct sim *sim, const struct sim_expectation *expectation)
 {
 	(void)expectation;
@@ -399,7 +402,10 @@
 		sim_fail(sim, "%d domains are in state dark", dark_count);
 }
 
-/* zone-steps NUMBER: at most so many machine operations of the leader per heartbeat sent */
+/*
+ * domain-steps-per-heartbeat NUMBER: at most so many machine operations of the leader per heartbeat
+ * sent
+ */
 static void check_machine_operations(struct sim *sim, const struct sim_expectation *expectation)
 {
 	int leader = sim_leader(sim);
@@ -420,10 +426,10 @@
 const struct sim_expect_word sim_domains_expectations[] = {
     {"dark-domains", 1, .check = check_dark_domains},
     {"domain", 2, .check = check_domain},
-    {"in-zone", 3, .count_of = count_running_in},
+    {"domain-steps-per-heartbeat", 1, .check = check_machine_operations},
     {"keys", 3, .count_of = count_keys},
-    {"measured", 0, .check = check_measured},
     {"moved", 3, .check = check_moved},
-    {"zone-steps", 1, .check = check_machine_operations},
+    {"print-measurements", 0, .check = check_measured},
+    {"running-in-zone", 3, .count_of = count_running_in},
     {NULL},
 };
--- a/tests/sim_machine_actions.c
+++ b/tests/sim_machine_actions.c
@@ -132,7 +132,7 @@
 	apply_fault(sim, action, hang);
 }
 
-/* pin: the machine can reach only the node that leads now */
+/* pin-to-leader: the machine can reach only the node that leads now */
 static void run_pin_to_leader(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, pin_to_leader);
@@ -144,25 +144,25 @@
 	apply_fault(sim, action, reboot);
 }
 
-/* deaf: heartbeats arrive, but no answer or command reaches the machine */
+/* block-inbound: heartbeats arrive, but no answer or command reaches the machine */
 static void run_block_inbound(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, block_inbound);
 }
 
-/* mute: the machine cannot open connections, but commands reach it */
+/* block-outbound: the machine cannot open connections, but commands reach it */
 static void run_block_outbound(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, block_outbound);
 }
 
-/* cut-machine: disconnects the machine from the network */
+/* partition-machine: disconnects the machine from the network */
 static void run_partition_machine(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, partition_machine);
 }
 
-/* die: the machine fails for good; the cloud still lists it for a while */
+/* kill-machine: the machine fails for good; the cloud still lists it for a while */
 static void run_kill_machine(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, kill_machine);
@@ -174,19 +174,22 @@
 	apply_fault(sim, action, fail_tasks);
 }
 
-/* take: the cloud deletes the machine */
+/* delete-machine: the cloud deletes the machine */
 static void run_delete_machine(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, delete_machine);
 }
 
-/* notice: announces that the machine will be preempted after this duration */
+/* preemption-notice: announces that the machine will be preempted after this duration */
 static void run_preemption_notice(struct sim *sim, const struct sim_action *action)
 {
 	apply_fault(sim, action, give_preemption_notice);
 }
 
-/* foreign MACHINE job=ID: adds an attempt of the job's task 0 that the controllers never started */
+/*
+ * unrecorded-attempt MACHINE job=ID: adds an attempt of the job's task 0 that the controllers never
+ * started
+ */
 static void run_unrecorded_attempt(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_worker *worker = select_machine(sim, action->operand);
@@ -207,7 +210,7 @@
 	sim_worker_expedite_heartbeat(worker, sim->now);
 }
 
-/* no-boot COUNT: the number of next instances that never boot */
+/* boot-failures COUNT: the number of next instances that never boot */
 static void run_boot_failures(struct sim *sim, const struct sim_action *action)
 {
 	sim->boot_failures = atoi(action->operand);
@@ -221,18 +224,18 @@
 }
 
 const struct sim_action_word sim_machine_actions[] = {
-    {"cut-machine", run_partition_machine},
-    {"deaf", run_block_inbound},
-    {"die", run_kill_machine},
+    {"block-inbound", run_block_inbound},
+    {"block-outbound", run_block_outbound},
+    {"boot-failures", run_boot_failures},
+    {"delete-machine", run_delete_machine},
     {"fail-tasks", run_fail_tasks},
-    {"foreign", run_unrecorded_attempt},
     {"hang", run_hang},
     {"instant-boot", run_instant_boot},
-    {"mute", run_block_outbound},
-    {"no-boot", run_boot_failures},
-    {"notice", run_preemption_notice},
-    {"pin", run_pin_to_leader},
+    {"kill-machine", run_kill_machine},
+    {"partition-machine", run_partition_machine},
+    {"pin-to-leader", run_pin_to_leader},
+    {"preemption-notice", run_preemption_notice},
     {"reboot", run_reboot},
-    {"take", run_delete_machine},
+    {"unrecorded-attempt", run_unrecorded_attempt},
     {NULL, NULL},
 };
--- a/tests/sim_scenario.c
+++ b/tests/sim_scenario.c
@@ -152,7 +152,7 @@
 	return NULL;
 }
 
-/* old COUNT: the number of nodes that start with the version in production */
+/* production-nodes COUNT: the number of nodes that start with the version in production */
 static const char *parse_production_nodes(struct sim *sim, struct sim_setting *setting)
 {
 	sim->production_nodes = next_integer(setting);
@@ -160,7 +160,7 @@
 					: "the version in production could not be built or loaded";
 }
 
-/* next-limits KIB OPERATIONS: upcoming lower limits of a value and of a transaction */
+/* upcoming-limits KIB OPERATIONS: upcoming lower limits of a value and of a transaction */
 static const char *parse_next_limits(struct sim *sim, struct sim_setting *setting)
 {
 	sim->upcoming_value_kb = next_number(setting);
@@ -260,17 +260,17 @@
     {"capacity", 1, parse_capacity},
     {"gang-peer", 1, parse_gang_peer},
     {"gang-wait", 1, parse_gang_wait},
+    {"heartbeat", 1, parse_heartbeat_interval},
     {"lease", 1, parse_lease},
-    {"next-limits", 2, parse_next_limits},
     {"nodes", 1, parse_nodes},
     {"objective", 3, parse_objective},
-    {"old", 1, parse_production_nodes},
     {"owned", 2, parse_owned},
-    {"report", 1, parse_heartbeat_interval},
+    {"production-nodes", 1, parse_production_nodes},
     {"seed", 1, parse_seed},
     {"subsystem", 0, parse_subsystem},
     {"team", 3, parse_team},
     {"type", 5, parse_type},
+    {"upcoming-limits", 2, parse_next_limits},
     {"zone", 1, parse_zone},
     {NULL, 0, NULL},
 };
