--- a/src/core/api/outage_votes.c
+++ b/src/core/api/outage_votes.c
@@ -15,7 +15,7 @@
 	uint64_t request_id;
 	uint64_t leader_revision, since_revision;
 	bool accepts_list; /* whether the peer accepts a list of cancellations */
-	char after[WS_ID_MAX];
+	char after_job[WS_ID_MAX];
 };
 
 static int ws_cancellation_cmp(const void *left, const void *right)
@@ -77,9 +77,10 @@
 	    (vote_request->accepts_list &&
 	     core->leadership.leader_revision > vote_request->leader_revision))
 		return;
-	effect->vote.granted = ws_cancellations_since(
-	    core, vote_request->since_revision, vote_request->after, &effect->vote.cancellations,
-	    &effect->vote.cancellation_count, WS_VOTE_CANCELLATIONS_MAX, &effect->vote.has_more);
+	effect->vote.granted =
+	    ws_cancellations_since(core, vote_request->since_revision, vote_request->after_job,
+				   &effect->vote.cancellations, &effect->vote.cancellation_count,
+				   WS_VOTE_CANCELLATIONS_MAX, &effect->vote.has_more);
 	/* a peer that does not accept a list gets a vote only if there are no cancellations */
 	if (vote_request->accepts_list ||
 	    (effect->vote.granted && !effect->vote.cancellation_count))
@@ -104,19 +105,20 @@
 	call->urgent = true;
 }
 
-void ws_core_outage_vote(struct ws_core *core, double now, uint64_t request_id, uint64_t leader,
-			 uint64_t since, const char *after)
+void ws_core_outage_vote(struct ws_core *core, double now, uint64_t request_id,
+			 uint64_t leader_revision, uint64_t since_revision, const char *after_job)
 {
-	struct ws_outage_vote_context vote_request = {
-	    .leader_revision = leader, .since_revision = since, .accepts_list = true};
+	struct ws_outage_vote_context vote_request = {.leader_revision = leader_revision,
+						      .since_revision = since_revision,
+						      .accepts_list = true};
 
 	if (now > core->now)
 		core->now = now;
 	/* during an outage of the store, no watch reports that a later leader was elected */
 	if ((core->leadership.role == WS_LEADER || core->leadership.role == WS_LOADING) &&
-	    leader > core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT)
+	    leader_revision > core->leadership.fencing_token >> WS_FENCING_TOKEN_SHIFT)
 		ws_step_down(core, "outage vote requested by a later leader");
-	snprintf(vote_request.after, sizeof(vote_request.after), "%s", after);
+	snprintf(vote_request.after_job, sizeof(vote_request.after_job), "%s", after_job);
 	ws_outage_vote_check(core, now, request_id, &vote_request);
 }
 
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -109,7 +109,7 @@
 
 	if (result->records.entry_count != 1 ||
 	    !ws_job_status_decode(result->records.entries[0].value, &phase, &done, &running)) {
-		ws_log(core, WS_LOG_ERROR, "job record cannot be decoded key=%s", call->read.key);
+		ws_log(core, WS_LOG_ERROR, "malformed job record ignored key=%s", call->read.key);
 		ws_user_answer(core, request->request_id, WS_ANSWER_UNAVAILABLE, request->job,
 			       WS_JOB_QUEUED);
 		return;
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -16,7 +16,7 @@
 enum ws_scale_out_state {
 	WS_SCALE_OUT_NEW,      /* its record has not been written yet */
 	WS_SCALE_OUT_RECORDED, /* its record is stored; the cloud is to be called */
-	WS_SCALE_OUT_SENT,     /* the cloud's answer is outstanding */
+	WS_SCALE_OUT_SENT,     /* the cloud's reply is outstanding */
 	WS_SCALE_OUT_GRANTED,  /* the cloud returned the names of the instances */
 	WS_SCALE_OUT_DISCARDED /* its record is to be deleted */
 };
--- a/src/core/autoscaler/autoscaler_internal.h
+++ b/src/core/autoscaler/autoscaler_internal.h
@@ -58,7 +58,7 @@
  * number of machines is limited to the names that fit into the record. */
 struct ws_scale_out *ws_scale_out_create(struct ws_core *core, const struct ws_machine_kind *kind,
 					 uint32_t machine_count);
-/* Returns whether the cloud has yet to answer the request. */
+/* Returns whether the cloud has not replied to the request yet. */
 bool ws_scale_out_is_pending(const struct ws_scale_out *request);
 /* Sends a recorded request that is due. If update_records is set, removes machines that are gone
  * from the records of granted requests. */
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -1,6 +1,6 @@
 /*
  * Scale-in: selects the rented machines that are returned to the cloud, sends the calls that return
- * them and handles the cloud's answers. A marked machine is never used again; it counts as gone
+ * them and handles the cloud's replies. A marked machine is never used again; it counts as gone
  * once the cloud confirms the return.
  */
 #include "../memory.h"
--- a/src/core/autoscaler/scale_out.c
+++ b/src/core/autoscaler/scale_out.c
@@ -1,6 +1,6 @@
 /*
- * Scale-out requests and the cloud's answers to them. A request's idempotency key is stored before
- * the request is sent. A request without an answer is sent again with the same key, and no key is
+ * Scale-out requests and the cloud's replies to them. A request's idempotency key is stored before
+ * the request is sent. A request without a reply is sent again with the same key, and no key is
  * used for two requests.
  */
 #include "../memory.h"
@@ -122,8 +122,8 @@
 	ws_scale_out_mark_dirty(core, request);
 }
 
-/* Handles a final refusal by the cloud. */
-static void ws_scale_out_refused(struct ws_core *core, struct ws_scale_out *request)
+/* Handles a final rejection by the cloud. */
+static void ws_scale_out_rejected(struct ws_core *core, struct ws_scale_out *request)
 {
 	ws_capacity_error_back_off(core, request);
 	ws_scale_out_discard(core, request);
@@ -146,13 +146,13 @@
 		ws_log(core, WS_LOG_INFO, "capacity error key=%s type=%s zone=%s preemptible=%s",
 		       request->idempotency_key, request->type, request->zone,
 		       request->preemptible ? "yes" : "no");
-		ws_scale_out_refused(core, request);
+		ws_scale_out_rejected(core, request);
 	} else if (result->outcome == WS_OUTCOME_REJECTED) {
 		ws_log(core, WS_LOG_ERROR,
 		       "scale-out request rejected by the cloud as malformed key=%s",
 		       request->idempotency_key);
-		ws_scale_out_refused(core, request);
-	} else { /* outage, rate limit or no answer: retry with the same key */
+		ws_scale_out_rejected(core, request);
+	} else { /* outage, rate limit or no reply: retry with the same key */
 		request->state = WS_SCALE_OUT_RECORDED;
 		request->next_attempt_at = ws_cloud_call_retry_at(core);
 	}
--- a/src/core/autoscaler/scale_out_records.c
+++ b/src/core/autoscaler/scale_out_records.c
@@ -61,8 +61,7 @@
 	request->revision = record->revision;
 	request->created_at = request->next_attempt_at = core->now;
 	if (!ws_record_read_scale_out(record->value, request)) {
-		ws_log(core, WS_LOG_ERROR,
-		       "unreadable scale-out record skipped and kept in the store key=%s",
+		ws_log(core, WS_LOG_ERROR, "malformed scale-out record ignored key=%s",
 		       record->key);
 		free(request->instances);
 		free(request);
--- a/src/core/catalog/machine_type_records.c
+++ b/src/core/catalog/machine_type_records.c
@@ -15,7 +15,7 @@
 	}
 	/* a record that was written under a higher limit stays in the store and can be read */
 	ws_log(core, WS_LOG_ERROR,
-	       "machine types record not written, too large for the store value_limit_bytes=%.0f",
+	       "machine types record exceeds the value limit, not written value_limit_bytes=%.0f",
 	       core->writer.value_bytes_max);
 	json_decref(value);
 	core->catalog.types_recorded = true;
--- a/src/core/catalog/machine_types.c
+++ b/src/core/catalog/machine_types.c
@@ -4,7 +4,7 @@
 /* The leader requests the types again after this many lease durations, since prices change. */
 #define WS_TYPES_REFRESH_LEASES 8
 
-/* Handles the store's response to the read of the record that an earlier leader wrote. */
+/* Handles the store's reply to the read of the record that an earlier leader wrote. */
 static void ws_types_record_received(struct ws_core *core, struct ws_call *call,
 				     const struct ws_result *result)
 {
@@ -34,7 +34,7 @@
 		       type->name, WS_MAX_TYPES);
 }
 
-/* Handles the cloud's response. If it has no types and none is known, reads the stored record. */
+/* Handles the cloud's reply. If it has no types and none is known, reads the stored record. */
 static void ws_types_received(struct ws_core *core, struct ws_call *call,
 			      const struct ws_result *result)
 {
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -6,6 +6,9 @@
  * returns a queue of effects, which the I/O layer carries out in order. Times are seconds of a
  * monotonic clock unless stated otherwise. The core is not thread-safe: the I/O layer holds one
  * lock around each call.
+ *
+ * An answer is what this node sends for a request that it received; a reply is what it receives for
+ * a call that it made.
  */
 #ifndef WS_CORE_H
 #define WS_CORE_H
@@ -485,25 +488,26 @@
 void ws_core_heartbeat(struct ws_core *core, double now, uint64_t request_id,
 		       const struct ws_heartbeat *heartbeat, bool forwarded);
 /*
- * Handles an outage vote request: a leader whose key has the revision `leader` asks whether the
- * store is unavailable to this node too. The reply lists cancellations above the revision `since`;
- * where one frame can't hold the list, the next page starts after the job `after`.
+ * Handles an outage vote request: a leader whose key has the revision `leader_revision` asks
+ * whether the store is unavailable to this node too. The answer lists cancellations above
+ * `since_revision`; where one frame can't hold the list, the next page starts after the job
+ * `after_job`.
  */
-void ws_core_outage_vote(struct ws_core *core, double now, uint64_t request_id, uint64_t leader,
-			 uint64_t since, const char *after);
+void ws_core_outage_vote(struct ws_core *core, double now, uint64_t request_id,
+			 uint64_t leader_revision, uint64_t since_revision, const char *after_job);
 /* Handles an outage vote request of a peer whose version does not accept a cancellation list. */
 void ws_core_outage_vote_legacy(struct ws_core *core, double now, uint64_t request_id);
 
-/* ---- the queueing model, which runs on a separate thread ---- */
+/* ---- the queue model, which runs on a separate thread ---- */
 
 /* Input of the model: rates per second, sizes in demand units, times in seconds. */
 struct ws_queue_measurement {
 	double arrival_rate, service_rate, boot_rate; /* the last two are rates of one unit */
 	int owned;				      /* units on owned machines */
-	int ceiling;				      /* maximum of units on instances */
+	int ceiling;				      /* maximum of units on rented machines */
 	int waiting_units;			      /* maximum of units waiting in the queue */
 	double delta;				      /* ratio at which Algorithm 1 stops */
-	double rentals_max; /* the mean units on instances are divided by it */
+	double rentals_max; /* the mean units on rented machines are divided by it */
 	double wait_max_s;  /* the mean wait is divided by it */
 	double bound_s;	    /* upper bound of the mean wait */
 };
@@ -511,7 +515,7 @@
 /* Takes a measurement if one is due. Returns false if none is due or the data is insufficient. */
 bool ws_core_take_measurement(struct ws_core *core, double now,
 			      struct ws_queue_measurement *measurement);
-/* Applies the model's result: the maximum of units on instances, and the expected means. */
+/* Applies the model's result: the maximum of units on rented machines, and the expected means. */
 void ws_core_set_scale_out_limit(struct ws_core *core, double now, int limit,
 				 double mean_scaled_out, double mean_wait_s);
 #endif
--- a/src/core/extension/hooks.h
+++ b/src/core/extension/hooks.h
@@ -27,18 +27,18 @@
 	const char *name;
 	const char *address; /* IP address as text; empty if unknown */
 	const char *zone;    /* empty if unknown */
-	bool expected; /* recorded as up; no heartbeat or answer has reached this leader yet */
-	bool unknown;  /* sends heartbeats, but is in neither the records nor the cloud's list */
+	bool expected;	     /* recorded as up; no heartbeat or reply has reached this leader yet */
+	bool unknown; /* sends heartbeats, but is in neither the records nor the cloud's list */
 };
 
-/* What a newly elected leader knows about earlier leaders. */
+/* Information about earlier leaders for a newly elected leader. */
 struct ws_election_info {
 	double now;
 	uint64_t term; /* revision of its leader key; it rises with each leader */
 	/*
 	 * Seconds since the last proof known to this process that any leader, itself included, was
-	 * alive; INFINITY if there was none. The clock is monotonic and also runs while the process
-	 * is suspended.
+	 * active; INFINITY if there was none. The clock is monotonic and also runs while the
+	 * process is suspended.
 	 */
 	double leader_proof_age_s;
 	uint64_t leader_proof_term; /* term of the leader that the proof refers to; 0: none */
@@ -109,7 +109,8 @@
 	WS_DEFERRABLE_ACTIONS,
 };
 
-/* Properties of a job that is neither completed, failed nor cancelled. */
+/* Properties of a job that is neither done nor cancelled. An attempt is live until it is released,
+ * since it may be running until then. */
 struct ws_job_info {
 	const char *id;
 	const char *job_class;
@@ -117,9 +118,9 @@
 	int priority;		 /* a higher value is scheduled first */
 	bool guaranteed; /* fits its team's guarantee together with the team's earlier jobs */
 	bool service;
-	uint32_t affected;  /* attempts that may be alive, on machines reported as affected */
-	uint32_t elsewhere; /* attempts that may be alive, on other machines */
-	uint32_t waiting;   /* tasks neither completed nor in an attempt that may be alive */
+	uint32_t affected;  /* live attempts on machines reported as affected */
+	uint32_t elsewhere; /* live attempts on other machines */
+	uint32_t waiting;   /* tasks that are neither completed nor in a live attempt */
 	/* Deadline less the estimated run time, in wall-clock seconds; INFINITY: no deadline. */
 	double latest_start;
 };
@@ -179,7 +180,7 @@
 	 */
 	bool (*attempt_reconciled)(void *self, double now,
 				   const struct ws_reconciliation *reconciliation);
-	/* Reports the result of a job look-up. */
+	/* Reports the result of a job lookup. */
 	void (*job_looked_up)(void *self, double now, const char *job,
 			      enum ws_job_lookup_result lookup_result);
 	/* Attempts that were quarantined have been adopted into the record of their job. */
@@ -198,7 +199,7 @@
 
 	/*
 	 * Results of a survey. For each live job, attempt_surveyed() is called with the machine of
-	 * each attempt that may be alive and returns whether the attempt counts as affected; then
+	 * each live attempt and returns whether the attempt counts as affected; then
 	 * job_surveyed() is called. survey_done() ends the survey.
 	 */
 	bool (*attempt_surveyed)(void *self, void *machine);
--- a/src/core/extension/subsystem_requests.c
+++ b/src/core/extension/subsystem_requests.c
@@ -187,8 +187,8 @@
 	ws_core_request_pass(core);
 }
 
-/* The context of the store calls of a job look-up. */
-struct ws_job_look_up {
+/* The context of the store calls of a job lookup. */
+struct ws_job_lookup {
 	size_t subsystem; /* index of the subsystem that requested it */
 	char job[WS_ID_MAX + 1];
 };
@@ -202,29 +202,29 @@
 				 const char *job)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_GET, ws_subsystem_looked_up);
-	struct ws_job_look_up *look_up = ws_alloc(1, sizeof(*look_up));
+	struct ws_job_lookup *lookup = ws_alloc(1, sizeof(*lookup));
 
 	snprintf(call->read.key, sizeof(call->read.key), "%s%.*s", prefix, WS_ID_MAX, job);
-	snprintf(look_up->job, sizeof(look_up->job), "%.*s", WS_ID_MAX, job);
-	look_up->subsystem = index;
-	call->context = look_up;
+	snprintf(lookup->job, sizeof(lookup->job), "%.*s", WS_ID_MAX, job);
+	lookup->subsystem = index;
+	call->context = lookup;
 }
 
-/* Handles the store's answer to a look-up. If no live record exists, reads the archived one. */
+/* Handles the store's reply to a lookup. If no live record exists, reads the archived one. */
 static void ws_subsystem_looked_up(struct ws_core *core, struct ws_call *call,
 				   const struct ws_result *result)
 {
 	bool live = ws_key_has_prefix(call->read.key, WS_KEY_PREFIX_JOB);
 	enum ws_job_lookup_result lookup_result = WS_JOB_LOOKUP_UNAVAILABLE;
-	const struct ws_job_look_up *look_up = call->context;
-	const struct ws_subsystem *subsystem = &core->subsystems.list[look_up->subsystem];
+	const struct ws_job_lookup *lookup = call->context;
+	const struct ws_subsystem *subsystem = &core->subsystems.list[lookup->subsystem];
 
 	if (call->generation != core->generation || core->leadership.role != WS_LEADER)
 		return;
 	if (result->outcome == WS_OUTCOME_NOT_FOUND && live) {
 		/* a finished job moves to old/ in one transaction and never back */
-		ws_subsystem_look_up(core, look_up->subsystem, WS_KEY_PREFIX_ARCHIVED_JOB,
-				     look_up->job);
+		ws_subsystem_look_up(core, lookup->subsystem, WS_KEY_PREFIX_ARCHIVED_JOB,
+				     lookup->job);
 		return;
 	}
 	if (result->outcome == WS_OUTCOME_NOT_FOUND)
@@ -232,7 +232,7 @@
 	else if (result->outcome == WS_OUTCOME_OK)
 		lookup_result = live ? WS_JOB_LOOKUP_LIVE : WS_JOB_LOOKUP_ARCHIVED;
 	if (subsystem->ops->job_looked_up)
-		subsystem->ops->job_looked_up(subsystem->self, core->now, look_up->job,
+		subsystem->ops->job_looked_up(subsystem->self, core->now, lookup->job,
 					      lookup_result);
 }
 
--- a/src/core/extension/subsystems.c
+++ b/src/core/extension/subsystems.c
@@ -154,16 +154,16 @@
 	    .attempt = attempt->number,
 	    .incarnation = attempt->incarnation,
 	};
-	bool wants_quarantine = false;
+	bool quarantine_requested = false;
 
 	for (size_t i = 0; i < core->subsystems.count; i++) {
 		const struct ws_subsystem *subsystem = &core->subsystems.list[i];
 
 		if (subsystem->ops->attempt_reconciled)
-			wants_quarantine |= subsystem->ops->attempt_reconciled(
+			quarantine_requested |= subsystem->ops->attempt_reconciled(
 			    subsystem->self, core->now, &reconciliation);
 	}
-	return wants_quarantine;
+	return quarantine_requested;
 }
 
 void ws_subsystems_attempts_adopted(struct ws_core *core, const char *job, uint32_t count)
--- a/src/core/extension/subsystems.h
+++ b/src/core/extension/subsystems.h
@@ -94,7 +94,7 @@
 				   int zone);
 /* Queries which zones the new placement pass is to avoid, and in which scale-out is blocked. */
 void ws_subsystems_begin_pass(struct ws_core *core);
-/* Returns whether a subsystem wants a machine to be used only as a last resort. */
+/* Returns whether a subsystem asks to use a machine only as a last resort. */
 bool ws_subsystems_avoid_machine(struct ws_core *core, const struct ws_machine *machine);
 
 /* ---- subsystem_requests.c ---- */
--- a/src/core/fleet/commands.c
+++ b/src/core/fleet/commands.c
@@ -1,8 +1,8 @@
 /*
  * Commands to workers: in the answers to their heartbeats, and in direct calls to their addresses.
  *
- * A direct call without an answer may still arrive later. Until the worker echoes a higher fencing
- * token, which makes it refuse the call, no attempt on it is reaped or placed again. The answer to
+ * A direct call without a reply may still arrive later. Until the worker echoes a higher fencing
+ * token, which makes it reject the call, no attempt on it is reaped or placed again. The answer to
  * a heartbeat may also arrive late, but not after the worker's next heartbeat: a worker sends none
  * while it waits for an answer.
  */
@@ -180,8 +180,8 @@
 
 /*
  * Probes go to machines that have not echoed this leader's fencing token yet, and to those whose
- * heartbeat is overdue. The answer holds the machine's state and the echoed token, and a worker
- * that answers refuses commands that the previous leader may still have in flight. Waiting for a
+ * heartbeat is overdue. The reply holds the machine's state and the echoed token, and a worker
+ * that replies rejects commands that the previous leader may still have in flight. Waiting for a
  * heartbeat instead would cost an interval, and the time in which the worker finds the leader.
  */
 bool ws_machine_send_probe(struct ws_core *core, struct ws_machine *machine)
@@ -202,9 +202,9 @@
 	       attempt->incarnation == attempt->machine->incarnation;
 }
 
-/* Applies the state in a worker's answer, unless a newer heartbeat has arrived before it. */
-static void ws_commands_apply_answer(struct ws_core *core, struct ws_machine *machine,
-				     const struct ws_heartbeat *heartbeat)
+/* Applies the state in a worker's reply, unless a newer heartbeat has arrived before it. */
+static void ws_commands_apply_reply(struct ws_core *core, struct ws_machine *machine,
+				    const struct ws_heartbeat *heartbeat)
 {
 	bool newer = heartbeat->incarnation > machine->incarnation ||
 		     (heartbeat->incarnation == machine->incarnation &&
@@ -219,9 +219,9 @@
 	ws_machine_apply_heartbeat(core, machine, heartbeat);
 }
 
-/* Handles a call with commands that got no answer: the commands may still arrive. */
-static void ws_commands_handle_no_answer(struct ws_core *core, struct ws_machine *machine,
-					 const struct ws_call *call, int status)
+/* Handles a call with commands that got no reply: the commands may still arrive. */
+static void ws_commands_handle_no_reply(struct ws_core *core, struct ws_machine *machine,
+					const struct ws_call *call, int status)
 {
 	if (call->commands.fencing_token > machine->commands.outstanding_token)
 		machine->commands.outstanding_token = call->commands.fencing_token;
@@ -230,9 +230,9 @@
 	       status);
 }
 
-/* Handles a probe that got no answer. It holds no commands, so a late arrival is harmless and the
+/* Handles a probe that got no reply. It holds no commands, so a late arrival is harmless and the
  * fencing token is not raised. */
-static void ws_probe_handle_no_answer(const struct ws_core *core, struct ws_machine *machine)
+static void ws_probe_handle_no_reply(const struct ws_core *core, struct ws_machine *machine)
 {
 	if (ws_heartbeat_overdue(core, fmax(machine->last_contact_at, core->resumed_at)))
 		machine->unreachable = true;
@@ -267,12 +267,12 @@
 		return; /* the next answer to a heartbeat will hold the commands */
 	ws_subsystems_command_answered(core, machine, result->heartbeat != NULL);
 	if (result->heartbeat && !strcmp(result->heartbeat->machine, machine->name)) {
-		ws_commands_apply_answer(core, machine, result->heartbeat);
+		ws_commands_apply_reply(core, machine, result->heartbeat);
 		ws_machine_send_unsent_commands(core, machine);
 	} else if (call->commands.count) {
-		ws_commands_handle_no_answer(core, machine, call, result->http_status);
+		ws_commands_handle_no_reply(core, machine, call, result->http_status);
 	} else {
-		ws_probe_handle_no_answer(core, machine);
+		ws_probe_handle_no_reply(core, machine);
 	}
 }
 
--- a/src/core/fleet/fleet.h
+++ b/src/core/fleet/fleet.h
@@ -7,7 +7,7 @@
  *
  * Guarantees: an attempt is released only when it can no longer run (the cases are in
  * jobs/attempts.c). A machine is assigned tasks only while it proves that it receives this leader's
- * answers and its lease is valid. A worker refuses a command with an earlier fencing token or
+ * answers and its lease is valid. A worker rejects a command with an earlier fencing token or
  * incarnation, so a delayed command has no effect.
  *
  * Times are seconds on the core's clock; resources are CPUs, GPUs and gigabytes of memory.
@@ -35,7 +35,7 @@
 	uint64_t min_incarnation; /* heartbeats of earlier ones are stale: their lease expired */
 };
 
-/* The newest heartbeat of a machine. Answers to direct commands do not update it. */
+/* The newest heartbeat of a machine. Replies to direct commands do not update it. */
 struct ws_machine_heartbeat {
 	uint64_t incarnation, sequence;
 	double received_at;
@@ -98,7 +98,7 @@
 	bool reported;		     /* has sent a heartbeat or answered a command */
 	/* at its first report, no record, scale-out request or instance list had named it */
 	bool unrecorded;
-	bool unreachable; /* its heartbeats are overdue, and a probe got no answer */
+	bool unreachable; /* its heartbeats are overdue, and a probe got no reply */
 	bool failed;	  /* according to the cloud */
 	bool gone;	  /* confirmed by the cloud; freed by a later sweep */
 	/* when it was added, or when the cloud created it, if earlier; when it first reported */
@@ -110,7 +110,7 @@
 	double preemption_at; /* when the cloud will take it; 0: no notice */
 	double empty_since;   /* it has had no live attempts since */
 
-	/* its newest report: a heartbeat or the answer to a direct command */
+	/* its newest report: a heartbeat or the reply to a direct command */
 	uint64_t incarnation, sequence;
 	uint64_t echoed_token;
 	double last_contact_at;
@@ -128,7 +128,7 @@
 
 	/* the attempts on it and the resources they use */
 	struct ws_attempt *attempts;
-	uint32_t attempt_count; /* attempts that may be alive */
+	uint32_t attempt_count; /* live attempts */
 	double used_cpus, used_gpus, used_mem;
 	double stopping_cpus, stopping_gpus, stopping_mem; /* the part of stopping attempts */
 	struct ws_machine_quarantine quarantine;
@@ -258,7 +258,7 @@
  */
 bool ws_fleet_heartbeat(struct ws_core *core, const struct ws_heartbeat *heartbeat,
 			uint64_t request_id);
-/* Applies the newest report of a worker: a heartbeat, or the answer to a direct command. */
+/* Applies the newest report of a worker: a heartbeat, or the reply to a direct command. */
 void ws_machine_apply_heartbeat(struct ws_core *core, struct ws_machine *machine,
 				const struct ws_heartbeat *heartbeat);
 
--- a/src/core/fleet/gang_attempts.c
+++ b/src/core/fleet/gang_attempts.c
@@ -24,7 +24,7 @@
  * stopped. */
 #define BROKEN_GANG_STOP_INTERVALS 1.5
 
-/* Whether an attempt may be alive and is not one that no record names. */
+/* Whether an attempt is live and named by a record. */
 static bool ws_attempt_is_gang_member(const struct ws_attempt *attempt)
 {
 	return attempt->state != WS_ATTEMPT_RELEASED && !attempt->unrecorded;
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -1,7 +1,7 @@
 /* Heartbeats of machines: checks for stale ones, applies the others, and answers them. */
 #include "../core_state.h"
 
-/* Handles the first heartbeat, or answer to a command, of a machine. */
+/* Handles the first heartbeat, or reply to a command, of a machine. */
 static void ws_machine_first_contact(struct ws_core *core, struct ws_machine *machine)
 {
 	machine->reported = true;
@@ -56,10 +56,10 @@
 						   : machine->fencing_token);
 	machine->incarnation = heartbeat->incarnation;
 	/* a worker's lease starts with its incarnation, even if no answer to a heartbeat has
-	 * renewed it: the answer to a direct command may be the first report of the incarnation */
+	 * renewed it: the reply to a direct command may be the first report of the incarnation */
 	machine->lease.expires_at =
 	    fmax(machine->lease.expires_at, ws_lease_expiry(core, core->now));
-	/* workers refuse commands for earlier incarnations */
+	/* workers reject commands for earlier incarnations */
 	machine->commands.outstanding_token = 0;
 	ws_machine_mark_dirty(core, machine);
 }
@@ -86,7 +86,7 @@
 		if (ws_machine_echoes_token(machine))
 			ws_attempt_reconcile(core, attempt, WS_RECONCILED_NOT_REPORTED);
 		/* releases an attempt that was reported and no longer is, and a stopping one that
-		 * was sent but never reported, unless its run command may still arrive: the answer
+		 * was sent but never reported, unless its run command may still arrive: the reply
 		 * to a direct command may overtake the answer to a heartbeat */
 		if (!attempt->reported && (!attempt->maybe_sent || !attempt->stopping))
 			continue;
@@ -115,7 +115,7 @@
 	}
 	machine->sequence = heartbeat->sequence;
 	machine->echoed_token = heartbeat->fencing_token;
-	/* the worker refuses commands and drops answers with a lower token */
+	/* the worker rejects commands and drops answers with a lower token */
 	if (heartbeat->fencing_token > machine->commands.outstanding_token)
 		machine->commands.outstanding_token = 0;
 	if (heartbeat->fencing_token > machine->commands.answer_token)
@@ -130,7 +130,7 @@
 
 /*
  * Whether a heartbeat is a copy of an earlier one or arrived after a later one. An answer would
- * renew the lease here, but no worker would receive it. Only heartbeats are compared: the answer to
+ * renew the lease here, but no worker would receive it. Only heartbeats are compared: the reply to
  * a command may have overtaken a heartbeat that is not stale.
  */
 static bool ws_heartbeat_is_stale(const struct ws_machine *machine,
@@ -142,7 +142,7 @@
 		heartbeat->sequence <= machine->heartbeat.sequence);
 }
 
-/* Applies a heartbeat that is not stale. Returns false if the answer to a command was newer, in
+/* Applies a heartbeat that is not stale. Returns false if the reply to a command was newer, in
  * which case only the time and sequence of the heartbeat are stored. */
 static bool ws_machine_accept_heartbeat(struct ws_core *core, struct ws_machine *machine,
 					const struct ws_heartbeat *heartbeat)
@@ -206,7 +206,7 @@
 
 	ws_event_count(core, old_sequence ? WS_EVENT_STALE_SEQUENCE : WS_EVENT_STALE_INCARNATION);
 	ws_log(core, WS_LOG_DEBUG,
-	       "stale heartbeat refused machine=%s incarnation=%llu sequence=%llu token=%llu "
+	       "stale heartbeat rejected machine=%s incarnation=%llu sequence=%llu token=%llu "
 	       "newest_incarnation=%llu newest_sequence=%llu",
 	       machine->name, (unsigned long long)heartbeat->incarnation,
 	       (unsigned long long)heartbeat->sequence,
--- a/src/core/fleet/machine_leases.c
+++ b/src/core/fleet/machine_leases.c
@@ -19,7 +19,7 @@
 /*
  * A heartbeat that arrives does not prove that its sender receives our answers: the network may be
  * partitioned in one direction only, and the heartbeat may be a delayed copy. An echoed fencing
- * token is proof. The token is raised whenever a lease expired or a command got no answer.
+ * token is proof. The token is raised whenever a lease expired or a command got no reply.
  */
 bool ws_machine_echoes_token(const struct ws_machine *machine)
 {
--- a/src/core/fleet/machine_shard_records.c
+++ b/src/core/fleet/machine_shard_records.c
@@ -12,7 +12,8 @@
 #define WRITE_DELAYS_PER_LEASE_LOW_BUDGET 4
 /* If only the images have changed, a shard is written at most this often in a lease. */
 #define IMAGE_WRITES_PER_LEASE 2
-/* The pause between the writes of two shards is the time of this many writes at state_write_rps. */
+/* The pause between the writes of two shards is the time of this many writes at the store's write
+ * rate. */
 #define PAUSE_WRITES 8
 
 static int ws_machine_shard_number(const char *key)
@@ -30,7 +31,7 @@
 	if (json_is_array(json_object_get(record->value, "m"))) {
 		ws_record_read_machine_shard(core, record->value, number);
 	} else { /* counted as full, so that it is not overwritten */
-		ws_log(core, WS_LOG_ERROR, "unreadable machine shard record left unchanged key=%s",
+		ws_log(core, WS_LOG_ERROR, "malformed machine shard record ignored key=%s",
 		       record->key);
 		ws_shard_at(core, number)->machine_count = ws_shard_capacity(core);
 	}
--- a/src/core/jobs/attempts.c
+++ b/src/core/jobs/attempts.c
@@ -201,7 +201,7 @@
 {
 	static const char *const texts[WS_STOP_REASON_COUNT] = {
 	    [WS_STOP_UNRECORDED] = "unrecorded attempt",
-	    [WS_STOP_UNKNOWN_JOB] = "unrecorded job",
+	    [WS_STOP_UNKNOWN_JOB] = "unknown job",
 	    [WS_STOP_ENDED_OR_SUPERSEDED] = "job ended or attempt superseded",
 	    [WS_STOP_SUPERSEDED] = "superseded",
 	    [WS_STOP_PREEMPTION_NOTICE] = "preemption notice",
--- a/src/core/jobs/continuation_records.c
+++ b/src/core/jobs/continuation_records.c
@@ -1,7 +1,7 @@
 /*
  * The record source of the continuation records, more/<job>/<number>, which hold the attempts that
  * do not fit into a job's own record. The node that accepts a user's cancel request writes them
- * (user_requests.c), and they are deleted together with their job's record. This source deletes
+ * (api/cancellation.c), and they are deleted together with their job's record. This source deletes
  * those that a new leader finds without a live job.
  */
 #include "../core_state.h"
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -3,8 +3,8 @@
  * the attempts that may be running and the resources that the teams use.
  *
  * Owns the jobs and their tasks. An attempt is in the list of its machine, which owns it, and in
- * the list of its job if the job is known. An attempt is live, since it may be running, until it is
- * released. Only the leader keeps this state; it is discarded at step-down.
+ * the list of its job if the job is known. An attempt is live until it is released, since it may be
+ * running until then. Only the leader keeps this state; it is discarded at step-down.
  *
  * Guarantees: a state that was acknowledged to a user is never reverted (a job whose cancellation
  * was acknowledged stays cancelled), and a job's attempts count against its team until they are
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -5,7 +5,7 @@
  * While the store is unavailable to all nodes no session expires, so the leader may continue to
  * answer heartbeats. Every peer must confirm the outage anew in each round. A peer that does not
  * answer, that the store still serves, or that leads itself prevents this, because the store may be
- * refusing only this node while another node takes over.
+ * rejecting only this node's calls while another node takes over.
  *
  * Before the outage reached them, peers may have confirmed cancellations to users. So each vote
  * includes the cancellations that are newer than the leader's job replica, and the leader applies
@@ -17,7 +17,7 @@
  * If all peers confirm within a lease of the end of its session, it resumes. This is safe: if
  * another leader was elected in between, the lease has not yet allowed it to move the tasks of
  * machines that do not answer, and workers that it has contacted reject this leader's lower fencing
- * token. If it has stepped down since, its node refuses the vote or does not answer.
+ * token. If it has stepped down since, its node denies the vote or does not answer.
  */
 static void ws_outage_vote_answered(struct ws_core *core, struct ws_call *call,
 				    const struct ws_result *result);
--- a/src/core/messages.c
+++ b/src/core/messages.c
@@ -42,7 +42,7 @@
 	heartbeat->task_count = 0;
 }
 
-static void records_free(struct ws_records_result *records)
+static void ws_records_free(struct ws_records_result *records)
 {
 	for (size_t i = 0; i < records->entry_count; i++)
 		json_decref(records->entries[i].value);
@@ -54,7 +54,7 @@
 	switch (result->kind) {
 	case WS_CALL_GET:
 	case WS_CALL_LIST:
-	case WS_CALL_WATCH: records_free(&result->records); break;
+	case WS_CALL_WATCH: ws_records_free(&result->records); break;
 	case WS_CALL_TRANSACTION: free(result->transaction.failed_keys); break;
 	case WS_CALL_MACHINE_TYPES: free(result->types.list); break;
 	case WS_CALL_INSTANCES:
--- a/src/core/scheduler/capacity.c
+++ b/src/core/scheduler/capacity.c
@@ -1,9 +1,9 @@
 /*
  * Determines which zones and machines a job may use, and how much capacity machines have left.
  *
- * A machine's free capacity is its size minus the resources of all attempts that may be alive on
- * it. Its planned capacity is what a pass may allocate: the free capacity plus that of stopping
- * tasks, minus what the pass has already allocated to attempts or reserved.
+ * A machine's free capacity is its size minus the resources of all live attempts on it. Its planned
+ * capacity is what a pass may allocate: the free capacity plus that of stopping tasks, minus what
+ * the pass has already allocated to attempts or reserved.
  */
 #include "pass.h"
 
--- a/src/core/scheduler/pass.h
+++ b/src/core/scheduler/pass.h
@@ -93,7 +93,7 @@
 
 /* ---- capacity.c ---- */
 
-/* Returns true if a job may have one more attempt in a zone, besides those that may be alive. */
+/* Returns true if a job may have one more attempt in a zone, besides its live ones. */
 bool ws_zone_is_eligible(const struct ws_core *core, const struct ws_job *job, int zone);
 /* Returns the zones in which a job may have one more attempt, as a bit mask. */
 uint32_t ws_eligible_zones(const struct ws_core *core, const struct ws_job *job);
@@ -198,7 +198,7 @@
 void ws_reserve_first_replicas(struct ws_scheduling_pass *pass);
 /* Reserves capacity for tasks whose attempts are on machines with overdue heartbeats. */
 void ws_make_advance_reservations(struct ws_scheduling_pass *pass);
-/* Returns true if a replica of a service may be alive on a machine without an overdue heartbeat. */
+/* Returns true if a service has a live attempt on a machine whose heartbeat is not overdue. */
 bool ws_has_live_replica(const struct ws_core *core, const struct ws_job *job);
 
 /* ---- consolidation.c ---- */
--- a/src/core/scheduler/reservations.c
+++ b/src/core/scheduler/reservations.c
@@ -76,8 +76,8 @@
 	return false;
 }
 
-/* Reserves capacity for one replica of each service whose replicas all have attempts that may be
- * alive, but only on machines with overdue heartbeats. */
+/* Reserves capacity for one replica of each service that has live attempts, all of them on
+ * machines with overdue heartbeats. */
 void ws_reserve_first_replicas(struct ws_scheduling_pass *pass)
 {
 	struct ws_core *core = pass->core;
@@ -90,7 +90,7 @@
 			    1 - ws_reserve_capacity(pass, job, ws_reservation_zones(core, job), 1);
 }
 
-/* Returns the number of attempts of a job that may be alive on machines with overdue heartbeats. */
+/* Returns the number of live attempts of a job on machines with overdue heartbeats. */
 static uint32_t ws_unreachable_attempts(const struct ws_core *core, const struct ws_job *job)
 {
 	const struct ws_attempt *attempt;
--- a/src/core/scheduler/scheduler.c
+++ b/src/core/scheduler/scheduler.c
@@ -178,7 +178,7 @@
 }
 
 /* Places a job in the first round of its rank. Of a service whose replicas are placed in two
- * rounds, this places one replica if none is alive. */
+ * rounds, this places one replica if there is no live one. */
 static void ws_place_first_round(struct ws_scheduling_pass *pass, struct ws_job *job)
 {
 	job->waiting_at_pass_start = job->waiting;
--- a/src/core/scheduler/team_limits.c
+++ b/src/core/scheduler/team_limits.c
@@ -1,8 +1,8 @@
 /*
  * Enforces the resource limits of teams and logs their usage.
  *
- * A team's usage counts all of its attempts that may be alive. In addition, capacity within its
- * limit is reserved for attempts of unknown teams and for the team's waiting gangs.
+ * A team's usage counts all of its live attempts. In addition, capacity within its limit is
+ * reserved for attempts of unknown teams and for the team's waiting gangs.
  */
 #include "pass.h"
 
--- a/src/core/store/job_watch.c
+++ b/src/core/store/job_watch.c
@@ -30,7 +30,7 @@
 }
 
 /*
- * Applies the changes that a watch returned to the leader's replica of the jobs. Responses of two
+ * Applies the changes that a watch returned to the leader's replica of the jobs. Replies to two
  * watches may arrive out of order, so a change that the replica already contains may have been
  * superseded since: only changes newer than the replica's revision are applied.
  */
--- a/src/core/store/writer.c
+++ b/src/core/store/writer.c
@@ -2,11 +2,11 @@
 #include "../core_state.h"
 #include "record_source.h"
 
-/* The leader's share of the store's write rate: up to the maximum while the store refuses none of
+/* The leader's share of the store's write rate: up to the maximum while the store rejects none of
  * its writes, and never below the minimum. */
 #define RATE_SHARE_MAX 0.8
 #define RATE_SHARE_MIN 0.5
-/* A refusal multiplies the rate by this factor; a rise from 0 to the maximum takes this time. */
+/* A rejection multiplies the rate by this factor; a rise from 0 to the maximum takes this time. */
 #define RATE_DECREASE 0.8
 #define RATE_RECOVERY_S 32
 /* Capacity of the token bucket, in seconds at the current rate. */
@@ -169,7 +169,8 @@
 	return false;
 }
 
-/* Lowers the rate after the store refused a write, since other nodes use the write rate as well. */
+/* Lowers the rate after the store rejected a write, since other nodes use the write rate as well.
+ */
 static void ws_writer_throttled(struct ws_core *core)
 {
 	struct ws_writer *writer = &core->writer;
@@ -218,7 +219,7 @@
 
 /*
  * Refills the token bucket. The store's write rate is the scarcest resource of a large deployment:
- * the leader always has half of it, and uses up to four fifths while the store refuses none of its
+ * the leader always has half of it, and uses up to four fifths while the store rejects none of its
  * writes.
  */
 static void ws_writer_refill(struct ws_core *core)
--- a/src/core/workload_stats.h
+++ b/src/core/workload_stats.h
@@ -1,5 +1,5 @@
 /*
- * Workload statistics: the input of the queueing model. The parts of the core report arrivals,
+ * Workload statistics: the input of the queue model. The parts of the core report arrivals,
  * completions and boots as they occur; the autoscaler reads the totals once per period.
  *
  * Work is counted in demand units. Only the leader counts; all totals but the boot times are reset
--- a/src/io/codec.h
+++ b/src/io/codec.h
@@ -45,7 +45,7 @@
 int ws_decode_job(const char *body, size_t length, struct ws_job_spec *spec);
 /* Returns whether a job id has the form "job-" and digits, and is not too long. */
 bool ws_job_id_is_valid(const char *id);
-/* Decodes a worker's heartbeat. Returns false if the body is malformed. The caller releases the
+/* Decodes a worker's heartbeat. Returns false if the body is malformed. The caller frees the
  * memory of the heartbeat with ws_heartbeat_free(). */
 bool ws_decode_heartbeat(const char *body, size_t length, struct ws_heartbeat *heartbeat);
 
@@ -60,7 +60,7 @@
 /* Encodes the request of a call: sets its method and path, and returns its body, which the caller
  * frees, or NULL if the request has none. */
 char *ws_encode_call(const struct ws_call *call, const char **method, char *path);
-/* Decodes the reply to a call into `result`, whose memory the caller releases with
+/* Decodes the reply to a call into `result`, whose memory the caller frees with
  * ws_result_free(). A malformed body counts as no reply. A `status` of 0 means that no reply came,
  * and one below 0 that the call was not sent. */
 void ws_decode_reply(const struct ws_call *call, int status, const char *body, size_t length,
--- a/src/io/decode_internal.h
+++ b/src/io/decode_internal.h
@@ -1,6 +1,6 @@
 /*
  * Declarations that the decode_*.c files share. All decoders return false if the body violates the
- * protocol; the caller then releases the memory of the result with ws_result_free().
+ * protocol; the caller then frees the memory of the result with ws_result_free().
  */
 #ifndef WS_DECODE_INTERNAL_H
 #define WS_DECODE_INTERNAL_H
@@ -9,8 +9,8 @@
 
 /* ---- decode_worker.c ---- */
 
-/* Decodes a heartbeat, whose memory the caller releases with ws_heartbeat_free(). On failure the
- * memory is released already. */
+/* Decodes a heartbeat, whose memory the caller frees with ws_heartbeat_free(). On failure the
+ * memory is already freed. */
 bool ws_decode_heartbeat_object(struct ws_json object, struct ws_heartbeat *heartbeat);
 
 /* ---- decode_state.c ---- */
--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -33,7 +33,7 @@
 	/* set for heartbeats only: */
 	char leader[WS_NAME_MAX];
 	double sent_at;
-	bool worker_pinned; /* the worker was redirected to the leader and came back */
+	bool redirect_failed; /* the worker was redirected to the leader and came back */
 };
 
 /* ---- requests to the leader ---- */
@@ -62,7 +62,7 @@
 	free(context);
 	if (request.heartbeat)
 		service->forwarding.heartbeats_in_flight--;
-	if (!reply && request.heartbeat && !request.worker_pinned &&
+	if (!reply && request.heartbeat && !request.redirect_failed &&
 	    ws_now() - request.sent_at < forwarding_pause_s(service)) {
 		/* The failure came quickly, so this node cannot connect to the leader, but the
 		 * worker may be able to. After a timeout, which lost packets cause, or if the
@@ -83,12 +83,12 @@
  * Limits the heartbeats that are forwarded at a time. When hundreds arrive at once, it is faster to
  * redirect the workers to the leader, except for a worker that cannot reach it.
  */
-static bool heartbeat_may_be_forwarded(const struct ws_service *service, bool worker_pinned)
+static bool heartbeat_may_be_forwarded(const struct ws_service *service, bool redirect_failed)
 {
 	int limit = service->settings->client_sockets / SOCKETS_PER_FORWARDED_HEARTBEAT + 1;
 
-	return worker_pinned || (ws_now() >= service->forwarding.forwarding_paused_until &&
-				 service->forwarding.heartbeats_in_flight < limit);
+	return redirect_failed || (ws_now() >= service->forwarding.forwarding_paused_until &&
+				   service->forwarding.heartbeats_in_flight < limit);
 }
 
 static double forward_timeout_s(bool heartbeat, const char *method)
@@ -111,7 +111,7 @@
 	if (heartbeat) {
 		snprintf(request->leader, sizeof(request->leader), "%s", effect->forward.leader);
 		request->sent_at = ws_now();
-		request->worker_pinned = effect->forward.redirect_failed;
+		request->redirect_failed = effect->forward.redirect_failed;
 		service->forwarding.heartbeats_in_flight++;
 	}
 	return request;
@@ -183,8 +183,8 @@
 	ws_pending_requests_remove(&service->requests, request);
 }
 
-/* Handles a leader's question whether the store rejects this node's requests too. A peer of the
- * previous version sends no `vote` and accepts no list of cancellations. */
+/* Handles a leader's request for an outage vote. A peer of the previous version sends no `vote` and
+ * accepts no list of cancellations. */
 static void handle_vote_request(struct ws_service *service, uint64_t request_id,
 				const Ws__OutageVote *vote)
 {
@@ -244,7 +244,7 @@
 		handle_vote_request(service, request_id, frame->vote);
 		break;
 	default:
-		ws_logf(WS_LOG_ERROR, "peer frame of unknown kind refused peer=%s kind=%d",
+		ws_logf(WS_LOG_ERROR, "peer frame of unknown kind rejected peer=%s kind=%d",
 			frame->node, (int)frame->kind);
 		ws_router_answer_status(service, request_id, 400);
 	}
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -25,7 +25,7 @@
 #define STATE_TIMEOUT_MAX_S 1.5
 
 /* Fraction that is used of this node's share of the store's request limit. */
-#define STATE_SHARE_UTILIZATION 0.95
+#define STORE_SHARE_UTILIZATION 0.95
 /* Users' requests may cause at most half of the record changes that the store allows. The rate
  * never falls below this fraction of the store's limit, divided by the number of nodes. */
 #define USER_WRITES_MIN_SHARE 0.3
@@ -50,7 +50,7 @@
 		share = 1;
 	service->outgoing.leading = leading;
 	ws_client_set_rate(service->outgoing.store,
-			   settings->store_rps * share * STATE_SHARE_UTILIZATION,
+			   settings->store_rps * share * STORE_SHARE_UTILIZATION,
 			   settings->store_rps * share / 2);
 }
 
@@ -83,7 +83,7 @@
 
 /* ---- results ---- */
 
-/* Passes a result to the core, which frees the call, and releases the memory of the result. */
+/* Passes a result to the core, which frees the call, and frees the memory of the result. */
 static void complete(struct ws_service *service, struct ws_call *call, struct ws_result *result)
 {
 	pthread_mutex_lock(&service->core_lock);
--- a/src/io/peer.c
+++ b/src/io/peer.c
@@ -243,7 +243,7 @@
 	memcpy(&length, connection->in, LENGTH_PREFIX_SIZE);
 	length = ntohl(length);
 	if (length > FRAME_MAX) {
-		ws_logf(WS_LOG_ERROR, "oversized peer frame refused bytes=%u", length);
+		ws_logf(WS_LOG_ERROR, "oversized peer frame rejected bytes=%u", length);
 		close_connection(connection);
 		return false;
 	}
@@ -254,7 +254,7 @@
 	memmove(connection->in, connection->in + LENGTH_PREFIX_SIZE + length,
 		connection->in_length);
 	if (!frame) { /* no valid PeerFrame */
-		ws_logf(WS_LOG_ERROR, "unreadable peer frame refused bytes=%u", length);
+		ws_logf(WS_LOG_ERROR, "malformed peer frame rejected bytes=%u", length);
 		close_connection(connection);
 		return false;
 	}
--- a/src/io/queue_model_thread.h
+++ b/src/io/queue_model_thread.h
@@ -1,5 +1,5 @@
 /*
- * A thread that runs the queueing model of queue_model.h. The model computes the scale-out limit
+ * A thread that runs the queue model of queue_model.h. The model computes the scale-out limit
  * and may take longer than the event loop may be blocked. The event loop submits measurements to
  * the thread, which sets the result in the core and wakes the event loop.
  */
--- a/src/io/server.c
+++ b/src/io/server.c
@@ -110,7 +110,7 @@
 	if (service->queue_model)
 		return true;
 	*error = (struct ws_startup_error){.code = WS_STARTUP_THREAD_FAILED,
-					   .text = "cannot start the thread of the queueing model"};
+					   .text = "can't start the thread of the queue model"};
 	return false;
 }
 
--- a/src/io/server.h
+++ b/src/io/server.h
@@ -1,4 +1,4 @@
-/* The I/O layer around the core: sockets, timers, and the thread of the queueing model. */
+/* The I/O layer around the core: sockets, timers, and the thread of the queue model. */
 #ifndef WS_SERVER_H
 #define WS_SERVER_H
 #include "../core/core.h"
--- a/src/io/server_internal.h
+++ b/src/io/server_internal.h
@@ -9,7 +9,7 @@
  *   outgoing_calls.c      calls to the store, the cloud, workers and voters
  *   pending_requests.c    the table of requests that are not answered yet
  *   worker_connections.c  the pool of HTTP clients for workers
- *   queue_model_thread.c  the thread of the queueing model
+ *   queue_model_thread.c  the thread of the queue model
  *
  * Only the thread of the event loop uses this state, except for the core, which a mutex protects.
  */
@@ -56,7 +56,7 @@
 	struct ws_http_client *store, *watch, *cloud;
 	struct ws_worker_connections *workers;
 	struct ws_write_budget write_budget;
-	bool leading; /* `state` has the leader's share of the store's request rate */
+	bool leading; /* `store` has the leader's share of the store's request rate */
 };
 
 struct ws_service {
--- a/src/io/worker_connections.h
+++ b/src/io/worker_connections.h
@@ -1,8 +1,8 @@
 /*
- * A pool of HTTP clients to workers, one per worker address. It only lowers latency: heartbeat
- * responses carry the same commands, so a command for which no client is available is not lost. The
- * pool is limited to an eighth of the client sockets; when it is full, the least recently used idle
- * client is replaced. Only the thread of the event loop may use it.
+ * A pool of HTTP clients to workers, one per worker address. It only lowers latency: answers
+ * to heartbeats carry the same commands, so a command for which no client is available is not lost.
+ * The pool is limited to an eighth of the client sockets; when it is full, the least recently used
+ * idle client is replaced. Only the thread of the event loop may use it.
  */
 #ifndef WS_WORKER_CONNECTIONS_H
 #define WS_WORKER_CONNECTIONS_H
--- a/tests/frames_test.c
+++ b/tests/frames_test.c
@@ -92,13 +92,13 @@
 		  frame->status == 400);
 	ws__peer_frame__free_unpacked(frame, NULL);
 	check("and is logged",
-	      logged(log, "peer frame of unknown kind refused peer=node-1 kind=9\n"));
+	      logged(log, "peer frame of unknown kind rejected peer=node-1 kind=9\n"));
 	check("a frame that can't be read ends its connection",
 	      tell(peer, garbled, sizeof(garbled) - 1, answer, sizeof(answer)) == 0);
-	check("and is logged", logged(log, "unreadable peer frame refused bytes=4\n"));
+	check("and is logged", logged(log, "malformed peer frame rejected bytes=4\n"));
 	check("a frame too long ends its connection",
 	      tell(peer, endless, sizeof(endless) - 1, answer, sizeof(answer)) == 0);
-	check("and is logged", logged(log, "oversized peer frame refused bytes=2147483647\n"));
+	check("and is logged", logged(log, "oversized peer frame rejected bytes=2147483647\n"));
 	length = tell(port, "GET /healthz HTTP/1.1\r\n\r\n", 25, answer, sizeof(answer) - 1);
 	answer[length > 0 ? length : 0] = 0;
 	check("the process goes on", length > 0 && !strncmp((char *)answer, "HTTP/1.1 503", 12));
