--- a/src/cold_start/cold_start.c
+++ b/src/cold_start/cold_start.c
@@ -9,7 +9,7 @@
 #include <math.h>
 #include <string.h>
 
-/* Proof that a leader was alive is valid for half a lease, less a clock drift of 0.1 %. */
+/* Proof that a leader was active is valid for half a lease, less a clock drift of 0.1 %. */
 #define LEADER_PROOF_LEASES (0.5 * (1 - 0.001))
 /* Default share of a zone's expected machines that must answer. */
 #define DEFAULT_ANSWERED_SHARE 0.9
@@ -97,18 +97,18 @@
 	reset_term(self);
 }
 
-static void elected(void *self, const struct ws_election_info *facts)
+static void elected(void *self, const struct ws_election_info *info)
 {
 	struct ws_cold_start *cold_start = self;
 
 	reset_term(cold_start);
-	cold_start->elected_at = facts->now;
-	cold_start->leases_expire_at = facts->leases_expire_at;
-	cold_start->term = cold_start->began_term = facts->term;
-	cold_start->last_leader_term = facts->leader_proof_term;
-	cold_start->without_leader_s = facts->leader_proof_age_s;
+	cold_start->elected_at = info->now;
+	cold_start->leases_expire_at = info->leases_expire_at;
+	cold_start->term = cold_start->began_term = info->term;
+	cold_start->last_leader_term = info->leader_proof_term;
+	cold_start->without_leader_s = info->leader_proof_age_s;
 	cold_start->no_recent_leader =
-	    facts->leader_proof_age_s > LEADER_PROOF_LEASES * cold_start->limits.lease_s;
+	    info->leader_proof_age_s > LEADER_PROOF_LEASES * cold_start->limits.lease_s;
 }
 
 static void set_phase(struct ws_cold_start *cold_start, enum ws_cold_start_phase phase)
@@ -128,18 +128,18 @@
 				  (unsigned long long)cold_start->began_term, machines);
 	else if (isfinite(cold_start->without_leader_s))
 		ws_subsystem_logf(cold_start->log,
-				  "cold start: observing, no recent sign of a live leader "
+				  "cold start: observing, no recent proof of an active leader "
 				  "without_leader_s=%.1f machines=%zu",
 				  cold_start->without_leader_s, machines);
 	else
 		ws_subsystem_logf(
 		    cold_start->log,
-		    "cold start: observing, no sign of an earlier leader machines=%zu", machines);
+		    "cold start: observing, no proof of an earlier leader machines=%zu", machines);
 }
 
 /*
  * Resumes a recorded cold start if no other leader was elected after the one that recorded it: if
- * there is recent proof of a live leader, that leader must be the one that wrote the record.
+ * there is recent proof of an active leader, that leader must be the one that wrote the record.
  */
 static void records_loaded(void *self, double now)
 {
@@ -170,7 +170,8 @@
 
 /* ---- reconciliation ---- */
 
-static bool attempt_found(void *self, double now, const struct ws_reconciliation *reconciliation)
+static bool attempt_reconciled(void *self, double now,
+			       const struct ws_reconciliation *reconciliation)
 {
 	struct ws_cold_start *cold_start = self;
 
@@ -286,7 +287,7 @@
 	ws_request_write(out, "account", ws_cold_start_account_record(cold_start, now), false);
 }
 
-static void tick(void *self, const struct ws_tick_info *facts, struct ws_request_queue *out)
+static void tick(void *self, const struct ws_tick_info *info, struct ws_request_queue *out)
 {
 	struct ws_cold_start *cold_start = self;
 
@@ -294,16 +295,16 @@
 		return;
 	/* Also in a store outage, because a quarantined job may have been cancelled. */
 	if (ws_cold_start_active(cold_start))
-		ws_cold_start_quarantine_tick(cold_start, facts->now, out);
-	if (!facts->serving)
+		ws_cold_start_quarantine_tick(cold_start, info->now, out);
+	if (!info->serving)
 		return;
 	if (ws_cold_start_active(cold_start)) {
-		ws_cold_start_recovery_tick(cold_start, facts->now, out);
-		update_phase(cold_start, facts->now, out);
+		ws_cold_start_recovery_tick(cold_start, info->now, out);
+		update_phase(cold_start, info->now, out);
 	} else {
 		ws_cold_start_quarantine_clear(cold_start, out);
 	}
-	write_records(cold_start, facts->now, out);
+	write_records(cold_start, info->now, out);
 }
 
 const struct ws_subsystem_ops ws_cold_start_ops = {
@@ -318,7 +319,7 @@
     .machine_removed = ws_cold_start_machine_removed,
     .heartbeat_seen = ws_cold_start_heartbeat_seen,
     .machine_lost = ws_cold_start_machine_lost,
-    .attempt_reconciled = attempt_found,
+    .attempt_reconciled = attempt_reconciled,
     .job_looked_up = ws_cold_start_job_looked_up,
     .attempts_adopted = ws_cold_start_attempts_adopted,
     .zone_closed = zone_closed,
--- a/src/cold_start/cold_start.h
+++ b/src/cold_start/cold_start.h
@@ -32,12 +32,12 @@
 void ws_cold_start_defaults(struct ws_cold_start_settings *settings);
 /*
  * Creates the subsystem's state from copies of the settings and limits. `log` may be NULL. The
- * caller releases the object with ws_cold_start_free().
+ * caller frees the object with ws_cold_start_free().
  */
 struct ws_cold_start *ws_cold_start_new(const struct ws_cold_start_settings *settings,
 					const struct ws_cluster_limits *limits,
 					ws_subsystem_log_fn log);
-/* Releases the object. Does nothing if it is NULL. */
+/* Frees the object. Does nothing if it is NULL. */
 void ws_cold_start_free(struct ws_cold_start *cold_start);
 
 /* Returns the name of a reconciliation result, as it stands in records. */
--- a/src/cold_start/observation.c
+++ b/src/cold_start/observation.c
@@ -41,34 +41,34 @@
 	}
 }
 
-void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_info *facts)
+void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_info *info)
 {
 	struct ws_cold_start *cold_start = self;
 	struct ws_cold_start_machine *machine = ws_subsystem_allocate(sizeof(*machine));
 
 	(void)now;
 	cold_start->operations++;
-	machine->zone = find_or_add_zone(cold_start, facts->zone);
-	machine->expected = facts->expected;
+	machine->zone = find_or_add_zone(cold_start, info->zone);
+	machine->expected = info->expected;
 	update_zone_counts(machine, true);
-	if (facts->unknown && ws_cold_start_active(cold_start)) {
+	if (info->unknown && ws_cold_start_active(cold_start)) {
 		cold_start->counts.results[WS_RECONCILED_UNKNOWN_MACHINE]++;
 		cold_start->counts_changed = true;
 		ws_subsystem_logf(
 		    cold_start->log,
 		    "cold start: machine is in neither the records nor the cloud's list "
 		    "machine=%s",
-		    facts->name);
+		    info->name);
 	}
 	return machine;
 }
 
-void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_info *facts)
+void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_info *info)
 {
 	struct ws_cold_start_machine *machine = handle;
 
 	update_zone_counts(machine, false);
-	machine->zone = find_or_add_zone(self, facts->zone);
+	machine->zone = find_or_add_zone(self, info->zone);
 	update_zone_counts(machine, true);
 }
 
--- a/src/cold_start/observation.h
+++ b/src/cold_start/observation.h
@@ -23,8 +23,8 @@
 };
 
 /* Hooks about machines and their heartbeats; see core/extension/hooks.h. */
-void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_info *facts);
-void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_info *facts);
+void *ws_cold_start_machine_added(void *self, double now, const struct ws_machine_info *info);
+void ws_cold_start_machine_changed(void *self, void *handle, const struct ws_machine_info *info);
 void ws_cold_start_machine_removed(void *self, void *handle);
 void ws_cold_start_machine_lost(void *self, double now, void *handle, enum ws_machine_loss loss);
 void ws_cold_start_heartbeat_seen(void *self, double now, void *handle);
@@ -37,6 +37,6 @@
  * earlier leaders have expired. Returns whether the observation of all zones has ended.
  */
 bool ws_cold_start_update_observation(struct ws_cold_start *cold_start, double now);
-/* Releases the zones, but not the machine handles. */
+/* Frees the zones, but not the machine handles. */
 void ws_cold_start_zones_free(struct ws_cold_start *cold_start);
 #endif
--- a/src/cold_start/quarantine.c
+++ b/src/cold_start/quarantine.c
@@ -152,7 +152,7 @@
 	ws_request_end_quarantined(out, quarantined->job, grace_s);
 }
 
-/* Returns whether the job is recorded as ended or was unreadable for too long. */
+/* Returns whether the job is recorded as ended, or its record could not be read for too long. */
 static bool must_be_stopped(const struct ws_cold_start *cold_start,
 			    const struct ws_cold_start_quarantined_job *quarantined, double now)
 {
--- a/src/cold_start/quarantine.h
+++ b/src/cold_start/quarantine.h
@@ -39,10 +39,10 @@
 /* Requests lookups, stops jobs that must not run on, and writes the records that are due. */
 void ws_cold_start_quarantine_tick(struct ws_cold_start *cold_start, double now,
 				   struct ws_request_queue *out);
-/* Requests the deletion of all records of quarantined jobs, and releases the jobs. */
+/* Requests the deletion of all records of quarantined jobs, and frees the jobs. */
 void ws_cold_start_quarantine_clear(struct ws_cold_start *cold_start, struct ws_request_queue *out);
 /* Returns whether a job that was reported in this term is still in quarantine. */
 bool ws_cold_start_has_quarantined(const struct ws_cold_start *cold_start);
-/* Releases the jobs but does not delete their records. */
+/* Frees the jobs but does not delete their records. */
 void ws_cold_start_quarantine_free(struct ws_cold_start *cold_start);
 #endif
--- a/src/cold_start/recovery.c
+++ b/src/cold_start/recovery.c
@@ -41,25 +41,25 @@
 {
 	(void)self;
 	(void)machine;
-	/* Counts all attempts as elsewhere, to show whether any replica may be alive. */
+	/* Counts all attempts as elsewhere, to show whether the job has any live one. */
 	return false;
 }
 
-void ws_cold_start_job_surveyed(void *self, const struct ws_job_info *facts)
+void ws_cold_start_job_surveyed(void *self, const struct ws_job_info *info)
 {
 	struct ws_cold_start *cold_start = self;
 	struct ws_cold_start_lost_job *lost;
 
 	cold_start->operations++;
-	HASH_FIND_STR(cold_start->lost_jobs, facts->id, lost);
+	HASH_FIND_STR(cold_start->lost_jobs, info->id, lost);
 	if (!lost)
 		return;
 	lost->surveyed = true;
-	lost->guaranteed = facts->guaranteed;
-	lost->first_replica = facts->service && !facts->elsewhere;
-	lost->priority = facts->priority;
-	lost->latest_start = facts->latest_start;
-	lost->waiting_tasks = facts->waiting;
+	lost->guaranteed = info->guaranteed;
+	lost->first_replica = info->service && !info->elsewhere;
+	lost->priority = info->priority;
+	lost->latest_start = info->latest_start;
+	lost->waiting_tasks = info->waiting;
 }
 
 /*
@@ -131,7 +131,7 @@
 	return recovered;
 }
 
-/* Returns recovered jobs to their ordinary queue position, and releases them. */
+/* Returns recovered jobs to their ordinary queue position, and frees them. */
 static void finish_recovered(struct ws_cold_start *cold_start, struct ws_request_queue *out)
 {
 	struct ws_cold_start_lost_job *lost = take_recovered(cold_start), *next;
--- a/src/cold_start/recovery.h
+++ b/src/cold_start/recovery.h
@@ -12,10 +12,10 @@
 	/* Facts as of the last survey. */
 	bool surveyed;
 	bool guaranteed;
-	bool first_replica; /* a service of which no replica may be alive */
+	bool first_replica; /* a service without a live attempt */
 	int priority;
 	double latest_start;
-	size_t waiting_tasks;	 /* tasks that are neither complete nor possibly running */
+	size_t waiting_tasks;	 /* tasks neither completed nor in a live attempt */
 	uint32_t queue_position; /* last requested; 0: the ordinary position */
 	bool replicas_apart;	 /* last requested: place only a first replica ahead of the queue */
 	struct ws_cold_start_lost_job *next_recovered;
@@ -26,7 +26,7 @@
 void ws_cold_start_add_lost_attempt(struct ws_cold_start *cold_start, const char *job);
 /* Hooks that receive the results of a survey; see core/extension/hooks.h. */
 bool ws_cold_start_attempt_surveyed(void *self, void *machine);
-void ws_cold_start_job_surveyed(void *self, const struct ws_job_info *facts);
+void ws_cold_start_job_surveyed(void *self, const struct ws_job_info *info);
 void ws_cold_start_survey_done(void *self, double now);
 /*
  * Requests queue positions after each survey. Requests a survey once per heartbeat interval while
@@ -34,8 +34,8 @@
  */
 void ws_cold_start_recovery_tick(struct ws_cold_start *cold_start, double now,
 				 struct ws_request_queue *out);
-/* Requests the ordinary queue position for all lost jobs, and releases the list. */
+/* Requests the ordinary queue position for all lost jobs, and frees the list. */
 void ws_cold_start_recovery_end(struct ws_cold_start *cold_start, struct ws_request_queue *out);
-/* Releases the list of lost jobs. */
+/* Frees the list of lost jobs. */
 void ws_cold_start_lost_jobs_free(struct ws_cold_start *cold_start);
 #endif
--- a/src/cold_start/state.h
+++ b/src/cold_start/state.h
@@ -21,7 +21,7 @@
 	size_t quarantined;   /* jobs that are not in the store */
 	size_t adopted;	      /* quarantined attempts that were adopted */
 	size_t unclaimed;     /* quarantined jobs stopped because their quarantine timed out */
-	size_t stopped_ended; /* quarantined jobs stopped: recorded as ended, or unreadable */
+	size_t stopped_ended; /* quarantined jobs stopped: recorded as ended, or not read in time */
 	size_t lost_jobs, recovered_jobs;
 };
 
@@ -33,12 +33,12 @@
 
 	/* State of this term. */
 	enum ws_cold_start_phase phase;
-	bool no_recent_leader;	 /* there is no recent proof that a leader was alive */
+	bool no_recent_leader;	 /* there is no recent proof that a leader was active */
 	bool later_format;	 /* a record has a later format: the subsystem is suspended */
 	bool store_lost_records; /* the store lost records that it had confirmed */
 	uint64_t term, last_leader_term;
 	uint64_t began_term;	 /* the term in which the cold start was detected */
-	double without_leader_s; /* time without proof of a live leader; INFINITY: there was none */
+	double without_leader_s; /* time without proof of an active leader; INFINITY: no proof */
 	double elected_at;
 	double leases_expire_at; /* when all leases that earlier leaders may have renewed have
 				    expired */
--- a/src/cold_start_command.c
+++ b/src/cold_start_command.c
@@ -41,9 +41,9 @@
 	printf("cold start: %s, recorded %.1f s after the election\n",
 	       ws_record_view_text(record, "phase"), ws_record_view_number(record, "for_s"));
 	if (unproven_s >= 0)
-		printf("no sign of a live leader for %.1f s before the election\n", unproven_s);
+		printf("no proof of an active leader for %.1f s before the election\n", unproven_s);
 	else
-		printf("no sign of an earlier leader\n");
+		printf("no proof of an earlier leader\n");
 	if (remaining_s > 0)
 		printf("machines that have not answered are waited for at most %.1f s more\n",
 		       remaining_s);
@@ -57,7 +57,7 @@
 	       ws_record_view_count(record, "recovered_jobs"));
 	printf(
 	    "quarantined jobs without a record: %lld; attempts adopted: %lld; jobs stopped because "
-	    "not submitted again: %lld; stopped as ended or unreadable: %lld\n",
+	    "not submitted again: %lld; stopped as recorded as ended or not read in time: %lld\n",
 	    ws_record_view_count(record, "kept"), ws_record_view_count(record, "adopted"),
 	    ws_record_view_count(record, "unclaimed"), ws_record_view_count(record, "over"));
 }
--- a/src/failure_domains/domains.c
+++ b/src/failure_domains/domains.c
@@ -257,28 +257,28 @@
 }
 
 void ws_domains_add_machine(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-			    const struct ws_machine_info *facts)
+			    const struct ws_machine_info *info)
 {
 	struct ws_failure_domain *declared = NULL, *zone = NULL;
 
-	if (facts->zone[0]) {
-		zone = ws_failure_domain_find(domains, facts->zone);
+	if (info->zone[0]) {
+		zone = ws_failure_domain_find(domains, info->zone);
 		if (!zone) /* not listed in the settings */
-			zone = ws_domains_add_zone(domains, facts->zone);
+			zone = ws_domains_add_zone(domains, info->zone);
 		if (zone && !zone->is_zone) {
 			ws_subsystem_logf(
 			    domains->log,
 			    "zones: zone name collides with a declared domain machine=%s zone=%s",
-			    facts->name, facts->zone);
+			    info->name, info->zone);
 			zone = NULL;
 		}
 	}
-	if (domains->networks.table && facts->address[0] &&
-	    !find_domain_by_address(&domains->networks, facts->address, &declared))
+	if (domains->networks.table && info->address[0] &&
+	    !find_domain_by_address(&domains->networks, info->address, &declared))
 		ws_subsystem_logf(domains->log,
 				  "zones: invalid address, no declared domain assigned "
 				  "machine=%s address=%s",
-				  facts->name, facts->address);
+				  info->name, info->address);
 	add_member(machine, 0, zone);
 	add_member(machine, 1, declared);
 }
--- a/src/failure_domains/domains.h
+++ b/src/failure_domains/domains.h
@@ -23,7 +23,7 @@
 void ws_domains_clear(struct ws_failure_domains *domains);
 /* Adds a machine to its zone and to the declared domain that contains its address. */
 void ws_domains_add_machine(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-			    const struct ws_machine_info *facts);
+			    const struct ws_machine_info *info);
 /* Removes a machine from all its domains. */
 void ws_domains_remove_machine(struct ws_domains_machine *machine);
 /* Adds a machine to the counts of one of its domains (`sign` 1) or subtracts it (`sign` -1). */
--- a/src/failure_domains/failure_domains.c
+++ b/src/failure_domains/failure_domains.c
@@ -139,10 +139,10 @@
 	ws_domains_free(self);
 }
 
-static void elected(void *self, const struct ws_election_info *facts)
+static void elected(void *self, const struct ws_election_info *info)
 {
 	struct ws_failure_domains *domains = self;
-	const double now = facts->now;
+	const double now = info->now;
 
 	for (struct ws_failure_domain *domain = domains->by_name; domain;
 	     domain = domain->hh.next) {
@@ -206,7 +206,7 @@
 
 /* ---- machines ---- */
 
-static void *machine_added(void *self, double now, const struct ws_machine_info *facts)
+static void *machine_added(void *self, double now, const struct ws_machine_info *info)
 {
 	struct ws_failure_domains *domains = self;
 	struct ws_domains_machine *machine = ws_subsystem_allocate(sizeof(*machine));
@@ -215,16 +215,16 @@
 	/* not counted before its first heartbeat */
 	machine->liveness = WS_DOMAINS_ISOLATED_FAILURE;
 	machine->ramp_position = fmod((double)domains->machine_count++ * RAMP_STEP, 1);
-	ws_domains_add_machine(domains, machine, facts);
-	if (facts->expected)
+	ws_domains_add_machine(domains, machine, info);
+	if (info->expected)
 		ws_domains_set_liveness(domains, machine, WS_DOMAINS_EXPECTED);
 	return machine;
 }
 
-static void machine_changed(void *self, void *handle, const struct ws_machine_info *facts)
+static void machine_changed(void *self, void *handle, const struct ws_machine_info *info)
 {
 	ws_domains_remove_machine(handle);
-	ws_domains_add_machine(self, handle, facts);
+	ws_domains_add_machine(self, handle, info);
 }
 
 /*
@@ -356,19 +356,19 @@
 	}
 }
 
-static void tick(void *self, const struct ws_tick_info *facts, struct ws_request_queue *requests)
+static void tick(void *self, const struct ws_tick_info *info, struct ws_request_queue *requests)
 {
 	struct ws_failure_domains *domains = self;
 
 	if (domains->later_format)
 		return;
-	ws_domains_health_tick(domains, facts);
-	if (!facts->serving)
+	ws_domains_health_tick(domains, info);
+	if (!info->serving)
 		return;
-	write_domain_records(domains, facts->now, requests);
-	ws_domains_plan_tick(domains, facts->now, requests);
-	if (facts->now >= domains->holds_due_at) {
-		domains->holds_due_at = facts->now + HOLDS_READ_LEASES * domains->limits.lease_s;
+	write_domain_records(domains, info->now, requests);
+	ws_domains_plan_tick(domains, info->now, requests);
+	if (info->now >= domains->holds_due_at) {
+		domains->holds_due_at = info->now + HOLDS_READ_LEASES * domains->limits.lease_s;
 		ws_request_read(requests, "hold/");
 	}
 }
--- a/src/failure_domains/health.c
+++ b/src/failure_domains/health.c
@@ -33,7 +33,7 @@
  */
 #define LEASE_EXPIRY_FACTOR (1.001 + 1.0 / 32)
 
-/* ---- presence ---- */
+/* ---- liveness ---- */
 
 static void list_append(struct ws_domains_machine_list *list, struct ws_domains_machine *machine)
 {
@@ -89,7 +89,7 @@
 }
 
 void ws_domains_set_liveness(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-			     enum ws_domains_liveness presence)
+			     enum ws_domains_liveness liveness)
 {
 	struct ws_domains_machine_list *list = list_for_liveness(domains, machine);
 
@@ -97,10 +97,10 @@
 	if (list)
 		list_remove(list, machine);
 	adjust_liveness_counts(domains, machine, -1);
-	machine->liveness = presence;
+	machine->liveness = liveness;
 	machine->changed_at = domains->serving_clock;
 	machine->unresponsive_with_domain = false;
-	if (presence != WS_DOMAINS_UNRESPONSIVE)
+	if (liveness != WS_DOMAINS_UNRESPONSIVE)
 		machine->unanswered = false;
 	adjust_liveness_counts(domains, machine, 1);
 	list = list_for_liveness(domains, machine);
@@ -359,19 +359,19 @@
 	}
 }
 
-void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_info *facts)
+void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_info *info)
 {
-	ws_domains_advance_clock(domains, facts->now);
-	if (facts->serving && !domains->serving) /* unanswered workers need time to reconnect */
+	ws_domains_advance_clock(domains, info->now);
+	if (info->serving && !domains->serving) /* unanswered workers need time to reconnect */
 		domains->evaluate_from =
 		    fmax(domains->evaluate_from,
 			 domains->serving_clock + RECONNECT_HEARTBEATS * domains->limits.report_s);
-	domains->serving = facts->serving;
-	if (!facts->serving || domains->serving_clock < domains->evaluate_from)
+	domains->serving = info->serving;
+	if (!info->serving || domains->serving_clock < domains->evaluate_from)
 		return;
 	expire_overdue_machines(domains);
 	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
-		evaluate(domains, domain, facts->now);
+		evaluate(domains, domain, info->now);
 }
 
 bool ws_failure_domain_avoids_machine(const struct ws_failure_domains *domains,
--- a/src/failure_domains/health.h
+++ b/src/failure_domains/health.h
@@ -13,11 +13,11 @@
 void ws_domains_advance_clock(struct ws_failure_domains *domains, double now);
 /* Changes the liveness of a machine and updates the lists and the counts of its domains. */
 void ws_domains_set_liveness(struct ws_failure_domains *domains, struct ws_domains_machine *machine,
-			     enum ws_domains_liveness presence);
+			     enum ws_domains_liveness liveness);
 /* Sets whether commands to an unresponsive machine go unanswered. Other machines are ignored. */
 void ws_domains_set_unanswered(struct ws_domains_machine *machine, bool unanswered);
 /* Updates the liveness of overdue machines, then evaluates the state of each domain. */
-void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_info *facts);
+void ws_domains_health_tick(struct ws_failure_domains *domains, const struct ws_tick_info *info);
 /* Returns the flap penalty of a domain, decayed up to `now`. */
 double ws_domains_penalty(const struct ws_failure_domains *domains,
 			  const struct ws_failure_domain *domain, double now);
--- a/src/failure_domains/plan.c
+++ b/src/failure_domains/plan.c
@@ -151,27 +151,27 @@
 	return domain && domain->state == WS_DOMAINS_UNREACHABLE;
 }
 
-void ws_domains_job_surveyed(void *self, const struct ws_job_info *facts)
+void ws_domains_job_surveyed(void *self, const struct ws_job_info *info)
 {
 	struct ws_failure_domains *domains = self;
 	struct ws_domains_plan *plan = &domains->plan;
 	struct ws_domains_plan_entry *entry;
 
-	HASH_FIND_STR(plan->entries, facts->id, entry);
-	if (!entry && !facts->affected)
+	HASH_FIND_STR(plan->entries, info->id, entry);
+	if (!entry && !info->affected)
 		return;
-	entry = find_or_add_entry(plan, facts->id);
+	entry = find_or_add_entry(plan, info->id);
 	entry->last_survey = plan->survey_number;
-	entry->affected = facts->affected;
-	entry->waiting = facts->waiting;
-	entry->planned = entry->planned > facts->affected ? entry->planned : facts->affected;
-	entry->class_position = class_position(&domains->settings, facts->job_class);
-	entry->guaranteed = facts->guaranteed;
-	entry->priority = facts->priority;
-	entry->latest_start = facts->latest_start;
-	entry->service = facts->service;
-	entry->needs_first_replica = facts->service && !facts->elsewhere;
-	entry->pinned = pinned_to_unreachable_zone(domains, facts->pinned_zone);
+	entry->affected = info->affected;
+	entry->waiting = info->waiting;
+	entry->planned = entry->planned > info->affected ? entry->planned : info->affected;
+	entry->class_position = class_position(&domains->settings, info->job_class);
+	entry->guaranteed = info->guaranteed;
+	entry->priority = info->priority;
+	entry->latest_start = info->latest_start;
+	entry->service = info->service;
+	entry->needs_first_replica = info->service && !info->elsewhere;
+	entry->pinned = pinned_to_unreachable_zone(domains, info->pinned_zone);
 	if (entry->shard < 0) /* the rule of a recorded entry doesn't change */
 		entry->ordering_rule = ordering_rule_of(domains, entry);
 }
--- a/src/failure_domains/plan.h
+++ b/src/failure_domains/plan.h
@@ -8,7 +8,7 @@
 
 /* Implementations of the core's survey hooks; see core/extension/hooks.h. */
 bool ws_domains_attempt_surveyed(void *self, void *machine);
-void ws_domains_job_surveyed(void *self, const struct ws_job_info *facts);
+void ws_domains_job_surveyed(void *self, const struct ws_job_info *info);
 void ws_domains_survey_done(void *self, double now);
 /* Requests moves and writes records after a survey, and requests the next survey when it is due. */
 void ws_domains_plan_tick(struct ws_failure_domains *domains, double now,
--- a/src/failure_domains/records.c
+++ b/src/failure_domains/records.c
@@ -51,9 +51,9 @@
 	return evidence_names[evidence];
 }
 
-const char *ws_domains_ordering_rule_name(enum ws_domains_ordering_rule reason)
+const char *ws_domains_ordering_rule_name(enum ws_domains_ordering_rule rule)
 {
-	return ordering_rule_names[reason];
+	return ordering_rule_names[rule];
 }
 
 json_t *ws_failure_domain_record(const struct ws_failure_domains *domains,
--- a/src/failure_domains/records.h
+++ b/src/failure_domains/records.h
@@ -11,5 +11,5 @@
 /* Return the names of enum values as used in records and log lines. */
 const char *ws_domains_state_name(enum ws_domains_state state);
 const char *ws_domains_evidence_name(enum ws_domains_evidence evidence);
-const char *ws_domains_ordering_rule_name(enum ws_domains_ordering_rule reason);
+const char *ws_domains_ordering_rule_name(enum ws_domains_ordering_rule rule);
 #endif
--- a/src/failure_domains_command.c
+++ b/src/failure_domains_command.c
@@ -145,8 +145,8 @@
 		outcome = write_hold(store, key, hold, &http_status);
 	if (outcome != WS_OUTCOME_OK) {
 		fprintf(stderr,
-			"waystep: the state service did not accept the change of domain %s (HTTP "
-			"status %d)\n",
+			"waystep: the store did not accept the change of domain %s (HTTP status "
+			"%d)\n",
 			domain, http_status);
 		return 1;
 	}
--- a/src/main.c
+++ b/src/main.c
@@ -160,8 +160,8 @@
 		printf("subsystem coldstart is on\n");
 	if (ws_core_replica_age_limit_is_short(settings, policy))
 		printf(
-		    "%s: settings.workers.cancel_s is short for lease_s: in outages of the state "
-		    "service, heartbeats are answered for at most %.3g s\n",
+		    "%s: settings.workers.cancel_s is short for lease_s: in outages of the store, "
+		    "heartbeats are answered for at most %.3g s\n",
 		    file,
 		    ws_core_replica_age_limit(settings) > 0 ? ws_core_replica_age_limit(settings)
 							    : 0);
--- a/src/record_view.c
+++ b/src/record_view.c
@@ -22,7 +22,7 @@
 	struct print_context print_context = {.view = view};
 
 	if (!ws_store_client_list(store, view->prefix, print_record, &print_context)) {
-		fprintf(stderr, "waystep: the records could not be read from the state service\n");
+		fprintf(stderr, "waystep: the records could not be read from the store\n");
 		return 1;
 	}
 	if (!print_context.found)
--- a/src/store_client.h
+++ b/src/store_client.h
@@ -5,13 +5,13 @@
 
 struct ws_store_client;
 /*
- * Creates a client, which connects with the first call. Never returns NULL. The caller releases it
+ * Creates a client, which connects with the first call. Never returns NULL. The caller closes it
  * with ws_store_client_close().
  */
 struct ws_store_client *ws_store_client_open(const struct ws_settings *settings);
 void ws_store_client_close(struct ws_store_client *store);
 
-/* Makes a call and waits for its result, which the caller releases with ws_result_free(). */
+/* Makes a call and waits for its result, which the caller frees with ws_result_free(). */
 void ws_store_client_call(struct ws_store_client *store, const struct ws_call *call,
 			  struct ws_result *result);
 
