--- a/src/cold_start_command.c
+++ b/src/cold_start_command.c
@@ -57,7 +57,7 @@
 	       ws_record_view_count(record, "recovered_jobs"));
 	printf(
 	    "quarantined jobs without a record: %lld; attempts adopted: %lld; jobs stopped because "
-	    "not submitted again: %lld; stopped as recorded as ended or not read in time: %lld\n",
+	    "not submitted again: %lld; because recorded as ended or not read in time: %lld\n",
 	    ws_record_view_count(record, "kept"), ws_record_view_count(record, "adopted"),
 	    ws_record_view_count(record, "unclaimed"), ws_record_view_count(record, "over"));
 }
--- a/src/config.c
+++ b/src/config.c
@@ -12,8 +12,8 @@
 #define SOCKETS_PER_PEER 9
 /* The minimum number of sockets left for users and workers. */
 #define CLIENT_SOCKETS_MIN 16
-#define TXN_OPS_MAX 1000
-#define MAX_SOCKETS_MAX 1000000
+#define TRANSACTION_OPERATIONS_MAX 1000
+#define SOCKETS_MAX 1000000
 #define MACHINES_MAX 10000
 
 /* Writes the path of a field of an array entry, such as "seeds[0].node", and returns `path`. */
@@ -105,7 +105,7 @@
 				  false);
 }
 
-static void read_state(struct ws_config_reader *reader, struct ws_settings *settings)
+static void read_store_limits(struct ws_config_reader *reader, struct ws_settings *settings)
 {
 	char text[KEY_PATH_SIZE];
 	double operations = 0;
@@ -123,10 +123,12 @@
 			      &settings->store_write_rps);
 	ws_config_lower_limit(reader, "settings.state.next.value_kb", 1, &settings->value_kb);
 	ws_config_lower_limit(reader, "settings.state.next.txn_ops", 3, &operations);
-	settings->transaction_ops = operations > TXN_OPS_MAX ? TXN_OPS_MAX : (int)operations;
+	settings->transaction_ops =
+	    operations > TRANSACTION_OPERATIONS_MAX ? TRANSACTION_OPERATIONS_MAX : (int)operations;
 }
 
-static void read_limits(struct ws_config_reader *reader, struct ws_settings *settings)
+static void read_cloud_and_machine_limits(struct ws_config_reader *reader,
+					  struct ws_settings *settings)
 {
 	double sockets = 0;
 
@@ -138,7 +140,7 @@
 			 true);
 	ws_config_number(reader, "settings.machine_limits.ram_mb", &settings->ram_mb, 8, true);
 	ws_config_number(reader, "settings.machine_limits.max_sockets", &sockets, 16, true);
-	settings->max_sockets = sockets > MAX_SOCKETS_MAX ? MAX_SOCKETS_MAX : (int)sockets;
+	settings->max_sockets = sockets > SOCKETS_MAX ? SOCKETS_MAX : (int)sockets;
 	settings->client_sockets =
 	    settings->max_sockets - SOCKETS_RESERVED - SOCKETS_PER_PEER * (int)settings->peer_count;
 	if (reader->valid && settings->client_sockets < CLIENT_SOCKETS_MIN)
@@ -157,8 +159,8 @@
 	read_addresses(&reader, settings);
 	read_users(&reader, settings);
 	read_workers(&reader, settings);
-	read_state(&reader, settings);
-	read_limits(&reader, settings);
+	read_store_limits(&reader, settings);
+	read_cloud_and_machine_limits(&reader, settings);
 	if (reader.valid && settings->lease_s <= settings->heartbeat_s)
 		ws_config_invalid(&reader, "settings.workers.lease_s",
 				  "must be longer than report_s");
--- a/src/core/autoscaler/capacity_errors.c
+++ b/src/core/autoscaler/capacity_errors.c
@@ -5,7 +5,7 @@
 #include "autoscaler_internal.h"
 
 /* Maximum number of times that the backoff doubles. */
-#define BACK_OFF_DOUBLINGS_MAX 4
+#define BACKOFF_DOUBLINGS_MAX 4
 
 /* Returns NULL if the type or the zone is unknown. */
 static struct ws_capacity_error *ws_capacity_error_find(struct ws_core *core, const char *type_name,
@@ -47,8 +47,8 @@
 		return;
 	error->consecutive_errors += 1;
 	error->returned_since_error = 0;
-	doublings = error->consecutive_errors < BACK_OFF_DOUBLINGS_MAX ? error->consecutive_errors
-								       : BACK_OFF_DOUBLINGS_MAX;
+	doublings = error->consecutive_errors < BACKOFF_DOUBLINGS_MAX ? error->consecutive_errors
+								      : BACKOFF_DOUBLINGS_MAX;
 	error->backoff_until = core->now + core->settings->list_lag_s * (1 << doublings);
 }
 
--- a/src/core/extension/subsystem_requests.c
+++ b/src/core/extension/subsystem_requests.c
@@ -2,18 +2,18 @@
 #include "../core_state.h"
 #include "../record_sources.h"
 
-enum ws_request_kind {
+enum ws_subsystem_request_kind {
 	WS_REQUEST_WRITE,
 	WS_REQUEST_DELETE,
 	WS_REQUEST_READ,
 	WS_REQUEST_SURVEY,
 	WS_REQUEST_MOVE,
 	WS_REQUEST_LOOK_UP,
-	WS_REQUEST_END_QUARANTINED,
+	WS_REQUEST_STOP_QUARANTINED,
 };
 
 struct ws_request {
-	enum ws_request_kind kind;
+	enum ws_subsystem_request_kind kind;
 	char name[WS_KEY_MAX]; /* name of a record or a job, or a prefix of record names */
 	json_t *value;
 	bool urgent;
@@ -28,8 +28,8 @@
 
 /* ---- making requests ---- */
 
-static struct ws_request *ws_request_add(struct ws_request_queue *queue, enum ws_request_kind kind,
-					 const char *name)
+static struct ws_request *ws_request_add(struct ws_request_queue *queue,
+					 enum ws_subsystem_request_kind kind, const char *name)
 {
 	struct ws_request *request = ws_alloc(1, sizeof(*request));
 
@@ -75,7 +75,7 @@
 
 void ws_request_end_quarantined(struct ws_request_queue *queue, const char *job, double grace_s)
 {
-	ws_request_add(queue, WS_REQUEST_END_QUARANTINED, job)->grace_s = grace_s;
+	ws_request_add(queue, WS_REQUEST_STOP_QUARANTINED, job)->grace_s = grace_s;
 }
 
 /* ---- carrying out requests ---- */
@@ -124,7 +124,7 @@
 	subsystem->ops->survey_done(subsystem->self, core->now);
 }
 
-static void ws_subsystem_read(struct ws_core *core, const char *prefix, const char *after);
+static void ws_subsystem_list_records(struct ws_core *core, const char *prefix, const char *after);
 
 /* Handles one page of the records that a subsystem requested. */
 static void ws_subsystem_page_read(struct ws_core *core, struct ws_call *call,
@@ -138,14 +138,15 @@
 	for (size_t i = 0; i < result->records.entry_count; i++)
 		ws_subsystem_record_load(core, &result->records.entries[i]);
 	if (result->records.has_more && result->records.entry_count)
-		ws_subsystem_read(core, call->read.key,
-				  result->records.entries[result->records.entry_count - 1].key);
+		ws_subsystem_list_records(
+		    core, call->read.key,
+		    result->records.entries[result->records.entry_count - 1].key);
 	else if (subsystem->ops->records_read)
 		subsystem->ops->records_read(subsystem->self,
 					     call->read.key + strlen(subsystem->ops->prefix));
 }
 
-static void ws_subsystem_read(struct ws_core *core, const char *prefix, const char *after)
+static void ws_subsystem_list_records(struct ws_core *core, const char *prefix, const char *after)
 {
 	struct ws_call *call = ws_call_new(core, WS_CALL_LIST, ws_subsystem_page_read);
 
@@ -258,13 +259,13 @@
 		ws_subsystem_record_set(core, key, request->value, request->urgent);
 		break;
 	case WS_REQUEST_DELETE: ws_subsystem_record_set(core, key, NULL, false); break;
-	case WS_REQUEST_READ: ws_subsystem_read(core, key, ""); break;
+	case WS_REQUEST_READ: ws_subsystem_list_records(core, key, ""); break;
 	case WS_REQUEST_SURVEY: ws_survey(core, index); break;
 	case WS_REQUEST_MOVE: ws_subsystem_move(core, index, request); break;
 	case WS_REQUEST_LOOK_UP:
 		ws_subsystem_look_up(core, index, WS_KEY_PREFIX_JOB, request->name);
 		break;
-	case WS_REQUEST_END_QUARANTINED:
+	case WS_REQUEST_STOP_QUARANTINED:
 		ws_core_end_quarantined(core, request->name, request->grace_s);
 		break;
 	}
--- a/src/failure_domains_command.c
+++ b/src/failure_domains_command.c
@@ -44,7 +44,7 @@
 	    ws_record_view_count(record, "waiting"), ws_record_view_count(record, "pinned"));
 }
 
-static void print_plan_part(json_t *record)
+static void print_plan_shard(json_t *record)
 {
 	json_t *job;
 	size_t i;
@@ -69,7 +69,7 @@
 	else if (!strcmp(name, PROGRESS_KEY))
 		print_progress(record);
 	else if (starts_with(name, PLAN_KEY))
-		print_plan_part(record);
+		print_plan_shard(record);
 	return starts_with(name, DOMAIN_KEY);
 }
 
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -10,8 +10,8 @@
 
 #define MEBIBYTE ((size_t)1024 * 1024)
 
-#define STATE_CONNECTIONS 8
-#define STATE_REPLY_MAX (4 * MEBIBYTE)
+#define STORE_CONNECTIONS 8
+#define STORE_REPLY_MAX (4 * MEBIBYTE)
 #define WATCH_CONNECTIONS 4
 #define WATCH_QUEUE 8
 #define WATCH_REPLY_MAX (16 * MEBIBYTE)
@@ -22,7 +22,7 @@
 #define CLOUD_TIMEOUT_S 5
 /* The reply to a watch may arrive this much later than the watch's own timeout. */
 #define WATCH_GRACE_S 1
-#define STATE_TIMEOUT_MAX_S 1.5
+#define STORE_TIMEOUT_MAX_S 1.5
 
 /* Fraction that is used of this node's share of the store's request limit. */
 #define STORE_SHARE_UTILIZATION 0.95
@@ -200,7 +200,7 @@
 static double timeout_s(const struct ws_service *service, const struct ws_call *call)
 {
 	const struct ws_settings *settings = service->settings;
-	double timeout = fmin(settings->lease_s / 12, STATE_TIMEOUT_MAX_S);
+	double timeout = fmin(settings->lease_s / 12, STORE_TIMEOUT_MAX_S);
 	double poll_timeout = fmin(timeout, WS_POLL_STEP_TIMEOUT_S); /* leaves time to ask a peer */
 
 	switch (call->kind) {
@@ -271,9 +271,9 @@
 {
 	const struct ws_settings *settings = service->settings;
 	struct ws_outgoing_calls *outgoing = &service->outgoing;
-	const struct ws_http_client_options state = {.max_connections = STATE_CONNECTIONS,
+	const struct ws_http_client_options store = {.max_connections = STORE_CONNECTIONS,
 						     .max_queue = (int)(settings->store_rps / 2),
-						     .max_reply_bytes = STATE_REPLY_MAX};
+						     .max_reply_bytes = STORE_REPLY_MAX};
 	const struct ws_http_client_options watch = {.max_connections = WATCH_CONNECTIONS,
 						     .max_queue = WATCH_QUEUE,
 						     .max_reply_bytes = WATCH_REPLY_MAX};
@@ -284,7 +284,7 @@
 						     .burst = fmax(1, settings->cloud_rps)};
 
 	outgoing->store =
-	    ws_client_new(service->loop, settings->store.host, settings->store.port, &state);
+	    ws_client_new(service->loop, settings->store.host, settings->store.port, &store);
 	outgoing->watch =
 	    ws_client_new(service->loop, settings->store.host, settings->store.port, &watch);
 	outgoing->cloud =
--- a/src/io/queue_model_thread.h
+++ b/src/io/queue_model_thread.h
@@ -25,7 +25,7 @@
 ws_queue_model_thread_start(const struct ws_queue_model_thread_config *config);
 /* Submits a measurement to the model. It replaces one that the thread has not started on yet. */
 void ws_queue_model_thread_submit(struct ws_queue_model_thread *thread,
-				  const struct ws_queue_measurement *measure);
+				  const struct ws_queue_measurement *measurement);
 /* Waits until the thread has ended and frees it. `thread` may be NULL. */
 void ws_queue_model_thread_stop(struct ws_queue_model_thread *thread);
 #endif
--- a/src/io/server.c
+++ b/src/io/server.c
@@ -36,7 +36,7 @@
 static void on_tick(struct ev_loop *loop, ev_timer *watcher, int events)
 {
 	struct ws_service *service = watcher->data;
-	struct ws_queue_measurement measure;
+	struct ws_queue_measurement measurement;
 	double now = ws_now();
 	bool measured;
 
@@ -45,10 +45,10 @@
 	ws_worker_connections_free_retired(service->outgoing.workers);
 	pthread_mutex_lock(&service->core_lock);
 	ws_core_tick(service->core, now);
-	measured = ws_core_take_measurement(service->core, now, &measure);
+	measured = ws_core_take_measurement(service->core, now, &measurement);
 	pthread_mutex_unlock(&service->core_lock);
 	if (measured)
-		ws_queue_model_thread_submit(service->queue_model, &measure);
+		ws_queue_model_thread_submit(service->queue_model, &measurement);
 	ws_effects_execute(service);
 	if (now > service->next_maintenance_at) {
 		service->next_maintenance_at = now + service->settings->lease_s;
