--- a/src/failure_domains/health.c
+++ b/src/failure_domains/health.c
@@ -144,9 +144,9 @@
 /* Moves machines that are overdue by the serving clock from the fronts of the lists. */
 static void expire_overdue_machines(struct ws_failure_domains *domains)
 {
-	const double report_s = domains->limits.report_s;
-	const double unresponsive_after = UNRESPONSIVE_HEARTBEATS * report_s;
-	const double isolated_after = ISOLATED_FAILURE_HEARTBEATS * report_s;
+	const double heartbeat_s = domains->limits.report_s;
+	const double unresponsive_after = UNRESPONSIVE_HEARTBEATS * heartbeat_s;
+	const double isolated_after = ISOLATED_FAILURE_HEARTBEATS * heartbeat_s;
 	struct ws_domains_machine *machine;
 
 	while ((machine = domains->live.first) &&
--- a/src/io/forwarding.c
+++ b/src/io/forwarding.c
@@ -33,7 +33,7 @@
 	/* set for heartbeats only: */
 	char leader[WS_NAME_MAX];
 	double sent_at;
-	bool redirect_failed; /* the worker was redirected to the leader and came back */
+	bool redirect_failed; /* the worker was redirected to the leader and returned */
 };
 
 /* ---- requests to the leader ---- */
