--- a/src/failure_domains_command.c
+++ b/src/failure_domains_command.c
@@ -44,7 +44,7 @@
 	    ws_record_view_count(record, "waiting"), ws_record_view_count(record, "pinned"));
 }
 
-static void print_plan_part(json_t *record)
+static void print_plan_shard(json_t *record)
 {
 	json_t *job;
 	size_t i;
@@ -69,7 +69,7 @@
 	else if (!strcmp(name, PROGRESS_KEY))
 		print_progress(record);
 	else if (starts_with(name, PLAN_KEY))
-		print_plan_part(record);
+		print_plan_shard(record);
 	return starts_with(name, DOMAIN_KEY);
 }
 
@@ -145,8 +145,8 @@
 		outcome = write_hold(store, key, hold, &http_status);
 	if (outcome != WS_OUTCOME_OK) {
 		fprintf(stderr,
-			"waystep: the state service did not accept the change of domain %s (HTTP "
-			"status %d)\n",
+			"waystep: the store did not accept the change of domain %s (HTTP status "
+			"%d)\n",
 			domain, http_status);
 		return 1;
 	}
--- a/tests/frames_test.c
+++ b/tests/frames_test.c
@@ -92,15 +92,15 @@
 						    frame->id == 8 && frame->status == 400);
 	ws__peer_frame__free_unpacked(frame, NULL);
 	check("an unknown frame kind is logged",
-	      logged(log, "peer frame of unknown kind refused peer=node-1 kind=9\n"));
+	      logged(log, "peer frame of unknown kind rejected peer=node-1 kind=9\n"));
 	check("an unreadable frame closes its connection",
 	      exchange(peer, unreadable, sizeof(unreadable) - 1, answer, sizeof(answer)) == 0);
 	check("an unreadable frame is logged",
-	      logged(log, "unreadable peer frame refused bytes=4\n"));
+	      logged(log, "malformed peer frame rejected bytes=4\n"));
 	check("an oversized frame closes its connection",
 	      exchange(peer, oversized, sizeof(oversized) - 1, answer, sizeof(answer)) == 0);
 	check("an oversized frame is logged",
-	      logged(log, "oversized peer frame refused bytes=2147483647\n"));
+	      logged(log, "oversized peer frame rejected bytes=2147483647\n"));
 	length = exchange(port, "GET /healthz HTTP/1.1\r\n\r\n", 25, answer, sizeof(answer) - 1);
 	answer[length > 0 ? length : 0] = 0;
 	check("the process keeps running",
