--- a/src/cold_start/cold_start.c
+++ b/src/cold_start/cold_start.c
@@ -248,8 +248,8 @@
 /* Returns whether leases of earlier leaders may be valid, or their expiry not yet handled. */
 static bool earlier_leases_may_be_valid(const struct ws_cold_start *cold_start, double now)
 {
-	return now <
-	       cold_start->leases_expire_at + EXPIRY_DELAY_HEARTBEATS * cold_start->limits.report_s;
+	return now < cold_start->leases_expire_at +
+			 EXPIRY_DELAY_HEARTBEATS * cold_start->limits.heartbeat_s;
 }
 
 static void update_phase(struct ws_cold_start *cold_start, double now, struct ws_request_queue *out)
--- a/src/cold_start/quarantine.c
+++ b/src/cold_start/quarantine.c
@@ -149,7 +149,7 @@
 {
 	quarantined->released = true;
 	cold_start->counts_changed = true;
-	ws_request_end_quarantined(out, quarantined->job, grace_s);
+	ws_request_stop_quarantined(out, quarantined->job, grace_s);
 }
 
 /* Returns whether the job is recorded as ended, or its record could not be read for too long. */
--- a/src/cold_start/recovery.c
+++ b/src/cold_start/recovery.c
@@ -175,7 +175,7 @@
 	if (!cold_start->lost_jobs ||
 	    now < cold_start->survey_requested_at +
 		      (cold_start->losses_unsurveyed ? LOSS_SURVEY_HEARTBEATS : 1) *
-			  cold_start->limits.report_s)
+			  cold_start->limits.heartbeat_s)
 		return;
 	cold_start->survey_requested_at = now;
 	cold_start->losses_unsurveyed = false;
--- a/src/core/api/api.h
+++ b/src/core/api/api.h
@@ -38,10 +38,10 @@
 
 /* Whether the store and the peers respond to this node. Times are on the core's clock. */
 struct ws_store_health {
-	double last_success_at;				  /* last reply that is no failure */
-	double last_failure_at;				  /* last reply "unavailable", or timeout */
-	double failing_since;				  /* first of the consecutive failures */
-	double last_peer_response_at, next_peer_probe_at; /* used while store calls fail */
+	double last_success_at;			       /* last reply that is no failure */
+	double last_failure_at;			       /* last reply "unavailable", or timeout */
+	double failing_since;			       /* first of the consecutive failures */
+	double last_peer_reply_at, next_peer_probe_at; /* used while store calls fail */
 };
 
 /* A user's request in progress. It is the context of the calls made for it, one at a time. */
--- a/src/core/api/cancellation.c
+++ b/src/core/api/cancellation.c
@@ -44,7 +44,7 @@
 	       original_size = ws_record_size(call->transaction.operations[0].value);
 	json_t **continuations = ws_alloc(continuations_max + 1, sizeof(*continuations));
 
-	ws_job_record_split(call->transaction.operations[0].value, ws_record_size_limit(core),
+	ws_job_record_split(call->transaction.operations[0].value, ws_job_record_size_limit(core),
 			    continuations, continuations_max, &continuation_count);
 	for (size_t i = 0; i < continuation_count; i++) {
 		snprintf(call->transaction.operations[call->transaction.operation_count].key,
--- a/src/core/api/status_queries.c
+++ b/src/core/api/status_queries.c
@@ -141,7 +141,7 @@
 		if (core->now - query->received_at > WS_QUERY_WAIT_S) {
 			DL_DELETE(core->status_queries.waiting, query);
 			ws_user_answer_unavailable(core, query->request_id, query->id,
-						   query->forwarded, WS_OUTCOME_NO_ANSWER);
+						   query->forwarded, WS_OUTCOME_NO_REPLY);
 			free(query);
 		} else {
 			break;
--- a/src/core/api/store_health.c
+++ b/src/core/api/store_health.c
@@ -3,7 +3,7 @@
 
 void ws_store_health_update(struct ws_core *core, enum ws_outcome outcome)
 {
-	if (outcome == WS_OUTCOME_UNAVAILABLE || outcome == WS_OUTCOME_NO_ANSWER) {
+	if (outcome == WS_OUTCOME_UNAVAILABLE || outcome == WS_OUTCOME_NO_REPLY) {
 		if (core->store_health.last_failure_at <= core->store_health.last_success_at)
 			core->store_health.failing_since = core->now;
 		core->store_health.last_failure_at = core->now;
@@ -24,15 +24,15 @@
 	return core->settings->peer_count && core->store_health.last_success_at > 0 &&
 	       core->store_health.last_failure_at > core->store_health.last_success_at &&
 	       core->now - core->store_health.failing_since > isolation_delay_s &&
-	       core->now - core->store_health.last_peer_response_at > isolation_delay_s;
+	       core->now - core->store_health.last_peer_reply_at > isolation_delay_s;
 }
 
 static void ws_peer_answered(struct ws_core *core, struct ws_call *call,
 			     const struct ws_result *result)
 {
 	(void)call;
-	if (result->outcome != WS_OUTCOME_NO_ANSWER && result->outcome != WS_OUTCOME_NOT_SENT)
-		core->store_health.last_peer_response_at = core->now;
+	if (result->outcome != WS_OUTCOME_NO_REPLY && result->outcome != WS_OUTCOME_NOT_SENT)
+		core->store_health.last_peer_reply_at = core->now;
 }
 
 void ws_peer_probe_tick(struct ws_core *core)
--- a/src/core/api/user_answers.c
+++ b/src/core/api/user_answers.c
@@ -22,7 +22,7 @@
 				bool forwarded, enum ws_outcome outcome)
 {
 	if (!forwarded && !ws_node_is_isolated(core) &&
-	    (outcome == WS_OUTCOME_UNAVAILABLE || outcome == WS_OUTCOME_NO_ANSWER) &&
+	    (outcome == WS_OUTCOME_UNAVAILABLE || outcome == WS_OUTCOME_NO_REPLY) &&
 	    core->settings->peer_count) {
 		struct ws_effect *effect = ws_effect_new(core, WS_EFFECT_FORWARD);
 
--- a/src/core/autoscaler/autoscaler.h
+++ b/src/core/autoscaler/autoscaler.h
@@ -112,8 +112,8 @@
 /* ---- scale_out_records.c ---- */
 
 /* Encodes a request as its stored record. */
-json_t *ws_record_scale_out(const struct ws_scale_out *request);
+json_t *ws_scale_out_encode(const struct ws_scale_out *request);
 /* Decodes a stored record. Returns false if that fails; the request may own instances even then. */
-bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *request);
+bool ws_scale_out_decode(json_t *value, struct ws_scale_out *request);
 
 #endif
--- a/src/core/autoscaler/scale_in.c
+++ b/src/core/autoscaler/scale_in.c
@@ -49,7 +49,7 @@
 	double boot_s = machine->type ? machine->type->boot_s : core->settings->lease_s;
 
 	return !machine->reported &&
-	       core->now - machine->first_seen > boot_s * core->policy.boot_timeout_ratio;
+	       core->now - machine->first_seen_at > boot_s * core->policy.boot_timeout_ratio;
 }
 
 /*
--- a/src/core/autoscaler/scale_out_records.c
+++ b/src/core/autoscaler/scale_out_records.c
@@ -2,14 +2,14 @@
 #include "../core_state.h"
 #include "../record_sources.h"
 
-json_t *ws_record_scale_out(const struct ws_scale_out *request)
+json_t *ws_scale_out_encode(const struct ws_scale_out *request)
 {
 	struct ws_scale_out_record record = {
 	    .type = request->type,
 	    .zone = request->zone,
 	    .preemptible = request->preemptible,
 	    .count = request->count,
-	    .acquired = request->state == WS_SCALE_OUT_GRANTED,
+	    .granted = request->state == WS_SCALE_OUT_GRANTED,
 	    .instance_count = request->instance_count,
 	};
 
@@ -18,7 +18,7 @@
 	return ws_scale_out_record_encode(&record);
 }
 
-bool ws_record_read_scale_out(json_t *value, struct ws_scale_out *request)
+bool ws_scale_out_decode(json_t *value, struct ws_scale_out *request)
 {
 	struct ws_scale_out_record record;
 
@@ -28,7 +28,7 @@
 	snprintf(request->zone, sizeof(request->zone), "%s", record.zone);
 	request->preemptible = record.preemptible;
 	request->count = record.count;
-	request->state = record.acquired ? WS_SCALE_OUT_GRANTED : WS_SCALE_OUT_RECORDED;
+	request->state = record.granted ? WS_SCALE_OUT_GRANTED : WS_SCALE_OUT_RECORDED;
 	request->instances = calloc(record.instance_count + 1, sizeof(*request->instances));
 	if (!request->instances)
 		return false;
@@ -60,7 +60,7 @@
 		 record->key + strlen(WS_KEY_PREFIX_SCALE_OUT));
 	request->revision = record->revision;
 	request->created_at = request->next_attempt_at = core->now;
-	if (!ws_record_read_scale_out(record->value, request)) {
+	if (!ws_scale_out_decode(record->value, request)) {
 		ws_log(core, WS_LOG_ERROR, "malformed scale-out record ignored key=%s",
 		       record->key);
 		free(request->instances);
@@ -82,7 +82,7 @@
 			     struct ws_scale_out *request)
 {
 	json_t *value =
-	    request->state == WS_SCALE_OUT_DISCARDED ? NULL : ws_record_scale_out(request);
+	    request->state == WS_SCALE_OUT_DISCARDED ? NULL : ws_scale_out_encode(request);
 	char key[WS_KEY_MAX];
 
 	DL_DELETE2(core->autoscaler.dirty_requests, request, dirty_prev, dirty_next);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -151,9 +151,9 @@
 	ws_job_send_commands(core, job);
 }
 
-void ws_core_end_quarantined(struct ws_core *core, const char *job_id, double grace_s)
+void ws_core_stop_quarantined(struct ws_core *core, const char *job_id, double grace_s)
 {
-	ws_quarantine_end_job(core, job_id, grace_s);
+	ws_quarantine_stop_job(core, job_id, grace_s);
 }
 
 struct ws_core *ws_core_new(const struct ws_settings *settings, const struct ws_policy *policy,
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -165,8 +165,8 @@
 
 /* Outcome of a call. */
 enum ws_outcome {
-	WS_OUTCOME_NO_ANSWER, /* no valid reply arrived: it may have been carried out */
-	WS_OUTCOME_NOT_SENT,  /* the request was not sent */
+	WS_OUTCOME_NO_REPLY, /* no valid reply arrived: it may have been carried out */
+	WS_OUTCOME_NOT_SENT, /* the request was not sent */
 	WS_OUTCOME_OK,
 	WS_OUTCOME_REJECTED,  /* malformed, or exceeds a limit: not carried out */
 	WS_OUTCOME_NOT_FOUND, /* the key or the session does not exist */
@@ -384,7 +384,7 @@
 };
 
 /* WS_EFFECT_ANSWER_USER: the state of a job. */
-struct ws_user_reply {
+struct ws_user_answer_effect {
 	char job[WS_ID_MAX];
 	enum ws_job_phase phase;
 	uint32_t done, running; /* numbers of tasks */
@@ -393,7 +393,7 @@
 };
 
 /* WS_EFFECT_ANSWER_HEARTBEAT: redirects the worker, or renews its lease and sends commands. */
-struct ws_heartbeat_reply {
+struct ws_heartbeat_answer_effect {
 	char leader[WS_NAME_MAX];    /* OTHER_LEADER: the current leader's node */
 	uint64_t fencing_token;	     /* set with OK */
 	struct ws_command *commands; /* set with OK; owned */
@@ -413,8 +413,8 @@
 	uint64_t request_id;   /* the request that is answered or forwarded */
 	union {
 		struct ws_call *call; /* not owned: returned to the core by ws_core_complete() */
-		struct ws_user_reply user;
-		struct ws_heartbeat_reply heartbeat;
+		struct ws_user_answer_effect user;
+		struct ws_heartbeat_answer_effect heartbeat;
 		struct ws_forward forward;
 		struct ws_outage_vote_reply vote;
 	};
@@ -452,7 +452,7 @@
 void ws_effect_free(struct ws_effect *effect);
 /* Frees the contents of a heartbeat, but not the struct itself. */
 void ws_heartbeat_free(struct ws_heartbeat *heartbeat);
-/* Frees the contents of a result and resets it to WS_OUTCOME_NO_ANSWER of the same kind. */
+/* Frees the contents of a result and resets it to WS_OUTCOME_NO_REPLY of the same kind. */
 void ws_result_free(struct ws_result *result);
 /* Passes the result of a call to the core and frees the call; required once for each call. The
  * caller keeps the result. */
--- a/src/core/core_state.h
+++ b/src/core/core_state.h
@@ -112,7 +112,7 @@
 void ws_core_job_commands_due(struct ws_core *core, struct ws_job *job);
 /* Called by subsystems to stop the quarantined attempts of a job; each may write a checkpoint for
  * grace_s seconds. */
-void ws_core_end_quarantined(struct ws_core *core, const char *job_id, double grace_s);
+void ws_core_stop_quarantined(struct ws_core *core, const char *job_id, double grace_s);
 
 /* ---- outage_replica.c ---- */
 
--- a/src/core/extension/hooks.h
+++ b/src/core/extension/hooks.h
@@ -140,8 +140,8 @@
 
 /* Settings of the cluster from which subsystems derive their own limits. */
 struct ws_cluster_limits {
-	double report_s, lease_s;
-	double state_write_rps;
+	double heartbeat_s, lease_s;
+	double store_write_rps;
 	size_t value_bytes; /* maximum size of one record */
 	double cancel_s;    /* a cancelled job must have stopped within this time */
 	const char *node_zone;
@@ -230,7 +230,7 @@
 void ws_request_look_up(struct ws_request_queue *queue, const char *job);
 /* Stops all quarantined attempts of a job. They get grace_s seconds to save their state; 0 stops
  * them at once. */
-void ws_request_end_quarantined(struct ws_request_queue *queue, const char *job, double grace_s);
+void ws_request_stop_quarantined(struct ws_request_queue *queue, const char *job, double grace_s);
 
 /* How a job that loses attempts is to be scheduled until the next such request for it. */
 struct ws_move {
--- a/src/core/extension/subsystem_requests.c
+++ b/src/core/extension/subsystem_requests.c
@@ -73,7 +73,7 @@
 	ws_request_add(queue, WS_REQUEST_LOOK_UP, job);
 }
 
-void ws_request_end_quarantined(struct ws_request_queue *queue, const char *job, double grace_s)
+void ws_request_stop_quarantined(struct ws_request_queue *queue, const char *job, double grace_s)
 {
 	ws_request_add(queue, WS_REQUEST_STOP_QUARANTINED, job)->grace_s = grace_s;
 }
@@ -266,7 +266,7 @@
 		ws_subsystem_look_up(core, index, WS_KEY_PREFIX_JOB, request->name);
 		break;
 	case WS_REQUEST_STOP_QUARANTINED:
-		ws_core_end_quarantined(core, request->name, request->grace_s);
+		ws_core_stop_quarantined(core, request->name, request->grace_s);
 		break;
 	}
 }
--- a/src/core/fleet/fleet.c
+++ b/src/core/fleet/fleet.c
@@ -25,7 +25,7 @@
 		return machine;
 	machine = ws_alloc(1, sizeof(*machine));
 	snprintf(machine->name, sizeof(machine->name), "%s", name);
-	machine->first_seen = core->now;
+	machine->first_seen_at = core->now;
 	machine->empty_since = core->now;
 	machine->last_contact_at = NEVER_CONTACTED;
 	/* until this leader's election, an earlier one may have answered it and sent commands */
@@ -86,7 +86,7 @@
 static void ws_machine_apply_instance_identity(struct ws_core *core, struct ws_machine *machine,
 					       const struct ws_instance *instance)
 {
-	machine->first_seen = fmin(machine->first_seen, core->now - instance->age_s);
+	machine->first_seen_at = fmin(machine->first_seen_at, core->now - instance->age_s);
 	ws_machine_set_kind(core, machine, instance->type, instance->zone, instance->preemptible);
 	if (!machine->port && instance->port) {
 		snprintf(machine->address, sizeof(machine->address), "%s", instance->address);
@@ -103,7 +103,7 @@
 		return;
 	if (!machine) {
 		machine = ws_machine_find_or_add(core, instance->name);
-		machine->first_seen = core->now - instance->age_s;
+		machine->first_seen_at = core->now - instance->age_s;
 		if (!machine->owned)
 			ws_log(core, WS_LOG_INFO, "machine found in instance list machine=%s",
 			       machine->name);
--- a/src/core/fleet/fleet.h
+++ b/src/core/fleet/fleet.h
@@ -102,7 +102,7 @@
 	bool failed;	  /* according to the cloud */
 	bool gone;	  /* confirmed by the cloud; freed by a later sweep */
 	/* when it was added, or when the cloud created it, if earlier; when it first reported */
-	double first_seen, first_report_at;
+	double first_seen_at, first_report_at;
 
 	/* scale-in and preemption */
 	struct ws_machine_scale_in scale_in;
@@ -241,9 +241,9 @@
 /* Schedules the record that holds a machine to be written, and assigns a shard if it has none. */
 void ws_machine_mark_dirty(struct ws_core *core, struct ws_machine *machine);
 /* Encodes the record of a shard within the size limit of a value. The caller owns the result. */
-json_t *ws_record_machine_shard(struct ws_core *core, int index);
+json_t *ws_machine_shard_encode(struct ws_core *core, int index);
 /* Adds the machines of a shard's record that no other shard's record has named. */
-void ws_record_read_machine_shard(struct ws_core *core, json_t *value, int index);
+void ws_machine_shard_restore(struct ws_core *core, json_t *value, int index);
 
 /* ---- image_cache.c ---- */
 
@@ -303,7 +303,7 @@
  * applies their results. */
 void ws_quarantine_resolve_job(struct ws_core *core, struct ws_job *job);
 /* Ends all quarantined attempts of a job. grace_s: seconds to save their state; 0: none. */
-void ws_quarantine_end_job(struct ws_core *core, const char *job_id, double grace_s);
+void ws_quarantine_stop_job(struct ws_core *core, const char *job_id, double grace_s);
 /* Returns the maximum of CPUs and GPUs that attempts of unknown teams may use. */
 void ws_quarantine_reserved(struct ws_core *core, double *cpus, double *gpus);
 
--- a/src/core/fleet/heartbeats.c
+++ b/src/core/fleet/heartbeats.c
@@ -6,8 +6,8 @@
 {
 	machine->reported = true;
 	machine->first_report_at = core->now;
-	if (!machine->owned && core->now - machine->first_seen > core->settings->heartbeat_s)
-		ws_stats_booted(core, core->now - machine->first_seen);
+	if (!machine->owned && core->now - machine->first_seen_at > core->settings->heartbeat_s)
+		ws_stats_booted(core, core->now - machine->first_seen_at);
 	ws_log(core, WS_LOG_INFO, "machine up machine=%s type=%s zone=%s preemptible=%s owned=%s",
 	       machine->name, machine->type_name, machine->zone,
 	       machine->preemptible ? "yes" : "no", machine->owned ? "yes" : "no");
--- a/src/core/fleet/machine_shard_records.c
+++ b/src/core/fleet/machine_shard_records.c
@@ -29,7 +29,7 @@
 		return;
 	ws_shard_at(core, number)->revision = record->revision;
 	if (json_is_array(json_object_get(record->value, "m"))) {
-		ws_record_read_machine_shard(core, record->value, number);
+		ws_machine_shard_restore(core, record->value, number);
 	} else { /* counted as full, so that it is not overwritten */
 		ws_log(core, WS_LOG_ERROR, "malformed machine shard record ignored key=%s",
 		       record->key);
@@ -76,7 +76,7 @@
 	    core->now + PAUSE_WRITES / core->settings->store_write_rps;
 	batch->bytes += (size_t)core->writer.value_bytes_max;
 	snprintf(key, sizeof(key), "%s%d", WS_KEY_PREFIX_MACHINE_SHARD, number);
-	ws_write_batch_set_if(batch, key, shard->revision, ws_record_machine_shard(core, number));
+	ws_write_batch_set_if(batch, key, shard->revision, ws_machine_shard_encode(core, number));
 }
 
 /* Adds one shard at a time, if the transaction has room: records that users wait for go first. */
--- a/src/core/fleet/machine_shards.c
+++ b/src/core/fleet/machine_shards.c
@@ -76,7 +76,7 @@
 	return record;
 }
 
-json_t *ws_record_machine_shard(struct ws_core *core, int index)
+json_t *ws_machine_shard_encode(struct ws_core *core, int index)
 {
 	size_t capacity = (size_t)ws_shard_capacity(core) + 1;
 	struct ws_machine_shard_record record = {.image_names = core->catalog.image_names,
@@ -129,7 +129,7 @@
 	}
 }
 
-void ws_record_read_machine_shard(struct ws_core *core, json_t *value, int index)
+void ws_machine_shard_restore(struct ws_core *core, json_t *value, int index)
 {
 	struct ws_machine_shard_record shard;
 
--- a/src/core/fleet/quarantine.c
+++ b/src/core/fleet/quarantine.c
@@ -181,7 +181,7 @@
 	ws_quarantine_resolve_attempts(core, job);
 }
 
-void ws_quarantine_end_job(struct ws_core *core, const char *job_id, double grace_s)
+void ws_quarantine_stop_job(struct ws_core *core, const char *job_id, double grace_s)
 {
 	struct ws_machine *machine, *next_machine;
 
--- a/src/core/jobs/job_record_size.c
+++ b/src/core/jobs/job_record_size.c
@@ -5,7 +5,7 @@
 #define WS_GANG_MACHINE_BYTES 8		  /* in a job's record, for each machine of a gang */
 #define WS_GANG_RECORD_OVERHEAD_BYTES 704 /* in a gang's record, apart from its machines */
 
-size_t ws_record_size_limit(const struct ws_core *core)
+size_t ws_job_record_size_limit(const struct ws_core *core)
 {
 	return core->writer.value_bytes_max > 2 * WS_VALUE_RESERVE_BYTES
 		   ? (size_t)core->writer.value_bytes_max - WS_VALUE_RESERVE_BYTES
--- a/src/core/jobs/job_records.c
+++ b/src/core/jobs/job_records.c
@@ -112,12 +112,12 @@
 
 static void ws_job_add_live(struct ws_core *core, struct ws_write_batch *batch, struct ws_job *job)
 {
-	json_t *value = ws_core_encode_job_record(core, job, ws_record_size_limit(core));
+	json_t *value = ws_core_encode_job_record(core, job, ws_job_record_size_limit(core));
 	char key[WS_KEY_MAX];
 
 	if (!value) {
 		ws_job_release_planned(core, job);
-		value = ws_core_encode_job_record(core, job, ws_record_size_limit(core));
+		value = ws_core_encode_job_record(core, job, ws_job_record_size_limit(core));
 	}
 	if (!value) {
 		job->record.write_in_flight = false;
--- a/src/core/jobs/jobs.h
+++ b/src/core/jobs/jobs.h
@@ -296,7 +296,7 @@
 /* ---- job_record_size.c ---- */
 
 /* Returns the maximum size in bytes of a job's record, with a reserve below the store's limit. */
-size_t ws_record_size_limit(const struct ws_core *core);
+size_t ws_job_record_size_limit(const struct ws_core *core);
 /* Calls ws_job_record_encode() with the catalog's number of zones. */
 json_t *ws_core_encode_job_record(const struct ws_core *core, const struct ws_job *job,
 				  size_t limit);
--- a/src/core/leadership/leadership.h
+++ b/src/core/leadership/leadership.h
@@ -40,7 +40,7 @@
 struct ws_outage_votes {
 	uint64_t round;
 	int granted, outstanding;
-	double requested_at, last_answer_at, next_round_at;
+	double requested_at, last_reply_at, next_round_at;
 };
 
 struct ws_leadership {
--- a/src/core/leadership/outage.c
+++ b/src/core/leadership/outage.c
@@ -63,7 +63,7 @@
 	    call->outage_vote.round != core->leadership.votes.round)
 		return;
 	core->leadership.votes.outstanding--;
-	core->leadership.votes.last_answer_at = core->now;
+	core->leadership.votes.last_reply_at = core->now;
 	if (result->outcome != WS_OUTCOME_UNAVAILABLE || !result->vote.granted)
 		return;
 	ws_core_outage_cancellations(core, result->vote.cancellations,
@@ -86,13 +86,12 @@
 	/* a new round discards the open one, so with slow peers no round would ever complete */
 	if (!core->leadership.in_outage || core->now < core->leadership.votes.next_round_at ||
 	    (core->leadership.votes.outstanding > 0 &&
-	     core->now <
-		 core->leadership.votes.last_answer_at + core->leadership.session_ttl_s / 2))
+	     core->now < core->leadership.votes.last_reply_at + core->leadership.session_ttl_s / 2))
 		return;
 	core->leadership.votes.next_round_at = core->now + core->leadership.session_ttl_s / 8;
 	core->leadership.votes.round++;
 	core->leadership.votes.granted = core->leadership.votes.outstanding = 0;
-	core->leadership.votes.requested_at = core->leadership.votes.last_answer_at = core->now;
+	core->leadership.votes.requested_at = core->leadership.votes.last_reply_at = core->now;
 	for (size_t i = 0; i < core->settings->peer_count; i++)
 		ws_outage_vote_request(core, core->settings->peers[i].node,
 				       core->job_watch.revision, "");
--- a/src/core/records/job_record.c
+++ b/src/core/records/job_record.c
@@ -52,9 +52,10 @@
 	json_object_set_new(record, WS_FIELD_PLACEMENT_FLAGS,
 			    json_integer(ws_placement_flags(spec)));
 	json_object_set_new(record, WS_FIELD_ESTIMATE, json_real(spec->estimate_s));
-	json_object_set_new(record, WS_FIELD_CHECKPOINT_EVERY,
+	json_object_set_new(record, WS_FIELD_CHECKPOINT_INTERVAL,
 			    json_real(spec->checkpoint_interval_s));
-	json_object_set_new(record, WS_FIELD_SAVE_TIME, json_real(spec->checkpoint_duration_s));
+	json_object_set_new(record, WS_FIELD_CHECKPOINT_DURATION,
+			    json_real(spec->checkpoint_duration_s));
 	json_object_set_new(record, WS_FIELD_DEADLINE, json_real(spec->deadline_s));
 	return record;
 }
@@ -149,9 +150,9 @@
 	    &spec->mem_gb, WS_FIELD_IMAGE, &fields->image, WS_FIELD_IMAGE_SIZE, &spec->image_gb,
 	    WS_FIELD_ALLOWED_TYPES, &fields->types, WS_FIELD_ALLOWED_ZONE, &fields->zone,
 	    WS_FIELD_PLACEMENT_FLAGS, &fields->placement_flags, WS_FIELD_ESTIMATE,
-	    &spec->estimate_s, WS_FIELD_CHECKPOINT_EVERY, &spec->checkpoint_interval_s,
-	    WS_FIELD_SAVE_TIME, &spec->checkpoint_duration_s, WS_FIELD_DEADLINE, &spec->deadline_s,
-	    WS_FIELD_COMPLETED_TASKS, &fields->completed);
+	    &spec->estimate_s, WS_FIELD_CHECKPOINT_INTERVAL, &spec->checkpoint_interval_s,
+	    WS_FIELD_CHECKPOINT_DURATION, &spec->checkpoint_duration_s, WS_FIELD_DEADLINE,
+	    &spec->deadline_s, WS_FIELD_COMPLETED_TASKS, &fields->completed);
 }
 
 static bool ws_job_fields_in_range(const struct ws_job_fields *fields)
--- a/src/core/records/record_fields.h
+++ b/src/core/records/record_fields.h
@@ -20,11 +20,11 @@
 #define WS_FIELD_IMAGE_SIZE "gb"     /* of the image, in GB */
 #define WS_FIELD_ALLOWED_TYPES "ty"  /* names of machine types; any if empty */
 #define WS_FIELD_ALLOWED_ZONE "z"    /* name of the only allowed zone; any if empty */
-#define WS_FIELD_PLACEMENT_FLAGS "fl"  /* sum of the WS_PLACEMENT_ flags below */
-#define WS_FIELD_ESTIMATE "e"	       /* estimated run time of a task, seconds */
-#define WS_FIELD_CHECKPOINT_EVERY "ck" /* checkpoint interval, seconds; 0 if none are made */
-#define WS_FIELD_SAVE_TIME "sa"	       /* time to write a checkpoint, seconds */
-#define WS_FIELD_DEADLINE "dl"	       /* seconds after submission; negative if none */
+#define WS_FIELD_PLACEMENT_FLAGS "fl"	  /* sum of the WS_PLACEMENT_ flags below */
+#define WS_FIELD_ESTIMATE "e"		  /* estimated run time of a task, seconds */
+#define WS_FIELD_CHECKPOINT_INTERVAL "ck" /* checkpoint interval, seconds; 0 if none are made */
+#define WS_FIELD_CHECKPOINT_DURATION "sa" /* time to write a checkpoint, seconds */
+#define WS_FIELD_DEADLINE "dl"		  /* seconds after submission; negative if none */
 
 #define WS_PLACEMENT_ONE_ZONE 1	   /* all tasks in one zone */
 #define WS_PLACEMENT_SPREAD 2	   /* tasks on different machines */
@@ -47,7 +47,7 @@
 #define WS_FIELD_ZONE "z"
 #define WS_FIELD_PREEMPTIBLE "sp"
 #define WS_FIELD_INSTANCE_COUNT "n" /* number of requested instances */
-#define WS_FIELD_ACQUIRED "got"	    /* whether the cloud has confirmed the request */
+#define WS_FIELD_GRANTED "got"	    /* whether the cloud has confirmed the request */
 #define WS_FIELD_INSTANCES "h"	    /* names of the instances started for it */
 
 /* Fields of the leader's record. */
--- a/src/core/records/records.h
+++ b/src/core/records/records.h
@@ -167,7 +167,7 @@
 	const char *type, *zone;
 	bool preemptible;
 	uint32_t count; /* number of requested instances */
-	bool acquired;	/* the cloud has confirmed the request and started the instances below */
+	bool granted;	/* the cloud has confirmed the request and started the instances below */
 	const char *instances[WS_SCALE_OUT_INSTANCES_MAX];
 	uint32_t instance_count;
 };
--- a/src/failure_domains/failure_domains.c
+++ b/src/failure_domains/failure_domains.c
@@ -42,7 +42,7 @@
 	return "";
 }
 
-void ws_domains_settings_init(struct ws_domains_settings *settings)
+void ws_domains_settings_defaults(struct ws_domains_settings *settings)
 {
 	*settings = (struct ws_domains_settings){
 	    .unreachable_share = UNREACHABLE_SHARE,
--- a/src/failure_domains/failure_domains.h
+++ b/src/failure_domains/failure_domains.h
@@ -60,7 +60,7 @@
 struct ws_failure_domains;
 
 /* Sets all settings to their defaults. */
-void ws_domains_settings_init(struct ws_domains_settings *settings);
+void ws_domains_settings_defaults(struct ws_domains_settings *settings);
 /* Frees the arrays of the settings. */
 void ws_domains_settings_free(struct ws_domains_settings *settings);
 /* Returns a description of the error for operators, to follow the name of the domain or network. */
--- a/src/failure_domains/health.c
+++ b/src/failure_domains/health.c
@@ -134,7 +134,7 @@
 
 void ws_domains_advance_clock(struct ws_failure_domains *domains, double now)
 {
-	const double pause_s = PAUSE_HEARTBEATS * domains->limits.report_s;
+	const double pause_s = PAUSE_HEARTBEATS * domains->limits.heartbeat_s;
 
 	if (domains->serving && now > domains->clock_advanced_at)
 		domains->serving_clock += fmin(now - domains->clock_advanced_at, pause_s);
@@ -144,7 +144,7 @@
 /* Moves machines that are overdue by the serving clock from the fronts of the lists. */
 static void expire_overdue_machines(struct ws_failure_domains *domains)
 {
-	const double heartbeat_s = domains->limits.report_s;
+	const double heartbeat_s = domains->limits.heartbeat_s;
 	const double unresponsive_after = UNRESPONSIVE_HEARTBEATS * heartbeat_s;
 	const double isolated_after = ISOLATED_FAILURE_HEARTBEATS * heartbeat_s;
 	struct ws_domains_machine *machine;
@@ -288,7 +288,7 @@
 	if (controller_connectivity_ok(domains, domain)) {
 		if (2 * domain->unanswered >= lost_machine_count(domain))
 			enter_unreachable(domains, domain, WS_DOMAINS_COMMANDS_UNANSWERED, now);
-		else if (elapsed_s > CONFIRM_HEARTBEATS * domains->limits.report_s)
+		else if (elapsed_s > CONFIRM_HEARTBEATS * domains->limits.heartbeat_s)
 			enter_unreachable(domains, domain, WS_DOMAINS_HEARTBEATS_STOPPED, now);
 	} else if (domains->live_count > domain->live &&
 		   elapsed_s > domains->limits.lease_s * LEASE_EXPIRY_FACTOR) {
@@ -363,9 +363,9 @@
 {
 	ws_domains_advance_clock(domains, info->now);
 	if (info->serving && !domains->serving) /* unanswered workers need time to reconnect */
-		domains->evaluate_from =
-		    fmax(domains->evaluate_from,
-			 domains->serving_clock + RECONNECT_HEARTBEATS * domains->limits.report_s);
+		domains->evaluate_from = fmax(
+		    domains->evaluate_from,
+		    domains->serving_clock + RECONNECT_HEARTBEATS * domains->limits.heartbeat_s);
 	domains->serving = info->serving;
 	if (!info->serving || domains->serving_clock < domains->evaluate_from)
 		return;
--- a/src/failure_domains/plan.c
+++ b/src/failure_domains/plan.c
@@ -474,7 +474,7 @@
 		plan->finished_tasks = plan->cancelled_moves = 0;
 		plan->last_progress = (struct ws_domains_progress){0};
 	}
-	plan->survey_due_at = now + domains->limits.report_s;
+	plan->survey_due_at = now + domains->limits.heartbeat_s;
 	plan->survey_number++;
 	for (struct ws_failure_domain *domain = domains->by_name; domain; domain = domain->hh.next)
 		for (struct ws_domains_membership *member = domain->members; member;
--- a/src/io/decode_internal.h
+++ b/src/io/decode_internal.h
@@ -13,7 +13,7 @@
  * memory is already freed. */
 bool ws_decode_heartbeat_object(struct ws_json object, struct ws_heartbeat *heartbeat);
 
-/* ---- decode_state.c ---- */
+/* ---- decode_store.c ---- */
 
 /* Decodes the reply to a read of one record, a list of records or a watch. */
 bool ws_decode_store_reply(const struct ws_call *call, const char *body, size_t length,
--- a/src/io/http_status.c
+++ b/src/io/http_status.c
@@ -1,7 +1,7 @@
 #include "http_status.h"
 
 static const int outcome_statuses[] = {
-    [WS_OUTCOME_NO_ANSWER] = 0,	  [WS_OUTCOME_NOT_SENT] = -1,	   [WS_OUTCOME_OK] = 200,
+    [WS_OUTCOME_NO_REPLY] = 0,	  [WS_OUTCOME_NOT_SENT] = -1,	   [WS_OUTCOME_OK] = 200,
     [WS_OUTCOME_REJECTED] = 400,  [WS_OUTCOME_NOT_FOUND] = 404,	   [WS_OUTCOME_CONFLICT] = 409,
     [WS_OUTCOME_COMPACTED] = 410, [WS_OUTCOME_RATE_LIMITED] = 429, [WS_OUTCOME_UNAVAILABLE] = 503,
     [WS_OUTCOME_OTHER] = 500,
--- a/src/io/outgoing_calls.c
+++ b/src/io/outgoing_calls.c
@@ -112,12 +112,12 @@
 	struct ws_result result;
 
 	ws_decode_reply(call, status, body, length, &result);
-	if (status > 0 && result.outcome == WS_OUTCOME_NO_ANSWER)
+	if (status > 0 && result.outcome == WS_OUTCOME_NO_REPLY)
 		ws_logf(WS_LOG_ERROR,
 			"malformed reply discarded kind=%d target=%s status=%d bytes=%zu",
 			call->kind, call_target(call), status, length);
 	if (result.outcome == WS_OUTCOME_NOT_SENT && call->kind != WS_CALL_COMMANDS) {
-		result.outcome = WS_OUTCOME_NO_ANSWER;
+		result.outcome = WS_OUTCOME_NO_REPLY;
 		result.http_status = 0;
 	}
 	complete(service, call, &result);
--- a/src/main.c
+++ b/src/main.c
@@ -138,13 +138,14 @@
 			  struct ws_startup_error *error)
 {
 	ws_policy_defaults(policy);
-	ws_subsystem_defaults(subsystems);
+	ws_subsystem_settings_defaults(subsystems);
 	if (!ws_config_read_settings(args->config, settings, error))
 		return false;
 	if (args->policy && !ws_config_read_policy(args->policy, policy, error))
 		return false;
-	return !args->subsystems || (ws_subsystem_read(args->subsystems, subsystems, error) &&
-				     ws_subsystem_attach(NULL, subsystems, settings, error));
+	return !args->subsystems ||
+	       (ws_subsystem_settings_read(args->subsystems, subsystems, error) &&
+		ws_subsystem_attach(NULL, subsystems, settings, error));
 }
 
 static void print_check_result(const char *file, const struct ws_settings *settings,
@@ -244,6 +245,6 @@
 		raise_descriptor_limit(settings.max_sockets);
 		status = run_controller(&settings, &policy, &subsystems);
 	}
-	ws_subsystem_free(&subsystems);
+	ws_subsystem_settings_free(&subsystems);
 	return status;
 }
--- a/src/subsystem_settings.c
+++ b/src/subsystem_settings.c
@@ -7,15 +7,15 @@
 
 #define KEY_PATH_SIZE 160
 
-void ws_subsystem_defaults(struct ws_subsystem_settings *settings)
+void ws_subsystem_settings_defaults(struct ws_subsystem_settings *settings)
 {
 	settings->failure_domains_enabled = false;
-	ws_domains_settings_init(&settings->failure_domains);
+	ws_domains_settings_defaults(&settings->failure_domains);
 	settings->cold_start_enabled = false;
 	ws_cold_start_defaults(&settings->cold_start);
 }
 
-void ws_subsystem_free(struct ws_subsystem_settings *settings)
+void ws_subsystem_settings_free(struct ws_subsystem_settings *settings)
 {
 	ws_domains_settings_free(&settings->failure_domains);
 }
@@ -126,8 +126,8 @@
 		ws_config_invalid(reader, name, "must be a table");
 }
 
-bool ws_subsystem_read(const char *path, struct ws_subsystem_settings *settings,
-		       struct ws_startup_error *error)
+bool ws_subsystem_settings_read(const char *path, struct ws_subsystem_settings *settings,
+				struct ws_startup_error *error)
 {
 	static const char *const known[] = {"zones", "coldstart"};
 	struct ws_config_reader reader;
@@ -190,9 +190,9 @@
 {
 	const char *zone_names[WS_MAX_ZONES];
 	struct ws_cluster_limits limits = {
-	    .report_s = platform->heartbeat_s,
+	    .heartbeat_s = platform->heartbeat_s,
 	    .lease_s = platform->lease_s,
-	    .state_write_rps = platform->store_write_rps,
+	    .store_write_rps = platform->store_write_rps,
 	    .value_bytes = (size_t)(platform->value_kb * 1024),
 	    .cancel_s = platform->cancel_s,
 	    .node_zone = platform->zone,
--- a/src/subsystem_settings.h
+++ b/src/subsystem_settings.h
@@ -14,11 +14,11 @@
 };
 
 /* Sets every subsystem to disabled, with its default settings. */
-void ws_subsystem_defaults(struct ws_subsystem_settings *settings);
-void ws_subsystem_free(struct ws_subsystem_settings *settings);
+void ws_subsystem_settings_defaults(struct ws_subsystem_settings *settings);
+void ws_subsystem_settings_free(struct ws_subsystem_settings *settings);
 /* Reads the file. Returns false with the first error, which names the key. */
-bool ws_subsystem_read(const char *path, struct ws_subsystem_settings *settings,
-		       struct ws_startup_error *error);
+bool ws_subsystem_settings_read(const char *path, struct ws_subsystem_settings *settings,
+				struct ws_startup_error *error);
 /*
  * Attaches the enabled subsystems to a core; with a NULL core the settings are only checked against
  * the platform's. Returns false with the error on failure.
--- a/src/subsystem_support/subsystem_moves.c
+++ b/src/subsystem_support/subsystem_moves.c
@@ -6,7 +6,7 @@
 
 size_t ws_subsystem_moves_max(const struct ws_cluster_limits *limits)
 {
-	double moves = STORE_WRITE_SHARE * limits->state_write_rps * limits->report_s;
+	double moves = STORE_WRITE_SHARE * limits->store_write_rps * limits->heartbeat_s;
 
 	return moves > MOVES_MIN ? (size_t)moves : MOVES_MIN;
 }
--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -310,10 +310,10 @@
 	struct ws_result result;
 
 	decode_reply(&call, 200, "{\"k\":\"job/other\",\"value\":1,\"stamp\":2}", 38, &result);
-	check("a reply for another key is no answer", result.outcome == WS_OUTCOME_NO_ANSWER);
+	check("a reply for another key is no answer", result.outcome == WS_OUTCOME_NO_REPLY);
 	ws_result_free(&result);
 	decode_reply(&call, 200, "garbage", 7, &result);
-	check("a reply that is not JSON is no answer", result.outcome == WS_OUTCOME_NO_ANSWER);
+	check("a reply that is not JSON is no answer", result.outcome == WS_OUTCOME_NO_REPLY);
 	ws_result_free(&result);
 	call.kind = WS_CALL_SCALE_OUT;
 	decode_reply(&call, 503, "{\"error\":\"trouble\"}", 19, &result);
--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -50,18 +50,18 @@
 
 		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].setting);
 		check(what, !ok && strstr(error, refusals[i].setting));
-		ws_subsystem_free(&settings);
+		ws_subsystem_settings_free(&settings);
 	}
 	check("the subsystem is disabled without its table",
 	      read_subsystem_text("", &settings, error, sizeof(error)) &&
 		  !settings.cold_start_enabled);
-	ws_subsystem_free(&settings);
+	ws_subsystem_settings_free(&settings);
 	check("all settings are read",
 	      read_subsystem_text("[coldstart]\nenabled = true\nkeep_s = 9.0\nheard_share = 1.0\n",
 				  &settings, error, sizeof(error)) &&
 		  settings.cold_start_enabled && settings.cold_start.quarantine_s == 9 &&
 		  settings.cold_start.answered_share == 1);
-	ws_subsystem_free(&settings);
+	ws_subsystem_settings_free(&settings);
 }
 
 /* ---- detection of a cold start ---- */
@@ -69,10 +69,10 @@
 static struct ws_cold_start *new_cold_start(void)
 {
 	struct ws_cold_start_settings settings;
-	const struct ws_cluster_limits limits = {.report_s = 2,
+	const struct ws_cluster_limits limits = {.heartbeat_s = 2,
 						 .lease_s = LEASE_S,
 						 .cancel_s = 46,
-						 .state_write_rps = 50,
+						 .store_write_rps = 50,
 						 .value_bytes = 4096};
 
 	ws_cold_start_defaults(&settings);
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -57,7 +57,7 @@
 
 		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].expected);
 		check(what, !ok && strstr(error, refusals[i].expected));
-		ws_subsystem_free(&settings);
+		ws_subsystem_settings_free(&settings);
 	}
 }
 
@@ -97,7 +97,7 @@
 static void check_lookups(void)
 {
 	struct ws_subsystem_settings settings;
-	struct ws_cluster_limits limits = {.report_s = 2, .lease_s = 16, .node_zone = "a"};
+	struct ws_cluster_limits limits = {.heartbeat_s = 2, .lease_s = 16, .node_zone = "a"};
 	struct ws_domains_error domains_error;
 	struct ws_failure_domains *domains;
 	char error[512];
@@ -127,20 +127,20 @@
 	}
 	check("two invalid addresses were logged", invalid_address_count == 2);
 	ws_domains_free(domains);
-	ws_subsystem_free(&settings);
+	ws_subsystem_settings_free(&settings);
 }
 
 /* The state that a leader recorded for a zone is restored even if the settings don't list it. */
 static void check_unlisted_zone(void)
 {
 	struct ws_domains_settings settings;
-	struct ws_cluster_limits limits = {.report_s = 2, .lease_s = 16, .node_zone = "a"};
+	struct ws_cluster_limits limits = {.heartbeat_s = 2, .lease_s = 16, .node_zone = "a"};
 	struct ws_domains_error domains_error;
 	struct ws_failure_domains *domains;
 	const struct ws_failure_domain *domain;
 	json_t *record = json_pack("{s:i,s:s,s:f}", "v", 1, "state", "dark", "penalty", 2.0);
 
-	ws_domains_settings_init(&settings);
+	ws_domains_settings_defaults(&settings);
 	domains = ws_domains_new(&settings, &limits, log_text, &domains_error);
 	ws_domains_ops.elected(domains, &(struct ws_election_info){.now = 10});
 	ws_domains_ops.record_loaded(domains, "domain/far", record);
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -221,10 +221,10 @@
 	json_t *value = json_loads(scale_out_request, 0, NULL), *encoded;
 
 	check("a scale-out record is decoded",
-	      ws_record_read_scale_out(value, &request) && request.instance_count == 3 &&
+	      ws_scale_out_decode(value, &request) && request.instance_count == 3 &&
 		  request.preemptible && request.state == WS_SCALE_OUT_GRANTED &&
 		  !strcmp(request.instances[2], "n-000102"));
-	encoded = ws_record_scale_out(&request);
+	encoded = ws_scale_out_encode(&request);
 	check("a scale-out record is encoded unchanged", json_equal(value, encoded));
 	json_decref(value);
 	json_decref(encoded);
@@ -240,12 +240,12 @@
 	ws_policy_defaults(&policy);
 	core = ws_core_new(&settings, &policy, NULL, 1, 1);
 	value = json_loads(machine_shard, 0, NULL);
-	ws_record_read_machine_shard(core, value, 0);
+	ws_machine_shard_restore(core, value, 0);
 	machine = ws_machine_find(core, "n-000002");
 	check("a shard of the fleet is decoded",
 	      machine && machine->port == 9000 && machine->incarnation == 3 &&
 		  machine->preemptible && machine->image_cache_count == 1);
-	encoded = ws_record_machine_shard(core, 0);
+	encoded = ws_machine_shard_encode(core, 0);
 	check("a shard of the fleet is encoded in the same format",
 	      json_array_size(json_object_get(encoded, "m")) == 2 &&
 		  json_array_size(json_array_get(json_object_get(encoded, "m"), 1)) == 8);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -93,7 +93,7 @@
 	sim->instance_limit = 100;
 	sim->random_state = 12345;
 	ws_policy_defaults(&sim->policy);
-	ws_domains_settings_init(&sim->domains_settings);
+	ws_domains_settings_defaults(&sim->domains_settings);
 	ws_cold_start_defaults(&sim->cold_start_settings);
 	sim->cold_start_enabled = sim_cold_start_always;
 	sim_digest_init(sim);
--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -190,7 +190,7 @@
 	}
 	if (is_awaited) {
 		if (is_store_call(flight->call->kind) && sim->now < node->store_partitioned_until)
-			flight->result.outcome = WS_OUTCOME_NO_ANSWER;
+			flight->result.outcome = WS_OUTCOME_NO_REPLY;
 		node->version->complete(node->core, sim_node_time(sim, node), flight->call,
 					&flight->result);
 	} else {
@@ -246,7 +246,7 @@
 	if (sees_no_changes) {
 		ws_result_free(&flight->result);
 		flight->result.outcome = sim->now < node->store_partitioned_until
-					     ? WS_OUTCOME_NO_ANSWER
+					     ? WS_OUTCOME_NO_REPLY
 					     : WS_OUTCOME_UNAVAILABLE;
 	}
 	if (flight->node == sim_leader(sim))
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -16,9 +16,9 @@
 			     struct ws_cluster_limits *limits)
 {
 	*limits = (struct ws_cluster_limits){
-	    .report_s = sim->heartbeat_s,
+	    .heartbeat_s = sim->heartbeat_s,
 	    .lease_s = sim->lease_s,
-	    .state_write_rps = node->settings.store_write_rps,
+	    .store_write_rps = node->settings.store_write_rps,
 	    .value_bytes = (size_t)(node->settings.value_kb * 1024),
 	    .cancel_s = sim->cancel_s,
 	    .node_zone = node->settings.zone,
--- a/tests/sim_production_effects.c
+++ b/tests/sim_production_effects.c
@@ -179,7 +179,8 @@
 	return answer;
 }
 
-static void convert_user_reply(struct ws_user_reply *reply, const struct production_effect *from)
+static void convert_user_reply(struct ws_user_answer_effect *reply,
+			       const struct production_effect *from)
 {
 	PRODUCTION_COPY_TEXT(reply->job, from->name);
 	reply->phase = PRODUCTION_ENUMERATOR(job_phases, from->phase);
@@ -189,7 +190,7 @@
 	reply->retry_after_s = from->retry_after_s;
 }
 
-static void convert_heartbeat_reply(struct ws_heartbeat_reply *reply,
+static void convert_heartbeat_reply(struct ws_heartbeat_answer_effect *reply,
 				    const struct production_effect *from)
 {
 	PRODUCTION_COPY_TEXT(reply->leader, from->name);
--- a/tests/subsystem_text.h
+++ b/tests/subsystem_text.h
@@ -11,7 +11,7 @@
 				       char *error, size_t size)
 {
 	struct ws_startup_error startup_error = {0};
-	bool ok = ws_subsystem_read(path, settings, &startup_error);
+	bool ok = ws_subsystem_settings_read(path, settings, &startup_error);
 
 	ws_startup_error_format(&startup_error, error, size);
 	return ok;
@@ -39,7 +39,7 @@
 
 	fputs(text, file);
 	fclose(file);
-	ws_subsystem_defaults(settings);
+	ws_subsystem_settings_defaults(settings);
 	ok = read_subsystem_file(path, settings, error, size);
 	unlink(path);
 	return ok;
