--- a/tests/production_adapter.c
+++ b/tests/production_adapter.c
@@ -502,8 +502,8 @@
 	ws_core_abort(production->core, now, request_id, job, forwarded);
 }
 
-static void take_heartbeat(struct production_core *production, double now, uint64_t request_id,
-			   const struct production_heartbeat *heartbeat, bool forwarded)
+static void handle_heartbeat(struct production_core *production, double now, uint64_t request_id,
+			     const struct production_heartbeat *heartbeat, bool forwarded)
 {
 	struct ws_report converted = {0};
 
@@ -551,7 +551,7 @@
 	    .submit = submit,
 	    .query_status = query_status,
 	    .cancel = cancel_job,
-	    .heartbeat = take_heartbeat,
+	    .heartbeat = handle_heartbeat,
 	    .outage_vote = outage_vote,
 	    .free_effect = free_effect,
 	    .free_call = free_call,
--- a/tests/sim_actions.c
+++ b/tests/sim_actions.c
@@ -134,7 +134,7 @@
  * check-consistency ID: polls and resubmits the job at all nodes, and checks that the answers are
  * consistent
  */
-static void run_check_job(struct sim *sim, const struct sim_action *action)
+static void run_check_consistency(struct sim *sim, const struct sim_action *action)
 {
 	struct sim_job *job = sim_find_job(sim, action->operand);
 
@@ -146,7 +146,7 @@
  * check-consistency-on-change SHARE for=S: checks each job after each change of it, then cancels
  * this fraction
  */
-static void run_check_on_change(struct sim *sim, const struct sim_action *action)
+static void run_check_consistency_on_change(struct sim *sim, const struct sim_action *action)
 {
 	sim->consistency_checks_until = sim->now + action->duration_s;
 	sim->cancel_share = atof(action->operand);
@@ -367,7 +367,7 @@
 }
 
 /* slow-command-answers SECONDS: delays answers to commands, which are executed at once */
-static void run_slow_commands(struct sim *sim, const struct sim_action *action)
+static void run_slow_command_answers(struct sim *sim, const struct sim_action *action)
 {
 	sim->command_answer_delay_s = atof(action->operand);
 }
@@ -376,7 +376,7 @@
  * slow-heartbeat-answers SECONDS [for=S] [share=X]: delays answers to heartbeats, but no direct
  * commands
  */
-static void run_slow_answers(struct sim *sim, const struct sim_action *action)
+static void run_slow_heartbeat_answers(struct sim *sim, const struct sim_action *action)
 {
 	sim->slow_answer_delay_s = atof(action->operand);
 	sim->slow_answers_until = sim->now + action->duration_s;
@@ -402,7 +402,7 @@
 	sim->heartbeats_list_tasks_twice = true;
 }
 
-/* ---- the table ---- */
+/* ---- execution of actions ---- */
 
 /* after-scale-in SECONDS ACTION ...: runs the action this long after the first scale-in */
 static void run_after_scale_in(struct sim *sim, const struct sim_action *action)
@@ -416,8 +416,8 @@
     {"abort-many", run_abort_many},
     {"abort-on-completion", run_abort_on_completion},
     {"after-scale-in", run_after_scale_in},
-    {"check-consistency", run_check_job},
-    {"check-consistency-on-change", run_check_on_change},
+    {"check-consistency", run_check_consistency},
+    {"check-consistency-on-change", run_check_consistency_on_change},
     {"cloud-outage", run_cloud_outage},
     {"corrupt-record", run_corrupt_record},
     {"crash", run_crash},
@@ -433,8 +433,8 @@
     {"partition-zones", run_partition_zones},
     {"poll-unsubmitted", run_poll_unsubmitted},
     {"resign", run_resign},
-    {"slow-command-answers", run_slow_commands},
-    {"slow-heartbeat-answers", run_slow_answers},
+    {"slow-command-answers", run_slow_command_answers},
+    {"slow-heartbeat-answers", run_slow_heartbeat_answers},
     {"slow-store", run_slow_store},
     {"stall-watches", run_stall_watches},
     {"store-errors", run_store_errors},
--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -17,7 +17,7 @@
 #define VOTE_UNREACHABLE_S 0.3 /* until a peer is reported as unreachable */
 #define STORE_TIMEOUT_S 1
 #define CLOUD_TIMEOUT_S 2
-#define LATE_WRITE_MIN_S 2
+#define TIMED_OUT_WRITE_DELAY_MIN_S 2
 
 static bool is_store_call(enum ws_call_kind kind)
 {
@@ -68,7 +68,7 @@
 	return sim->crash_skip-- <= 0;
 }
 
-static bool is_late_write(struct sim *sim, const struct ws_call *call)
+static bool should_time_out_write(struct sim *sim, const struct ws_call *call)
 {
 	return call->kind == WS_CALL_TRANSACTION && call->transaction.operation_count &&
 	       sim->now < sim->timed_out_writes_until &&
@@ -113,7 +113,7 @@
 
 /* Lets the sender time out on a transaction that is still executed some time later. */
 static void abandon_transaction(struct sim *sim, struct sim_call_in_flight *flight,
-				bool is_late_by_share)
+				bool write_times_out)
 {
 	struct sim_call_in_flight *unanswered = flight_new(sim, flight->node, flight->call);
 
@@ -121,20 +121,21 @@
 	flight->call = transaction_copy(flight->call);
 	flight->call_version = &sim_this_version;
 	flight->stage = SIM_CALL_ABANDONED;
-	if (!is_late_by_share) {
+	if (!write_times_out) {
 		sim->delayed_txns--;
 		flight->due_at = sim->now + sim->txn_delay_s;
 	} else if (sim->timed_out_writes_at_once) {
 		flight->due_at = sim->now + CALL_LATENCY_S;
 	} else {
-		flight->due_at = sim->now + LATE_WRITE_MIN_S +
-				 (sim->timed_out_writes_max_s - LATE_WRITE_MIN_S) * sim_random(sim);
+		flight->due_at =
+		    sim->now + TIMED_OUT_WRITE_DELAY_MIN_S +
+		    (sim->timed_out_writes_max_s - TIMED_OUT_WRITE_DELAY_MIN_S) * sim_random(sim);
 	}
 }
 
 /* Applies the store's and the network's faults to a call before it is executed. */
 static void apply_store_faults(struct sim *sim, struct sim_call_in_flight *flight,
-			       bool is_late_by_share)
+			       bool write_times_out)
 {
 	const struct sim_node *node = &sim->nodes[flight->node];
 	const struct ws_call *call = flight->call;
@@ -149,16 +150,16 @@
 		flight->stage = SIM_CALL_TO_ANSWER;
 		flight->result.outcome = WS_OUTCOME_UNAVAILABLE;
 	} else if (call->kind == WS_CALL_TRANSACTION &&
-		   (is_late_by_share ||
+		   (write_times_out ||
 		    (sim->delayed_txns > 0 && sim_leader(sim) == flight->node))) {
-		abandon_transaction(sim, flight, is_late_by_share);
+		abandon_transaction(sim, flight, write_times_out);
 	}
 }
 
 void sim_call_start(struct sim *sim, int node, struct ws_call *call)
 {
 	bool crashes = should_crash_sender(sim, node, call);
-	bool is_late_by_share = is_late_write(sim, call);
+	bool write_times_out = should_time_out_write(sim, call);
 	struct sim_call_in_flight *flight;
 
 	if (crashes && sim->crash == SIM_CRASH_BEFORE) {
@@ -169,7 +170,7 @@
 	}
 	flight = flight_new(sim, node, call);
 	if (is_store_call(call->kind))
-		apply_store_faults(sim, flight, is_late_by_share);
+		apply_store_faults(sim, flight, write_times_out);
 	schedule(sim, flight);
 	if (crashes) { /* the call is executed, but its sender has crashed */
 		sim->crash = SIM_CRASH_NONE;
@@ -300,19 +301,19 @@
 
 static void delay_commands(struct sim *sim, const struct ws_call *call, int worker, double due_at)
 {
-	struct sim_late_command *late = calloc(1, sizeof(*late));
-
-	late->due_at = due_at;
-	late->worker = worker;
-	late->fencing_token = call->commands.fencing_token;
-	late->incarnation = call->commands.incarnation;
-	late->command_count = call->commands.count;
-	late->commands = calloc(call->commands.count + 1, sizeof(*late->commands));
+	struct sim_late_command *delayed = calloc(1, sizeof(*delayed));
+
+	delayed->due_at = due_at;
+	delayed->worker = worker;
+	delayed->fencing_token = call->commands.fencing_token;
+	delayed->incarnation = call->commands.incarnation;
+	delayed->command_count = call->commands.count;
+	delayed->commands = calloc(call->commands.count + 1, sizeof(*delayed->commands));
 	if (call->commands.count)
-		memcpy(late->commands, call->commands.list,
-		       call->commands.count * sizeof(*late->commands));
-	late->next = sim->late_commands;
-	sim->late_commands = late;
+		memcpy(delayed->commands, call->commands.list,
+		       call->commands.count * sizeof(*delayed->commands));
+	delayed->next = sim->late_commands;
+	sim->late_commands = delayed;
 }
 
 static void execute_commands(struct sim *sim, struct sim_call_in_flight *flight)
@@ -441,29 +442,29 @@
 	}
 }
 
-static void late_command_free(struct sim_late_command *late)
+static void delayed_command_free(struct sim_late_command *delayed)
 {
-	free(late->commands);
-	free(late);
+	free(delayed->commands);
+	free(delayed);
 }
 
 void sim_calls_deliver_late_commands(struct sim *sim)
 {
-	struct sim_late_command **link = &sim->late_commands, *late;
+	struct sim_late_command **link = &sim->late_commands, *delayed;
 
-	while ((late = *link)) {
-		struct sim_worker *worker = &sim->workers[late->worker];
+	while ((delayed = *link)) {
+		struct sim_worker *worker = &sim->workers[delayed->worker];
 
-		if (late->due_at > sim->now) {
-			link = &late->next;
+		if (delayed->due_at > sim->now) {
+			link = &delayed->next;
 			continue;
 		}
-		*link = late->next;
+		*link = delayed->next;
 		if (sim_worker_is_live(sim, worker))
-			sim_worker_deliver_commands(sim, worker, late->fencing_token,
-						    late->incarnation, late->commands,
-						    late->command_count, NULL);
-		late_command_free(late);
+			sim_worker_deliver_commands(sim, worker, delayed->fencing_token,
+						    delayed->incarnation, delayed->commands,
+						    delayed->command_count, NULL);
+		delayed_command_free(delayed);
 	}
 }
 
@@ -478,9 +479,9 @@
 		free(flight);
 	}
 	while (sim->late_commands) {
-		struct sim_late_command *late = sim->late_commands;
+		struct sim_late_command *delayed = sim->late_commands;
 
-		sim->late_commands = late->next;
-		late_command_free(late);
+		sim->late_commands = delayed->next;
+		delayed_command_free(delayed);
 	}
 }
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -39,11 +39,11 @@
 				      const struct sim_task *other_task)
 {
 	if (other_task->task == task->task)
-		sim_fail(sim, "ran_twice: %s/%u starts on %s while it runs on %s", task->job,
+		sim_fail(sim, "duplicate run: %s/%u starts on %s while it runs on %s", task->job,
 			 task->task, worker->name, other_worker->name);
 	if (job && job->spec.gang && other_task->attempt != task->attempt)
-		sim_fail(sim, "%s/%u starts while another attempt of its gang runs", task->job,
-			 task->task);
+		sim_fail(sim, "duplicate run: %s/%u starts while another attempt of its gang runs",
+			 task->job, task->task);
 }
 
 /* Checks a starting task against each running task of its job, and counts these by zone. */
@@ -80,16 +80,20 @@
 	const struct ws_machine_type *type = &sim->types[worker->type];
 
 	if (spec->one_zone && counts->in_other_zones)
-		sim_fail(sim, "wrong_place: %s/%u in zone %s", task->job, task->task, worker->zone);
+		sim_fail(sim, "placement: %s/%u starts in zone %s, its job runs in another",
+			 task->job, task->task, worker->zone);
 	if (spec->spread && counts->in_zone + 1 > (spec->tasks + 1) / 2)
-		sim_fail(sim, "wrong_place: %s/%u is task number %u of its job in zone %s",
+		sim_fail(sim, "placement: %s/%u is task number %u of its spread job in zone %s",
 			 task->job, task->task, counts->in_zone + 1, worker->zone);
 	if (spec->zone[0] && strcmp(spec->zone, worker->zone) != 0)
-		sim_fail(sim, "wrong_place: %s/%u in zone %s", task->job, task->task, worker->zone);
+		sim_fail(sim, "placement: %s/%u starts in zone %s, not %s", task->job, task->task,
+			 worker->zone, spec->zone);
 	if (worker->preemptible && !spec->allows_preemptible)
-		sim_fail(sim, "wrong_place: %s/%u on a preemptible machine", task->job, task->task);
+		sim_fail(sim, "placement: %s/%u starts on a preemptible machine", task->job,
+			 task->task);
 	if (!ws_machine_type_fits(type, spec))
-		sim_fail(sim, "wrong_place: %s/%u on type %s", task->job, task->task, type->name);
+		sim_fail(sim, "placement: %s/%u starts on a machine of type %s", task->job,
+			 task->task, type->name);
 }
 
 /* Adds a running task to the CPU use of its team, and checks that it was not cancelled long ago. */
@@ -97,7 +101,7 @@
 			       const struct sim_job *job, double *used)
 {
 	if (job->reported_cancelled_at > 0 && sim->now > job->reported_cancelled_at + sim->cancel_s)
-		sim_fail(sim, "ran_cancelled: %s still runs on %s", job->spec.id, worker->name);
+		sim_fail(sim, "cancelled job: %s still runs on %s", job->spec.id, worker->name);
 	for (int i = 0; i < sim->team_count; i++)
 		if (!strcmp(sim->teams[i].name, job->spec.team))
 			used[i] += job->spec.cpus;
@@ -142,7 +146,8 @@
 		sim->team_use_bound[i] = used[i];
 		if (used[i] > sim->teams[i].cpus_max + CPU_TOLERANCE) {
 			log_running_tasks(sim, sim->teams[i].name);
-			sim_fail(sim, "quota: team %s uses %.1f CPUs", sim->teams[i].name, used[i]);
+			sim_fail(sim, "team limit: team %s uses %.1f CPUs, the limit is %.1f",
+				 sim->teams[i].name, used[i], sim->teams[i].cpus_max);
 		}
 	}
 }
@@ -152,7 +157,7 @@
  * exceeded only for a moment. The upper bound of a team's use is its last counted use plus all
  * starts since; all tasks are counted again only if this bound exceeds the limit.
  */
-static void check_quota_at_start(struct sim *sim, const struct sim_job *job)
+static void check_team_limit_at_start(struct sim *sim, const struct sim_job *job)
 {
 	for (int i = 0; i < sim->team_count; i++) {
 		if (strcmp(sim->teams[i].name, job->spec.team) != 0)
@@ -172,9 +177,9 @@
 		return;
 	check_placement(sim, &job->spec, worker, task, &counts);
 	if (job->reported_cancelled_at > 0 && sim->now > job->reported_cancelled_at + sim->cancel_s)
-		sim_fail(sim, "ran_cancelled: %s/%u starts on %s", task->job, task->task,
+		sim_fail(sim, "cancelled job: %s/%u starts on %s", task->job, task->task,
 			 worker->name);
-	check_quota_at_start(sim, job);
+	check_team_limit_at_start(sim, job);
 	sim->starts++;
 	sim_domains_task_started(sim, job, task->task);
 	sim_cold_start_task_started(sim, job, task->task);
--- a/tests/sim_cold_start.c
+++ b/tests/sim_cold_start.c
@@ -57,7 +57,7 @@
 }
 
 /* staggered-restart [first=S] [every=S]: all controllers stop, and restart one after another */
-static void run_crash_in_turn(struct sim *sim, const struct sim_action *action)
+static void run_staggered_restart(struct sim *sim, const struct sim_action *action)
 {
 	double down_s = sim_option(action->text, "first", 5);
 
@@ -106,7 +106,7 @@
  * roll-back-record KEY [versions=N]: restores the value N versions ago; deletes the key if there is
  * none
  */
-static void run_old_record(struct sim *sim, const struct sim_action *action)
+static void run_roll_back_record(struct sim *sim, const struct sim_action *action)
 {
 	int skip = (int)sim_option(action->text, "versions", 1);
 	json_t *value = NULL;
@@ -169,7 +169,7 @@
  * duplicate-attempt FROM target=MACHINE [attempt-offset=N]: copies the first task of worker FROM to
  * another worker, and adds N to the copy's attempt number
  */
-static void run_copy_task(struct sim *sim, const struct sim_action *action)
+static void run_duplicate_attempt(struct sim *sim, const struct sim_action *action)
 {
 	char target_name[WS_NAME_MAX] = "";
 	struct sim_worker *from = worker_named(sim, action->operand), *target;
@@ -191,7 +191,7 @@
 }
 
 /* newer-cold-start-record KEY: replaces the record by one in a later format */
-static void run_later_format(struct sim *sim, const struct sim_action *action)
+static void run_newer_cold_start_record(struct sim *sim, const struct sim_action *action)
 {
 	json_t *value = json_pack("{s:i,s:s}", "v", 9, "phase", "observing");
 
@@ -201,13 +201,13 @@
 }
 
 const struct sim_action_word sim_cold_start_actions[] = {
-    {"duplicate-attempt", run_copy_task},
+    {"duplicate-attempt", run_duplicate_attempt},
     {"lose-record", run_lose_record},
-    {"newer-cold-start-record", run_later_format},
+    {"newer-cold-start-record", run_newer_cold_start_record},
     {"power-loss", run_power_loss},
     {"resubmit", run_resubmit},
-    {"roll-back-record", run_old_record},
-    {"staggered-restart", run_crash_in_turn},
+    {"roll-back-record", run_roll_back_record},
+    {"staggered-restart", run_staggered_restart},
     {NULL, NULL},
 };
 
@@ -245,7 +245,8 @@
 
 			if (task->task == command->task && !strcmp(task->job, command->job) &&
 			    is_task_alive(sim, worker, task))
-				sim_fail(sim, "duplicate: %s/%u is sent to %s while alive on %s",
+				sim_fail(sim,
+					 "duplicate start: %s/%u is sent to %s while alive on %s",
 					 command->job, command->task, receiver->name, worker->name);
 		}
 	}
@@ -392,7 +393,7 @@
 }
 
 /* Prints the figures for manual measurements, described in docs/measurements.md. */
-static void print_measured(struct sim *sim)
+static void print_measurements(struct sim *sim)
 {
 	struct answered_workers found = find_answered(sim);
 
@@ -417,18 +418,19 @@
 }
 
 /* print-cold-start-measurements: with -v, prints the figures for manual measurements */
-static void check_measured(struct sim *sim, const struct sim_expectation *expectation)
+static void handle_print_measurements(struct sim *sim, const struct sim_expectation *expectation)
 {
 	(void)expectation;
 	if (sim_verbose)
-		print_measured(sim);
+		print_measurements(sim);
 }
 
 /* cold-start-phase NAME */
 static void check_phase(struct sim *sim, const struct sim_expectation *expectation)
 {
 	if (strcmp(recorded_phase(sim), expectation->first) != 0)
-		sim_fail(sim, "the phase is %s, not %s", recorded_phase(sim), expectation->first);
+		sim_fail(sim, "the phase of the cold start is %s, not %s", recorded_phase(sim),
+			 expectation->first);
 }
 
 /*
@@ -444,8 +446,9 @@
 		fprintf(stderr, "answered: %d of %d workers, first after %.2f, last after %.2f s\n",
 			found.answered, found.live, found.first - sim->stop.restarted_at, last);
 	if (found.answered < found.live || last > atof(expectation->first))
-		sim_fail(sim, "%d of %d workers were answered, the last after %.2f s",
-			 found.answered, found.live, last);
+		sim_fail(sim,
+			 "%d of %d workers were answered, the last after %.2f s, the limit is %s s",
+			 found.answered, found.live, last, expectation->first);
 }
 
 /* cold-start-steps-per-heartbeat NUMBER: at most so many steps of the leader per heartbeat sent */
@@ -458,7 +461,8 @@
 				 (double)sim->heartbeats;
 
 	if (steps > atof(expectation->first))
-		sim_fail(sim, "%.2f steps per heartbeat", steps);
+		sim_fail(sim, "%.2f steps per heartbeat, the limit is %s", steps,
+			 expectation->first);
 }
 
 const struct sim_expect_word sim_cold_start_expectations[] = {
@@ -470,7 +474,7 @@
     {"killed-tasks", 2, .count = count_killed},
     {"last-restart-after-stop", 2, .count = last_restart_s},
     {"live-tasks", 3, .count_of = count_live_tasks},
-    {"print-cold-start-measurements", 0, .check = check_measured},
+    {"print-cold-start-measurements", 0, .check = handle_print_measurements},
     {"run-commands-since-stop", 2, .count = count_run_commands_since},
     {"scaled-out-since-stop", 2, .count = count_scaled_out_since},
     {"workers-answered-within", 1, .check = check_answered},
--- a/tests/sim_expect.c
+++ b/tests/sim_expect.c
@@ -29,7 +29,7 @@
 	const struct sim_job *job = sim_find_job(sim, expectation->first);
 
 	if (!job || !job->done)
-		sim_fail(sim, "%s is not done (%u tasks are)", expectation->first,
+		sim_fail(sim, "job %s is not done, only %u of its tasks are", expectation->first,
 			 job ? job->completed : 0);
 }
 
@@ -40,8 +40,8 @@
 	int running = sim_count_running(sim, expectation->first);
 
 	if (!job || !job->cancelled || running)
-		sim_fail(sim, "%s is not cancelled, or still runs (%d tasks)", expectation->first,
-			 running);
+		sim_fail(sim, "job %s is not cancelled, or still runs (%d tasks)",
+			 expectation->first, running);
 }
 
 /* status JOB CODE: the HTTP status of the last answer to its submission */
@@ -50,8 +50,8 @@
 	const struct sim_job *job = sim_find_job(sim, expectation->first);
 
 	if (!job || job->status != atoi(expectation->second))
-		sim_fail(sim, "the submission of %s was answered with status %d",
-			 expectation->first, job ? job->status : 0);
+		sim_fail(sim, "the submission of job %s was answered with status %d, not %s",
+			 expectation->first, job ? job->status : 0, expectation->second);
 }
 
 /* started-within JOB SECONDS */
@@ -61,8 +61,9 @@
 	bool has_started = job && job->started_at != 0;
 
 	if (!has_started || job->started_at - job->submit_at > atof(expectation->second))
-		sim_fail(sim, "%s started after %.1f s", expectation->first,
-			 has_started ? job->started_at - job->submit_at : -1.0);
+		sim_fail(sim, "job %s started after %.1f s, the limit is %s s", expectation->first,
+			 has_started ? job->started_at - job->submit_at : -1.0,
+			 expectation->second);
 }
 
 static void check_all_done(struct sim *sim, const struct sim_expectation *expectation)
@@ -70,7 +71,7 @@
 	(void)expectation;
 	for (int i = 0; i < sim->job_count; i++)
 		if (!sim->jobs[i].done)
-			sim_fail(sim, "%s is not done", sim->jobs[i].spec.id);
+			sim_fail(sim, "job %s is not done", sim->jobs[i].spec.id);
 }
 
 /* all-done-but-services: all jobs but services are done */
@@ -79,7 +80,7 @@
 	(void)expectation;
 	for (int i = 0; i < sim->job_count; i++)
 		if (!sim->jobs[i].done && !sim->jobs[i].spec.service)
-			sim_fail(sim, "%s is not done", sim->jobs[i].spec.id);
+			sim_fail(sim, "job %s is not done", sim->jobs[i].spec.id);
 }
 
 /* all-answered-within SECONDS: the last answer about each accepted job is not older than this */
@@ -89,8 +90,8 @@
 		const struct sim_job *job = &sim->jobs[i];
 
 		if (job->accepted && sim->now - job->answered_at > atof(expectation->first))
-			sim_fail(sim, "forgotten: no answer about %s for %.0f s", job->spec.id,
-				 sim->now - job->answered_at);
+			sim_fail(sim, "lost job: no answer about %s for %.0f s, the limit is %s s",
+				 job->spec.id, sim->now - job->answered_at, expectation->first);
 	}
 }
 
@@ -113,22 +114,23 @@
 {
 	for (int i = 0; i < sim->worker_count; i++)
 		if (!strcmp(sim->workers[i].name, expectation->first) && !sim->workers[i].deleted)
-			sim_fail(sim, "%s is still there", expectation->first);
+			sim_fail(sim, "machine %s is not deleted", expectation->first);
 }
 
 /*
  * max-worker-restarts COUNT: the maximum number of workers that restarted after a lease expiry or a
  * power loss
  */
-static void check_expired_leases(struct sim *sim, const struct sim_expectation *expectation)
+static void check_worker_restarts(struct sim *sim, const struct sim_expectation *expectation)
 {
 	int restarted = 0;
 
 	for (int i = 0; i < sim->worker_count; i++)
 		restarted += sim->workers[i].is_up && sim->workers[i].incarnation > 1;
 	if (restarted > atoi(expectation->first))
-		sim_fail(sim, "%d workers restarted after a lease expiry or a power loss",
-			 restarted);
+		sim_fail(sim,
+			 "%d workers restarted after lease expiry or power loss, the limit is %s",
+			 restarted, expectation->first);
 }
 
 static double count_scaled_out(struct sim *sim)
@@ -189,7 +191,7 @@
 {
 	(void)expectation;
 	if (sim_leader(sim) >= 0)
-		sim_fail(sim, "node %d leads", sim_leader(sim));
+		sim_fail(sim, "node %d leads, none should", sim_leader(sim));
 }
 
 /* leader-version new|old */
@@ -199,7 +201,8 @@
 	bool expects_new = !strcmp(expectation->first, "new");
 
 	if (leader < 0 || (sim->nodes[leader].version == &sim_this_version) != expects_new)
-		sim_fail(sim, "node %d leads", leader);
+		sim_fail(sim, "node %d leads, not one of the %s version", leader,
+			 expectation->first);
 }
 
 static bool is_healthy(const struct sim_node *node)
@@ -215,7 +218,7 @@
 	for (int i = 0; i < sim->node_count; i++)
 		healthy += is_healthy(&sim->nodes[i]);
 	if (healthy != atoi(expectation->first))
-		sim_fail(sim, "%d nodes are healthy", healthy);
+		sim_fail(sim, "%d nodes are healthy, not %s", healthy, expectation->first);
 }
 
 /* healthy NODE | unhealthy NODE: the node runs and reports this health */
@@ -236,7 +239,7 @@
 	for (size_t i = 0; i < sim->history_count; i++)
 		elections += !strcmp(sim->history[i].key, "leader") && sim->history[i].value;
 	if (elections != atoi(expectation->first))
-		sim_fail(sim, "%d elections", elections);
+		sim_fail(sim, "%d elections, not %s", elections, expectation->first);
 }
 
 static double count_rejected_writes(struct sim *sim)
@@ -262,7 +265,8 @@
 	int jobs = core ? (int)HASH_COUNT(core->jobs.by_id) : -1;
 
 	if (jobs < 0 || jobs > atoi(expectation->first))
-		sim_fail(sim, "the leader has %d jobs in memory", jobs);
+		sim_fail(sim, "the leader has %d jobs in memory, the limit is %s", jobs,
+			 expectation->first);
 }
 
 /* per-pass steps COUNT: the maximum number of steps in the longest scheduling pass of the leader */
@@ -271,8 +275,9 @@
 	const struct ws_core *core = leading_core(sim);
 
 	if (core && core->scheduler.longest_pass_steps > (uint64_t)atoll(expectation->second))
-		sim_fail(sim, "a scheduling pass took %llu steps",
-			 (unsigned long long)core->scheduler.longest_pass_steps);
+		sim_fail(sim, "a scheduling pass took %llu steps, the limit is %s",
+			 (unsigned long long)core->scheduler.longest_pass_steps,
+			 expectation->second);
 }
 
 /*
@@ -318,11 +323,11 @@
 	if (!find_counter(sim, expectation->first, &cost))
 		return; /* leading_core() has reported the failure */
 	if (!base || cost / base > atof(expectation->second))
-		sim_fail(sim, "%.3f %s %s", base ? cost / base : -1, expectation->first,
-			 expectation->word);
+		sim_fail(sim, "%.3f %s %s, the limit is %s", base ? cost / base : -1,
+			 expectation->first, expectation->word, expectation->second);
 }
 
-/* ---- the table ---- */
+/* ---- evaluation of expectations ---- */
 
 static const struct sim_expect_word cluster_expectations[] = {
     {"all-answered-within", 1, .check = check_answer_age},
@@ -342,7 +347,7 @@
     {"jobs-in-memory", 1, .check = check_jobs_in_memory},
     {"leader", 0, .check = check_leader},
     {"leader-version", 1, .check = check_leader_version},
-    {"max-worker-restarts", 1, .check = check_expired_leases},
+    {"max-worker-restarts", 1, .check = check_worker_restarts},
     {"member-lost-exits", 2, .count = count_member_lost_exits},
     {"no-leader", 0, .check = check_no_leader},
     {"per-pass", 2, .check = check_steps_per_pass},
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -206,7 +206,7 @@
 }
 
 /* Writes a record of the subsystem, or deletes it if the value is NULL. Releases the value. */
-static void put_record(struct sim *sim, const char *prefix, const char *name, json_t *value)
+static void write_record(struct sim *sim, const char *prefix, const char *name, json_t *value)
 {
 	char key[WS_KEY_MAX];
 
@@ -219,27 +219,27 @@
 /* hold-domain NAME: an operator keeps the domain in use */
 static void run_hold_domain(struct sim *sim, const struct sim_action *action)
 {
-	put_record(sim, "zones/hold/", action->operand, json_pack("{s:i}", "v", 1));
+	write_record(sim, "zones/hold/", action->operand, json_pack("{s:i}", "v", 1));
 }
 
 /* release-domain NAME */
 static void run_release_domain(struct sim *sim, const struct sim_action *action)
 {
-	put_record(sim, "zones/hold/", action->operand, NULL);
+	write_record(sim, "zones/hold/", action->operand, NULL);
 }
 
 /* newer-domain-record NAME: replaces the domain's record by one in a later format */
-static void run_later_format(struct sim *sim, const struct sim_action *action)
+static void run_newer_domain_record(struct sim *sim, const struct sim_action *action)
 {
-	put_record(sim, "zones/domain/", action->operand,
-		   json_pack("{s:i,s:s}", "v", 9, "state", "dark"));
+	write_record(sim, "zones/domain/", action->operand,
+		     json_pack("{s:i,s:s}", "v", 9, "state", "dark"));
 }
 
 /*
  * lead-with-version old|new: stops the nodes of the other version, so that one of the named version
  * leads
  */
-static void run_lead_by(struct sim *sim, const struct sim_action *action)
+static void run_lead_with_version(struct sim *sim, const struct sim_action *action)
 {
 	bool is_new = !strcmp(action->operand, "new");
 
@@ -252,8 +252,8 @@
     {"delete-zone", run_zone_fault},
     {"hold-domain", run_hold_domain},
     {"kill-zone", run_zone_fault},
-    {"lead-with-version", run_lead_by},
-    {"newer-domain-record", run_later_format},
+    {"lead-with-version", run_lead_with_version},
+    {"newer-domain-record", run_newer_domain_record},
     {"partition-other-zones", run_zone_fault},
     {"partition-zone", run_zone_fault},
     {"release-domain", run_release_domain},
@@ -287,7 +287,7 @@
 }
 
 /* Counts the tasks that run in a zone. */
-static double count_running_in(struct sim *sim, const char *zone)
+static double count_running_in_zone(struct sim *sim, const char *zone)
 {
 	int count = 0;
 
@@ -310,7 +310,7 @@
 }
 
 /* Prints the figures for manual measurements, described in docs/measurements.md. */
-static void print_measured(const struct sim *sim)
+static void print_measurements(const struct sim *sim)
 {
 	int finishes = 0, done = 0, deadlines = 0, deadlines_met = 0;
 	double price = 0;
@@ -346,11 +346,11 @@
 }
 
 /* print-measurements: with -v, prints the figures for manual measurements */
-static void check_measured(struct sim *sim, const struct sim_expectation *expectation)
+static void handle_print_measurements(struct sim *sim, const struct sim_expectation *expectation)
 {
 	(void)expectation;
 	if (sim_verbose)
-		print_measured(sim);
+		print_measurements(sim);
 }
 
 static const struct sim_moves *find_moves(const struct sim *sim, const char *job_class)
@@ -372,14 +372,15 @@
 
 	if (!moves) {
 		if (count > 0)
-			sim_fail(sim, "class %s: no task moved", expectation->first);
+			sim_fail(sim, "class %s: no task moved, not %d", expectation->first, count);
 		return;
 	}
 	if (sim_verbose)
 		print_moves(moves);
 	if (moves->count < count || moves->longest_s > atof(expectation->third))
-		sim_fail(sim, "class %s: %d tasks moved, the last after %.1f s", moves->job_class,
-			 moves->count, moves->longest_s);
+		sim_fail(sim, "class %s: %d tasks moved, the last after %.1f s, not %d within %s s",
+			 moves->job_class, moves->count, moves->longest_s, count,
+			 expectation->third);
 }
 
 /* domain NAME STATE */
@@ -388,7 +389,8 @@
 	const char *state = domain_state(sim, expectation->first);
 
 	if (strcmp(state, expectation->second) != 0)
-		sim_fail(sim, "domain %s is %s", expectation->first, state);
+		sim_fail(sim, "domain %s is %s, not %s", expectation->first, state,
+			 expectation->second);
 }
 
 /* dark-domains COUNT */
@@ -399,7 +401,8 @@
 	for (int i = 0; i < sim->zone_count; i++)
 		dark_count += !strcmp(domain_state(sim, sim->zones[i]), "dark");
 	if (dark_count != atoi(expectation->first))
-		sim_fail(sim, "%d domains are in state dark", dark_count);
+		sim_fail(sim, "%d domains are in state dark, not %s", dark_count,
+			 expectation->first);
 }
 
 /*
@@ -420,7 +423,8 @@
 	if (sim_verbose)
 		fprintf(stderr, "%.2f machine operations per heartbeat\n", operations);
 	if (operations > atof(expectation->first))
-		sim_fail(sim, "%.2f machine operations per heartbeat", operations);
+		sim_fail(sim, "%.2f machine operations per heartbeat, the limit is %s", operations,
+			 expectation->first);
 }
 
 const struct sim_expect_word sim_domains_expectations[] = {
@@ -429,7 +433,7 @@
     {"domain-steps-per-heartbeat", 1, .check = check_machine_operations},
     {"keys", 3, .count_of = count_keys},
     {"moved", 3, .check = check_moved},
-    {"print-measurements", 0, .check = check_measured},
-    {"running-in-zone", 3, .count_of = count_running_in},
+    {"print-measurements", 0, .check = handle_print_measurements},
+    {"running-in-zone", 3, .count_of = count_running_in_zone},
     {NULL},
 };
--- a/tests/sim_machine_actions.c
+++ b/tests/sim_machine_actions.c
@@ -117,7 +117,7 @@
 	worker->deleted_at = sim->now;
 }
 
-static void give_preemption_notice(struct sim *sim, struct sim_worker *worker, double duration_s)
+static void announce_preemption(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
 	worker->preemption_notice_at = sim->now;
 	worker->preempted_at = sim->now + duration_s;
@@ -183,7 +183,7 @@
 /* preemption-notice: announces that the machine will be preempted after this duration */
 static void run_preemption_notice(struct sim *sim, const struct sim_action *action)
 {
-	apply_fault(sim, action, give_preemption_notice);
+	apply_fault(sim, action, announce_preemption);
 }
 
 /*
--- a/tests/sim_parts.h
+++ b/tests/sim_parts.h
@@ -25,7 +25,7 @@
 #define SIM_REQUEST_ID_SHIFT 13
 #define SIM_ID_HEARTBEAT (1ULL << 62)
 #define SIM_ID_OUTAGE_VOTE (1ULL << 61)
-#define SIM_ID_LATE_HEARTBEAT (1ULL << 60) /* a late heartbeat whose answer is discarded */
+#define SIM_ID_LATE_HEARTBEAT (1ULL << 60) /* a delayed heartbeat; its answer is discarded */
 #define SIM_ID_CONSISTENCY_CHECK (1ULL << 59)
 
 /* A task on a worker. */
@@ -241,7 +241,7 @@
 /* Whether a call crashes the node that sends it, before or after the call is executed. */
 enum sim_crash { SIM_CRASH_NONE, SIM_CRASH_BEFORE, SIM_CRASH_AFTER };
 
-/* A timed action of the scenario. */
+/* A timed line of the scenario: an action or an expectation. */
 struct sim_timed_line {
 	double time;
 	char text[SIM_LINE_MAX];
@@ -324,7 +324,7 @@
 	/* faults of cloud and network */
 	double cloud_down_until, zones_partitioned_until;
 	int lost_scale_outs, lost_commands; /* remaining calls whose answers get lost */
-	/* Remaining command calls that arrive late, and the delay. */
+	/* Remaining calls with commands that are delayed, and the delay. */
 	int late_command_count;
 	double late_command_delay_s;
 	double command_answer_delay_s; /* delay of answers to commands, which execute at once */
--- a/tests/sim_production.c
+++ b/tests/sim_production.c
@@ -425,8 +425,8 @@
 	api->cancel(to_production_core(core), now, request_id, job, forwarded);
 }
 
-static void take_heartbeat(struct ws_core *core, double now, uint64_t request_id,
-			   const struct ws_heartbeat *heartbeat, bool forwarded)
+static void handle_heartbeat(struct ws_core *core, double now, uint64_t request_id,
+			     const struct ws_heartbeat *heartbeat, bool forwarded)
 {
 	struct production_heartbeat neutral = {0};
 
@@ -469,7 +469,7 @@
 	    .submit = submit,
 	    .query_status = query_status,
 	    .cancel = cancel,
-	    .heartbeat = take_heartbeat,
+	    .heartbeat = handle_heartbeat,
 	    .outage_vote = outage_vote,
 	    .free_effect = ws_effect_free,
 	    .free_call = free_call,
--- a/tests/sim_scenario.c
+++ b/tests/sim_scenario.c
@@ -161,7 +161,7 @@
 }
 
 /* upcoming-limits KIB OPERATIONS: upcoming lower limits of a value and of a transaction */
-static const char *parse_next_limits(struct sim *sim, struct sim_setting *setting)
+static const char *parse_upcoming_limits(struct sim *sim, struct sim_setting *setting)
 {
 	sim->upcoming_value_kb = next_number(setting);
 	sim->upcoming_txn_ops = next_integer(setting);
@@ -270,7 +270,7 @@
     {"subsystem", 0, parse_subsystem},
     {"team", 3, parse_team},
     {"type", 5, parse_type},
-    {"upcoming-limits", 2, parse_next_limits},
+    {"upcoming-limits", 2, parse_upcoming_limits},
     {"zone", 1, parse_zone},
     {NULL, 0, NULL},
 };
--- a/tests/sim_scenario.h
+++ b/tests/sim_scenario.h
@@ -69,7 +69,7 @@
 /* Returns whether NUMBER OPERATOR TEXT holds. The operators are =, >= and <=. */
 bool sim_compare(double number, const char *operator, const char * text);
 
-/* Runs a timed action. */
+/* Runs a timed line: an action, or the check of an expectation. */
 void sim_run_action(struct sim *sim, const struct sim_timed_line *timed_line);
 /* Checks an expectation. `text` is what follows the word "expect"; the buffer is modified. */
 void sim_expect(struct sim *sim, char *text);
--- a/tests/sim_subsystems.h
+++ b/tests/sim_subsystems.h
@@ -10,15 +10,15 @@
 void sim_fill_cluster_limits(const struct sim *sim, const struct sim_node *node, const char **names,
 			     struct ws_cluster_limits *limits);
 
-/* Attaches the subsystem to a new core if the scenario has it switched on. */
+/* Attaches the subsystem to a new core if the scenario enables it. */
 void sim_domains_attach(struct sim *sim, struct sim_node *node);
-/* Switches the subsystem on: subsystem zones [stable=S] [ramp=S] [half-life=S] */
+/* Enables the subsystem: subsystem zones [stable=S] [ramp=S] [half-life=S] */
 void sim_domains_configure(struct sim *sim, const char *text);
 /* Records how long after the loss of its machine a displaced task starts again. */
 void sim_domains_task_started(struct sim *sim, struct sim_job *job, uint32_t task);
 
 void sim_cold_start_attach(struct sim *sim, struct sim_node *node);
-/* Switches the subsystem on: subsystem coldstart [keep=S] [share=X] */
+/* Enables the subsystem: subsystem coldstart [quarantine=S] [share=X] */
 void sim_cold_start_configure(struct sim *sim, const char *text);
 /* Records the time and the counters when all controllers stop. */
 void sim_cold_start_controllers_stopped(struct sim *sim);
