--- a/tests/codec_test.c
+++ b/tests/codec_test.c
@@ -150,14 +150,14 @@
 	s = encode_heartbeat_answer(&effect);
 	check("an answer with 300 commands is encoded", s && strstr(s, "\"orders\":[{"));
 	free(s);
-	check("both need no memory beyond the pool", ws_pool_misses() == before);
+	check("decoding and encoding need no memory beyond the pool", ws_pool_misses() == before);
 	text = long_heartbeat(1000);
 	check("a heartbeat of 1000 tasks is decoded",
 	      strlen(text) < WS_BODY_MAX && decode_heartbeat(text, strlen(text), &heartbeat) &&
 		  heartbeat.task_count == 1000);
 	ws_heartbeat_free(&heartbeat);
 	free(text);
-	check("its memory is kept for the next heartbeat",
+	check("the memory of a large heartbeat is kept for the next one",
 	      ws_json_capacity() <= WS_JSON_KEPT_BYTES);
 	text = long_heartbeat(6000);
 	check("a heartbeat beyond the kept memory is decoded",
@@ -293,9 +293,10 @@
 
 	check("a heartbeat with tasks of a gang is accepted",
 	      decode_heartbeat(gang, strlen(gang), &heartbeat) && heartbeat.task_count == 5);
-	check("phase waiting", heartbeat.tasks[0].state == WS_TASK_WAITING);
-	check("cause mates_gone", heartbeat.tasks[1].exit_reason == WS_EXIT_MEMBER_LOST);
-	check("cause incomplete", heartbeat.tasks[2].exit_reason == WS_EXIT_GANG_INCOMPLETE);
+	check("phase waiting is decoded", heartbeat.tasks[0].state == WS_TASK_WAITING);
+	check("cause mates_gone is decoded", heartbeat.tasks[1].exit_reason == WS_EXIT_MEMBER_LOST);
+	check("cause incomplete is decoded",
+	      heartbeat.tasks[2].exit_reason == WS_EXIT_GANG_INCOMPLETE);
 	check("an unknown phase counts as alive", heartbeat.tasks[3].state == WS_TASK_FETCHING);
 	check("an unknown cause counts as stopped",
 	      heartbeat.tasks[4].exit_reason == WS_EXIT_STOPPED);
@@ -321,7 +322,7 @@
 	      result.outcome == WS_OUTCOME_UNAVAILABLE && !result.instances.no_capacity);
 	ws_result_free(&result);
 	decode_reply(&call, 503, "{\"error\":\"no capacity\"}", 23, &result);
-	check("a lack of capacity is recognised", result.instances.no_capacity);
+	check("a lack of capacity is recognized", result.instances.no_capacity);
 	ws_result_free(&result);
 }
 
@@ -355,7 +356,7 @@
 
 	if (!decode_job(text, length, &spec) && (spec.tasks < 1 || spec.tasks > WS_MAX_TASKS ||
 						 !(spec.cpus >= 0) || !ws_job_id_is_valid(spec.id)))
-		check("a corrupted job with values out of bounds is accepted", false);
+		check("a corrupted job is accepted only with values within bounds", false);
 }
 
 static void decode_corrupted_heartbeat(const char *text, size_t length)
@@ -365,7 +366,7 @@
 	if (!decode_heartbeat(text, length, &heartbeat))
 		return;
 	if (heartbeat.incarnation < 1 || !heartbeat.machine[0])
-		check("a corrupted heartbeat with values out of bounds is accepted", false);
+		check("a corrupted heartbeat is accepted only with values within bounds", false);
 	ws_heartbeat_free(&heartbeat);
 }
 
--- a/tests/frames_test.c
+++ b/tests/frames_test.c
@@ -87,9 +87,9 @@
 	}
 	length = exchange(peer, unknown, sizeof(unknown) - 1, answer, sizeof(answer));
 	frame = length > 4 ? ws__peer_frame__unpack(NULL, (size_t)length - 4, answer + 4) : NULL;
-	check("an unknown frame kind gets 400", frame &&
-						    frame->kind == WS__PEER_FRAME__KIND__REPLY &&
-						    frame->id == 8 && frame->status == 400);
+	check("an unknown frame kind is answered with 400",
+	      frame && frame->kind == WS__PEER_FRAME__KIND__REPLY && frame->id == 8 &&
+		  frame->status == 400);
 	ws__peer_frame__free_unpacked(frame, NULL);
 	check("an unknown frame kind is logged",
 	      logged(log, "peer frame of unknown kind rejected peer=node-1 kind=9\n"));
@@ -107,7 +107,8 @@
 	      length > 0 && !strncmp((char *)answer, "HTTP/1.1 503", 12));
 	kill(pid, SIGTERM);
 	waitpid(pid, &status, 0);
-	check("exit status 0 after SIGTERM", WIFEXITED(status) && WEXITSTATUS(status) == 0);
+	check("SIGTERM ends the process with status 0",
+	      WIFEXITED(status) && WEXITSTATUS(status) == 0);
 	unlink(path);
 	unlink(log);
 	printf("%d passed, %d failed\n", passed_checks, failed_checks);
--- a/tests/loopback_store.c
+++ b/tests/loopback_store.c
@@ -24,7 +24,7 @@
 } sessions[SESSIONS];
 static unsigned session_count;
 
-static void record_put(const char *key, json_t *value, json_int_t session)
+static void record_write(const char *key, json_t *value, json_int_t session)
 {
 	char name[WS_KEY_MAX]; /* a copy: the key may belong to the record that is deleted */
 
@@ -140,10 +140,10 @@
 		const char *key = json_string_value(json_object_get(entry, "write"));
 
 		if (key)
-			record_put(key, json_object_get(entry, "value"),
-				   json_integer_value(json_object_get(entry, "permit")));
+			record_write(key, json_object_get(entry, "value"),
+				     json_integer_value(json_object_get(entry, "permit")));
 		else
-			record_put(json_string_value(json_object_get(entry, "delete")), NULL, 0);
+			record_write(json_string_value(json_object_get(entry, "delete")), NULL, 0);
 	}
 	loopback_answer_request(store, request_id, 200, json_pack("{s:I}", "ledgerRev", revision));
 	loopback_store_wake_watches();
@@ -161,7 +161,7 @@
 		if (json_integer_value(json_object_get(record, "session")) != id)
 			continue;
 		revision++;
-		record_put(key, NULL, 0);
+		record_write(key, NULL, 0);
 	}
 	loopback_store_wake_watches();
 }
@@ -286,6 +286,6 @@
 void loopback_delete_record(const char *key)
 {
 	revision++;
-	record_put(key, NULL, 0);
+	record_write(key, NULL, 0);
 	loopback_store_wake_watches();
 }
--- a/tests/loopback_workers.c
+++ b/tests/loopback_workers.c
@@ -1,18 +1,17 @@
 /* The workers of the loopback cluster: heartbeats, commands and leases. Commands are counted. */
 #include "loopback_parts.h"
 
-/* Timeout of a heartbeat. */
-#define ANSWER_TIMEOUT_S 4
+#define HEARTBEAT_TIMEOUT_S 4
 /* Delays of messages, see struct loopback_faults. */
 #define ANSWER_DELAY_MAX_S 3.0
-#define COPY_DELAY_MAX_S 20.0
+#define DUPLICATE_DELAY_MAX_S 20.0
 #define COMMAND_DELAY_MIN_S 0.6
 #define COMMAND_DELAY_SPAN_S 8.0
 
 struct loopback_worker loopback_workers[LOOPBACK_WORKERS];
 struct loopback_counts loopback_total_counts;
 
-static json_t *heartbeat(struct loopback_worker *worker)
+static json_t *build_heartbeat(struct loopback_worker *worker)
 {
 	static const char *const names[] = {"pulling", "running", "exited"};
 	json_t *tasks = json_array();
@@ -109,7 +108,7 @@
 		       (json_int_t)worker->incarnation &&
 		   execute_commands(worker, body);
 	json_decref(body);
-	answer = heartbeat(worker);
+	answer = build_heartbeat(worker);
 	if (loopback_fault_occurs(loopback_faults.lost_answers))
 		json_decref(answer);
 	else
@@ -162,7 +161,7 @@
 	const struct loopback_worker *worker = context;
 	double delay_s = ANSWER_DELAY_MAX_S * loopback_random();
 
-	if (status == 200 && ws_now() + delay_s < worker->sent_at + ANSWER_TIMEOUT_S &&
+	if (status == 200 && ws_now() + delay_s < worker->sent_at + HEARTBEAT_TIMEOUT_S &&
 	    loopback_fault_occurs(loopback_faults.delayed_answers))
 		loopback_delay_message(&answer, delay_s, receive_answer);
 	else
@@ -170,7 +169,7 @@
 }
 
 /* The answer to a duplicated heartbeat is ignored. */
-static void on_copy_answered(void *context, int status, const char *body, size_t length)
+static void on_duplicate_answered(void *context, int status, const char *body, size_t length)
 {
 	(void)context;
 	(void)status;
@@ -178,32 +177,33 @@
 	(void)length;
 }
 
-static void send_copy(const struct loopback_message *copy, int node)
+static void send_duplicate(const struct loopback_message *duplicate, int node)
 {
-	ws_client_send(loopback_nodes[node].duplicates_client, "POST", "/checkin", copy->body,
-		       copy->length, ANSWER_TIMEOUT_S, false, on_copy_answered, NULL);
+	ws_client_send(loopback_nodes[node].duplicates_client, "POST", "/checkin", duplicate->body,
+		       duplicate->length, HEARTBEAT_TIMEOUT_S, false, on_duplicate_answered, NULL);
 }
 
-static void deliver_copy(const struct loopback_message *copy)
+static void deliver_duplicate(const struct loopback_message *duplicate)
 {
-	send_copy(copy, (int)(loopback_random() * LOOPBACK_NODES) % LOOPBACK_NODES);
+	send_duplicate(duplicate, (int)(loopback_random() * LOOPBACK_NODES) % LOOPBACK_NODES);
 }
 
-static void deliver_copy_to_all(const struct loopback_message *copy)
+static void deliver_duplicate_to_all(const struct loopback_message *duplicate)
 {
 	for (int i = 0; i < LOOPBACK_NODES; i++)
-		send_copy(copy, i);
+		send_duplicate(duplicate, i);
 }
 
 /* Duplicates some heartbeats. */
-static void copy_heartbeat(const char *text)
+static void duplicate_heartbeat(const char *text)
 {
-	const struct loopback_message copy = {.body = text, .length = strlen(text)};
+	const struct loopback_message duplicate = {.body = text, .length = strlen(text)};
 
 	if (loopback_fault_occurs(loopback_faults.duplicated_heartbeats))
-		loopback_delay_message(&copy, COPY_DELAY_MAX_S * loopback_random(), deliver_copy);
+		loopback_delay_message(&duplicate, DUPLICATE_DELAY_MAX_S * loopback_random(),
+				       deliver_duplicate);
 	if (loopback_fault_occurs(loopback_faults.duplicated_after_election))
-		loopback_delay_until_election(&copy, deliver_copy_to_all);
+		loopback_delay_until_election(&duplicate, deliver_duplicate_to_all);
 }
 
 static void task_step(struct loopback_worker *worker, struct loopback_task *task)
@@ -245,16 +245,16 @@
 	if (worker->partitioned || worker->heartbeat_pending ||
 	    ws_now() < worker->next_heartbeat_at)
 		return;
-	body = heartbeat(worker);
+	body = build_heartbeat(worker);
 	text = json_dumps(body, 0);
 	json_decref(body);
 	worker->sent_at = ws_now();
 	worker->sent_incarnation = worker->incarnation;
 	worker->next_heartbeat_at = ws_now() + LOOPBACK_HEARTBEAT_S;
-	copy_heartbeat(text);
+	duplicate_heartbeat(text);
 	worker->heartbeat_pending =
 	    ws_client_send(worker->clients[worker->node], "POST", "/checkin", text, strlen(text),
-			   ANSWER_TIMEOUT_S, false, on_answer, worker);
+			   HEARTBEAT_TIMEOUT_S, false, on_answer, worker);
 	free(text);
 }
 
--- a/tests/random_failure_domains.c
+++ b/tests/random_failure_domains.c
@@ -8,13 +8,13 @@
 static void draw_outage(unsigned zones)
 {
 	static const int durations[] = {3, 6, 10, 16, 20, 40, 70};
-	static const char *const kinds[] = {"", "", "", " only=outbound", " only=inbound"};
-	static const char *const cuts[] = {"all", "workers", "store", "peers"};
+	static const char *const directions[] = {"", "", "", " only=outbound", " only=inbound"};
+	static const char *const targets[] = {"all", "workers", "store", "peers"};
 	double at = 15 + random_draw(110);
 	int zone = 'a' + (int)random_draw(zones);
 
 	random_event(at, "partition-zone %c for=%d%s", zone, durations[random_draw(7)],
-		     kinds[random_draw(5)]);
+		     directions[random_draw(5)]);
 	if (random_chance(40))
 		random_event(at + random_draw(20), "crash leader for=%d",
 			     random_chance(50) ? 3 : 20);
@@ -27,7 +27,7 @@
 		random_event(at + random_draw(10), "cloud-outage for=20");
 	if (random_chance(20))
 		random_event(at + random_draw(5), "partition %u %s for=%d", random_draw(3),
-			     cuts[random_draw(4)], random_chance(50) ? 5 : 30);
+			     targets[random_draw(4)], random_chance(50) ? 5 : 30);
 	if (random_chance(10))
 		random_event(at + 1, "time-out-writes 0.2 for=20");
 	if (random_chance(20))
--- a/tests/settings_test.c
+++ b/tests/settings_test.c
@@ -76,8 +76,8 @@
 		for (size_t k = 0; k < sizeof(invalid) / sizeof(invalid[0]); k++) {
 			if (!invalid[k])
 				continue;
-			snprintf(what, sizeof(what), "%s = %s is refused by name", setting->name,
-				 invalid[k][0] ? invalid[k] : "(missing)");
+			snprintf(what, sizeof(what), "%s = %s is refused, and the message names it",
+				 setting->name, invalid[k][0] ? invalid[k] : "(missing)");
 			check(what, !read_settings(i, invalid[k], error, sizeof(error)) &&
 					strstr(error, setting->table) &&
 					strstr(error, setting->name));
--- a/tests/sizing_test.c
+++ b/tests/sizing_test.c
@@ -225,8 +225,8 @@
 				compare_with_dense(owned, instances, demand);
 }
 
-/* Sizes of deployments and far beyond them: the solution must be in range, and the wait must not
- * rise as instances are added. */
+/* Queues as large as in deployments, and much larger: the solution must be in range, and the wait
+ * must not rise as instances are added. */
 static void test_large_queues(void)
 {
 	for (int owned = 1; owned <= 200; owned = owned * 2 + 1) {
--- a/tests/smoke_test.c
+++ b/tests/smoke_test.c
@@ -112,18 +112,18 @@
 	return answer && !strcmp(json_string_value(json_object_get(answer, "phase")), "done");
 }
 
-static void on_pause(struct ev_loop *pause_loop, ev_timer *timer, int events)
+static void on_wait_end(struct ev_loop *wait_loop, ev_timer *timer, int events)
 {
 	(void)timer;
 	(void)events;
-	ev_break(pause_loop, EVBREAK_ONE);
+	ev_break(wait_loop, EVBREAK_ONE);
 }
 
-static void pause_s(double seconds)
+static void run_loop_for(double seconds)
 {
 	ev_timer timer;
 
-	ev_timer_init(&timer, on_pause, seconds, 0);
+	ev_timer_init(&timer, on_wait_end, seconds, 0);
 	ev_timer_start(loop, &timer);
 	ev_run(loop, 0);
 	ev_timer_stop(loop, &timer);
@@ -136,7 +136,7 @@
 	while (send_request("GET", path, "") != 200) {
 		if (!--tries)
 			return false;
-		pause_s(0.1);
+		run_loop_for(0.1);
 	}
 	return true;
 }
@@ -161,7 +161,7 @@
 	int status = 0;
 
 	for (int i = 0; i < tries && !status; i++) {
-		pause_s(wait_s);
+		run_loop_for(wait_s);
 		if (recv(fd, buffer, size - 1, 0) > 0)
 			sscanf(buffer, "HTTP/1.1 %d", &status);
 	}
@@ -263,7 +263,7 @@
 	int fd = connect_and_send(text, heartbeat_request(text, sizeof(text), 0, sequence++)),
 	    status;
 
-	pause_s(LEADER_PAUSE_S);
+	run_loop_for(LEADER_PAUSE_S);
 	kill(controller, SIGCONT);
 	status = read_status(fd, 200, 0.025, buffer, sizeof(buffer));
 	close(fd);
@@ -370,13 +370,14 @@
 	check("a new job is answered with 201", send_request("POST", "/v2/runs", job) == 201);
 	check("a repeated submission is answered with 200",
 	      send_request("POST", "/v2/runs", job) == 200);
-	check("400 for an invalid job", send_request("POST", "/v2/runs", "{}") == 400);
-	check("404 for an unknown job", send_request("GET", "/v2/runs/job-000002", "") == 404);
-	check("404 for an unknown path", send_request("GET", "/other", "") == 404);
-	check("405 for a method that a path does not have",
+	check("an invalid job is answered with 400", send_request("POST", "/v2/runs", "{}") == 400);
+	check("an unknown job is answered with 404",
+	      send_request("GET", "/v2/runs/job-000002", "") == 404);
+	check("an unknown path is answered with 404", send_request("GET", "/other", "") == 404);
+	check("a method that a path does not have is answered with 405",
 	      send_request("DELETE", "/v2/runs", "") == 405);
-	check("400 for malformed HTTP", send_raw("HELLO\r\n\r\n", 9) == 400);
-	check("413 for a body that is too long",
+	check("malformed HTTP is answered with 400", send_raw("HELLO\r\n\r\n", 9) == 400);
+	check("a body that is too long is answered with 413",
 	      send_raw("POST /v2/runs HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 49) == 413);
 }
 
@@ -421,7 +422,7 @@
 			fencing_token = json_integer_value(json_object_get(answer, "epoch"));
 			ran = answer_runs_task();
 		}
-		pause_s(0.1);
+		run_loop_for(0.1);
 	}
 	check("the worker receives the command to run the task", ran);
 	snprintf(task, sizeof(task),
@@ -432,7 +433,7 @@
 	for (int i = 0; i < 40 && !done; i++) {
 		done = send_request("GET", job_path, "") == 200 && answer_is_done();
 		if (!done)
-			pause_s(0.1);
+			run_loop_for(0.1);
 	}
 	check("the job is done", done);
 }
@@ -448,7 +449,7 @@
 	check("users are served besides many workers", send_request("GET", job_path, "") == 200);
 }
 
-/* The leader is paused for longer than its session while a heartbeat waits: answering that with
+/* The leader is paused for longer than its session while a heartbeat waits: an answer with status
  * 200 would renew a lease that the leader may no longer grant. */
 static void test_paused_leader(void)
 {
--- a/tests/soak_test.c
+++ b/tests/soak_test.c
@@ -96,7 +96,7 @@
 		restore_node(i);
 }
 
-static void controller_fault(void)
+static void inject_controller_fault(void)
 {
 	int node = (int)random_below(LOOPBACK_NODES);
 
@@ -116,12 +116,12 @@
 
 /* ---- faults of messages and the store ---- */
 
-static double draw_share(unsigned percent_on, double most)
+static double draw_share(unsigned percent, double share_max)
 {
-	return random_below(100) < percent_on ? most * loopback_random() : 0;
+	return random_below(100) < percent ? share_max * loopback_random() : 0;
 }
 
-static void message_faults(void)
+static void inject_message_faults(void)
 {
 	loopback_faults.delayed_answers = draw_share(60, 0.8);
 	loopback_faults.duplicated_heartbeats = draw_share(50, 0.5);
@@ -129,8 +129,8 @@
 	loopback_faults.delayed_commands = draw_share(40, 0.5);
 	loopback_faults.lost_answers = draw_share(20, 0.3);
 	loopback_faults.delayed_store_requests = draw_share(30, 0.1);
-	loopback_event("faults: slow answers %.2f, copies %.2f and %.2f, late commands %.2f, lost "
-		       "answers %.2f, late store requests %.2f",
+	loopback_event("faults: delayed answers %.2f, duplicates %.2f, after elections %.2f, "
+		       "delayed commands %.2f, lost answers %.2f, delayed store requests %.2f",
 		       loopback_faults.delayed_answers, loopback_faults.duplicated_heartbeats,
 		       loopback_faults.duplicated_after_election, loopback_faults.delayed_commands,
 		       loopback_faults.lost_answers, loopback_faults.delayed_store_requests);
@@ -155,9 +155,9 @@
 		for (int i = 0; i < LOOPBACK_TEAMS; i++)
 			submit_jobs(&loopback_teams[i]);
 		cancel_jobs();
-		controller_fault();
+		inject_controller_fault();
 		if (!random_below(4))
-			message_faults();
+			inject_message_faults();
 		loopback_run_until(is_violated, STEP_MAX_S * loopback_random());
 	}
 	loopback_event("faults ended");
