--- a/tests/cold_start_test.c
+++ b/tests/cold_start_test.c
@@ -48,7 +48,9 @@
 	for (size_t i = 0; i < sizeof(refusals) / sizeof(refusals[0]); i++) {
 		bool ok = read_subsystem_text(refusals[i].text, &settings, error, sizeof(error));
 
-		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].setting);
+		snprintf(what, sizeof(what),
+			 "invalid settings are refused, and the message names %s",
+			 refusals[i].setting);
 		check(what, !ok && strstr(error, refusals[i].setting));
 		ws_subsystem_settings_free(&settings);
 	}
@@ -81,13 +83,13 @@
 
 /* Returns the phase of a new leader whose newest proof of an earlier leader has this age and term;
  * `recorded` is the stored phase, NULL for none. */
-static enum ws_cold_start_phase phase_after(double unproven_s, const char *recorded,
+static enum ws_cold_start_phase phase_after(double proof_age_s, const char *recorded,
 					    uint64_t recorded_term, uint64_t proven_term)
 {
 	struct ws_cold_start *cold_start = new_cold_start();
 	const struct ws_election_info info = {.now = 100,
 					      .term = 50,
-					      .leader_proof_age_s = unproven_s,
+					      .leader_proof_age_s = proof_age_s,
 					      .leader_proof_term = proven_term,
 					      .leases_expire_at = 117};
 	enum ws_cold_start_phase phase;
--- a/tests/failure_domains_loopback_test.c
+++ b/tests/failure_domains_loopback_test.c
@@ -92,7 +92,7 @@
 	loopback_partition_zone(0, true);
 	check("zone a is recorded as dark",
 	      loopback_run_until(zone_a_unreachable, LOOPBACK_LEASE_S));
-	check("that is recorded before the leases of the zone expire",
+	check("zone a is recorded as dark before its leases expire",
 	      loopback_running_in_zone(0) == before);
 	check("all tasks run in the other zones",
 	      loopback_run_until(all_run_in_other_zones, 2 * LOOPBACK_LEASE_S));
--- a/tests/failure_domains_test.c
+++ b/tests/failure_domains_test.c
@@ -55,7 +55,9 @@
 		bool ok = read_subsystem_text(refusals[i].text, &settings, error, sizeof(error)) &&
 			  check_subsystem_settings(&settings, &platform, error, sizeof(error));
 
-		snprintf(what, sizeof(what), "refused, naming %s", refusals[i].expected);
+		snprintf(what, sizeof(what),
+			 "invalid settings are refused, and the message names %s",
+			 refusals[i].expected);
 		check(what, !ok && strstr(error, refusals[i].expected));
 		ws_subsystem_settings_free(&settings);
 	}
@@ -164,7 +166,7 @@
 	check("an empty file enables nothing",
 	      read_subsystem_text("", &settings, error, sizeof(error)) &&
 		  !settings.failure_domains_enabled);
-	check("a missing file is refused, naming it",
+	check("a missing file is refused, and the message names it",
 	      !read_subsystem_file("/nowhere.toml", &settings, error, sizeof(error)) &&
 		  strstr(error, "/nowhere.toml"));
 	check_refusals();
--- a/tests/frames_test.c
+++ b/tests/frames_test.c
@@ -54,7 +54,7 @@
 int main(int argc, char **argv)
 {
 	static const uint8_t unknown[] = "\0\0\0\x0c\x08\x09\x10\x08\x1a\x06node-1";
-	static const uint8_t unreadable[] = "\0\0\0\x04\xff\xff\xff\xff";
+	static const uint8_t malformed[] = "\0\0\0\x04\xff\xff\xff\xff";
 	static const uint8_t oversized[] = "\x7f\xff\xff\xff\x08";
 	char path[] = "/tmp/waystep-frames-XXXXXX", log[64];
 	int port = free_port(), peer = free_port(), status = 0;
@@ -93,9 +93,9 @@
 	ws__peer_frame__free_unpacked(frame, NULL);
 	check("an unknown frame kind is logged",
 	      logged(log, "peer frame of unknown kind rejected peer=node-1 kind=9\n"));
-	check("an unreadable frame closes its connection",
-	      exchange(peer, unreadable, sizeof(unreadable) - 1, answer, sizeof(answer)) == 0);
-	check("an unreadable frame is logged",
+	check("a malformed frame closes its connection",
+	      exchange(peer, malformed, sizeof(malformed) - 1, answer, sizeof(answer)) == 0);
+	check("a malformed frame is logged",
 	      logged(log, "malformed peer frame rejected bytes=4\n"));
 	check("an oversized frame closes its connection",
 	      exchange(peer, oversized, sizeof(oversized) - 1, answer, sizeof(answer)) == 0);
--- a/tests/records_test.c
+++ b/tests/records_test.c
@@ -112,7 +112,8 @@
 	struct ws_recorded_attempt *recorded;
 	size_t count;
 
-	check("the production rules accept a record of production", production_accepts_job(value));
+	check("the production rules accept a record of the version in production",
+	      production_accepts_job(value));
 	check("the record of an array job is decoded",
 	      job && job->phase == WS_JOB_RUNNING && job->spec.tasks == 40 &&
 		  job->done_count == 21 && job->tasks[33].recorded && !job->tasks[20].done &&
@@ -120,15 +121,15 @@
 		  job->spec.deadline_s == 133);
 	count = ws_attempt_list_decode(value, &recorded);
 	check("all attempts are decoded", count == 12);
-	check("an attempt in a range of tasks",
+	check("an attempt in a range of tasks is decoded",
 	      has_attempt(recorded, count, "n-000031", 21, (41ULL << 24) + 5, 1));
-	check("an attempt in a list of tasks",
+	check("an attempt in a list of tasks is decoded",
 	      has_attempt(recorded, count, "n-000031", 30, (41ULL << 24) + 5, 1));
-	check("an attempt that inherits the number of the preceding entry",
+	check("an attempt that inherits the number of the preceding entry is decoded",
 	      has_attempt(recorded, count, "n-000032", 23, (41ULL << 24) + 5, 1));
-	check("an attempt with an incarnation",
+	check("an attempt with an incarnation is decoded",
 	      has_attempt(recorded, count, "n-000040", 24, (41ULL << 24) + 9, 2));
-	check("an attempt of another term",
+	check("an attempt of another term is decoded",
 	      has_attempt(recorded, count, "n-000091", 31, (57ULL << 24) + 1, 1));
 	free(recorded);
 	check("a cancelled record satisfies the production rules",
@@ -173,7 +174,7 @@
 					i, i ? "" : "#7", i);
 	json_object_set_new(value, "n", json_integer(400));
 	json_object_set_new(value, "p", json_pack("[[i,s,s,s]]", 41, "huye", "n-000", text));
-	check("a large record of production is decoded",
+	check("a large record of the version in production is decoded",
 	      ws_attempt_list_decode(value, &recorded) == 400);
 	free(recorded);
 	ws_job_record_cancel(value);
@@ -282,8 +283,8 @@
 	ws__peer_frame__free_unpacked(frame, NULL);
 }
 
-/* Round trip of the question and the answer of an outage vote. An invalid answer, or one without
- * a vote as production sends it, grants nothing. */
+/* Round trip of the request and the answer of an outage vote. An invalid answer, or one without a
+ * vote, as the version in production sends it, grants nothing. */
 static void check_outage_votes(void)
 {
 	struct ws_cancellation list[] = {{"job-000007", 41}, {"job-000003", 43}};
@@ -304,7 +305,7 @@
 	ws_vote_encode_request(&frame, &vote, &call);
 	length = ws__peer_frame__pack(&frame, out);
 	decoded = ws__peer_frame__unpack(NULL, length, out);
-	check("the question of a vote is decoded",
+	check("the request of an outage vote is decoded",
 	      decoded && decoded->kind == WS__PEER_FRAME__KIND__OUTAGE_VOTE &&
 		  decoded->vote->leader_revision == 12 && decoded->vote->since_revision == 40 &&
 		  !strcmp(decoded->vote->after_job, "job-000002"));
@@ -317,7 +318,7 @@
 	length = ws__peer_frame__pack(&frame, out);
 	ws_vote_free(&vote);
 	decoded = ws__peer_frame__unpack(NULL, length, out);
-	check("the answer of a vote is decoded",
+	check("the answer of an outage vote is decoded",
 	      decoded && ws_vote_decode_reply(decoded, &result) &&
 		  result.outcome == WS_OUTCOME_UNAVAILABLE && result.vote.granted &&
 		  result.vote.has_more && result.vote.cancellation_count == 2 &&
