--- a/tests/loopback_parts.h
+++ b/tests/loopback_parts.h
@@ -31,7 +31,7 @@
 	struct ws_http_client *clients[LOOPBACK_NODES];
 	uint64_t incarnation, sequence, fencing_token;
 	uint64_t sent_incarnation; /* incarnation in the last heartbeat */
-	double acknowledged_sent_at, sent_at, next_heartbeat_at;
+	double lease_renewed_at, heartbeat_sent_at, next_heartbeat_at;
 	bool heartbeat_pending, partitioned;
 	struct loopback_task tasks[LOOPBACK_TASKS_MAX];
 	unsigned task_count;
--- a/tests/loopback_workers.c
+++ b/tests/loopback_workers.c
@@ -143,7 +143,7 @@
 	message = json_loadb(answer->body, answer->length, 0, NULL);
 	leader = json_string_value(json_object_get(message, "supervisor"));
 	if (answer->status == 200 && execute_commands(worker, message)) {
-		worker->acknowledged_sent_at = worker->sent_at;
+		worker->lease_renewed_at = worker->heartbeat_sent_at;
 	} else if (answer->status == 421 && leader && atoi(leader + 5) != worker->node) {
 		worker->node = atoi(leader + 5);
 		worker->next_heartbeat_at = ws_now() + 0.1;
@@ -161,7 +161,7 @@
 	const struct loopback_worker *worker = context;
 	double delay_s = ANSWER_DELAY_MAX_S * loopback_random();
 
-	if (status == 200 && ws_now() + delay_s < worker->sent_at + HEARTBEAT_TIMEOUT_S &&
+	if (status == 200 && ws_now() + delay_s < worker->heartbeat_sent_at + HEARTBEAT_TIMEOUT_S &&
 	    loopback_fault_occurs(loopback_faults.delayed_answers))
 		loopback_delay_message(&answer, delay_s, receive_answer);
 	else
@@ -230,7 +230,7 @@
 	char *text;
 	json_t *body;
 
-	if (ws_now() - worker->acknowledged_sent_at > LOOPBACK_LEASE_S) {
+	if (ws_now() - worker->lease_renewed_at > LOOPBACK_LEASE_S) {
 		for (unsigned i = 0; i < worker->task_count; i++)
 			loopback_total_counts.lost_tasks +=
 			    worker->tasks[i].state != LOOPBACK_EXITED;
@@ -238,7 +238,7 @@
 			       worker->task_count);
 		worker->task_count = 0;
 		worker->incarnation++;
-		worker->acknowledged_sent_at = ws_now();
+		worker->lease_renewed_at = ws_now();
 	}
 	for (unsigned i = 0; i < worker->task_count; i++)
 		task_step(worker, &worker->tasks[i]);
@@ -248,7 +248,7 @@
 	body = build_heartbeat(worker);
 	text = json_dumps(body, 0);
 	json_decref(body);
-	worker->sent_at = ws_now();
+	worker->heartbeat_sent_at = ws_now();
 	worker->sent_incarnation = worker->incarnation;
 	worker->next_heartbeat_at = ws_now() + LOOPBACK_HEARTBEAT_S;
 	duplicate_heartbeat(text);
@@ -272,7 +272,7 @@
 	    ws_server_new(loop, "127.0.0.1", 0, options, on_command, worker, error, sizeof(error));
 	worker->port = ws_server_port(worker->server);
 	worker->incarnation = 1;
-	worker->acknowledged_sent_at = ws_now();
+	worker->lease_renewed_at = ws_now();
 	for (int i = 0; i < LOOPBACK_NODES; i++)
 		worker->clients[i] =
 		    ws_client_new(loop, "127.0.0.1", loopback_nodes[i].port, &client);
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -146,7 +146,7 @@
 	sim_sessions_expire(sim);
 	sim->store_was_down = sim->now < sim->store_down_until;
 	sim_workers_deliver_delayed_heartbeats(sim);
-	sim_calls_deliver_late_commands(sim);
+	sim_calls_deliver_delayed_commands(sim);
 	sim_slow_answers_deliver(sim);
 	sim_nodes_step(sim);
 	for (int i = 0; i < sim->worker_count; i++)
@@ -157,7 +157,7 @@
 	step_end = sim->now + SIM_STEP_S;
 	advance_calls(sim, step_end);
 	sim->now = step_end;
-	sim_check_quota(sim);
+	sim_check_running_tasks(sim);
 }
 
 bool sim_run(struct sim *sim, char *error, size_t size)
--- a/tests/sim_actions.c
+++ b/tests/sim_actions.c
@@ -317,7 +317,7 @@
 	json_t *value = json_pack("{s:i}", "x", 1);
 
 	sim->revision++;
-	sim_store_put(sim, action->operand, value, 0);
+	sim_store_write(sim, action->operand, value, 0);
 	json_decref(value);
 }
 
@@ -361,8 +361,8 @@
 		sim->delayed_txns = times;
 		sim->txn_delay_s = delay_s;
 	} else {
-		sim->late_command_count = times;
-		sim->late_command_delay_s = delay_s;
+		sim->delayed_command_calls = times;
+		sim->command_delay_s = delay_s;
 	}
 }
 
--- a/tests/sim_calls.c
+++ b/tests/sim_calls.c
@@ -290,9 +290,9 @@
 	double network_until = fmax(node->workers_partitioned_until,
 				    fmax(sim->zones_partitioned_until, worker->pinned_until));
 
-	if (sim->late_command_count > 0) {
-		sim->late_command_count--;
-		return sim->now + sim->late_command_delay_s;
+	if (sim->delayed_command_calls > 0) {
+		sim->delayed_command_calls--;
+		return sim->now + sim->command_delay_s;
 	}
 	if (sim_worker_is_live(sim, worker) && !sim_is_partitioned(sim, worker, node))
 		return 0;
@@ -301,7 +301,7 @@
 
 static void delay_commands(struct sim *sim, const struct ws_call *call, int worker, double due_at)
 {
-	struct sim_late_command *delayed = calloc(1, sizeof(*delayed));
+	struct sim_delayed_command *delayed = calloc(1, sizeof(*delayed));
 
 	delayed->due_at = due_at;
 	delayed->worker = worker;
@@ -312,8 +312,8 @@
 	if (call->commands.count)
 		memcpy(delayed->commands, call->commands.list,
 		       call->commands.count * sizeof(*delayed->commands));
-	delayed->next = sim->late_commands;
-	sim->late_commands = delayed;
+	delayed->next = sim->delayed_commands;
+	sim->delayed_commands = delayed;
 }
 
 static void execute_commands(struct sim *sim, struct sim_call_in_flight *flight)
@@ -324,7 +324,7 @@
 	double delayed_until;
 
 	sim->commands++;
-	if (worker->dead || worker->deleted) { /* the connection attempt fails */
+	if (worker->failed || worker->deleted) { /* the connection attempt fails */
 		flight->result.outcome = WS_OUTCOME_NOT_SENT;
 		flight->result.http_status = ws_http_status_of_outcome(WS_OUTCOME_NOT_SENT);
 		schedule_answer(sim, flight, sim->now + fmin(sim->heartbeat_s, sim->lease_s / 16));
@@ -442,15 +442,15 @@
 	}
 }
 
-static void delayed_command_free(struct sim_late_command *delayed)
+static void delayed_command_free(struct sim_delayed_command *delayed)
 {
 	free(delayed->commands);
 	free(delayed);
 }
 
-void sim_calls_deliver_late_commands(struct sim *sim)
+void sim_calls_deliver_delayed_commands(struct sim *sim)
 {
-	struct sim_late_command **link = &sim->late_commands, *delayed;
+	struct sim_delayed_command **link = &sim->delayed_commands, *delayed;
 
 	while ((delayed = *link)) {
 		struct sim_worker *worker = &sim->workers[delayed->worker];
@@ -478,10 +478,10 @@
 		ws_result_free(&flight->result);
 		free(flight);
 	}
-	while (sim->late_commands) {
-		struct sim_late_command *delayed = sim->late_commands;
+	while (sim->delayed_commands) {
+		struct sim_delayed_command *delayed = sim->delayed_commands;
 
-		sim->late_commands = delayed->next;
+		sim->delayed_commands = delayed->next;
 		delayed_command_free(delayed);
 	}
 }
--- a/tests/sim_calls.h
+++ b/tests/sim_calls.h
@@ -13,7 +13,7 @@
  */
 void sim_call_deliver_vote(struct sim *sim, const struct sim_node *node, struct ws_effect *effect);
 /* Delivers delayed direct commands that are due to their workers. */
-void sim_calls_deliver_late_commands(struct sim *sim);
+void sim_calls_deliver_delayed_commands(struct sim *sim);
 /* Frees all calls and direct commands in flight. */
 void sim_calls_free(struct sim *sim);
 #endif
--- a/tests/sim_checks.c
+++ b/tests/sim_checks.c
@@ -17,7 +17,7 @@
 
 static bool exists(const struct sim_worker *worker)
 {
-	return !worker->dead && !worker->deleted;
+	return !worker->failed && !worker->deleted;
 }
 
 int sim_count_running(const struct sim *sim, const char *id)
@@ -128,7 +128,7 @@
 		}
 }
 
-void sim_check_quota(struct sim *sim)
+void sim_check_running_tasks(struct sim *sim)
 {
 	double used[sizeof(sim->teams) / sizeof(sim->teams[0])] = {0};
 
@@ -164,7 +164,7 @@
 			continue;
 		sim->team_use_bound[i] += job->spec.cpus;
 		if (sim->team_use_bound[i] > sim->teams[i].cpus_max + CPU_TOLERANCE)
-			sim_check_quota(sim);
+			sim_check_running_tasks(sim);
 	}
 }
 
--- a/tests/sim_checks.h
+++ b/tests/sim_checks.h
@@ -10,5 +10,5 @@
 /* Checks that a task may start now and on this worker. */
 void sim_check_start(struct sim *sim, struct sim_worker *worker, struct sim_task *task);
 /* Checks that no team exceeds its limit and that no task runs long after its job was cancelled. */
-void sim_check_quota(struct sim *sim);
+void sim_check_running_tasks(struct sim *sim);
 #endif
--- a/tests/sim_cloud.c
+++ b/tests/sim_cloud.c
@@ -56,7 +56,7 @@
 
 static enum ws_instance_phase instance_phase(const struct sim *sim, const struct sim_worker *worker)
 {
-	if (worker->dead && sim->now > worker->died_at + FAILED_LISTED_S)
+	if (worker->failed && sim->now > worker->failed_at + FAILED_LISTED_S)
 		return WS_INSTANCE_FAILED;
 	return worker->is_up ? WS_INSTANCE_RUNNING : WS_INSTANCE_STARTING;
 }
--- a/tests/sim_cold_start.c
+++ b/tests/sim_cold_start.c
@@ -91,7 +91,7 @@
 	for (int i = 0; i < sim->worker_count; i++) {
 		struct sim_worker *worker = &sim->workers[i];
 
-		if (worker->dead || worker->deleted || !worker->is_up ||
+		if (worker->failed || worker->deleted || !worker->is_up ||
 		    (zone[0] && strcmp(zone, worker->zone) != 0))
 			continue;
 		accumulated_share += share;
@@ -115,7 +115,7 @@
 		if (!strcmp(sim->history[i].key, action->operand) && skip-- == 0)
 			value = json_incref(sim->history[i].value);
 	sim->revision++;
-	sim_store_put(sim, action->operand, value, 0);
+	sim_store_write(sim, action->operand, value, 0);
 	json_decref(value);
 }
 
@@ -129,7 +129,7 @@
 				  : sim_find_job(sim, key + strlen(prefix));
 
 	sim->revision++;
-	sim_store_put(sim, key, NULL, 0);
+	sim_store_write(sim, key, NULL, 0);
 	if (!job)
 		return;
 	job->accepted = false;
@@ -196,7 +196,7 @@
 	json_t *value = json_pack("{s:i,s:s}", "v", 9, "phase", "observing");
 
 	sim->revision++;
-	sim_store_put(sim, action->operand, value, 0);
+	sim_store_write(sim, action->operand, value, 0);
 	json_decref(value);
 }
 
@@ -217,7 +217,7 @@
 static bool is_task_alive(const struct sim *sim, const struct sim_worker *worker,
 			  const struct sim_task *task)
 {
-	return task->state != WS_TASK_EXITED && !worker->dead && !worker->deleted &&
+	return task->state != WS_TASK_EXITED && !worker->failed && !worker->deleted &&
 	       worker->is_up && sim->now - worker->lease_renewed_at <= sim->lease_s;
 }
 
--- a/tests/sim_failure_domains.c
+++ b/tests/sim_failure_domains.c
@@ -157,8 +157,8 @@
 
 	sim_option_text(action->text, "only", kind, sizeof(kind));
 	if (!strcmp(action->word, "kill-zone")) {
-		worker->dead = true;
-		worker->died_at = sim->now;
+		worker->failed = true;
+		worker->failed_at = sim->now;
 	} else if (!strcmp(action->word, "delete-zone")) {
 		worker->deleted = true;
 		worker->deleted_at = sim->now;
@@ -193,7 +193,7 @@
 	for (int i = 0; i < sim->worker_count; i++) {
 		struct sim_worker *worker = &sim->workers[i];
 
-		if (!affects_zone(sim, action, worker->zone) || worker->deleted || worker->dead ||
+		if (!affects_zone(sim, action, worker->zone) || worker->deleted || worker->failed ||
 		    !worker->is_up)
 			continue;
 		accumulated_share += share;
@@ -212,7 +212,7 @@
 
 	snprintf(key, sizeof(key), "%s%s", prefix, name);
 	sim->revision++;
-	sim_store_put(sim, key, value, 0);
+	sim_store_write(sim, key, value, 0);
 	json_decref(value);
 }
 
@@ -294,7 +294,7 @@
 	for (int i = 0; i < sim->worker_count; i++) {
 		const struct sim_worker *worker = &sim->workers[i];
 
-		if (strcmp(worker->zone, zone) != 0 || worker->dead || worker->deleted)
+		if (strcmp(worker->zone, zone) != 0 || worker->failed || worker->deleted)
 			continue;
 		for (int k = 0; k < worker->task_count; k++)
 			count += sim_task_started(&worker->tasks[k]);
--- a/tests/sim_gangs.c
+++ b/tests/sim_gangs.c
@@ -47,7 +47,7 @@
 	for (int i = 0; i < sim->worker_count; i++) {
 		struct sim_worker *worker = &sim->workers[i];
 
-		if (worker->dead || worker->deleted || !worker->is_up)
+		if (worker->failed || worker->deleted || !worker->is_up)
 			continue;
 		for (int k = 0; k < worker->task_count; k++) {
 			struct sim_task *task = &worker->tasks[k];
--- a/tests/sim_machine_actions.c
+++ b/tests/sim_machine_actions.c
@@ -27,7 +27,7 @@
 
 		if (!strcmp(name, worker->name))
 			return worker;
-		if (worker->deleted || worker->dead || !worker->is_up)
+		if (worker->deleted || worker->failed || !worker->is_up)
 			continue;
 		if (!strcmp(name, "rental") && worker->owned)
 			continue;
@@ -99,15 +99,15 @@
 static void kill_machine(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
 	(void)duration_s;
-	worker->dead = true;
-	worker->died_at = sim->now;
+	worker->failed = true;
+	worker->failed_at = sim->now;
 }
 
 static void fail_tasks(struct sim *sim, struct sim_worker *worker, double duration_s)
 {
 	(void)sim;
 	(void)duration_s;
-	worker->failing = true;
+	worker->tasks_fail = true;
 }
 
 static void delete_machine(struct sim *sim, struct sim_worker *worker, double duration_s)
--- a/tests/sim_parts.h
+++ b/tests/sim_parts.h
@@ -25,7 +25,7 @@
 #define SIM_REQUEST_ID_SHIFT 13
 #define SIM_ID_HEARTBEAT (1ULL << 62)
 #define SIM_ID_OUTAGE_VOTE (1ULL << 61)
-#define SIM_ID_LATE_HEARTBEAT (1ULL << 60) /* a delayed heartbeat; its answer is discarded */
+#define SIM_ID_DELAYED_HEARTBEAT (1ULL << 60) /* a delayed heartbeat; its answer is discarded */
 #define SIM_ID_CONSISTENCY_CHECK (1ULL << 59)
 
 /* A task on a worker. */
@@ -44,10 +44,10 @@
 	char name[WS_NAME_MAX];
 	int type;
 	char zone[32];
-	bool preemptible, owned, is_up, dead, deleted;
+	bool preemptible, owned, is_up, failed, deleted;
 	bool never_boots;
-	bool failing; /* its tasks fail as soon as they run */
-	double scaled_out_at, deleted_at, died_at, boots_at;
+	bool tasks_fail; /* its tasks fail as soon as they run */
+	double scaled_out_at, deleted_at, failed_at, boots_at;
 	double hang_until, partitioned_until;
 	double preemption_notice_at, preempted_at;
 	double inbound_blocked_until;  /* its heartbeats arrive, but no message reaches it */
@@ -186,13 +186,13 @@
 };
 
 /* Direct commands that arrive after their sender timed out. */
-struct sim_late_command {
+struct sim_delayed_command {
 	double due_at;
 	int worker;
 	uint64_t fencing_token, incarnation;
 	struct ws_command *commands;
 	size_t command_count;
-	struct sim_late_command *next;
+	struct sim_delayed_command *next;
 };
 
 /* A heartbeat that a partition delays, or a duplicate that arrives later. */
@@ -301,7 +301,7 @@
 
 	/* messages in transit */
 	struct sim_call_in_flight *calls_in_flight; /* sorted by due time */
-	struct sim_late_command *late_commands;
+	struct sim_delayed_command *delayed_commands;
 	struct sim_delayed_heartbeat *delayed_heartbeats;
 	struct sim_slow_answer *slow_answers;
 	uint64_t last_request_id;
@@ -325,8 +325,8 @@
 	double cloud_down_until, zones_partitioned_until;
 	int lost_scale_outs, lost_commands; /* remaining calls whose answers get lost */
 	/* Remaining calls with commands that are delayed, and the delay. */
-	int late_command_count;
-	double late_command_delay_s;
+	int delayed_command_calls;
+	double command_delay_s;
 	double command_answer_delay_s; /* delay of answers to commands, which execute at once */
 	/* A fraction of the answers to heartbeats is delayed. */
 	double slow_answers_until, slow_answer_delay_s;
--- a/tests/sim_store.c
+++ b/tests/sim_store.c
@@ -30,7 +30,7 @@
 	free(entry);
 }
 
-void sim_store_put(struct sim *sim, const char *key, json_t *value, uint64_t session)
+void sim_store_write(struct sim *sim, const char *key, json_t *value, uint64_t session)
 {
 	struct sim_entry *entry;
 
@@ -130,7 +130,7 @@
 	HASH_ITER (hh, sim->entries, entry, next_entry)
 		if (entry->session == session->id) {
 			sim->revision++;
-			sim_store_put(sim, entry->key, NULL, 0);
+			sim_store_write(sim, entry->key, NULL, 0);
 		}
 }
 
@@ -256,9 +256,9 @@
 	if (call->transaction.operation_count)
 		sim->revision++;
 	for (size_t i = 0; i < call->transaction.operation_count; i++)
-		sim_store_put(sim, call->transaction.operations[i].key,
-			      call->transaction.operations[i].value,
-			      call->transaction.operations[i].session);
+		sim_store_write(sim, call->transaction.operations[i].key,
+				call->transaction.operations[i].value,
+				call->transaction.operations[i].session);
 	result->transaction.revision = sim->revision;
 }
 
--- a/tests/sim_store.h
+++ b/tests/sim_store.h
@@ -4,7 +4,7 @@
 #include "sim_parts.h"
 
 /* Writes a key at the current revision, or deletes it if the value is NULL. */
-void sim_store_put(struct sim *sim, const char *key, json_t *value, uint64_t session);
+void sim_store_write(struct sim *sim, const char *key, json_t *value, uint64_t session);
 /* Executes a call of any kind except a watch. */
 void sim_store_execute(struct sim *sim, const struct ws_call *call, struct ws_result *result);
 /* Collects the changes that a watch delivers now. Returns false if there are none yet. */
--- a/tests/sim_worker_tasks.c
+++ b/tests/sim_worker_tasks.c
@@ -195,7 +195,7 @@
 static void run_step(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
 		     struct sim_job *job)
 {
-	bool fails = worker->failing || job->tasks_fail;
+	bool fails = worker->tasks_fail || job->tasks_fail;
 
 	if (job->spec.gang && !fails) /* see sim_gangs.c */
 		return;
--- a/tests/sim_workers.c
+++ b/tests/sim_workers.c
@@ -17,7 +17,8 @@
 
 bool sim_worker_is_live(const struct sim *sim, const struct sim_worker *worker)
 {
-	return worker->is_up && !worker->dead && !worker->deleted && sim->now >= worker->hang_until;
+	return worker->is_up && !worker->failed && !worker->deleted &&
+	       sim->now >= worker->hang_until;
 }
 
 bool sim_is_partitioned(const struct sim *sim, const struct sim_worker *worker,
@@ -192,7 +193,8 @@
 
 		if (node->is_up && (delayed->node == i || delayed->node < 0))
 			node->version->heartbeat(node->core, sim_node_time(sim, node),
-						 SIM_ID_LATE_HEARTBEAT, &delayed->heartbeat, false);
+						 SIM_ID_DELAYED_HEARTBEAT, &delayed->heartbeat,
+						 false);
 	}
 }
 
@@ -284,7 +286,7 @@
 {
 	struct sim_worker *worker = &sim->workers[effect->request_id & (SIM_WORKERS - 1)];
 
-	if (effect->request_id & SIM_ID_LATE_HEARTBEAT ||
+	if (effect->request_id & SIM_ID_DELAYED_HEARTBEAT ||
 	    effect->request_id != worker->heartbeat_id || !worker->heartbeat_pending ||
 	    !sim_worker_is_live(sim, worker) || sim->now < worker->inbound_blocked_until ||
 	    sim_is_partitioned(sim, worker, &sim->nodes[worker->node]))
@@ -338,7 +340,7 @@
 
 void sim_worker_step(struct sim *sim, struct sim_worker *worker)
 {
-	if (worker->deleted || worker->dead)
+	if (worker->deleted || worker->failed)
 		return;
 	if (!worker->is_up) {
 		boot_step(sim, worker);
