--- a/tests/frames_test.c
+++ b/tests/frames_test.c
@@ -95,20 +95,17 @@
 	      logged(log, "peer frame of unknown kind rejected peer=node-1 kind=9\n"));
 	check("a malformed frame closes its connection",
 	      exchange(peer, malformed, sizeof(malformed) - 1, answer, sizeof(answer)) == 0);
-	check("a malformed frame is logged",
-	      logged(log, "malformed peer frame rejected bytes=4\n"));
+	check("malformed frame is logged", logged(log, "malformed peer frame rejected bytes=4\n"));
 	check("an oversized frame closes its connection",
 	      exchange(peer, oversized, sizeof(oversized) - 1, answer, sizeof(answer)) == 0);
 	check("an oversized frame is logged",
 	      logged(log, "oversized peer frame rejected bytes=2147483647\n"));
 	length = exchange(port, "GET /healthz HTTP/1.1\r\n\r\n", 25, answer, sizeof(answer) - 1);
 	answer[length > 0 ? length : 0] = 0;
-	check("the process keeps running",
-	      length > 0 && !strncmp((char *)answer, "HTTP/1.1 503", 12));
+	check("the process is running", length > 0 && !strncmp((char *)answer, "HTTP/1.1 503", 12));
 	kill(pid, SIGTERM);
 	waitpid(pid, &status, 0);
-	check("SIGTERM ends the process with status 0",
-	      WIFEXITED(status) && WEXITSTATUS(status) == 0);
+	check("exit status after SIGTERM is 0", WIFEXITED(status) && WEXITSTATUS(status) == 0);
 	unlink(path);
 	unlink(log);
 	printf("%d passed, %d failed\n", passed_checks, failed_checks);
